--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -19,20 +19,20 @@
 import zmq
 
 from thorncleat_core import codec
-from thorncleat_core import keys
-from thorncleat_core.burn import GOOD
-from thorncleat_core.burn import BurnCounts
-from thorncleat_core.burn import Subject
-from thorncleat_core.claims import ClaimBook
-from thorncleat_core.claims import Outcome
-from thorncleat_core.configuration import Change
-from thorncleat_core.directory import Directory
-from thorncleat_core.directory import Record
-from thorncleat_core.journal import Entry
-from thorncleat_core.journal import State
-from thorncleat_core.permits import Permit
-from thorncleat_core.permits import PermitRequest
-from thorncleat_core.settings import PeerKeys
+from thorncleat_core.daemon import keys
+from thorncleat_core.daemon.burn import GOOD
+from thorncleat_core.daemon.burn import BurnCounts
+from thorncleat_core.daemon.burn import Subject
+from thorncleat_core.daemon.claims import ClaimBook
+from thorncleat_core.daemon.claims import Outcome
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.directory import Directory
+from thorncleat_core.daemon.directory import Record
+from thorncleat_core.daemon.journal import Entry
+from thorncleat_core.daemon.journal import State
+from thorncleat_core.daemon.permits import Permit
+from thorncleat_core.daemon.permits import PermitRequest
+from thorncleat_core.daemon.settings import PeerKeys
 from thorncleat_daemon.peers import ZmqPeers
 from thorncleat_standins.launch import Cluster
 from thorncleat_standins.launch import Site
--- a/bench/config.py
+++ b/bench/config.py
@@ -8,7 +8,7 @@
 
 import fire
 
-from thorncleat_core import keys
+from thorncleat_core.daemon import keys
 from thorncleat_standins.launch import Cluster
 from thorncleat_standins.launch import Site
 
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -15,15 +15,15 @@
 
 import fire
 
-from thorncleat_core.groups import Confirmations
-from thorncleat_core.groups import Group
-from thorncleat_core.groups import InstanceReport
-from thorncleat_core.permits import HeldPermit
-from thorncleat_core.permits import Permit
-from thorncleat_core.permits import PermitDesk
-from thorncleat_core.permits import PermitRequest
-from thorncleat_core.queues import FairQueue
-from thorncleat_core.queues import Waiting
+from thorncleat_core.daemon.groups import Confirmations
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.groups import InstanceReport
+from thorncleat_core.daemon.permits import HeldPermit
+from thorncleat_core.daemon.permits import Permit
+from thorncleat_core.daemon.permits import PermitDesk
+from thorncleat_core.daemon.permits import PermitRequest
+from thorncleat_core.daemon.queues import FairQueue
+from thorncleat_core.daemon.queues import Waiting
 from thorncleat_daemon.dispatch import Ledger
 from thorncleat_daemon.dispatch import Slot
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,7 +1,7 @@
 """Repair compared over randomised failures: group-minutes lost, accelerator-hours stranded.
 
 Deterministic: time is counted, not waited for. The decisions are those of
-:mod:`thorncleat_core.repair`, beside two baselines, over the same failures.
+:mod:`thorncleat_core.daemon.repair`, beside two baselines, over the same failures.
 """
 
 import collections
@@ -12,14 +12,14 @@
 
 import fire
 
-from thorncleat_core import repair
-from thorncleat_core.configuration import Change
-from thorncleat_core.configuration import Configuration
-from thorncleat_core.groups import Assignments
-from thorncleat_core.groups import Group
-from thorncleat_core.journal import Placement
-from thorncleat_core.repair import View
-from thorncleat_core.repair import Wanted
+from thorncleat_core.daemon import repair
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.journal import Placement
+from thorncleat_core.daemon.repair import View
+from thorncleat_core.daemon.repair import Wanted
 
 from .report import target
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -18,7 +18,7 @@
 
 import fire
 
-from thorncleat_core import keys
+from thorncleat_core.daemon import keys
 from thorncleat_standins.launch import Cluster
 from thorncleat_standins.launch import LaunchError
 from thorncleat_standins.launch import Site
--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -11,9 +11,9 @@
 import zmq
 
 from thorncleat_core import jsonc
-from thorncleat_core import keys
-from thorncleat_core import settings
-from thorncleat_core.configuration import Change
+from thorncleat_core.daemon import keys
+from thorncleat_core.daemon import settings
+from thorncleat_core.daemon.configuration import Change
 from thorncleat_core.exceptions import DocumentError
 from thorncleat_core.exceptions import ThorncleatError
 
--- a/packages/core/src/thorncleat_core/claims.py
+++ b/packages/core/src/thorncleat_core/daemon/claims.py
@@ -9,7 +9,7 @@
 import enum
 import typing as t
 
-from . import codec
+from .. import codec
 
 
 class ClaimState(enum.StrEnum):
--- a/packages/core/src/thorncleat_core/configuration.py
+++ b/packages/core/src/thorncleat_core/daemon/configuration.py
@@ -6,9 +6,9 @@
 
 import pydantic
 
+from ..exceptions import DocumentError
+from ..exceptions import Problem
 from . import keys
-from .exceptions import DocumentError
-from .exceptions import Problem
 
 MIN_GROUP_SIZE = 4
 MAX_GROUP_SIZE = 32
--- a/packages/core/src/thorncleat_core/directory.py
+++ b/packages/core/src/thorncleat_core/daemon/directory.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from . import codec
+from .. import codec
 
 Version = tuple[int, ...]
 
--- a/packages/core/src/thorncleat_core/groups.py
+++ b/packages/core/src/thorncleat_core/daemon/groups.py
@@ -3,8 +3,8 @@
 import dataclasses
 import typing as t
 
-from . import codec
-from .exceptions import AssignmentError
+from .. import codec
+from ..exceptions import AssignmentError
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/core/src/thorncleat_core/journal.py
+++ b/packages/core/src/thorncleat_core/daemon/journal.py
@@ -7,14 +7,14 @@
 import dataclasses
 import typing as t
 
-from . import codec
+from .. import codec
+from ..exceptions import JournalError
 from .configuration import Change
 from .configuration import Configuration
 from .configuration import Intent
 from .configuration import Operator
 from .configuration import Service
 from .configuration import Workspace
-from .exceptions import JournalError
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/core/src/thorncleat_core/leases.py
+++ b/packages/core/src/thorncleat_core/daemon/leases.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-from .exceptions import LeaseError
+from ..exceptions import LeaseError
 
 # how much faster one machine's clock may run than another's
 MAX_DRIFT = 0.01
--- a/packages/core/src/thorncleat_core/placement.py
+++ b/packages/core/src/thorncleat_core/daemon/placement.py
@@ -8,8 +8,8 @@
 from returns.result import Result
 from returns.result import Success
 
+from ..exceptions import PlacementError
 from .configuration import Intent
-from .exceptions import PlacementError
 from .fleet import Fleet
 from .fleet import Instance
 from .fleet import InstanceState
--- a/packages/core/src/thorncleat_core/plans.py
+++ b/packages/core/src/thorncleat_core/daemon/plans.py
@@ -12,12 +12,12 @@
 from returns.result import Result
 from returns.result import Success
 
-from . import codec
+from .. import codec
+from ..exceptions import ConflictError
+from ..exceptions import PlacementError
 from . import placement
 from .configuration import Change
 from .configuration import Intent
-from .exceptions import ConflictError
-from .exceptions import PlacementError
 from .fleet import Fleet
 from .journal import Entry
 from .journal import Placement
--- a/packages/core/src/thorncleat_core/registry.py
+++ b/packages/core/src/thorncleat_core/daemon/registry.py
@@ -2,7 +2,7 @@
 
 import typing as t
 
-from .exceptions import UnknownNameError
+from ..exceptions import UnknownNameError
 
 T = t.TypeVar("T")
 
--- a/packages/core/src/thorncleat_core/routing.py
+++ b/packages/core/src/thorncleat_core/daemon/routing.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from . import rendezvous
+from .. import rendezvous
 from .registry import Registry
 
 # how far above the mean a group may be loaded before affinity yields
--- a/packages/core/src/thorncleat_core/settings.py
+++ b/packages/core/src/thorncleat_core/daemon/settings.py
@@ -6,10 +6,10 @@
 
 import pydantic
 
-from . import jsonc
+from .. import jsonc
+from ..exceptions import DocumentError
+from ..exceptions import Problem
 from . import keys
-from .exceptions import DocumentError
-from .exceptions import Problem
 
 
 def _checked_address(value: str) -> str:
--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -3,7 +3,7 @@
 import asyncio
 import typing as t
 
-from thorncleat_core.retries import RetryBudget
+from thorncleat_core.daemon.retries import RetryBudget
 
 from . import clock
 from . import events
--- a/packages/daemon/src/thorncleat_daemon/callers.py
+++ b/packages/daemon/src/thorncleat_daemon/callers.py
@@ -6,9 +6,9 @@
 
 from aiohttp import web
 
-from thorncleat_core import keys
-from thorncleat_core.configuration import Configuration
-from thorncleat_core.configuration import Workspace
+from thorncleat_core.daemon import keys
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.configuration import Workspace
 
 from . import clock
 from .exceptions import RequestError
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -7,16 +7,16 @@
 
 import mode
 
-from thorncleat_core import claims
 from thorncleat_core import codec
-from thorncleat_core.budget import Purpose
-from thorncleat_core.claims import Claim
-from thorncleat_core.claims import ClaimAnswer
-from thorncleat_core.claims import ClaimBook
-from thorncleat_core.claims import Outcome
-from thorncleat_core.claims import Reply
+from thorncleat_core.daemon import claims
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.claims import Claim
+from thorncleat_core.daemon.claims import ClaimAnswer
+from thorncleat_core.daemon.claims import ClaimBook
+from thorncleat_core.daemon.claims import Outcome
+from thorncleat_core.daemon.claims import Reply
+from thorncleat_core.daemon.leases import HeldLease
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.leases import HeldLease
 
 from . import background
 from . import clock
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -6,9 +6,9 @@
 import aiohttp
 from aiohttp import web
 
-from thorncleat_core import routing
-from thorncleat_core.configuration import Configuration
-from thorncleat_core.configuration import Intent
+from thorncleat_core.daemon import routing
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.configuration import Intent
 
 from . import clock
 from . import events
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -7,17 +7,17 @@
 import mode
 
 from thorncleat_core import rendezvous
-from thorncleat_core.budget import Backoff
-from thorncleat_core.budget import Purpose
-from thorncleat_core.directory import Record
+from thorncleat_core.daemon.budget import Backoff
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.directory import Record
+from thorncleat_core.daemon.journal import Entry
+from thorncleat_core.daemon.journal import Head
+from thorncleat_core.daemon.journal import Journal
+from thorncleat_core.daemon.journal import State
 from thorncleat_core.exceptions import ConflictError
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import JournalError
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_core.journal import Entry
-from thorncleat_core.journal import Head
-from thorncleat_core.journal import Journal
-from thorncleat_core.journal import State
 
 from . import background
 from . import clock
--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -7,12 +7,12 @@
 import mode
 from aiohttp import web
 
-from thorncleat_core.budget import FleetRates
-from thorncleat_core.budget import StoreBudget
-from thorncleat_core.configuration import Configuration
-from thorncleat_core.leases import LeaseTerms
-from thorncleat_core.settings import Settings
-from thorncleat_core.settings import Tls
+from thorncleat_core.daemon.budget import FleetRates
+from thorncleat_core.daemon.budget import StoreBudget
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.leases import LeaseTerms
+from thorncleat_core.daemon.settings import Settings
+from thorncleat_core.daemon.settings import Tls
 
 from . import clock
 from . import events
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -8,13 +8,13 @@
 
 import mode
 
-from thorncleat_core import routing
-from thorncleat_core.configuration import Configuration
-from thorncleat_core.configuration import Intent
-from thorncleat_core.permits import HeldPermit
-from thorncleat_core.queues import FairQueue
-from thorncleat_core.queues import Waiting
-from thorncleat_core.retries import Ejection
+from thorncleat_core.daemon import routing
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.configuration import Intent
+from thorncleat_core.daemon.permits import HeldPermit
+from thorncleat_core.daemon.queues import FairQueue
+from thorncleat_core.daemon.queues import Waiting
+from thorncleat_core.daemon.retries import Ejection
 
 from . import clock
 from .exceptions import RequestError
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -4,21 +4,21 @@
 import dataclasses
 import typing as t
 
-from thorncleat_core import repair
-from thorncleat_core.budget import Purpose
-from thorncleat_core.fleet import Instance
-from thorncleat_core.fleet import InstanceState
-from thorncleat_core.groups import Assignments
-from thorncleat_core.groups import Group
-from thorncleat_core.groups import InstanceReport
-from thorncleat_core.journal import State
-from thorncleat_core.leases import MAX_DRIFT
-from thorncleat_core.leases import HeldLease
-from thorncleat_core.leases import LeaseTerms
-from thorncleat_core.permits import Permit
-from thorncleat_core.permits import PermitDesk
-from thorncleat_core.permits import PermitRequest
-from thorncleat_core.settings import Control
+from thorncleat_core.daemon import repair
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.fleet import Instance
+from thorncleat_core.daemon.fleet import InstanceState
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.groups import InstanceReport
+from thorncleat_core.daemon.journal import State
+from thorncleat_core.daemon.leases import MAX_DRIFT
+from thorncleat_core.daemon.leases import HeldLease
+from thorncleat_core.daemon.leases import LeaseTerms
+from thorncleat_core.daemon.permits import Permit
+from thorncleat_core.daemon.permits import PermitDesk
+from thorncleat_core.daemon.permits import PermitRequest
+from thorncleat_core.daemon.settings import Control
 
 from . import clock
 from . import events
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -3,8 +3,8 @@
 import collections
 import typing as t
 
-from thorncleat_core.fleet import Instance
-from thorncleat_core.groups import Group
+from thorncleat_core.daemon.fleet import Instance
+from thorncleat_core.daemon.groups import Group
 
 from .clock import Clock
 
--- a/packages/daemon/src/thorncleat_daemon/engines.py
+++ b/packages/daemon/src/thorncleat_daemon/engines.py
@@ -5,8 +5,8 @@
 import aiohttp
 
 from thorncleat_core import codec
+from thorncleat_core.daemon.groups import InstanceReport
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.groups import InstanceReport
 
 from .exceptions import EndpointError
 from .exceptions import EndpointSilentError
--- a/packages/daemon/src/thorncleat_daemon/entry.py
+++ b/packages/daemon/src/thorncleat_daemon/entry.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from thorncleat_core.configuration import Configuration
+from thorncleat_core.daemon.configuration import Configuration
 
 from . import callers
 from . import events
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -6,10 +6,10 @@
 
 import mode
 
-from thorncleat_core import directory
-from thorncleat_core.directory import Directory
-from thorncleat_core.directory import Record
-from thorncleat_core.members import Members
+from thorncleat_core.daemon import directory
+from thorncleat_core.daemon.directory import Directory
+from thorncleat_core.daemon.directory import Record
+from thorncleat_core.daemon.members import Members
 
 from . import background
 from . import events
--- a/packages/daemon/src/thorncleat_daemon/group_records.py
+++ b/packages/daemon/src/thorncleat_daemon/group_records.py
@@ -2,9 +2,9 @@
 
 import typing as t
 
-from thorncleat_core.directory import Record
-from thorncleat_core.groups import Group
-from thorncleat_core.journal import State
+from thorncleat_core.daemon.directory import Record
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.journal import State
 
 from .gossip import Gossip
 
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -7,14 +7,14 @@
 import mode
 
 from thorncleat_core import codec
-from thorncleat_core import leases
 from thorncleat_core import rendezvous
-from thorncleat_core.budget import Purpose
-from thorncleat_core.directory import Record
-from thorncleat_core.groups import Assignments
-from thorncleat_core.groups import Group
-from thorncleat_core.leases import HeldLease
-from thorncleat_core.permits import PermitRequest
+from thorncleat_core.daemon import leases
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.directory import Record
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.leases import HeldLease
+from thorncleat_core.daemon.permits import PermitRequest
 
 from . import background
 from . import events
--- a/packages/daemon/src/thorncleat_daemon/main.py
+++ b/packages/daemon/src/thorncleat_daemon/main.py
@@ -8,7 +8,7 @@
 
 import fire
 
-from thorncleat_core import settings
+from thorncleat_core.daemon import settings
 from thorncleat_core.exceptions import DocumentError
 
 from . import logs
--- a/packages/daemon/src/thorncleat_daemon/metrics.py
+++ b/packages/daemon/src/thorncleat_daemon/metrics.py
@@ -9,9 +9,9 @@
 from prometheus_client import Gauge
 from prometheus_client import generate_latest
 
-from thorncleat_core.burn import GOOD
-from thorncleat_core.burn import BurnCounts
-from thorncleat_core.burn import Subject
+from thorncleat_core.daemon.burn import GOOD
+from thorncleat_core.daemon.burn import BurnCounts
+from thorncleat_core.daemon.burn import Subject
 from thorncleat_core.distributions import Distribution
 from thorncleat_core.distributions import Distributions
 
--- a/packages/daemon/src/thorncleat_daemon/once.py
+++ b/packages/daemon/src/thorncleat_daemon/once.py
@@ -4,10 +4,10 @@
 import secrets
 import typing as t
 
-from thorncleat_core.claims import ClaimAnswer
-from thorncleat_core.claims import Outcome
-from thorncleat_core.claims import Reply
-from thorncleat_core.claims import request_digest
+from thorncleat_core.daemon.claims import ClaimAnswer
+from thorncleat_core.daemon.claims import Outcome
+from thorncleat_core.daemon.claims import Reply
+from thorncleat_core.daemon.claims import request_digest
 
 from .callers import Caller
 from .callers import require_key
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -12,18 +12,18 @@
 
 from thorncleat_core import codec
 from thorncleat_core import jsonc
-from thorncleat_core import keys
-from thorncleat_core import plans
-from thorncleat_core.burn import BurnCounts
-from thorncleat_core.burn import Subject
-from thorncleat_core.configuration import Change
+from thorncleat_core.daemon import keys
+from thorncleat_core.daemon import plans
+from thorncleat_core.daemon.burn import BurnCounts
+from thorncleat_core.daemon.burn import Subject
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.fleet import Fleet
+from thorncleat_core.daemon.journal import State
+from thorncleat_core.daemon.plans import Plan
+from thorncleat_core.daemon.settings import BootstrapOperator
 from thorncleat_core.exceptions import ConflictError
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import DocumentError
-from thorncleat_core.fleet import Fleet
-from thorncleat_core.journal import State
-from thorncleat_core.plans import Plan
-from thorncleat_core.settings import BootstrapOperator
 
 from . import events
 from .config import ConfigKeeper
--- a/packages/daemon/src/thorncleat_daemon/peers.py
+++ b/packages/daemon/src/thorncleat_daemon/peers.py
@@ -10,9 +10,9 @@
 from zmq.auth.asyncio import AsyncioAuthenticator
 
 from thorncleat_core import codec
+from thorncleat_core.daemon.settings import PeerKeys
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_core.settings import PeerKeys
 
 from . import events
 from .exceptions import PeerError
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -7,12 +7,12 @@
 import mode
 
 from thorncleat_core import codec
-from thorncleat_core import routing
+from thorncleat_core.daemon import routing
+from thorncleat_core.daemon.permits import HeldPermit
+from thorncleat_core.daemon.permits import Permit
+from thorncleat_core.daemon.permits import PermitRequest
+from thorncleat_core.daemon.permits import held
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.permits import HeldPermit
-from thorncleat_core.permits import Permit
-from thorncleat_core.permits import PermitRequest
-from thorncleat_core.permits import held
 
 from . import background
 from . import clock
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -6,10 +6,10 @@
 from aiohttp import web
 
 from thorncleat_core import rendezvous
-from thorncleat_core.configuration import Configuration
-from thorncleat_core.configuration import Service
-from thorncleat_core.retries import Ejection
-from thorncleat_core.retries import RetryBudget
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.configuration import Service
+from thorncleat_core.daemon.retries import Ejection
+from thorncleat_core.daemon.retries import RetryBudget
 
 from . import clock
 from .callers import Caller
--- a/packages/daemon/src/thorncleat_daemon/platform.py
+++ b/packages/daemon/src/thorncleat_daemon/platform.py
@@ -5,8 +5,8 @@
 import aiohttp
 import pydantic
 
-from thorncleat_core.fleet import Instance
-from thorncleat_core.fleet import ListedInstance
+from thorncleat_core.daemon.fleet import Instance
+from thorncleat_core.daemon.fleet import ListedInstance
 
 from .exceptions import PlatformError
 
--- a/packages/daemon/src/thorncleat_daemon/ports.py
+++ b/packages/daemon/src/thorncleat_daemon/ports.py
@@ -3,9 +3,9 @@
 import dataclasses
 import typing as t
 
-from thorncleat_core.budget import Purpose
-from thorncleat_core.fleet import Instance
-from thorncleat_core.groups import InstanceReport
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.fleet import Instance
+from thorncleat_core.daemon.groups import InstanceReport
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/daemon/src/thorncleat_daemon/sightings.py
+++ b/packages/daemon/src/thorncleat_daemon/sightings.py
@@ -3,9 +3,9 @@
 import asyncio
 import typing as t
 
-from thorncleat_core.groups import Confirmations
-from thorncleat_core.groups import Group
-from thorncleat_core.groups import InstanceReport
+from thorncleat_core.daemon.groups import Confirmations
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.groups import InstanceReport
 
 from .clock import Clock
 from .exceptions import EndpointError
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -8,8 +8,8 @@
 
 import aiohttp
 
-from thorncleat_core.budget import Purpose
-from thorncleat_core.budget import StoreBudget
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.budget import StoreBudget
 
 from . import events
 from .exceptions import StoreOutcomeUnknownError
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -6,7 +6,7 @@
 import aiohttp
 from aiohttp import web
 
-from thorncleat_core.burn import GOOD
+from thorncleat_core.daemon.burn import GOOD
 
 from . import clock
 from . import events
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -7,39 +7,38 @@
 import mode
 from aiohttp import web
 
-from thorncleat_core.relays import Daemon
-from thorncleat_core.relays import sources
-from thorncleat_core.roster import Endpoint
-
 from . import events
-from . import upstream
-from .controller import Controller
-from .dispatch import Dispatcher
-from .ended_groups import EndedGroups
-from .front import Front
-from .group_records import GroupRecords
-from .loads import Loads
-from .membership import Election
-from .membership import Registration
+from .groups.controller import Controller
+from .groups.ended import EndedGroups
+from .groups.orders import Orders
+from .groups.records import GroupRecords
 from .metrics import Metrics
-from .mirror import Mirror
-from .orders import Orders
-from .peers import LoadReport
-from .peers import Message
-from .peers import Peers
-from .peers import Probe
-from .plain import PlainRequests
+from .peers.datagrams import LoadReport
+from .peers.datagrams import Message
+from .peers.datagrams import Peers
+from .peers.datagrams import Probe
+from .peers.loads import Loads
+from .peers.pulse import Pulse
 from .ports import Engines
 from .ports import Feed
 from .ports import Records
 from .ports import Wire
-from .pulse import Pulse
-from .relay_feed import RelayFeed
-from .relay_server import RelayServer
-from .requests import Repeats
+from .requests import upstream
+from .requests.dispatch import Dispatcher
+from .requests.front import Front
+from .requests.plain import PlainRequests
+from .requests.request import Repeats
+from .requests.streams import StreamRequests
+from .requests.upstream import Upstream
 from .settings import GatewaySettings
-from .streams import StreamRequests
-from .upstream import Upstream
+from .store.membership import Election
+from .store.membership import Registration
+from .store.mirror import Mirror
+from .store.relay_feed import RelayFeed
+from .store.relay_server import RelayServer
+from .store.relays import Daemon
+from .store.relays import sources
+from .store.roster import Endpoint
 
 # for which an answer of an endpoint is told to other daemons
 HEARD_SECONDS = 1.0
--- a/packages/gateway/src/thorncleat_gateway/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -2,7 +2,7 @@
 
 Whoever holds the controller's lease plans from the list, where the members themselves say
 which groups there are. How groups are formed and ended, whatever orders are lost or come late,
-stands in :mod:`.group_forming` and :mod:`.group_ending`.
+stands in :mod:`.forming` and :mod:`.ending`.
 """
 
 import asyncio
@@ -13,31 +13,31 @@
 
 import mode
 
-from thorncleat_core import formation
 from thorncleat_core.exceptions import LeaseError
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_core.formation import DomainView
-from thorncleat_core.formation import Stage
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import Group
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.serving import Engine
-from thorncleat_core.serving import EngineModel
-
-from . import events
-from .ended_groups import EndedGroups
-from .group_ending import GroupEnding
-from .group_forming import GroupForming
-from .group_records import GroupRecords
+
+from .. import events
+from ..peers.datagrams import Peers
+from ..peers.datagrams import Suspicion
+from ..peers.pulse import Pulse
+from ..settings import GatewaySettings
+from ..store.membership import Election
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.roster import Group
+from ..store.roster import GroupId
+from ..store.roster import GroupState
+from ..store.serving import Engine
+from ..store.serving import EngineModel
+from . import formation
+from .ended import EndedGroups
+from .ending import GroupEnding
+from .formation import DomainView
+from .formation import Stage
+from .forming import GroupForming
 from .lost_endpoints import LostEndpoints
-from .membership import Election
-from .mirror import Mirror
 from .orders import Orders
-from .peers import Peers
-from .peers import Suspicion
-from .pulse import Pulse
-from .settings import GatewaySettings
+from .records import GroupRecords
 from .spares import Spares
 from .unlisted import Unlisted
 
--- a/packages/gateway/src/thorncleat_gateway/ended_groups.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -7,11 +7,10 @@
 
 import typing as t
 
-from thorncleat_core.roster import GroupId
-
-from .peers import Ended
-from .peers import Message
-from .peers import Peers
+from ..peers.datagrams import Ended
+from ..peers.datagrams import Message
+from ..peers.datagrams import Peers
+from ..store.roster import GroupId
 
 # after the controller's last word; if it was wrong, or another controls by now, the group is
 # used again
--- a/packages/gateway/src/thorncleat_gateway/group_ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -7,24 +7,23 @@
 import asyncio
 import typing as t
 
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-
-from . import events
-from .ended_groups import EndedGroups
-from .exceptions import EndpointError
-from .exceptions import EndpointGoneError
-from .group_records import GroupRecords
+from .. import events
+from ..exceptions import EndpointError
+from ..exceptions import EndpointGoneError
+from ..peers.datagrams import Peers
+from ..peers.datagrams import Probe
+from ..peers.pulse import Pulse
+from ..ports import Close
+from ..ports import Leave
+from ..ports import Outcome
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.roster import GroupId
+from ..store.roster import GroupState
+from .ended import EndedGroups
 from .lost_endpoints import Start
-from .mirror import Mirror
 from .orders import Orders
-from .peers import Peers
-from .peers import Probe
-from .ports import Close
-from .ports import Leave
-from .ports import Outcome
-from .pulse import Pulse
+from .records import GroupRecords
 
 ASK_SECONDS = 0.25
 LOOK_SECONDS = 0.02
--- a/packages/core/src/thorncleat_core/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -8,8 +8,8 @@
 import dataclasses
 import typing as t
 
-from .roster import Endpoint
-from .serving import EngineModel
+from ..store.roster import Endpoint
+from ..store.serving import EngineModel
 
 # part of a domain's endpoints that is kept free where it carries several models
 SPARE_SHARE = 0.2
--- a/packages/gateway/src/thorncleat_gateway/group_forming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming.py
@@ -9,26 +9,25 @@
 import asyncio
 import typing as t
 
-from thorncleat_core.formation import Form
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-
-from . import events
-from .exceptions import EndpointError
-from .exceptions import EndpointGoneError
-from .exceptions import StoreError
-from .group_ending import ASK_SECONDS
-from .group_ending import LOOK_SECONDS
-from .group_ending import GroupEnding
-from .group_records import GroupRecords
+from .. import events
+from ..exceptions import EndpointError
+from ..exceptions import EndpointGoneError
+from ..exceptions import StoreError
+from ..ports import Join
+from ..ports import Open
+from ..ports import Outcome
+from ..settings import ControlSettings
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.roster import GroupId
+from .ending import ASK_SECONDS
+from .ending import LOOK_SECONDS
+from .ending import GroupEnding
+from .formation import Form
 from .lost_endpoints import LostEndpoints
 from .lost_endpoints import Start
-from .mirror import Mirror
 from .orders import Orders
-from .ports import Join
-from .ports import Open
-from .ports import Outcome
-from .settings import ControlSettings
+from .records import GroupRecords
 
 # formations that one term can number
 EPOCHS_PER_TERM = 100_000
--- a/packages/gateway/src/thorncleat_gateway/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -3,10 +3,9 @@
 import asyncio
 import typing as t
 
-from thorncleat_core.roster import Endpoint
-
-from . import events
-from .mirror import Mirror
+from .. import events
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
 from .orders import Orders
 
 ASK_AGAIN_SECONDS = 1.0
--- a/packages/gateway/src/thorncleat_gateway/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -4,21 +4,21 @@
 import typing as t
 
 from thorncleat_core.exceptions import LeaseError
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-
-from . import events
-from .exceptions import EndpointError
-from .exceptions import EndpointGoneError
-from .exceptions import EndpointSilentError
-from .mirror import Mirror
-from .ports import EngineReport
-from .ports import Engines
-from .ports import Order
-from .ports import Outcome
-from .settings import ControlSettings
+
+from .. import events
+from ..exceptions import EndpointError
+from ..exceptions import EndpointGoneError
+from ..exceptions import EndpointSilentError
+from ..ports import EngineReport
+from ..ports import Engines
+from ..ports import Order
+from ..ports import Outcome
+from ..settings import ControlSettings
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.roster import GroupId
+from ..store.roster import GroupState
+from ..store.roster import Membership
 
 PROBES = 2
 STANDING = (GroupState.READY, GroupState.OPEN)
--- a/packages/gateway/src/thorncleat_gateway/group_records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -10,16 +10,15 @@
 
 import msgpack
 
-from thorncleat_core.formation import Form
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-
-from .membership import CONTROLLER
-from .membership import Election
-from .mirror import Mirror
-from .ports import Records
+from ..ports import Records
+from ..store.membership import CONTROLLER
+from ..store.membership import Election
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.roster import GroupId
+from ..store.roster import GroupState
+from ..store.roster import Membership
+from .formation import Form
 
 GROUPS = "thorncleat/groups/"
 # keys that one write may remove beside what it writes
--- a/packages/gateway/src/thorncleat_gateway/spares.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/spares.py
@@ -2,19 +2,18 @@
 
 import typing as t
 
-from thorncleat_core.formation import Stage
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.serving import Engine
-from thorncleat_core.serving import EngineModel
-
-from . import events
-from .exceptions import EndpointError
-from .exceptions import EndpointGoneError
+from .. import events
+from ..exceptions import EndpointError
+from ..exceptions import EndpointGoneError
+from ..ports import Load
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.serving import Engine
+from ..store.serving import EngineModel
+from .formation import Stage
 from .lost_endpoints import LostEndpoints
 from .lost_endpoints import Start
-from .mirror import Mirror
 from .orders import Orders
-from .ports import Load
 
 LOAD_TRIES = 6
 # times its usual duration after which a load counts as failed
--- a/packages/gateway/src/thorncleat_gateway/unlisted.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted.py
@@ -8,11 +8,10 @@
 import dataclasses
 import typing as t
 
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-
-from .exceptions import EndpointError
-from .mirror import Mirror
+from ..exceptions import EndpointError
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.roster import GroupId
 from .orders import Orders
 
 ASK_SECONDS = 1.0
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/peers/__init__.py
@@ -0,0 +1,1 @@
+"""What daemons tell each other."""
--- a/packages/gateway/src/thorncleat_gateway/peers.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -11,10 +11,9 @@
 import mode
 import msgpack
 
-from thorncleat_core.roster import GroupId
-
-from . import events
-from .settings import GatewaySettings
+from .. import events
+from ..settings import GatewaySettings
+from ..store.roster import GroupId
 
 FORMAT = 1
 # between two reports of a daemon, while there are not more daemons than follow
--- a/packages/gateway/src/thorncleat_gateway/loads.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/loads.py
@@ -4,7 +4,7 @@
 import contextlib
 import typing as t
 
-from .peers import SHORTEST_INTERVAL_SECONDS
+from .datagrams import SHORTEST_INTERVAL_SECONDS
 
 # a report of another daemon counts no longer than this, in seconds, or than so many intervals
 REPORT_SECONDS = 1.0
--- a/packages/gateway/src/thorncleat_gateway/pulse.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/pulse.py
@@ -11,14 +11,13 @@
 
 import mode
 
-from thorncleat_core.roster import Endpoint
-
-from . import events
-from .peers import LoadReport
-from .peers import Message
-from .peers import Peers
-from .peers import Suspicion
-from .settings import StreamSettings
+from .. import events
+from ..settings import StreamSettings
+from ..store.roster import Endpoint
+from .datagrams import LoadReport
+from .datagrams import Message
+from .datagrams import Peers
+from .datagrams import Suspicion
 
 LOOK_SECONDS = 0.02
 # weight of the newest gap in the mean
--- a/packages/gateway/src/thorncleat_gateway/ports.py
+++ b/packages/gateway/src/thorncleat_gateway/ports.py
@@ -4,10 +4,10 @@
 import enum
 import typing as t
 
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import Membership
-from thorncleat_core.serving import ServingConfiguration
+from .store.roster import Endpoint
+from .store.roster import GroupId
+from .store.roster import Membership
+from .store.serving import ServingConfiguration
 
 Headers = t.Sequence[tuple[str, str]]
 # part of a wait without a change that surely had passed at the other side when it answered
--- a/packages/gateway/src/thorncleat_gateway/dispatch.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/dispatch.py
@@ -3,14 +3,13 @@
 import random
 import typing as t
 
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.serving import Engine
-
-from .ended_groups import EndedGroups
-from .loads import Loads
-from .mirror import Mirror
-from .pulse import Pulse
-from .settings import GatewaySettings
+from ..groups.ended import EndedGroups
+from ..peers.loads import Loads
+from ..peers.pulse import Pulse
+from ..settings import GatewaySettings
+from ..store.mirror import Mirror
+from ..store.roster import Endpoint
+from ..store.serving import Engine
 
 # seconds for which an endpoint that refused or cut a connection is avoided
 AVOID_SECONDS = 1.0
--- a/packages/gateway/src/thorncleat_gateway/front.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/front.py
@@ -5,22 +5,21 @@
 
 from aiohttp import web
 
-from thorncleat_core.serving import KeyHolder
-from thorncleat_core.serving import Route
-from thorncleat_core.serving import RouteKind
-from thorncleat_core.serving import ServiceTerms
-from thorncleat_core.serving import ServingConfiguration
-
-from . import events
-from .exceptions import RefusalError
-from .mirror import Mirror
+from .. import events
+from ..exceptions import RefusalError
+from ..ports import Headers
+from ..ports import RequestHead
+from ..ports import Wire
+from ..settings import GatewaySettings
+from ..store.mirror import Mirror
+from ..store.serving import KeyHolder
+from ..store.serving import Route
+from ..store.serving import RouteKind
+from ..store.serving import ServiceTerms
+from ..store.serving import ServingConfiguration
 from .plain import PlainRequests
-from .ports import Headers
-from .ports import RequestHead
-from .ports import Wire
-from .requests import Repeats
-from .requests import Request
-from .settings import GatewaySettings
+from .request import Repeats
+from .request import Request
 from .streams import CutError
 from .streams import StreamRequests
 
--- a/packages/gateway/src/thorncleat_gateway/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -3,18 +3,17 @@
 import dataclasses
 import typing as t
 
-from thorncleat_core.roster import Endpoint
-
+from ..exceptions import AttemptError
+from ..exceptions import Ran
+from ..peers.loads import Loads
+from ..peers.pulse import Pulse
+from ..ports import Headers
+from ..ports import Wire
+from ..store.roster import Endpoint
 from .dispatch import Dispatcher
-from .exceptions import AttemptError
-from .exceptions import Ran
-from .loads import Loads
-from .ports import Headers
-from .ports import Wire
-from .pulse import Pulse
-from .requests import Repeats
-from .requests import Request
-from .requests import log_failed
+from .request import Repeats
+from .request import Request
+from .request import log_failed
 from .upstream import Upstream
 from .upstream import within
 
--- a/packages/gateway/src/thorncleat_gateway/requests.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -4,21 +4,20 @@
 import dataclasses
 import typing as t
 
-from thorncleat_core.allowance import RetryAllowance
-from thorncleat_core.allowance import RetryTerms
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.serving import KeyHolder
-from thorncleat_core.serving import Route
-from thorncleat_core.serving import ServiceTerms
-
-from . import events
-from .exceptions import AttemptError
-from .exceptions import Ran
-from .exceptions import RefusalError
-from .ports import ForwardTerms
-from .ports import Headers
-from .ports import RequestHead
-from .ports import Wire
+from .. import events
+from ..exceptions import AttemptError
+from ..exceptions import Ran
+from ..exceptions import RefusalError
+from ..ports import ForwardTerms
+from ..ports import Headers
+from ..ports import RequestHead
+from ..ports import Wire
+from ..store.roster import Endpoint
+from ..store.serving import KeyHolder
+from ..store.serving import Route
+from ..store.serving import ServiceTerms
+from .allowance import RetryAllowance
+from .allowance import RetryTerms
 
 # sends that may be tried while nothing of them can have reached an endpoint
 UNSENT_TRIES = 4
--- a/packages/gateway/src/thorncleat_gateway/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -3,23 +3,22 @@
 import asyncio
 import typing as t
 
-from thorncleat_core.event_stream import EventCutter
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.serving import Engine
-
-from . import events
+from .. import events
+from ..exceptions import AttemptError
+from ..exceptions import Ran
+from ..exceptions import RefusalError
+from ..peers.loads import Loads
+from ..peers.pulse import Pulse
+from ..peers.pulse import Run
+from ..ports import Headers
+from ..ports import Wire
+from ..store.roster import Endpoint
+from ..store.serving import Engine
 from .dispatch import Dispatcher
-from .exceptions import AttemptError
-from .exceptions import Ran
-from .exceptions import RefusalError
-from .loads import Loads
-from .ports import Headers
-from .ports import Wire
-from .pulse import Pulse
-from .pulse import Run
-from .requests import Repeats
-from .requests import Request
-from .requests import log_failed
+from .event_stream import EventCutter
+from .request import Repeats
+from .request import Request
+from .request import log_failed
 from .upstream import Exchange
 from .upstream import Upstream
 
--- a/packages/gateway/src/thorncleat_gateway/upstream.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/upstream.py
@@ -9,11 +9,11 @@
 from aiohttp.client_proto import ResponseHandler
 from yarl import URL
 
-from .exceptions import AttemptError
-from .exceptions import Ran
-from .ports import AnswerHead
-from .ports import Headers
-from .ports import Wire
+from ..exceptions import AttemptError
+from ..exceptions import Ran
+from ..ports import AnswerHead
+from ..ports import Headers
+from ..ports import Wire
 
 SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
--- a/packages/gateway/src/thorncleat_gateway/settings.py
+++ b/packages/gateway/src/thorncleat_gateway/settings.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from thorncleat_core.allowance import RetryTerms
+from .requests.allowance import RetryTerms
 
 
 @dataclasses.dataclass(frozen=True)
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/store/__init__.py
@@ -0,0 +1,1 @@
+"""What is known from the platform's store, and how it gets here."""
--- a/packages/gateway/src/thorncleat_gateway/change_codec.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_codec.py
@@ -5,14 +5,14 @@
 
 from thorncleat_core import codec
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.serving import ServingConfiguration
 
-from .ports import Change
-from .ports import ConfigurationChanged
-from .ports import EndpointGone
-from .ports import EndpointListed
-from .ports import RecordChanged
+from ..ports import Change
+from ..ports import ConfigurationChanged
+from ..ports import EndpointGone
+from ..ports import EndpointListed
+from ..ports import RecordChanged
+from .roster import Endpoint
+from .serving import ServingConfiguration
 
 COMPRESS_FROM_BYTES = 2_000
 COMPRESSION_LEVEL = 1
--- a/packages/gateway/src/thorncleat_gateway/change_log.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_log.py
@@ -4,7 +4,7 @@
 import dataclasses
 import typing as t
 
-from .ports import Change
+from ..ports import Change
 
 BATCHES = 256
 
--- a/packages/gateway/src/thorncleat_gateway/membership.py
+++ b/packages/gateway/src/thorncleat_gateway/store/membership.py
@@ -12,15 +12,15 @@
 import msgpack
 
 from thorncleat_core import rendezvous
-from thorncleat_core.relays import Daemon
 
-from . import events
-from .exceptions import LeaseGoneError
-from .exceptions import StoreError
-from .exceptions import StoreOutcomeUnknownError
+from .. import events
+from ..exceptions import LeaseGoneError
+from ..exceptions import StoreError
+from ..exceptions import StoreOutcomeUnknownError
+from ..ports import Records
+from ..settings import GatewaySettings
 from .mirror import Mirror
-from .ports import Records
-from .settings import GatewaySettings
+from .relays import Daemon
 
 DAEMONS = "thorncleat/daemons/"
 CONTROLLER = "thorncleat/controller"
--- a/packages/gateway/src/thorncleat_gateway/mirror.py
+++ b/packages/gateway/src/thorncleat_gateway/store/mirror.py
@@ -5,19 +5,18 @@
 
 import mode
 
-from thorncleat_core.roster import Roster
-from thorncleat_core.serving import ServingConfiguration
-
-from . import events
-from .exceptions import HistoryGoneError
-from .exceptions import StoreError
-from .ports import Change
-from .ports import Changes
-from .ports import ConfigurationChanged
-from .ports import EndpointGone
-from .ports import EndpointListed
-from .ports import Feed
-from .ports import RecordChanged
+from .. import events
+from ..exceptions import HistoryGoneError
+from ..exceptions import StoreError
+from ..ports import Change
+from ..ports import Changes
+from ..ports import ConfigurationChanged
+from ..ports import EndpointGone
+from ..ports import EndpointListed
+from ..ports import Feed
+from ..ports import RecordChanged
+from .roster import Roster
+from .serving import ServingConfiguration
 
 # pause after a failed call; doubled up to the longest
 FIRST_PAUSE_SECONDS = 0.05
--- a/packages/gateway/src/thorncleat_gateway/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -6,18 +6,18 @@
 import aiohttp
 
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.relays import Daemon
 
+from .. import events
+from ..exceptions import StoreUnavailableError
+from ..ports import WAITED_PART
+from ..ports import Change
+from ..ports import Changes
+from ..ports import Feed
+from ..settings import RelaySettings
 from . import change_codec
-from . import events
-from .exceptions import StoreUnavailableError
-from .ports import WAITED_PART
-from .ports import Change
-from .ports import Changes
-from .ports import Feed
 from .relay_server import AGE
 from .relay_server import CHANGES_PATH
-from .settings import RelaySettings
+from .relays import Daemon
 
 STORE = "store"
 
--- a/packages/gateway/src/thorncleat_gateway/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -6,12 +6,11 @@
 
 from aiohttp import web
 
-from thorncleat_core.relays import Daemon
-
+from ..ports import Changes
 from . import change_codec
 from .change_log import ChangeLog
 from .mirror import Mirror
-from .ports import Changes
+from .relays import Daemon
 
 CHANGES_PATH = "/changes"
 AGE = struct.Struct("!d")
--- a/packages/core/src/thorncleat_core/relays.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relays.py
@@ -9,7 +9,7 @@
 import math
 import typing as t
 
-from . import rendezvous
+from thorncleat_core import rendezvous
 
 # a relay answers each of them a few times a second
 DAEMONS_PER_RELAY = 16
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -9,28 +9,18 @@
 import dataclasses
 import random
 
-from thorncleat_core.allowance import RetryTerms
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-from thorncleat_core.serving import Engine
-from thorncleat_core.serving import EngineModel
-from thorncleat_core.serving import ServiceTerms
-from thorncleat_core.serving import ServingConfiguration
-from thorncleat_gateway.controller import Controller
-from thorncleat_gateway.ended_groups import EndedGroups
 from thorncleat_gateway.exceptions import EndpointGoneError
 from thorncleat_gateway.exceptions import EndpointSilentError
 from thorncleat_gateway.exceptions import HistoryGoneError
 from thorncleat_gateway.exceptions import LeaseGoneError
 from thorncleat_gateway.exceptions import StoreOutcomeUnknownError
 from thorncleat_gateway.exceptions import StoreUnavailableError
-from thorncleat_gateway.group_records import GroupRecords
-from thorncleat_gateway.membership import Election
-from thorncleat_gateway.mirror import Mirror
-from thorncleat_gateway.orders import Orders
-from thorncleat_gateway.peers import Probe
+from thorncleat_gateway.groups.controller import Controller
+from thorncleat_gateway.groups.ended import EndedGroups
+from thorncleat_gateway.groups.orders import Orders
+from thorncleat_gateway.groups.records import GroupRecords
+from thorncleat_gateway.peers.datagrams import Probe
+from thorncleat_gateway.peers.pulse import Pulse
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import Close
 from thorncleat_gateway.ports import ConfigurationChanged
@@ -43,9 +33,19 @@
 from thorncleat_gateway.ports import Open
 from thorncleat_gateway.ports import Outcome
 from thorncleat_gateway.ports import RecordChanged
-from thorncleat_gateway.pulse import Pulse
+from thorncleat_gateway.requests.allowance import RetryTerms
 from thorncleat_gateway.settings import GatewaySettings
 from thorncleat_gateway.settings import StreamSettings
+from thorncleat_gateway.store.membership import Election
+from thorncleat_gateway.store.mirror import Mirror
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.serving import Engine
+from thorncleat_gateway.store.serving import EngineModel
+from thorncleat_gateway.store.serving import ServiceTerms
+from thorncleat_gateway.store.serving import ServingConfiguration
 
 SERVICE = "narrator"
 MODELS = (
--- a/tests/makers.py
+++ b/tests/makers.py
@@ -2,11 +2,11 @@
 
 import hashlib
 
-from thorncleat_core.configuration import Change
-from thorncleat_core.fleet import Fleet
-from thorncleat_core.fleet import Instance
-from thorncleat_core.fleet import InstanceKind
-from thorncleat_core.fleet import InstanceState
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.fleet import Fleet
+from thorncleat_core.daemon.fleet import Instance
+from thorncleat_core.daemon.fleet import InstanceKind
+from thorncleat_core.daemon.fleet import InstanceState
 
 CALLER_KEY = "caller-key"
 
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -16,7 +16,7 @@
 from cryptography.x509.oid import NameOID
 
 from thorncleat_core import codec
-from thorncleat_core.settings import PeerKeys
+from thorncleat_core.daemon.settings import PeerKeys
 from thorncleat_daemon.exceptions import PeerError
 from thorncleat_daemon.peers import ZmqPeers
 from thorncleat_standins.launch import Cluster
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,10 +7,10 @@
 from hypothesis.stateful import invariant
 from hypothesis.stateful import rule
 
-from thorncleat_core import claims
-from thorncleat_core.claims import ClaimAnswer
-from thorncleat_core.claims import ClaimBook
-from thorncleat_core.claims import Outcome
+from thorncleat_core.daemon import claims
+from thorncleat_core.daemon.claims import ClaimAnswer
+from thorncleat_core.daemon.claims import ClaimBook
+from thorncleat_core.daemon.claims import Outcome
 from thorncleat_core.exceptions import DecodeError
 
 DONE = Outcome(201, "text/plain", b"ok")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,8 +1,8 @@
 """Catching up with the accepted configuration."""
 
-from thorncleat_core.budget import Purpose
-from thorncleat_core.directory import Record
-from thorncleat_core.journal import State
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.directory import Record
+from thorncleat_core.daemon.journal import State
 from thorncleat_daemon.config import ConfigKeeper
 from thorncleat_daemon.keyspace import Keyspace
 from thorncleat_daemon.ports import Stored
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,8 +11,8 @@
 from hypothesis.stateful import initialize
 from hypothesis.stateful import rule
 
+from thorncleat_core.daemon.fleet import InstanceState
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_core.fleet import InstanceState
 
 from .world import World
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,27 +7,27 @@
 from hypothesis import strategies as st
 from returns.result import Failure
 
-from thorncleat_core import budget
-from thorncleat_core import directory
-from thorncleat_core import leases
-from thorncleat_core import overlay
-from thorncleat_core import plans
 from thorncleat_core import rendezvous
-from thorncleat_core import routing
-from thorncleat_core.burn import GOOD
-from thorncleat_core.burn import BurnCounts
-from thorncleat_core.burn import Subject
-from thorncleat_core.configuration import Change
-from thorncleat_core.directory import Directory
-from thorncleat_core.directory import Record
+from thorncleat_core.daemon import budget
+from thorncleat_core.daemon import directory
+from thorncleat_core.daemon import leases
+from thorncleat_core.daemon import overlay
+from thorncleat_core.daemon import plans
+from thorncleat_core.daemon import routing
+from thorncleat_core.daemon.burn import GOOD
+from thorncleat_core.daemon.burn import BurnCounts
+from thorncleat_core.daemon.burn import Subject
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.directory import Directory
+from thorncleat_core.daemon.directory import Record
+from thorncleat_core.daemon.journal import State
+from thorncleat_core.daemon.members import Members
+from thorncleat_core.daemon.retries import Ejection
+from thorncleat_core.daemon.retries import RetryBudget
 from thorncleat_core.exceptions import ConflictError
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import LeaseError
 from thorncleat_core.exceptions import UnknownNameError
-from thorncleat_core.journal import State
-from thorncleat_core.members import Members
-from thorncleat_core.retries import Ejection
-from thorncleat_core.retries import RetryBudget
 
 from . import makers
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -10,11 +10,11 @@
 from returns.result import Success
 
 from thorncleat_core import jsonc
-from thorncleat_core import plans
-from thorncleat_core import settings
-from thorncleat_core.configuration import Change
-from thorncleat_core.fleet import Fleet
-from thorncleat_core.journal import State
+from thorncleat_core.daemon import plans
+from thorncleat_core.daemon import settings
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.fleet import Fleet
+from thorncleat_core.daemon.journal import State
 from thorncleat_core.log_events import Event
 from thorncleat_daemon import events
 
@@ -40,7 +40,7 @@
 
     def test_each_event_is_used(self):
         source = "".join(
-            one.read_text() for one in (ROOT / "packages/daemon/src/thorncleat_daemon").glob("*.py")
+            one.read_text() for one in (ROOT / "packages/daemon/src/thorncleat_daemon").rglob("*.py")
         )
         for name, value in vars(events).items():
             if isinstance(value, Event):
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -5,9 +5,9 @@
 import pytest
 
 from thorncleat_core import jsonc
-from thorncleat_core import settings
-from thorncleat_core.configuration import Change
-from thorncleat_core.configuration import Configuration
+from thorncleat_core.daemon import settings
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.configuration import Configuration
 from thorncleat_core.exceptions import DocumentError
 
 from .makers import change
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -4,25 +4,25 @@
 
 import pytest
 
-from thorncleat_core.allowance import RetryTerms
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-from thorncleat_core.roster import Roster
-from thorncleat_core.serving import Engine
-from thorncleat_core.serving import EngineModel
-from thorncleat_core.serving import ServiceTerms
-from thorncleat_core.serving import ServingConfiguration
-from thorncleat_gateway.dispatch import Dispatcher
-from thorncleat_gateway.ended_groups import KEEP_SECONDS
-from thorncleat_gateway.ended_groups import REPEAT_SECONDS
-from thorncleat_gateway.ended_groups import EndedGroups
-from thorncleat_gateway.loads import Loads
-from thorncleat_gateway.peers import Ended
-from thorncleat_gateway.pulse import Pulse
+from thorncleat_gateway.groups.ended import KEEP_SECONDS
+from thorncleat_gateway.groups.ended import REPEAT_SECONDS
+from thorncleat_gateway.groups.ended import EndedGroups
+from thorncleat_gateway.peers.datagrams import Ended
+from thorncleat_gateway.peers.loads import Loads
+from thorncleat_gateway.peers.pulse import Pulse
+from thorncleat_gateway.requests.allowance import RetryTerms
+from thorncleat_gateway.requests.dispatch import Dispatcher
 from thorncleat_gateway.settings import GatewaySettings
 from thorncleat_gateway.settings import StreamSettings
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.roster import Roster
+from thorncleat_gateway.store.serving import Engine
+from thorncleat_gateway.store.serving import EngineModel
+from thorncleat_gateway.store.serving import ServiceTerms
+from thorncleat_gateway.store.serving import ServingConfiguration
 
 from . import virtual_time
 from .group_world import World
--- a/tests/test_gateway_logs.py
+++ b/tests/test_gateway_logs.py
@@ -29,7 +29,7 @@
 
 
 def test_each_event_is_used():
-    places = [*SOURCES.glob("*.py"), *(ROOT / "platform/src").rglob("*.py")]
+    places = [*SOURCES.rglob("*.py"), *(ROOT / "platform/src").rglob("*.py")]
     source = "".join(one.read_text() for one in places)
     for name, value in vars(events).items():
         if isinstance(value, Event):
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from thorncleat_core.formation import Form
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_gateway.group_forming import EPOCHS_PER_TERM
-from thorncleat_gateway.membership import CONTROLLER
+from thorncleat_gateway.groups.formation import Form
+from thorncleat_gateway.groups.forming import EPOCHS_PER_TERM
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import RecordChanged
+from thorncleat_gateway.store.membership import CONTROLLER
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
 
 from . import virtual_time
 from .group_world import LAPSE_OUTAGE
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -8,15 +8,15 @@
 from hypothesis.stateful import invariant
 from hypothesis.stateful import rule
 
-from thorncleat_core import repair
-from thorncleat_core.configuration import Configuration
+from thorncleat_core.daemon import repair
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.groups import Confirmations
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.groups import InstanceReport
+from thorncleat_core.daemon.journal import Placement
 from thorncleat_core.exceptions import AssignmentError
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.groups import Assignments
-from thorncleat_core.groups import Confirmations
-from thorncleat_core.groups import Group
-from thorncleat_core.groups import InstanceReport
-from thorncleat_core.journal import Placement
 
 from .makers import change
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -8,13 +8,13 @@
 from hypothesis.stateful import invariant
 from hypothesis.stateful import rule
 
-from thorncleat_core.configuration import Change
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.journal import Entry
+from thorncleat_core.daemon.journal import Head
+from thorncleat_core.daemon.journal import Journal
+from thorncleat_core.daemon.journal import State
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import JournalError
-from thorncleat_core.journal import Entry
-from thorncleat_core.journal import Head
-from thorncleat_core.journal import Journal
-from thorncleat_core.journal import State
 
 from .makers import change
 from .makers import digest
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thorncleat_core.allowance import RetryTerms
-from thorncleat_gateway.loads import REPORT_INTERVALS
-from thorncleat_gateway.loads import REPORT_SECONDS
-from thorncleat_gateway.loads import Loads
-from thorncleat_gateway.peers import DAEMONS_AT_SHORTEST
-from thorncleat_gateway.peers import SHORTEST_INTERVAL_SECONDS
-from thorncleat_gateway.peers import Peers
+from thorncleat_gateway.peers.datagrams import DAEMONS_AT_SHORTEST
+from thorncleat_gateway.peers.datagrams import SHORTEST_INTERVAL_SECONDS
+from thorncleat_gateway.peers.datagrams import Peers
+from thorncleat_gateway.peers.loads import REPORT_INTERVALS
+from thorncleat_gateway.peers.loads import REPORT_SECONDS
+from thorncleat_gateway.peers.loads import Loads
+from thorncleat_gateway.requests.allowance import RetryTerms
 from thorncleat_gateway.settings import GatewaySettings
 
 counts = st.dictionaries(st.sampled_from("abc"), st.integers(1, 5))
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from thorncleat_core.roster import Endpoint
 from thorncleat_gateway.exceptions import StoreUnavailableError
-from thorncleat_gateway.mirror import RETURN_SECONDS
-from thorncleat_gateway.mirror import Mirror
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.store.mirror import RETURN_SECONDS
+from thorncleat_gateway.store.mirror import Mirror
+from thorncleat_gateway.store.roster import Endpoint
 
 from . import virtual_time
 
--- a/tests/test_pulse.py
+++ b/tests/test_pulse.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-from thorncleat_gateway.peers import Ended
-from thorncleat_gateway.peers import Probe
-from thorncleat_gateway.peers import Suspicion
-from thorncleat_gateway.peers import decode
-from thorncleat_gateway.peers import encode
-from thorncleat_gateway.pulse import Pulse
+from thorncleat_gateway.peers.datagrams import Ended
+from thorncleat_gateway.peers.datagrams import Probe
+from thorncleat_gateway.peers.datagrams import Suspicion
+from thorncleat_gateway.peers.datagrams import decode
+from thorncleat_gateway.peers.datagrams import encode
+from thorncleat_gateway.peers.pulse import Pulse
 from thorncleat_gateway.settings import StreamSettings
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
 
 GROUP = GroupId(7, "g7")
 LEADER = Endpoint(
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -8,9 +8,9 @@
 from hypothesis.stateful import invariant
 from hypothesis.stateful import rule
 
-from thorncleat_core import shares
-from thorncleat_core.queues import FairQueue
-from thorncleat_core.queues import Waiting
+from thorncleat_core.daemon import shares
+from thorncleat_core.daemon.queues import FairQueue
+from thorncleat_core.daemon.queues import Waiting
 
 NAMES = ["a", "b", "c"]
 demands = st.dictionaries(st.sampled_from(NAMES), st.integers(0, 500), max_size=3)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -10,34 +10,34 @@
 from hypothesis import strategies as st
 
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.relays import DAEMONS_PER_RELAY
-from thorncleat_core.relays import Daemon
-from thorncleat_core.relays import relays
-from thorncleat_core.relays import sources
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-from thorncleat_core.serving import Engine
-from thorncleat_core.serving import EngineModel
-from thorncleat_core.serving import KeyHolder
-from thorncleat_core.serving import Route
-from thorncleat_core.serving import RouteKind
-from thorncleat_core.serving import ServiceTerms
-from thorncleat_core.serving import ServingConfiguration
-from thorncleat_core.serving import Split
-from thorncleat_gateway import change_codec
-from thorncleat_gateway.change_log import ChangeLog
 from thorncleat_gateway.exceptions import StoreUnavailableError
-from thorncleat_gateway.mirror import Mirror
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import ConfigurationChanged
 from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
 from thorncleat_gateway.ports import RecordChanged
-from thorncleat_gateway.relay_feed import RelayFeed
-from thorncleat_gateway.relay_server import RelayServer
 from thorncleat_gateway.settings import RelaySettings
+from thorncleat_gateway.store import change_codec
+from thorncleat_gateway.store.change_log import ChangeLog
+from thorncleat_gateway.store.mirror import Mirror
+from thorncleat_gateway.store.relay_feed import RelayFeed
+from thorncleat_gateway.store.relay_server import RelayServer
+from thorncleat_gateway.store.relays import DAEMONS_PER_RELAY
+from thorncleat_gateway.store.relays import Daemon
+from thorncleat_gateway.store.relays import relays
+from thorncleat_gateway.store.relays import sources
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.serving import Engine
+from thorncleat_gateway.store.serving import EngineModel
+from thorncleat_gateway.store.serving import KeyHolder
+from thorncleat_gateway.store.serving import Route
+from thorncleat_gateway.store.serving import RouteKind
+from thorncleat_gateway.store.serving import ServiceTerms
+from thorncleat_gateway.store.serving import ServingConfiguration
+from thorncleat_gateway.store.serving import Split
 
 ROUTE = Route(
     "chat", "h", "/c/", RouteKind.STREAMING, 3.0, 0.5, 0.2, 1, (Split("desk", 1.0),), 2, False, True
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -6,22 +6,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thorncleat_core import formation
-from thorncleat_core.allowance import RetryAllowance
-from thorncleat_core.allowance import RetryTerms
-from thorncleat_core.event_stream import EventCutter
-from thorncleat_core.formation import DomainView
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-from thorncleat_core.roster import Roster
-from thorncleat_core.serving import EngineModel
-from thorncleat_core.serving import KeyHolder
-from thorncleat_core.serving import Route
-from thorncleat_core.serving import RouteKind
-from thorncleat_core.serving import ServingConfiguration
-from thorncleat_core.serving import Split
+from thorncleat_gateway.groups import formation
+from thorncleat_gateway.groups.formation import DomainView
+from thorncleat_gateway.requests.allowance import RetryAllowance
+from thorncleat_gateway.requests.allowance import RetryTerms
+from thorncleat_gateway.requests.event_stream import EventCutter
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.roster import Roster
+from thorncleat_gateway.store.serving import EngineModel
+from thorncleat_gateway.store.serving import KeyHolder
+from thorncleat_gateway.store.serving import Route
+from thorncleat_gateway.store.serving import RouteKind
+from thorncleat_gateway.store.serving import ServingConfiguration
+from thorncleat_gateway.store.serving import Split
 
 LARGE = EngineModel("large", 4, share=0.67)
 SMALL = EngineModel("small", 2, share=0.33)
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,19 +9,19 @@
 import dataclasses
 import typing as t
 
-from thorncleat_core.budget import Purpose
-from thorncleat_core.configuration import Configuration
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.configuration import Configuration
+from thorncleat_core.daemon.fleet import Instance
+from thorncleat_core.daemon.fleet import InstanceKind
+from thorncleat_core.daemon.fleet import InstanceState
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.groups import InstanceReport
+from thorncleat_core.daemon.journal import Head
+from thorncleat_core.daemon.journal import Placement
+from thorncleat_core.daemon.journal import State
+from thorncleat_core.daemon.leases import LeaseTerms
+from thorncleat_core.daemon.settings import Control
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_core.fleet import Instance
-from thorncleat_core.fleet import InstanceKind
-from thorncleat_core.fleet import InstanceState
-from thorncleat_core.groups import Assignments
-from thorncleat_core.groups import InstanceReport
-from thorncleat_core.journal import Head
-from thorncleat_core.journal import Placement
-from thorncleat_core.journal import State
-from thorncleat_core.leases import LeaseTerms
-from thorncleat_core.settings import Control
 from thorncleat_daemon.domains import Services
 from thorncleat_daemon.exceptions import EndpointError
 from thorncleat_daemon.exceptions import PeerError
