--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -9,36 +9,36 @@
 
 from . import events
 from .groups.controller import Controller
+from .groups.election import Election
 from .groups.ended import EndedGroups
 from .groups.orders import Orders
 from .groups.records import GroupRecords
 from .metrics import Metrics
 from .peers.datagrams import LoadReport
 from .peers.datagrams import Message
-from .peers.datagrams import Peers
+from .peers.datagrams import PeerChannel
 from .peers.datagrams import Probe
-from .peers.loads import Loads
-from .peers.pulse import Pulse
+from .peers.failure_detector import FailureDetector
+from .peers.load_table import LoadTable
+from .ports import ChangeFeed
 from .ports import Engines
-from .ports import Feed
-from .ports import Records
-from .ports import Wire
-from .requests import upstream
-from .requests.dispatch import Dispatcher
-from .requests.front import Front
-from .requests.plain import PlainRequests
-from .requests.request import Repeats
-from .requests.streams import StreamRequests
-from .requests.upstream import Upstream
+from .ports import HeaderCodec
+from .ports import RecordStore
+from .requests import endpoint_client
+from .requests.endpoint_client import EndpointClient
+from .requests.endpoint_selector import EndpointSelector
+from .requests.frontend import Frontend
+from .requests.plain import PlainForwarder
+from .requests.request import RetryBudgets
+from .requests.streams import StreamForwarder
 from .settings import GatewaySettings
-from .store.membership import Election
-from .store.membership import Registration
-from .store.mirror import Mirror
+from .store.registration import Registration
 from .store.relay_feed import RelayFeed
 from .store.relay_server import RelayServer
 from .store.relays import Daemon
 from .store.relays import sources
 from .store.roster import Endpoint
+from .store.view import StoreView
 
 # for which an answer of an endpoint is told to other daemons
 HEARD_SECONDS = 1.0
@@ -59,10 +59,10 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        feed: Feed,
-        records: Records,
+        feed: ChangeFeed,
+        records: RecordStore,
         engines: Engines,
-        wire: Wire,
+        codec: HeaderCodec,
         clock: t.Callable[[], float],
         *,
         first_start: bool = False,
@@ -74,46 +74,46 @@
         self._traffic_elsewhere = False
         self._runners: list[web.ServerRunner] = []
         self._feed = RelayFeed(settings.relay, feed, self._relays, clock)
-        self.mirror = Mirror(self._feed, clock, settings.watch, self._coalesce)
-        self.registration = Registration(settings, records, self.mirror)
-        self.relay_server = RelayServer(self.mirror, self._daemons)
-        self.peers = Peers(settings, self.registration.addresses)
-        self.pulse = Pulse(settings.streams, self.peers, clock)
-        self.loads = Loads(clock, self.peers.interval)
-        self.election = Election(settings, records, self.mirror, clock, self.registration.addresses)
+        self.view = StoreView(self._feed, clock, settings.watch, self._coalesce)
+        self.registration = Registration(settings, records, self.view)
+        self.relay_server = RelayServer(self.view, self._daemons)
+        self.peers = PeerChannel(settings, self.registration.addresses)
+        self.detector = FailureDetector(settings.streams, self.peers, clock)
+        self.load_table = LoadTable(clock, self.peers.interval)
+        self.election = Election(settings, records, self.view, clock, self.registration.addresses)
         self._orders = Orders(
             settings.control,
             engines,
-            self.mirror,
+            self.view,
             lambda: self.election.leads,
-            lambda one: self.pulse.heard(one, clock()),
+            lambda one: self.detector.heard(one, clock()),
         )
         self.ended = EndedGroups(self.peers, clock)
         self.controller = Controller(
             settings,
-            self.mirror,
+            self.view,
             self.election,
             self._orders,
-            GroupRecords(records, self.mirror, self.election),
-            self.pulse,
+            GroupRecords(records, self.view, self.election),
+            self.detector,
             self.peers,
             self.ended,
             clock,
             lambda: self._quiet,
         )
         self._client: aiohttp.ClientSession | None = None
-        self._wire = wire
-        self._front: Front | None = None
+        self._codec = codec
+        self._frontend: Frontend | None = None
         self.peers.on_message(self._message)
         self.metrics = Metrics()
         self._add_gauges()
 
     def _add_gauges(self) -> None:
         add = self.metrics.gauge
-        add("configuration_age_seconds", "Since a newer one was excluded", self.mirror.age)
-        add("configuration_version", "In force here", self.mirror.configuration_version)
+        add("configuration_age_seconds", "Since a newer one was excluded", self.view.age)
+        add("configuration_version", "In force here", self.view.configuration_version)
         add("requests_running", "Requests being answered", self._running)
-        add("endpoints_listed", "Endpoints known", lambda: len(self.mirror.roster.endpoints))
+        add("endpoints_listed", "Endpoints known", lambda: len(self.view.roster.endpoints))
         add("daemons_registered", "Daemons known", lambda: self.peers.daemons)
         add("controls_groups", "1 if this daemon does", lambda: float(self.election.leads))
         add("controller_lease_seconds", "Left of the lease", lambda: self.election.left)
@@ -121,12 +121,12 @@
         add("relayed_answers", "Given to other daemons", lambda: self.relay_server.answered)
 
     def _running(self) -> float:
-        return self._front.running if self._front is not None else 0
+        return self._frontend.running if self._frontend is not None else 0
 
     @property
     def _quiet(self) -> bool:
         """Whether no caller has sent anything since the very first start."""
-        own = self._front is not None and self._front.requests > 0
+        own = self._frontend is not None and self._frontend.requests > 0
         return self._first_start and not own and not self._traffic_elsewhere
 
     def _coalesce(self) -> float:
@@ -145,12 +145,12 @@
 
     async def on_start(self) -> None:
         """Start all parts, then listen."""
-        self._front = self._build_requests()
+        self._frontend = self._build_requests()
         for part in (
-            self.mirror,
+            self.view,
             self.registration,
             self.peers,
-            self.pulse,
+            self.detector,
             self.election,
             self.controller,
         ):
@@ -158,19 +158,21 @@
         await self._listen(self.relay_server.handle, self._settings.peers)
         if self._settings.metrics is not None:
             await self._listen(self.metrics.handle, self._settings.metrics)
-        await self._listen(self._front.readiness, self._settings.readiness)
-        await self._listen(self._front.handle, self._settings.callers)
+        await self._listen(self._frontend.readiness, self._settings.readiness)
+        await self._listen(self._frontend.handle, self._settings.callers)
         events.STARTED.log(callers=self._settings.callers, first_start=self._first_start)
 
-    def _build_requests(self) -> Front:
+    def _build_requests(self) -> Frontend:
         settings, clock = self._settings, self._clock
-        self._client = upstream.session()
-        calls = Upstream(self._client, self._wire, settings.connect_timeout)
-        dispatcher = Dispatcher(settings, self.mirror, self.loads, self.pulse, self.ended, clock)
-        repeats = Repeats(settings.retry, clock, self._sharing)
-        parts = (self._wire, calls, dispatcher, self.loads, repeats, self.pulse, clock)
-        plain, streams = PlainRequests(*parts), StreamRequests(*parts)
-        return Front(settings, self.mirror, self._wire, plain, streams, repeats, clock)
+        self._client = endpoint_client.session()
+        calls = EndpointClient(self._client, self._codec, settings.connect_timeout)
+        selector = EndpointSelector(
+            settings, self.view, self.load_table, self.detector, self.ended, clock
+        )
+        retry_budgets = RetryBudgets(settings.retry, clock, self._sharing)
+        parts = (self._codec, calls, selector, self.load_table, retry_budgets, self.detector, clock)
+        plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
+        return Frontend(settings, self.view, self._codec, plain, streams, retry_budgets, clock)
 
     def _sharing(self) -> int:
         """Return how many daemons share what all may spend."""
@@ -178,18 +180,18 @@
 
     async def drain(self) -> None:
         """Finish what runs before the end: first let the balancer and the callers know."""
-        assert self._front is not None
-        events.STOPPING.log(running=self._front.running)
+        assert self._frontend is not None
+        events.STOPPING.log(running=self._frontend.running)
         begun = self._clock()
-        self._front.stopping = True
+        self._frontend.stopping = True
         self.election.stopping = True
         until = begun + self._settings.grace - STOP_MARGIN_SECONDS
         while self._clock() < until:
             await asyncio.sleep(0.05)
             if self._clock() - begun > LEAVE_SECONDS:
                 # where many daemons stop at once, the balancer goes on using them
-                self._front.closed = True
-                if not self._front.running:
+                self._frontend.closed = True
+                if not self._frontend.running:
                     break
 
     async def on_stop(self) -> None:
@@ -207,15 +209,15 @@
     def _message(self, sender: str, message: Message) -> None:
         match message:
             case LoadReport(counts, _):
-                self.loads.report(sender, counts)
+                self.load_table.report(sender, counts)
                 if counts:
                     self._traffic_elsewhere = True
             case Probe(endpoint_id):
                 self._probe(sender, endpoint_id)
 
     def _probe(self, asker: str, endpoint_id: str) -> None:
-        gone = self.mirror.roster.gone.get(endpoint_id)
-        listed = self.mirror.roster.endpoints.get(endpoint_id)
+        gone = self.view.roster.gone.get(endpoint_id)
+        listed = self.view.roster.endpoints.get(endpoint_id)
         endpoint = listed or (gone.endpoint if gone else None)
         if endpoint is not None:
             self.add_future(self._probed(asker, endpoint))
@@ -227,14 +229,14 @@
 
     def _load_report(self) -> LoadReport:
         lately = max(HEARD_SECONDS, 2 * self.peers.interval())
-        return LoadReport(dict(self.loads.own), self.pulse.heard_lately(lately))
+        return LoadReport(dict(self.load_table.own), self.detector.heard_lately(lately))
 
     @mode.Service.task
     async def _report_task(self) -> None:
         quiet_reports = 0
         while not self.should_stop:
             await asyncio.sleep(self.peers.interval())
-            self.loads.refresh()
+            self.load_table.refresh()
             report = self._load_report()
             quiet_reports = 0 if report.counts or report.heard else quiet_reports + 1
             if quiet_reports < 3:
--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -17,29 +17,29 @@
 from thorncleat_core.exceptions import ThorncleatError
 
 from .. import events
-from ..peers.datagrams import Peers
+from ..peers.datagrams import PeerChannel
 from ..peers.datagrams import Suspicion
-from ..peers.pulse import Pulse
+from ..peers.failure_detector import FailureDetector
 from ..settings import GatewaySettings
-from ..store.membership import Election
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
 from ..store.roster import Group
 from ..store.roster import GroupId
 from ..store.roster import GroupState
 from ..store.serving import Engine
 from ..store.serving import EngineModel
+from ..store.view import StoreView
 from . import formation
+from .election import Election
 from .ended import EndedGroups
 from .ending import GroupEnding
 from .formation import DomainView
 from .formation import Stage
 from .forming import GroupForming
 from .lost_endpoints import LostEndpoints
+from .model_loader import ModelLoader
 from .orders import Orders
 from .records import GroupRecords
-from .spares import Spares
-from .unlisted import Unlisted
+from .unlisted_endpoints import UnlistedEndpoints
 
 PLAN_SECONDS = 0.25
 EXAMINE_AGAIN_SECONDS = 0.3
@@ -70,23 +70,23 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        mirror: Mirror,
+        view: StoreView,
         election: Election,
         orders: Orders,
         groups: GroupRecords,
-        pulse: Pulse,
-        peers: Peers,
+        detector: FailureDetector,
+        peers: PeerChannel,
         ended: EndedGroups,
         clock: t.Callable[[], float],
         quiet: t.Callable[[], bool],
     ) -> None:
         super().__init__()
         self._settings = settings
-        self._mirror = mirror
+        self._view = view
         self._election = election
         self._orders = orders
         self._groups = groups
-        self._pulse = pulse
+        self._detector = detector
         self._peers = peers
         self._ended = ended
         self._clock = clock
@@ -96,23 +96,23 @@
         self._begin_term()
         self._sizes: dict[str, _Size] = {}
         self._listed = (0, clock())
-        mirror.on_change(self._wake.set)
-        pulse.on_suspicion(self._suspected)
+        view.on_change(self._wake.set)
+        detector.on_suspicion(self._suspected)
 
     def _begin_term(self) -> None:
         settings, clock, orders = self._settings.control, self._clock, self._orders
-        mirror, groups = self._mirror, self._groups
+        view, groups = self._view, self._groups
         self._jobs: set[asyncio.Task[None]] = set()
         self._first_seen: dict[GroupId, float] = {}
         self._examined: dict[GroupId, float] = {}
-        self._unlisted = Unlisted(mirror, orders, clock, self._start)
-        self._lost = LostEndpoints(mirror, orders, self._start, self._wake.set)
+        self._unlisted = UnlistedEndpoints(view, orders, clock, self._start)
+        self._lost = LostEndpoints(view, orders, self._start, self._wake.set)
         self._ending = GroupEnding(
-            mirror, orders, groups, self._ended, self._pulse, self._peers, clock, self._start
+            view, orders, groups, self._ended, self._detector, self._peers, clock, self._start
         )
         self._forming = GroupForming(
             settings,
-            mirror,
+            view,
             orders,
             groups,
             self._lost,
@@ -121,7 +121,7 @@
             clock,
             self._start,
         )
-        self._spares = Spares(mirror, orders, self._lost, clock, self._start)
+        self._loader = ModelLoader(view, orders, self._lost, clock, self._start)
         orders.forget()
         groups.begin_term()
 
@@ -170,7 +170,7 @@
     # planning
 
     def _plan(self) -> None:
-        configuration = self._mirror.configuration
+        configuration = self._view.configuration
         if configuration is None:
             return
         if self._quiet() and self._still_growing():
@@ -184,13 +184,13 @@
 
     def _still_growing(self) -> bool:
         """Tell whether the list has grown lately: a layout for a part of it would not last."""
-        now, count = self._clock(), len(self._mirror.roster.endpoints)
+        now, count = self._clock(), len(self._view.roster.endpoints)
         if count > self._listed[0]:
             self._listed = (count, now)
         return now - self._listed[1] < GROWING_SECONDS
 
     def _plan_service(self, service: str, engine: Engine) -> None:
-        endpoints = self._mirror.roster.of_service(service)
+        endpoints = self._view.roster.of_service(service)
         views = self._views(service, endpoints)
         self._look_at_groups(service, engine, views)
         for one in endpoints:
@@ -215,7 +215,7 @@
         now = self._clock()
         counts: collections.Counter[tuple[str, str, str]] = collections.Counter(
             (one.service, one.fabric_domain, one.failure_domain)
-            for one in self._mirror.roster.endpoints.values()
+            for one in self._view.roster.endpoints.values()
             if one.fabric_domain
         )
         for (service, name, zone), count in counts.items():
@@ -225,7 +225,7 @@
 
     def _views(self, service: str, endpoints: t.Sequence[Endpoint]) -> dict[str, DomainView]:
         now = self._clock()
-        staging = self._spares.staging()
+        staging = self._loader.staging()
         counts = collections.Counter(one.fabric_domain for one in endpoints)
         views = {
             name: DomainView(name, one.size, one.failure_domain, staging=staging)
@@ -239,7 +239,7 @@
     def _look_at_groups(
         self, service: str, engine: Engine, views: t.Mapping[str, DomainView]
     ) -> None:
-        groups = self._mirror.roster.groups
+        groups = self._view.roster.groups
         for group_id, form in self._forming.under_way.items():
             if group_id not in self._ending and form.domain in views:
                 views[form.domain].standing[form.model.name] += 1
@@ -258,7 +258,7 @@
         """End groups of which no member is listed any more."""
         for group in self._groups.groups:
             leader = self._groups.leader(group)
-            if leader is None or leader.service != service or group in self._mirror.roster.groups:
+            if leader is None or leader.service != service or group in self._view.roster.groups:
                 continue
             if group in self._forming.under_way or group in self._ending:
                 continue
@@ -280,10 +280,10 @@
             cause = "member unreachable"
         elif any(not self._unlisted.holds(group.id, rank) for rank in missing):
             # a list that is being read may lack some members for a moment
-            if age > PLAN_SECONDS and self._mirror.settled:
+            if age > PLAN_SECONDS and self._view.settled:
                 cause = "member not listed"
         elif group.leader is None:
-            if self._mirror.settled:
+            if self._view.settled:
                 cause = "leader not listed"
         elif group.state in (GroupState.BROKEN, GroupState.CLOSING):
             cause = f"leader {group.state.value}"
@@ -320,21 +320,21 @@
             # hosts load first, so that the others stay free for whoever is back sooner
             for one in form.cold:
                 if one.id not in view.staging and self._may_load(engine):
-                    self._spares.stage(Stage(one, form.model))
-        spares = [one for one in view.free if one.id not in used]
-        for stage in formation.stages(view, wanted, engine.models, spares):
+                    self._loader.stage(Stage(one, form.model))
+        model_loader = [one for one in view.free if one.id not in used]
+        for stage in formation.stages(view, wanted, engine.models, model_loader):
             if self._may_load(engine):
-                self._spares.stage(stage)
+                self._loader.stage(stage)
 
     def _may_load(self, engine: Engine) -> bool:
         """Tell whether a load may begin; those before the first request are not counted."""
-        return self._quiet() or self._spares.may_load(engine)
+        return self._quiet() or self._loader.may_load(engine)
 
     def _suspected(self, suspicion: Suspicion) -> None:
         if not self._election.leads or self._term != self._election.term:
             return
         now = self._clock()
-        group = self._mirror.roster.groups.get(suspicion.group)
+        group = self._view.roster.groups.get(suspicion.group)
         if group is None or now - self._examined.get(group.id, 0.0) < EXAMINE_AGAIN_SECONDS:
             return
         if group.id in self._ending or not self._groups.may_answer(group.id):
--- a/packages/gateway/src/thorncleat_gateway/store/membership.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -1,4 +1,4 @@
-"""Which daemons run, and which one controls the groups: records under leases in the store.
+"""Which daemon controls the groups: a record under a lease in the store.
 
 The controller's term is the store's revision at which its record was created. It rises with
 each controller, so what it numbers with it rises too, and nothing has to be counted in the
@@ -9,7 +9,6 @@
 import typing as t
 
 import mode
-import msgpack
 
 from thorncleat_core import rendezvous
 
@@ -17,14 +16,11 @@
 from ..exceptions import LeaseGoneError
 from ..exceptions import StoreError
 from ..exceptions import StoreOutcomeUnknownError
-from ..ports import Records
+from ..ports import RecordStore
 from ..settings import GatewaySettings
-from .mirror import Mirror
-from .relays import Daemon
+from ..store.view import StoreView
 
-DAEMONS = "thorncleat/daemons/"
 CONTROLLER = "thorncleat/controller"
-DAEMON_LEASE_SECONDS = 12.0
 RETRY_SECONDS = 0.3
 # how much later each further candidate tries to become controller
 TURN_SECONDS = 0.15
@@ -32,74 +28,6 @@
 MAX_DRIFT = 0.01
 
 
-class Registration(mode.Service):
-    """Keeps this daemon's record, by which the others know its address."""
-
-    def __init__(self, settings: GatewaySettings, records: Records, mirror: Mirror) -> None:
-        super().__init__()
-        self._settings = settings
-        self._records = records
-        self._mirror = mirror
-        self._seen_version = -1
-        self._daemons: dict[str, Daemon] = {}
-        self._addresses: dict[str, tuple[str, int]] = {}
-
-    @property
-    def own(self) -> Daemon:
-        """This daemon."""
-        settings = self._settings
-        return Daemon(settings.id, *settings.peers, settings.failure_domain, settings.capacity)
-
-    def daemons(self) -> t.Mapping[str, Daemon]:
-        """Return the registered daemons by their ids."""
-        if self._seen_version != self._mirror.version:
-            self._seen_version = self._mirror.version
-            self._daemons = {
-                key.removeprefix(DAEMONS): _daemon(key.removeprefix(DAEMONS), record.value)
-                for key, record in self._mirror.records.items()
-                if key.startswith(DAEMONS) and record.value
-            }
-            self._addresses = {key: (one.host, one.port) for key, one in self._daemons.items()}
-        return self._daemons
-
-    def addresses(self) -> t.Mapping[str, tuple[str, int]]:
-        """Return the address of each registered daemon."""
-        self.daemons()
-        return self._addresses
-
-    @mode.Service.task
-    async def _keep_task(self) -> None:
-        while not self.should_stop:
-            try:
-                await self._hold()
-            except StoreError:
-                await asyncio.sleep(RETRY_SECONDS)
-
-    async def _hold(self) -> None:
-        lease = await self._records.grant(DAEMON_LEASE_SECONDS)
-        key = DAEMONS + self._settings.id
-        value = _record(self.own)
-        # over an earlier life's record, which would go with its own lease
-        await self._records.put(key, value, lease)
-        while not self.should_stop:
-            await asyncio.sleep(DAEMON_LEASE_SECONDS / 3)
-            try:
-                await self._records.renew(lease)
-            except LeaseGoneError:
-                return
-            except StoreError:
-                await asyncio.sleep(RETRY_SECONDS)
-
-
-def _record(one: Daemon) -> bytes:
-    packed: bytes = msgpack.packb([one.host, one.port, one.failure_domain, one.capacity])
-    return packed
-
-
-def _daemon(name: str, value: bytes) -> Daemon:
-    return Daemon(name, *msgpack.unpackb(value))
-
-
 class Election(mode.Service):
     """Tries to become controller whenever there is none, and keeps the lease.
 
@@ -109,15 +37,15 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        records: Records,
-        mirror: Mirror,
+        records: RecordStore,
+        view: StoreView,
         clock: t.Callable[[], float],
         daemons: t.Callable[[], t.Iterable[str]],
     ) -> None:
         super().__init__()
         self._settings = settings
         self._records = records
-        self._mirror = mirror
+        self._view = view
         self._clock = clock
         self._daemons = daemons
         self._lease = 0
@@ -146,9 +74,9 @@
             await asyncio.sleep(0.05)
 
     async def _turn(self) -> None:
-        if not self._mirror.loaded or self.stopping:
+        if not self._view.loaded or self.stopping:
             return
-        if CONTROLLER in self._mirror.records:
+        if CONTROLLER in self._view.records:
             self._absent_since = None
             return
         now = self._clock()
@@ -160,7 +88,7 @@
 
     def _place(self) -> int:
         names = {*self._daemons(), self._settings.id}
-        order = rendezvous.ranked(f"controller/{self._mirror.version}", names)
+        order = rendezvous.ranked(f"controller/{self._view.version}", names)
         return order.index(self._settings.id)
 
     async def _campaign(self) -> None:
--- a/packages/gateway/src/thorncleat_gateway/groups/ended.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -7,9 +7,9 @@
 
 import typing as t
 
-from ..peers.datagrams import Ended
+from ..peers.datagrams import GroupEnded
 from ..peers.datagrams import Message
-from ..peers.datagrams import Peers
+from ..peers.datagrams import PeerChannel
 from ..store.roster import GroupId
 
 # after the controller's last word; if it was wrong, or another controls by now, the group is
@@ -22,7 +22,7 @@
 class EndedGroups:
     """Tells the others, and knows what was told."""
 
-    def __init__(self, peers: Peers, clock: t.Callable[[], float]) -> None:
+    def __init__(self, peers: PeerChannel, clock: t.Callable[[], float]) -> None:
         self._peers = peers
         self._clock = clock
         self._told_at: dict[GroupId, float] = {}
@@ -38,10 +38,10 @@
         self._note(group)
         if now - self._told_at.get(group, float("-inf")) >= REPEAT_SECONDS:
             self._told_at[group] = now
-            self._peers.tell_all(Ended(group))
+            self._peers.tell_all(GroupEnded(group))
 
     def _message(self, sender: str, message: Message) -> None:
-        if isinstance(message, Ended):
+        if isinstance(message, GroupEnded):
             self._note(message.group)
 
     def _note(self, group: GroupId) -> None:
--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -10,16 +10,16 @@
 from .. import events
 from ..exceptions import EndpointError
 from ..exceptions import EndpointGoneError
-from ..peers.datagrams import Peers
+from ..peers.datagrams import PeerChannel
 from ..peers.datagrams import Probe
-from ..peers.pulse import Pulse
+from ..peers.failure_detector import FailureDetector
 from ..ports import Close
 from ..ports import Leave
 from ..ports import Outcome
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
 from ..store.roster import GroupState
+from ..store.view import StoreView
 from .ended import EndedGroups
 from .lost_endpoints import Start
 from .orders import Orders
@@ -43,20 +43,20 @@
 
     def __init__(
         self,
-        mirror: Mirror,
+        view: StoreView,
         orders: Orders,
         groups: GroupRecords,
         ended: EndedGroups,
-        pulse: Pulse,
-        peers: Peers,
+        detector: FailureDetector,
+        peers: PeerChannel,
         clock: t.Callable[[], float],
         start: Start,
     ) -> None:
-        self._mirror = mirror
+        self._view = view
         self._orders = orders
         self._groups = groups
         self._ended = ended
-        self._pulse = pulse
+        self._detector = detector
         self._peers = peers
         self._clock = clock
         self._start = start
@@ -132,17 +132,17 @@
     async def _surely_dead(self, leader: Endpoint) -> bool:
         """Wait while a leader is silent; False as soon as it answers again."""
         while True:
-            unlisted = leader.id not in self._mirror.roster.endpoints
-            if unlisted and self._mirror.age() < LIST_AGE_SECONDS:
+            unlisted_endpoints = leader.id not in self._view.roster.endpoints
+            if unlisted_endpoints and self._view.age() < LIST_AGE_SECONDS:
                 asked_at = self._clock()
                 self._peers.tell_all(Probe(leader.id))
                 answers = await self._orders.answers(leader)
                 await asyncio.sleep(2 * ASK_SECONDS)
                 if answers:
                     return False
-                unlisted = leader.id not in self._mirror.roster.endpoints
+                unlisted_endpoints = leader.id not in self._view.roster.endpoints
                 since = asked_at - HEARD_BEFORE_SECONDS
-                if unlisted and not self._pulse.heard_since(leader.id, since):
+                if unlisted_endpoints and not self._detector.heard_since(leader.id, since):
                     return True
             elif await self._orders.answers(leader):
                 return False
--- a/packages/gateway/src/thorncleat_gateway/groups/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -203,23 +203,23 @@
     view: DomainView,
     wanted: collections.Counter[str],
     models: t.Sequence[EngineModel],
-    spares: t.Sequence[Endpoint],
+    model_loader: t.Sequence[Endpoint],
 ) -> list[Stage]:
     """Return what the hosts of spare endpoints should load: the model that lacks a spare most.
 
     A host that holds a model which this domain carries is left alone.
 
-    :param spares: free endpoints that no group of the plan takes.
+    :param model_loader: free endpoints that no group of the plan takes.
     """
     used = [one for one in models if wanted[one.name] > 0]
     names = {one.name for one in used}
     holding: collections.Counter[str] = collections.Counter()
-    for one in spares:
+    for one in model_loader:
         holding.update(names.intersection(one.staged))
         if one.id in view.staging:
             holding[view.staging[one.id]] += 1
     result: list[Stage] = []
-    for one in spares:
+    for one in model_loader:
         if names.intersection(one.staged) or one.id in view.staging or not used:
             continue
         # the larger a model's groups are, the likelier it is to lose a member
--- a/packages/gateway/src/thorncleat_gateway/groups/forming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming.py
@@ -17,9 +17,9 @@
 from ..ports import Open
 from ..ports import Outcome
 from ..settings import ControlSettings
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
+from ..store.view import StoreView
 from .ending import ASK_SECONDS
 from .ending import LOOK_SECONDS
 from .ending import GroupEnding
@@ -51,7 +51,7 @@
     def __init__(
         self,
         settings: ControlSettings,
-        mirror: Mirror,
+        view: StoreView,
         orders: Orders,
         groups: GroupRecords,
         lost: LostEndpoints,
@@ -61,7 +61,7 @@
         start: Start,
     ) -> None:
         self._settings = settings
-        self._mirror = mirror
+        self._view = view
         self._orders = orders
         self._groups = groups
         self._lost = lost
@@ -170,7 +170,7 @@
         """Count the group as forming until the list shows that it answers."""
         until = self._clock() + LISTED_SECONDS
         while self._clock() < until:
-            listed = self._mirror.roster.endpoints.get(leader.id)
+            listed = self._view.roster.endpoints.get(leader.id)
             if listed is None or listed.leads:
                 return
             await asyncio.sleep(LOOK_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -4,8 +4,8 @@
 import typing as t
 
 from .. import events
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
+from ..store.view import StoreView
 from .orders import Orders
 
 ASK_AGAIN_SECONDS = 1.0
@@ -20,9 +20,9 @@
     """
 
     def __init__(
-        self, mirror: Mirror, orders: Orders, start: Start, wake: t.Callable[[], None]
+        self, view: StoreView, orders: Orders, start: Start, wake: t.Callable[[], None]
     ) -> None:
-        self._mirror = mirror
+        self._view = view
         self._orders = orders
         self._start = start
         self._wake = wake
@@ -33,7 +33,7 @@
 
     def forget_unlisted(self) -> None:
         """Forget those that are no longer listed."""
-        self._ids.intersection_update(self._mirror.roster.endpoints)
+        self._ids.intersection_update(self._view.roster.endpoints)
 
     def lose(self, one: Endpoint, cause: str) -> None:
         """Take in that an endpoint does not answer."""
@@ -46,7 +46,7 @@
 
     async def _await_return(self, one: Endpoint) -> None:
         """Use an endpoint again when it answers."""
-        while one.id in self._mirror.roster.endpoints:
+        while one.id in self._view.roster.endpoints:
             await asyncio.sleep(ASK_AGAIN_SECONDS)
             if await self._orders.answers(one):
                 break
--- a/packages/gateway/src/thorncleat_gateway/groups/spares.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -6,10 +6,10 @@
 from ..exceptions import EndpointError
 from ..exceptions import EndpointGoneError
 from ..ports import Load
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
 from ..store.serving import Engine
 from ..store.serving import EngineModel
+from ..store.view import StoreView
 from .formation import Stage
 from .lost_endpoints import LostEndpoints
 from .lost_endpoints import Start
@@ -22,7 +22,7 @@
 LOAD_RATE_PART = 0.9
 
 
-class Spares:
+class ModelLoader:
     """Orders loads, and knows which are under way.
 
     :param start: runs a coroutine beside the others of the controller.
@@ -30,13 +30,13 @@
 
     def __init__(
         self,
-        mirror: Mirror,
+        view: StoreView,
         orders: Orders,
         lost: LostEndpoints,
         clock: t.Callable[[], float],
         start: Start,
     ) -> None:
-        self._mirror = mirror
+        self._view = view
         self._orders = orders
         self._lost = lost
         self._clock = clock
@@ -57,7 +57,7 @@
         return {key: model for key, (model, _) in self._staging.items()}
 
     def _has(self, endpoint_id: str, model: str) -> bool:
-        listed = self._mirror.roster.endpoints.get(endpoint_id)
+        listed = self._view.roster.endpoints.get(endpoint_id)
         return listed is not None and model in listed.staged
 
     def may_load(self, engine: Engine) -> bool:
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -14,11 +14,11 @@
 from ..ports import Order
 from ..ports import Outcome
 from ..settings import ControlSettings
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
 from ..store.roster import GroupState
 from ..store.roster import Membership
+from ..store.view import StoreView
 
 PROBES = 2
 STANDING = (GroupState.READY, GroupState.OPEN)
@@ -35,13 +35,13 @@
         self,
         settings: ControlSettings,
         engines: Engines,
-        mirror: Mirror,
+        view: StoreView,
         leads: t.Callable[[], bool],
         heard: t.Callable[[str], None],
     ) -> None:
         self._settings = settings
         self._engines = engines
-        self._mirror = mirror
+        self._view = view
         self._leads = leads
         self._heard = heard
         self._reports: dict[str, EngineReport] = {}
@@ -52,7 +52,7 @@
 
     def listed(self, endpoint: Endpoint) -> Membership | None:
         """Return an engine's place in a group, as listed."""
-        return self._mirror.roster.endpoints.get(endpoint.id, endpoint).membership
+        return self._view.roster.endpoints.get(endpoint.id, endpoint).membership
 
     def seen_ready(self, endpoint: Endpoint, group: GroupId) -> bool:
         """Tell whether an engine was listed or reported ready in a group."""
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -10,14 +10,14 @@
 
 import msgpack
 
-from ..ports import Records
-from ..store.membership import CONTROLLER
-from ..store.membership import Election
-from ..store.mirror import Mirror
+from ..ports import RecordStore
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
 from ..store.roster import GroupState
 from ..store.roster import Membership
+from ..store.view import StoreView
+from .election import CONTROLLER
+from .election import Election
 from .formation import Form
 
 GROUPS = "thorncleat/groups/"
@@ -52,11 +52,11 @@
 
 
 class GroupRecords:
-    """Reads the records from the mirror and writes them for the controller."""
+    """Reads the records from the view and writes them for the controller."""
 
-    def __init__(self, records: Records, mirror: Mirror, election: Election) -> None:
+    def __init__(self, records: RecordStore, view: StoreView, election: Election) -> None:
         self._records = records
-        self._mirror = mirror
+        self._view = view
         self._election = election
         self._ended: set[GroupId] = set()
 
@@ -67,19 +67,19 @@
     @property
     def groups(self) -> list[GroupId]:
         """The groups that may still answer, as far as the store says."""
-        return [_group(key) for key in self._mirror.records if key.startswith(GROUPS)]
+        return [_group(key) for key in self._view.records if key.startswith(GROUPS)]
 
     def may_answer(self, group: GroupId) -> bool:
         """Tell whether a group has a record and was not ended in this term."""
-        return group not in self._ended and _key(group) in self._mirror.records
+        return group not in self._ended and _key(group) in self._view.records
 
     def leader(self, group: GroupId) -> Endpoint | None:
         """Return a group's leader, whether it is listed or not; None without a record."""
-        record = self._mirror.records.get(_key(group))
+        record = self._view.records.get(_key(group))
         if record is None or record.value is None:
             return None
         kept = _Leader.decode(record.value)
-        listed = self._mirror.roster.endpoints.get(kept.id)
+        listed = self._view.roster.endpoints.get(kept.id)
         place = Membership(group, 0, GroupState.OPEN)
         return listed or Endpoint(kept.id, kept.service, kept.address, "", membership=place)
 
@@ -90,7 +90,7 @@
         """
         first = form.members[0]
         kept = _Leader(first.id, first.service, first.address)
-        gone = [one for one in self._ended if _key(one) in self._mirror.records]
+        gone = [one for one in self._ended if _key(one) in self._view.records]
         return await self._records.commit(
             {_key(group): kept.encode()},
             [_key(one) for one in gone[:REMOVED_AT_ONCE]],
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -9,9 +9,9 @@
 import typing as t
 
 from ..exceptions import EndpointError
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
+from ..store.view import StoreView
 from .orders import Orders
 
 ASK_SECONDS = 1.0
@@ -20,7 +20,7 @@
 BENEFIT_SECONDS = 0.4
 
 
-class Unlisted:
+class UnlistedEndpoints:
     """Asks endpoints that have vanished from the list whether they are still there.
 
     :param start: runs a coroutine beside the others of the controller.
@@ -28,12 +28,12 @@
 
     def __init__(
         self,
-        mirror: Mirror,
+        view: StoreView,
         orders: Orders,
         clock: t.Callable[[], float],
         start: t.Callable[[t.Coroutine[t.Any, t.Any, None]], None],
     ) -> None:
-        self._mirror = mirror
+        self._view = view
         self._orders = orders
         self._clock = clock
         self._start = start
@@ -42,7 +42,7 @@
 
     def of_service(self, service: str) -> list[Endpoint]:
         """Return those of a service that answered when they were last asked."""
-        listed = self._mirror.roster.endpoints
+        listed = self._view.roster.endpoints
         return [
             one
             for one in self._answering.values()
@@ -56,7 +56,7 @@
             if member is not None and member.group == group and member.rank == rank:
                 return True
         begin = self._clock() - BENEFIT_SECONDS
-        for gone in self._mirror.roster.gone.values():
+        for gone in self._view.roster.gone.values():
             member = gone.endpoint.membership
             lately = gone.at >= begin and member is not None
             if lately and member and member.group == group and member.rank == rank:
@@ -66,7 +66,7 @@
     def look(self) -> None:
         """Begin to ask those that have vanished lately."""
         begin = self._clock() - BENEFIT_SECONDS
-        for name, gone in self._mirror.roster.gone.items():
+        for name, gone in self._view.roster.gone.items():
             if gone.at >= begin and gone.endpoint.fabric_domain and name not in self._watched:
                 self._watched.add(name)
                 self._start(self._watch(gone.endpoint))
@@ -74,7 +74,7 @@
     async def _watch(self, one: Endpoint) -> None:
         until = self._clock() + LONGEST_SECONDS
         try:
-            while one.id not in self._mirror.roster.endpoints and self._clock() < until:
+            while one.id not in self._view.roster.endpoints and self._clock() < until:
                 if not await self._orders.answers(one):
                     return
                 report = await self._orders.ask(one)
--- a/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -53,13 +53,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class GroupEnded:
     """The controller is ending a group."""
 
     group: GroupId
 
 
-Message = LoadReport | Suspicion | Probe | Ended
+Message = LoadReport | Suspicion | Probe | GroupEnded
 Handler = t.Callable[[str, Message], None]
 
 
@@ -72,7 +72,7 @@
             content = ["suspect", leader, group.epoch, group.name, fault]
         case Probe(endpoint_id):
             content = ["probe", endpoint_id]
-        case Ended(group):
+        case GroupEnded(group):
             content = ["ended", group.epoch, group.name]
     packed: bytes = msgpack.packb([FORMAT, sender, *content])
     return packed
@@ -89,13 +89,13 @@
             case [1, str(sender), "probe", str(endpoint_id)]:
                 return sender, Probe(endpoint_id)
             case [1, str(sender), "ended", int(epoch), str(name)]:
-                return sender, Ended(GroupId(epoch, name))
+                return sender, GroupEnded(GroupId(epoch, name))
     except (ValueError, TypeError, msgpack.UnpackException):
         pass
     return None
 
 
-class Peers(mode.Service):
+class PeerChannel(mode.Service):
     """Sends to all other daemons and takes in what they send.
 
     :param addresses: returns the address of each registered daemon.
--- a/packages/gateway/src/thorncleat_gateway/peers/pulse.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -16,7 +16,7 @@
 from ..store.roster import Endpoint
 from .datagrams import LoadReport
 from .datagrams import Message
-from .datagrams import Peers
+from .datagrams import PeerChannel
 from .datagrams import Suspicion
 
 LOOK_SECONDS = 0.02
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Run:
+class StreamAttempt:
     """One request at one group's leader.
 
     :param movable: whether it could go on elsewhere now.
@@ -54,17 +54,17 @@
         self.last_at = now
 
 
-class Pulse(mode.Service):
+class FailureDetector(mode.Service):
     """Watches the runs of all groups, and says which groups are suspected."""
 
     def __init__(
-        self, settings: StreamSettings, peers: Peers, clock: t.Callable[[], float]
+        self, settings: StreamSettings, peers: PeerChannel, clock: t.Callable[[], float]
     ) -> None:
         super().__init__()
         self._settings = settings
         self._peers = peers
         self._clock = clock
-        self._runs: dict[str, set[Run]] = collections.defaultdict(set)
+        self._runs: dict[str, set[StreamAttempt]] = collections.defaultdict(set)
         self._heard: dict[str, float] = {}
         self._others: dict[str, float] = {}
         self._suspected: dict[str, float] = {}
@@ -77,11 +77,11 @@
         """Call a function for each suspicion, own or heard."""
         self._listeners.append(listener)
 
-    def begin(self, run: Run) -> None:
+    def begin(self, run: StreamAttempt) -> None:
         """Watch a run."""
         self._runs[run.leader.id].add(run)
 
-    def end(self, run: Run) -> None:
+    def end(self, run: StreamAttempt) -> None:
         """Watch a run no longer."""
         runs = self._runs.get(run.leader.id)
         if runs:
@@ -181,7 +181,7 @@
                 one.left = True
                 one.leave()
 
-    def _limit(self, writing: t.Sequence[Run], suspected: bool) -> float:
+    def _limit(self, writing: t.Sequence[StreamAttempt], suspected: bool) -> float:
         settings = self._settings
         gap = max((one.gap for one in writing), default=0.0)
         limit = min(max(settings.gaps * gap, settings.least_silence), settings.most_silence)
--- a/packages/gateway/src/thorncleat_gateway/peers/loads.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -11,7 +11,7 @@
 REPORT_INTERVALS = 3.0
 
 
-class Loads:
+class LoadTable:
     """Requests under way by endpoint.
 
     :param interval: returns the seconds between two reports of a daemon.
--- a/packages/gateway/src/thorncleat_gateway/ports.py
+++ b/packages/gateway/src/thorncleat_gateway/ports.py
@@ -66,7 +66,7 @@
     proven: float = 0.0
 
 
-class Feed(t.Protocol):
+class ChangeFeed(t.Protocol):
     """What the platform's store says of configuration, endpoints and the gateway's records.
 
     Every method raises :class:`StoreUnavailableError` if there is no answer.
@@ -85,7 +85,7 @@
         ...
 
 
-class Records(t.Protocol):
+class RecordStore(t.Protocol):
     """The gateway's own records in the platform's store, under leases.
 
     Every method raises :class:`StoreUnavailableError` if the call was surely not carried
@@ -216,7 +216,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class RequestHead:
+class RequestMeta:
     """What a caller's headers say.
 
     :param deadline: seconds that the caller waits, or None.
@@ -233,7 +233,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ForwardTerms:
+class ForwardMeta:
     """What the gateway says to an endpoint beside the caller's own headers.
 
     :param remaining: seconds left of the caller's deadline.
@@ -247,7 +247,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class AnswerHead:
+class AnswerMeta:
     """What an endpoint's headers say.
 
     :param signed: whether the answer carries the endpoint's signature.
@@ -260,18 +260,18 @@
     encoded: bool
 
 
-class Wire(t.Protocol):
+class HeaderCodec(t.Protocol):
     """The names that callers and endpoints use in their headers."""
 
-    def request_head(self, headers: t.Mapping[str, str]) -> RequestHead:
+    def request_head(self, headers: t.Mapping[str, str]) -> RequestMeta:
         """Read a caller's headers."""
         ...
 
-    def forwarded(self, headers: Headers, terms: ForwardTerms) -> Headers:
+    def forwarded(self, headers: Headers, terms: ForwardMeta) -> Headers:
         """Return the headers to be sent to an endpoint."""
         ...
 
-    def answer_head(self, status: int, headers: t.Mapping[str, str]) -> AnswerHead:
+    def answer_head(self, status: int, headers: t.Mapping[str, str]) -> AnswerMeta:
         """Read an endpoint's headers."""
         ...
 
--- a/packages/gateway/src/thorncleat_gateway/requests/upstream.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -11,9 +11,9 @@
 
 from ..exceptions import AttemptError
 from ..exceptions import Ran
-from ..ports import AnswerHead
+from ..ports import AnswerMeta
+from ..ports import HeaderCodec
 from ..ports import Headers
-from ..ports import Wire
 
 SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
@@ -73,12 +73,12 @@
 class Exchange:
     """An endpoint's answer whose head has come.
 
-    :param head: what its headers say.
+    :param meta: what its headers say.
     """
 
-    def __init__(self, response: aiohttp.ClientResponse, head: AnswerHead) -> None:
+    def __init__(self, response: aiohttp.ClientResponse, meta: AnswerMeta) -> None:
         self._response = response
-        self.head = head
+        self.meta = meta
 
     @property
     def status(self) -> int:
@@ -111,15 +111,17 @@
             raise AttemptError(f"answer cut: {type(error).__name__}", Ran.MAYBE) from error
 
 
-class Upstream:
+class EndpointClient:
     """Opens exchanges with endpoints.
 
     :param connect_timeout: seconds for a connection to come up.
     """
 
-    def __init__(self, client: aiohttp.ClientSession, wire: Wire, connect_timeout: float) -> None:
+    def __init__(
+        self, client: aiohttp.ClientSession, codec: HeaderCodec, connect_timeout: float
+    ) -> None:
         self._client = client
-        self._wire = wire
+        self._codec = codec
         self._timeout = aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout)
 
     @contextlib.asynccontextmanager
@@ -150,15 +152,15 @@
             stack.callback(response.close)
             yield Exchange(response, self._checked(response, request_id))
 
-    def _checked(self, response: aiohttp.ClientResponse, request_id: str) -> AnswerHead:
-        head = self._wire.answer_head(response.status, response.headers)
-        if head.not_run:
+    def _checked(self, response: aiohttp.ClientResponse, request_id: str) -> AnswerMeta:
+        meta = self._codec.answer_head(response.status, response.headers)
+        if meta.not_run:
             raise AttemptError(f"declined with {response.status}", Ran.NO)
-        if head.request_id is not None and head.request_id != request_id:
+        if meta.request_id is not None and meta.request_id != request_id:
             raise AttemptError("answer of another request", Ran.MAYBE)
-        if head.encoded or (not head.signed and response.status < 400):
+        if meta.encoded or (not meta.signed and response.status < 400):
             raise AttemptError("not the endpoint's own answer", Ran.MAYBE)
-        return head
+        return meta
 
 
 async def within(seconds: float, work: t.Awaitable[t.Any]) -> t.Any:
--- a/packages/gateway/src/thorncleat_gateway/requests/dispatch.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -4,12 +4,12 @@
 import typing as t
 
 from ..groups.ended import EndedGroups
-from ..peers.loads import Loads
-from ..peers.pulse import Pulse
+from ..peers.failure_detector import FailureDetector
+from ..peers.load_table import LoadTable
 from ..settings import GatewaySettings
-from ..store.mirror import Mirror
 from ..store.roster import Endpoint
 from ..store.serving import Engine
+from ..store.view import StoreView
 
 # seconds for which an endpoint that refused or cut a connection is avoided
 AVOID_SECONDS = 1.0
@@ -24,22 +24,22 @@
 WEAK_WEIGHT = 4.0
 
 
-class Dispatcher:
+class EndpointSelector:
     """Knows which endpoints can take a request, and chooses the least loaded."""
 
     def __init__(
         self,
         settings: GatewaySettings,
-        mirror: Mirror,
-        loads: Loads,
-        pulse: Pulse,
+        view: StoreView,
+        load_table: LoadTable,
+        detector: FailureDetector,
         ended: EndedGroups,
         clock: t.Callable[[], float],
     ) -> None:
         self._settings = settings
-        self._mirror = mirror
-        self._loads = loads
-        self._pulse = pulse
+        self._view = view
+        self._load_table = load_table
+        self._detector = detector
         self._ended = ended
         self._clock = clock
         self._avoid: dict[str, float] = {}
@@ -60,7 +60,7 @@
 
     def plain(self, service: str, tried: t.Container[str]) -> Endpoint | None:
         """Return the endpoint of a plain service for a request."""
-        listed = self._mirror.roster.of_service(service)
+        listed = self._view.roster.of_service(service)
         return self._best([one for one in listed if not one.draining and one.id not in tried])
 
     def leader(
@@ -68,24 +68,24 @@
     ) -> Endpoint | None:
         """Return the leader of the group for a request."""
         leaders = [one for one in self._serving(service, model) if one.id not in tried]
-        trusted = [one for one in leaders if not self._pulse.suspected(one.id)]
+        trusted = [one for one in leaders if not self._detector.suspected(one.id)]
         if not trusted:
             # others may suspect them only because they are cut off themselves
-            trusted = [one for one in leaders if not self._pulse.suspected_here(one.id)]
+            trusted = [one for one in leaders if not self._detector.suspected_here(one.id)]
         chosen = self._best(trusted)
-        if chosen is not None and self._loads.of(chosen.id) >= FULL * engine.slots:
+        if chosen is not None and self._load_table.of(chosen.id) >= FULL * engine.slots:
             return None
         return chosen
 
     def known(self, service: str, model: str) -> tuple[int, int]:
         """Return how many groups there are for a request, and how many are suspected."""
         leaders = self._serving(service, model)
-        return len(leaders), sum(self._pulse.suspected(one.id) for one in leaders)
+        return len(leaders), sum(self._detector.suspected(one.id) for one in leaders)
 
     def others(self, service: str, model: str, but: t.Container[str]) -> bool:
         """Tell whether there is another group for a request."""
         return any(
-            one.id not in but and not self._pulse.suspected(one.id)
+            one.id not in but and not self._detector.suspected(one.id)
             for one in self._serving(service, model)
         )
 
@@ -106,17 +106,17 @@
         failing = FAILURE_WEIGHT * self._failures.get(one.id, 0.0)
         weak = WEAK_WEIGHT if one.id in self._weak else 0.0
         # daemons that know equally little of each other must not all choose the same
-        spread = random.random() * SPREAD * self._loads.uncertainty
-        return self._loads.of(one.id) + failing + weak + spread
+        spread = random.random() * SPREAD * self._load_table.uncertainty
+        return self._load_table.of(one.id) + failing + weak + spread
 
     def _refresh(self) -> None:
-        if self._seen == self._mirror.version:
+        if self._seen == self._view.version:
             return
-        self._seen = self._mirror.version
+        self._seen = self._view.version
         self._leaders = {}
         self._weak = set()
-        configuration = self._mirror.configuration
-        roster = self._mirror.roster
+        configuration = self._view.configuration
+        roster = self._view.roster
         for one in roster.endpoints.values():
             if not one.leads or not one.models or configuration is None:
                 continue
--- a/packages/gateway/src/thorncleat_gateway/requests/event_stream.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/event_stream.py
@@ -12,7 +12,7 @@
     return None
 
 
-class EventCutter:
+class EventSplitter:
     """Yields only whole events whose ids go on rising.
 
     A run that continues at another endpoint may repeat the last events; those are dropped.
--- a/packages/gateway/src/thorncleat_gateway/requests/front.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -7,21 +7,21 @@
 
 from .. import events
 from ..exceptions import RefusalError
+from ..ports import HeaderCodec
 from ..ports import Headers
-from ..ports import RequestHead
-from ..ports import Wire
+from ..ports import RequestMeta
 from ..settings import GatewaySettings
-from ..store.mirror import Mirror
-from ..store.serving import KeyHolder
 from ..store.serving import Route
 from ..store.serving import RouteKind
-from ..store.serving import ServiceTerms
+from ..store.serving import Service
 from ..store.serving import ServingConfiguration
-from .plain import PlainRequests
-from .request import Repeats
+from ..store.serving import Workspace
+from ..store.view import StoreView
+from .plain import PlainForwarder
 from .request import Request
+from .request import RetryBudgets
 from .streams import CutError
-from .streams import StreamRequests
+from .streams import StreamForwarder
 
 # part of the time to take a key away in which the configuration counts as new enough
 REVOKE_PART = 0.9
@@ -81,7 +81,7 @@
             self._request.transport.abort()
 
 
-class Front:
+class Frontend:
     """Takes callers' requests.
 
     :param stopping: whether this daemon is about to end.
@@ -91,19 +91,19 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        mirror: Mirror,
-        wire: Wire,
-        plain: PlainRequests,
-        streams: StreamRequests,
-        repeats: Repeats,
+        view: StoreView,
+        codec: HeaderCodec,
+        plain: PlainForwarder,
+        streams: StreamForwarder,
+        retry_budgets: RetryBudgets,
         clock: t.Callable[[], float],
     ) -> None:
         self._settings = settings
-        self._mirror = mirror
-        self._wire = wire
+        self._view = view
+        self._codec = codec
         self._plain = plain
         self._streams = streams
-        self._repeats = repeats
+        self._retry_budgets = retry_budgets
         self._clock = clock
         self.stopping = False
         self.closed = False
@@ -114,7 +114,7 @@
         """Return why this daemon should get no requests, or None if it should."""
         if self.stopping:
             return "stopping"
-        if not self._mirror.loaded:
+        if not self._view.loaded:
             return "no configuration yet"
         if not self._fresh():
             return "configuration too old"
@@ -122,7 +122,7 @@
 
     async def readiness(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer whether this daemon is ready."""
-        if not self._wire.is_readiness(request.method, request.path):
+        if not self._codec.is_readiness(request.method, request.path):
             return web.Response(status=404)
         reason = self.not_ready()
         return web.Response(status=503 if reason else 200, text=reason or "ready")
@@ -132,33 +132,33 @@
         self.requests += 1
         self.running += 1
         received_at = self._clock()
-        head = self._wire.request_head(request.headers)
+        meta = self._codec.request_head(request.headers)
         caller = Caller(request, lambda: self.stopping)
         try:
-            return await self._serve(request, head, caller, received_at)
+            return await self._serve(request, meta, caller, received_at)
         except CutError as error:
-            events.REQUEST_CUT.log(request=head.id, cause=error.cause)
+            events.REQUEST_CUT.log(request=meta.id, cause=error.cause)
             caller.cut()
             assert caller.response is not None
             return caller.response
         except RefusalError as error:
-            return self._refused(head, error, received_at)
+            return self._refused(meta, error, received_at)
         except (asyncio.CancelledError, ConnectionError):
             events.REQUEST_LEFT.log(
-                request=head.id, after=round(self._clock() - received_at, 3), begun=caller.begun
+                request=meta.id, after=round(self._clock() - received_at, 3), begun=caller.begun
             )
             raise
         finally:
             self.running -= 1
 
-    def _refused(self, head: RequestHead, error: RefusalError, received_at: float) -> web.Response:
+    def _refused(self, meta: RequestMeta, error: RefusalError, received_at: float) -> web.Response:
         events.REQUEST_REFUSED.log(
-            request=head.id,
+            request=meta.id,
             status=error.status,
             cause=error.cause,
             retry_after=error.retry_after,
             after=round(self._clock() - received_at, 3),
-            config_age=round(self._mirror.age(), 3),
+            config_age=round(self._view.age(), 3),
         )
         response = web.Response(status=error.status, text=error.cause + "\n")
         if error.retry_after is not None:
@@ -168,23 +168,23 @@
         return response
 
     async def _serve(
-        self, request: web.BaseRequest, head: RequestHead, caller: Caller, received_at: float
+        self, request: web.BaseRequest, meta: RequestMeta, caller: Caller, received_at: float
     ) -> web.StreamResponse:
         if self.closed:
             raise RefusalError(503, "stopping", retry_after=STOPPING_RETRY_AFTER_SECONDS)
-        configuration = self._mirror.configuration
+        configuration = self._view.configuration
         if configuration is None:
             raise RefusalError(503, "no configuration yet", retry_after=RETRY_AFTER_SECONDS)
         path = request.raw_path
         route = configuration.route_for(request.headers.get("Host", ""), path.split("?", 1)[0])
         if route is None:
             raise RefusalError(404, "no route")
-        workspace = self._workspace(configuration, route, head)
+        workspace = self._workspace(configuration, route, meta)
         limit = configuration.limits.body_bytes
         body = await _read(request, limit)
-        deadline_at = received_at + (head.deadline or DEFAULT_DEADLINE_SECONDS)
+        deadline_at = received_at + (meta.deadline or DEFAULT_DEADLINE_SECONDS)
         wanted = Request(
-            head,
+            meta,
             request.method,
             path,
             list(request.headers.items()),
@@ -196,7 +196,7 @@
             min(deadline_at, received_at + route.timeout) - MARGIN_SECONDS,
             deadline_at,
         )
-        self._repeats.request(wanted)
+        self._retry_budgets.request(wanted)
         await self._forward(wanted, caller)
         self._log_done(wanted, caller)
         assert caller.response is not None
@@ -215,24 +215,24 @@
         await caller.end()
 
     def _workspace(
-        self, configuration: ServingConfiguration, route: Route, head: RequestHead
-    ) -> KeyHolder | None:
+        self, configuration: ServingConfiguration, route: Route, meta: RequestMeta
+    ) -> Workspace | None:
         if route.public or not configuration.workspaces:
             return None
         if not self._fresh():
             raise RefusalError(
                 503, "configuration too old for keys", retry_after=RETRY_AFTER_SECONDS
             )
-        workspace = configuration.workspace_for(head.key) if head.key else None
+        workspace = configuration.workspace_for(meta.key) if meta.key else None
         if workspace is None:
             raise RefusalError(401, "unknown key")
         return workspace
 
     def _fresh(self) -> bool:
         bound = self._settings.revoke_within
-        return bound is None or self._mirror.age() < bound * REVOKE_PART
+        return bound is None or self._view.age() < bound * REVOKE_PART
 
-    def _service(self, configuration: ServingConfiguration, route: Route) -> ServiceTerms:
+    def _service(self, configuration: ServingConfiguration, route: Route) -> Service:
         split = route.splits[0]
         if len(route.splits) > 1:
             # the next request number spreads over the parts by their weights
@@ -243,11 +243,11 @@
                 point -= one.weight
                 if point < 0:
                     break
-        return configuration.services.get(split.service) or ServiceTerms(split.service)
+        return configuration.services.get(split.service) or Service(split.service)
 
     def _log_done(self, wanted: Request, caller: Caller) -> None:
         events.REQUEST_DONE.log(
-            request=wanted.head.id,
+            request=wanted.meta.id,
             route=wanted.route.name,
             workspace=wanted.workspace.name if wanted.workspace else None,
             status=caller.response.status if caller.response else 0,
@@ -256,7 +256,7 @@
             first_event=round(max(0.0, wanted.first_event_at - wanted.received_at), 3),
             longest_pause=round(wanted.longest_pause, 3),
             seconds=round(self._clock() - wanted.received_at, 3),
-            config_age=round(self._mirror.age(), 3),
+            config_age=round(self._view.age(), 3),
         )
 
 
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -8,16 +8,16 @@
 from ..exceptions import AttemptError
 from ..exceptions import Ran
 from ..exceptions import RefusalError
-from ..ports import ForwardTerms
+from ..ports import ForwardMeta
+from ..ports import HeaderCodec
 from ..ports import Headers
-from ..ports import RequestHead
-from ..ports import Wire
+from ..ports import RequestMeta
 from ..store.roster import Endpoint
-from ..store.serving import KeyHolder
 from ..store.serving import Route
-from ..store.serving import ServiceTerms
-from .allowance import RetryAllowance
-from .allowance import RetryTerms
+from ..store.serving import Service
+from ..store.serving import Workspace
+from .retry_budget import RetryBudget
+from .retry_budget import RetryBudgetSettings
 
 # sends that may be tried while nothing of them can have reached an endpoint
 UNSENT_TRIES = 4
@@ -33,14 +33,14 @@
     :param sends: attempts that can have reached an endpoint.
     """
 
-    head: RequestHead
+    meta: RequestMeta
     method: str
     path: str
     headers: Headers
     body: bytes
     route: Route
-    service: ServiceTerms
-    workspace: KeyHolder | None
+    service: Service
+    workspace: Workspace | None
     received_at: float
     until: float
     deadline_at: float
@@ -68,16 +68,16 @@
         own = self.workspace.priority if self.workspace else 0
         return min(LOWEST_PRIORITY, 2 * own + min(1, self.route.priority))
 
-    def forwarded(self, wire: Wire, one: Endpoint, now: float, last: str | None) -> Headers:
+    def forwarded(self, codec: HeaderCodec, one: Endpoint, now: float, last: str | None) -> Headers:
         """Return the headers for an attempt."""
-        terms = ForwardTerms(
+        terms = ForwardMeta(
             remaining=max(0.001, self.deadline_at - now),
             endpoint_id=one.id,
             workspace=self.workspace.name if self.workspace else None,
             priority=self.priority,
             last_event_id=last,
         )
-        return wire.forwarded(self.headers, terms)
+        return codec.forwarded(self.headers, terms)
 
     def failed(self, one: Endpoint, error: AttemptError, *, counted: bool = True) -> None:
         """Take in that an attempt failed.
@@ -100,36 +100,34 @@
         return RefusalError(503, cause, retry_after=retry_after)
 
 
-class Repeats:
+class RetryBudgets:
     """The retry budget of each service, as far as it is this daemon's.
 
     :param daemons: returns how many daemons share it.
     """
 
     def __init__(
-        self, terms: RetryTerms, clock: t.Callable[[], float], daemons: t.Callable[[], int]
+        self, terms: RetryBudgetSettings, clock: t.Callable[[], float], daemons: t.Callable[[], int]
     ) -> None:
         self._clock = clock
         self._daemons = daemons
-        self._allowances: dict[str, RetryAllowance] = collections.defaultdict(
-            lambda: RetryAllowance(terms)
-        )
+        self._budgets: dict[str, RetryBudget] = collections.defaultdict(lambda: RetryBudget(terms))
 
     def request(self, request: Request) -> None:
         """Count a caller's request."""
-        self._allowances[request.service.name].request(self._clock())
+        self._budgets[request.service.name].request(self._clock())
 
     def possible(self, request: Request) -> bool:
         """Tell whether a request could be sent once more now."""
         if not self._within_attempts(request):
             return False
-        return self._allowances[request.service.name].left(self._clock(), self._daemons()) > 0
+        return self._budgets[request.service.name].left(self._clock(), self._daemons()) > 0
 
     def take(self, request: Request) -> bool:
         """Count a repeat if one may be sent; tell whether it may."""
         if not self._within_attempts(request):
             return False
-        return self._allowances[request.service.name].take(self._clock(), self._daemons())
+        return self._budgets[request.service.name].take(self._clock(), self._daemons())
 
     def _within_attempts(self, request: Request) -> bool:
         return request.sends < request.route.max_attempts and request.unsent < UNSENT_TRIES
@@ -138,7 +136,7 @@
 def log_failed(request: Request, one: Endpoint, error: AttemptError, now: float) -> None:
     """Write the line of a failed attempt."""
     events.REQUEST_MOVED.log(
-        request=request.head.id,
+        request=request.meta.id,
         endpoint=one.id,
         cause=error.cause,
         ran=error.ran.value,
--- a/packages/gateway/src/thorncleat_gateway/requests/allowance.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class RetryTerms:
+class RetryBudgetSettings:
     """The budget of all daemons for one service.
 
     :param ratio: repeats for each request in a window.
@@ -26,13 +26,13 @@
     window: float
 
 
-class RetryAllowance:
+class RetryBudget:
     """Counts one daemon's requests and repeats to one service in a sliding window."""
 
-    def __init__(self, terms: RetryTerms) -> None:
+    def __init__(self, terms: RetryBudgetSettings) -> None:
         self._terms = terms
         self._requests: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._retry_budgets: collections.deque[float] = collections.deque()
 
     def request(self, now: float) -> None:
         """Count a caller's request."""
@@ -46,17 +46,17 @@
         """
         self._forget(now)
         own = self._terms.ratio * len(self._requests) + self._terms.extra / max(1, daemons)
-        return math.floor(own * SAFETY) - len(self._repeats)
+        return math.floor(own * SAFETY) - len(self._retry_budgets)
 
     def take(self, now: float, daemons: int) -> bool:
         """Count a repeat if one may be sent; tell whether it may."""
         if self.left(now, daemons) < 1:
             return False
-        self._repeats.append(now)
+        self._retry_budgets.append(now)
         return True
 
     def _forget(self, now: float) -> None:
         begin = now - self._terms.window
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retry_budgets):
             while times and times[0] < begin:
                 times.popleft()
--- a/packages/gateway/src/thorncleat_gateway/settings.py
+++ b/packages/gateway/src/thorncleat_gateway/settings.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from .requests.allowance import RetryTerms
+from .requests.retry_budget import RetryBudgetSettings
 
 
 @dataclasses.dataclass(frozen=True)
@@ -85,7 +85,7 @@
     callers: tuple[str, int]
     readiness: tuple[str, int]
     peers: tuple[str, int]
-    retry: RetryTerms
+    retry: RetryBudgetSettings
     revoke_within: float | None = None
     grace: float = 8.0
     daemons: int = 1
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -11,8 +11,8 @@
 from ..exceptions import StoreUnavailableError
 from ..ports import WAITED_PART
 from ..ports import Change
+from ..ports import ChangeFeed
 from ..ports import Changes
-from ..ports import Feed
 from ..settings import RelaySettings
 from . import change_codec
 from .relay_server import AGE
@@ -31,7 +31,7 @@
     def __init__(
         self,
         settings: RelaySettings,
-        store: Feed,
+        store: ChangeFeed,
         sources: t.Callable[[], t.Sequence[Daemon]],
         clock: t.Callable[[], float],
     ) -> None:
--- a/packages/gateway/src/thorncleat_gateway/store/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -9,8 +9,8 @@
 from ..ports import Changes
 from . import change_codec
 from .change_log import ChangeLog
-from .mirror import Mirror
 from .relays import Daemon
+from .view import StoreView
 
 CHANGES_PATH = "/changes"
 AGE = struct.Struct("!d")
@@ -25,15 +25,15 @@
     :param daemons: returns the registered daemons; no one else gets an answer.
     """
 
-    def __init__(self, mirror: Mirror, daemons: t.Callable[[], t.Iterable[Daemon]]) -> None:
-        self._mirror = mirror
+    def __init__(self, view: StoreView, daemons: t.Callable[[], t.Iterable[Daemon]]) -> None:
+        self._view = view
         self._daemons = daemons
         self._log = ChangeLog()
         self._revision = 0
         self._news = asyncio.Event()
         self._encoded: dict[tuple[int, int], bytes] = {}
         self.answered = 0
-        mirror.on_batch(self._learnt)
+        view.on_batch(self._learnt)
 
     def _learnt(self, after: int | None, found: Changes) -> None:
         if after is None:
@@ -61,7 +61,7 @@
         if body is None:
             return web.Response(status=410)
         self.answered += 1
-        return web.Response(body=AGE.pack(self._mirror.age()) + body)
+        return web.Response(body=AGE.pack(self._view.age()) + body)
 
     def _known(self, host: str | None) -> bool:
         return any(one.host == host for one in self._daemons())
--- a/packages/gateway/src/thorncleat_gateway/store/serving.py
+++ b/packages/gateway/src/thorncleat_gateway/store/serving.py
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ServiceTerms:
+class Service:
     """A service that routes lead to; with an engine its endpoints form groups."""
 
     name: str
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class KeyHolder:
+class Workspace:
     """A workspace as the request path sees it: its keys and its rank.
 
     :param priority: 0 is the highest.
@@ -137,8 +137,8 @@
 
     version: int
     routes: tuple[Route, ...] = ()
-    services: t.Mapping[str, ServiceTerms] = dataclasses.field(default_factory=dict)
-    workspaces: tuple[KeyHolder, ...] = ()
+    services: t.Mapping[str, Service] = dataclasses.field(default_factory=dict)
+    workspaces: tuple[Workspace, ...] = ()
     limits: Limits = Limits()
 
     def route_for(self, host: str, path: str) -> Route | None:
@@ -155,7 +155,7 @@
             if route is not None:
                 return route
 
-    def workspace_for(self, key: str) -> KeyHolder | None:
+    def workspace_for(self, key: str) -> Workspace | None:
         """Return the workspace that holds a key."""
         found = self._by_key.get(key)
         if found is None:
@@ -171,5 +171,5 @@
         return table
 
     @functools.cached_property
-    def _by_key(self) -> dict[str, tuple[str, KeyHolder]]:
+    def _by_key(self) -> dict[str, tuple[str, Workspace]]:
         return {key: (key, one) for one in self.workspaces for key in one.keys}
--- a/packages/gateway/src/thorncleat_gateway/store/mirror.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -9,11 +9,11 @@
 from ..exceptions import HistoryGoneError
 from ..exceptions import StoreError
 from ..ports import Change
+from ..ports import ChangeFeed
 from ..ports import Changes
 from ..ports import ConfigurationChanged
 from ..ports import EndpointGone
 from ..ports import EndpointListed
-from ..ports import Feed
 from ..ports import RecordChanged
 from .roster import Roster
 from .serving import ServingConfiguration
@@ -28,7 +28,7 @@
 EXPIRE_SECONDS = 0.25
 
 
-class Mirror(mode.Service):
+class StoreView(mode.Service):
     """Follows the store.
 
     :param wait: seconds that a call for changes waits.
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        feed: Feed,
+        feed: ChangeFeed,
         clock: t.Callable[[], float],
         wait: float,
         coalesce: t.Callable[[], float],
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -16,11 +16,12 @@
 from thorncleat_gateway.exceptions import StoreOutcomeUnknownError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.groups.controller import Controller
+from thorncleat_gateway.groups.election import Election
 from thorncleat_gateway.groups.ended import EndedGroups
 from thorncleat_gateway.groups.orders import Orders
 from thorncleat_gateway.groups.records import GroupRecords
 from thorncleat_gateway.peers.datagrams import Probe
-from thorncleat_gateway.peers.pulse import Pulse
+from thorncleat_gateway.peers.failure_detector import FailureDetector
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import Close
 from thorncleat_gateway.ports import ConfigurationChanged
@@ -33,19 +34,18 @@
 from thorncleat_gateway.ports import Open
 from thorncleat_gateway.ports import Outcome
 from thorncleat_gateway.ports import RecordChanged
-from thorncleat_gateway.requests.allowance import RetryTerms
+from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
 from thorncleat_gateway.settings import GatewaySettings
 from thorncleat_gateway.settings import StreamSettings
-from thorncleat_gateway.store.membership import Election
-from thorncleat_gateway.store.mirror import Mirror
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.serving import Engine
 from thorncleat_gateway.store.serving import EngineModel
-from thorncleat_gateway.store.serving import ServiceTerms
+from thorncleat_gateway.store.serving import Service
 from thorncleat_gateway.store.serving import ServingConfiguration
+from thorncleat_gateway.store.view import StoreView
 
 SERVICE = "narrator"
 MODELS = (
@@ -409,29 +409,29 @@
         self._thaw = asyncio.Event()
         self._thaw.set()
         settings = GatewaySettings(
-            name, "a", ("", 0), ("", 0), ("", 0), RetryTerms(0.2, 10, 10), watch=1.0
+            name, "a", ("", 0), ("", 0), ("", 0), RetryBudgetSettings(0.2, 10, 10), watch=1.0
         )
         client = StoreClient(world, self)
-        self.mirror = Mirror(client, world.now, settings.watch, lambda: 0.1)
+        self.view = StoreView(client, world.now, settings.watch, lambda: 0.1)
         self.peers = WorldPeers(world, self)
-        self.pulse = Pulse(StreamSettings(), self.peers, world.now)
+        self.detector = FailureDetector(StreamSettings(), self.peers, world.now)
         self.election = Election(
-            settings, client, self.mirror, world.now, lambda: [one.name for one in world.nodes]
+            settings, client, self.view, world.now, lambda: [one.name for one in world.nodes]
         )
         self.orders = Orders(
             settings.control,
             WorldEngines(world, self),
-            self.mirror,
+            self.view,
             lambda: self.election.leads,
-            lambda one: self.pulse.heard(one, world.now()),
+            lambda one: self.detector.heard(one, world.now()),
         )
         self.controller = Controller(
             settings,
-            self.mirror,
+            self.view,
             self.election,
             self.orders,
-            GroupRecords(client, self.mirror, self.election),
-            self.pulse,
+            GroupRecords(client, self.view, self.election),
+            self.detector,
             self.peers,
             EndedGroups(self.peers, world.now),
             world.now,
@@ -454,21 +454,21 @@
         for handler in self.peers.handlers:
             handler("another", message)
         if isinstance(message, Probe):
-            gone = self.mirror.roster.gone.get(message.endpoint_id)
+            gone = self.view.roster.gone.get(message.endpoint_id)
             if gone is not None:
                 self.world.spawn(self._probe(gone.endpoint))
 
     async def _probe(self, endpoint: Endpoint) -> None:
         if await self.orders.answers(endpoint):
             for other in self.world.nodes:
-                other.pulse.heard(endpoint.id, self.world.now())
+                other.detector.heard(endpoint.id, self.world.now())
 
     async def start(self) -> None:
-        for part in (self.mirror, self.election, self.controller):
+        for part in (self.view, self.election, self.controller):
             await part.start()
 
     async def stop(self) -> None:
-        for part in (self.controller, self.election, self.mirror):
+        for part in (self.controller, self.election, self.view):
             await part.stop()
 
 
@@ -491,7 +491,7 @@
         self.store.put(
             "config",
             ConfigurationChanged(
-                ServingConfiguration(1, services={SERVICE: ServiceTerms(SERVICE, "/", ENGINE)})
+                ServingConfiguration(1, services={SERVICE: Service(SERVICE, "/", ENGINE)})
             ),
         )
         for number in range(domains):
@@ -541,7 +541,7 @@
         if leader is not None:
             node = self.random.choice(self.nodes)
             if not node.frozen:
-                node.pulse.suspect(leader.entry(), "silence")
+                node.detector.suspect(leader.entry(), "silence")
 
     def cut_from_store(self, worker: Worker, seconds: float) -> None:
         worker.cut_from_store = True
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -40,7 +40,8 @@
 
     def test_each_event_is_used(self):
         source = "".join(
-            one.read_text() for one in (ROOT / "packages/daemon/src/thorncleat_daemon").rglob("*.py")
+            one.read_text()
+            for one in (ROOT / "packages/daemon/src/thorncleat_daemon").rglob("*.py")
         )
         for name, value in vars(events).items():
             if isinstance(value, Event):
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -7,11 +7,11 @@
 from thorncleat_gateway.groups.ended import KEEP_SECONDS
 from thorncleat_gateway.groups.ended import REPEAT_SECONDS
 from thorncleat_gateway.groups.ended import EndedGroups
-from thorncleat_gateway.peers.datagrams import Ended
-from thorncleat_gateway.peers.loads import Loads
-from thorncleat_gateway.peers.pulse import Pulse
-from thorncleat_gateway.requests.allowance import RetryTerms
-from thorncleat_gateway.requests.dispatch import Dispatcher
+from thorncleat_gateway.peers.datagrams import GroupEnded
+from thorncleat_gateway.peers.failure_detector import FailureDetector
+from thorncleat_gateway.peers.load_table import LoadTable
+from thorncleat_gateway.requests.endpoint_selector import EndpointSelector
+from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
 from thorncleat_gateway.settings import GatewaySettings
 from thorncleat_gateway.settings import StreamSettings
 from thorncleat_gateway.store.roster import Endpoint
@@ -21,15 +21,15 @@
 from thorncleat_gateway.store.roster import Roster
 from thorncleat_gateway.store.serving import Engine
 from thorncleat_gateway.store.serving import EngineModel
-from thorncleat_gateway.store.serving import ServiceTerms
+from thorncleat_gateway.store.serving import Service
 from thorncleat_gateway.store.serving import ServingConfiguration
 
 from . import virtual_time
 from .group_world import World
-from .test_pulse import Peers
+from .test_failure_detector import PeerChannel
 
 ENGINE = Engine(4, (EngineModel("m", 1),))
-SETTINGS = GatewaySettings("e0", "a", ("", 0), ("", 0), ("", 0), RetryTerms(0.2, 10, 10))
+SETTINGS = GatewaySettings("e0", "a", ("", 0), ("", 0), ("", 0), RetryBudgetSettings(0.2, 10, 10))
 
 
 def leader(name, epoch):
@@ -40,37 +40,37 @@
 FIRST, SECOND = leader("w0", 1), leader("w1", 2)
 
 
-class Mirror:
+class StoreView:
     def __init__(self):
         self.version = 1
         self.roster = Roster()
         self.configuration = ServingConfiguration(
-            1, services={"narrator": ServiceTerms("narrator", "/", ENGINE)}
+            1, services={"narrator": Service("narrator", "/", ENGINE)}
         )
 
 
 class Daemon:
     def __init__(self):
         self.now = 100.0
-        self.peers = Peers()
-        self.mirror = Mirror()
+        self.peers = PeerChannel()
+        self.view = StoreView()
         self.ended = EndedGroups(self.peers, lambda: self.now)
-        self.dispatcher = Dispatcher(
+        self.selector = EndpointSelector(
             SETTINGS,
-            self.mirror,
-            Loads(lambda: self.now, lambda: 0.1),
-            Pulse(StreamSettings(), Peers(), lambda: self.now),
+            self.view,
+            LoadTable(lambda: self.now, lambda: 0.1),
+            FailureDetector(StreamSettings(), PeerChannel(), lambda: self.now),
             self.ended,
             lambda: self.now,
         )
 
     def list(self, *endpoints):
         for one in endpoints:
-            self.mirror.roster.put(one)
-        self.mirror.version += 1
+            self.view.roster.put(one)
+        self.view.version += 1
 
     def chosen(self):
-        found = {self.dispatcher.leader("narrator", ENGINE, "m", ()) for _ in range(20)}
+        found = {self.selector.leader("narrator", ENGINE, "m", ()) for _ in range(20)}
         return {one.id if one else None for one in found}
 
 
@@ -83,7 +83,7 @@
 
 def test_group_that_another_daemon_is_ending_gets_no_request(daemon):
     assert daemon.chosen() == {"w0", "w1"}
-    daemon.peers.receive("controller", Ended(FIRST.membership.group))
+    daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
     assert daemon.chosen() == {"w1"}
     # longer than any suspicion
     daemon.now += 2.0
@@ -92,21 +92,21 @@
 
 def test_last_group_gets_none_either(daemon):
     for one in (FIRST, SECOND):
-        daemon.peers.receive("controller", Ended(one.membership.group))
+        daemon.peers.receive("controller", GroupEnded(one.membership.group))
     assert daemon.chosen() == {None}
-    assert daemon.dispatcher.known("narrator", "m") == (0, 0)
-    assert not daemon.dispatcher.others("narrator", "m", ())
+    assert daemon.selector.known("narrator", "m") == (0, 0)
+    assert not daemon.selector.others("narrator", "m", ())
 
 
 def test_next_group_of_its_leader_is_another_group(daemon):
-    daemon.peers.receive("controller", Ended(FIRST.membership.group))
+    daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
     again = Membership(GroupId(3, "g3"), 0, GroupState.OPEN)
     daemon.list(dataclasses.replace(FIRST, membership=again))
     assert daemon.chosen() == {"w0", "w1"}
 
 
 def test_group_is_used_again_if_nobody_says_so_any_more(daemon):
-    daemon.peers.receive("controller", Ended(FIRST.membership.group))
+    daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
     daemon.now += KEEP_SECONDS + 0.1
     assert daemon.chosen() == {"w0", "w1"}
 
@@ -115,10 +115,10 @@
     group = FIRST.membership.group
     for _ in range(5):
         daemon.ended.tell(group)
-    assert daemon.peers.sent == [Ended(group)]
+    assert daemon.peers.sent == [GroupEnded(group)]
     daemon.now += REPEAT_SECONDS
     daemon.ended.tell(group)
-    assert daemon.peers.sent == [Ended(group)] * 2
+    assert daemon.peers.sent == [GroupEnded(group)] * 2
     assert daemon.chosen() == {"w1"}
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,8 +13,8 @@
 from thorncleat_gateway.gateway import Gateway
 from thorncleat_platform import settings
 from thorncleat_platform.engines import WorkerEngines
+from thorncleat_platform.headers import PlatformHeaders
 from thorncleat_platform.store import KeyValueStore
-from thorncleat_platform.wire import PlatformWire
 from thorncleat_standins.platform_store import PlatformStore
 from thorncleat_standins.platform_worker import PlatformWorker
 
@@ -90,14 +90,20 @@
         self._adapters = [KeyValueStore(loaded.store), WorkerEngines()]
         store, engines = self._adapters
         self.gateway = Gateway(
-            loaded.gateway, store, store, engines, PlatformWire(), time.monotonic, first_start=True
+            loaded.gateway,
+            store,
+            store,
+            engines,
+            PlatformHeaders(),
+            time.monotonic,
+            first_start=True,
         )
         await self.gateway.start()
         await self.until(lambda: sum(one.leads for one in self.workers) == domains)
         await self.until(lambda: self._listed_leaders() == domains)
 
     def _listed_leaders(self) -> int:
-        return sum(one.leads for one in self.gateway.mirror.roster.endpoints.values())
+        return sum(one.leads for one in self.gateway.view.roster.endpoints.values())
 
     async def add(self, name: str, service: str, domain: str = "") -> PlatformWorker:
         worker = PlatformWorker(self.store, name, service, domain)
@@ -268,7 +274,7 @@
         draining, other = made.workers[-1], made.workers[-2]
         draining.draining = True
         draining.publish()
-        roster = made.gateway.mirror.roster
+        roster = made.gateway.view.roster
         await made.until(lambda: roster.endpoints[draining.id].draining)
         other.fail = 500
         status, _, _ = await made.call("GET", "/ack/x")
@@ -279,7 +285,7 @@
 async def test_key_that_was_taken_away_is_refused(tmp_path):
     async with site(tmp_path) as made:
         made.store.write("op/config", configuration(version=4, keys=("new-key",)))
-        await made.until(lambda: made.gateway.mirror.configuration.version == 4)
+        await made.until(lambda: made.gateway.view.configuration.version == 4)
         assert (await made.call("POST", "/status/x"))[0] == 401
         assert (await made.call("POST", "/status/x", key="new-key"))[0] == 200
 
@@ -287,23 +293,23 @@
 async def test_older_configuration_never_comes_back(tmp_path):
     async with site(tmp_path) as made:
         made.store.write("op/config", configuration(version=4, keys=("new-key",)))
-        await made.until(lambda: made.gateway.mirror.configuration.version == 4)
+        await made.until(lambda: made.gateway.view.configuration.version == 4)
         made.store.write("op/config", configuration(version=3))
         made.store.write("servers/mark", {"service": "x", "address": "", "state": "ready"})
-        await made.until(lambda: "mark" in made.gateway.mirror.roster.endpoints)
-        assert made.gateway.mirror.configuration.version == 4
+        await made.until(lambda: "mark" in made.gateway.view.roster.endpoints)
+        assert made.gateway.view.configuration.version == 4
 
 
 async def test_keys_are_refused_when_the_configuration_is_too_old_to_be_sure(tmp_path):
     async with site(tmp_path) as made:
         made.store.refuse = True
-        await made.until(lambda: made.gateway.mirror.age() > 1.9)
+        await made.until(lambda: made.gateway.view.age() > 1.9)
         status, headers, _ = await made.call("POST", "/status/x")
         assert status == 503
         assert float(headers["Retry-After"]) > 0
         assert made.runs("desk") == []
         made.store.refuse = False
-        await made.until(lambda: made.gateway.mirror.age() < 1.0)
+        await made.until(lambda: made.gateway.view.age() < 1.0)
         assert (await made.call("POST", "/status/x"))[0] == 200
 
 
@@ -311,7 +317,7 @@
     async with site(tmp_path) as made:
         made.store.write("op/config", configuration(version=7))
         made.store.forget()
-        await made.until(lambda: made.gateway.mirror.configuration.version == 7)
+        await made.until(lambda: made.gateway.view.configuration.version == 7)
 
 
 async def test_control_goes_on_when_answers_of_writes_are_lost(tmp_path):
@@ -333,7 +339,7 @@
         drained = asyncio.create_task(made.gateway.drain())
         async with aiohttp.ClientSession() as client:
             url = f"http://{made.readiness}/thorncleat/readyz"
-            await made.until(lambda: made.gateway._front.stopping)
+            await made.until(lambda: made.gateway._frontend.stopping)
             async with client.get(url) as answer:
                 assert answer.status == 503
         status, _, body = await running
@@ -374,9 +380,9 @@
         for one in made.workers:
             one.events = 500
         running = asyncio.create_task(made.chat())
-        await made.until(lambda: made.gateway.loads.own)
+        await made.until(lambda: made.gateway.load_table.own)
         running.cancel()
-        await made.until(lambda: not made.gateway.loads.own)
+        await made.until(lambda: not made.gateway.load_table.own)
 
 
 async def test_groups_are_recorded_and_kept_under_one_controller(tmp_path):
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -2,11 +2,11 @@
 
 import pytest
 
+from thorncleat_gateway.groups.election import CONTROLLER
 from thorncleat_gateway.groups.formation import Form
 from thorncleat_gateway.groups.forming import EPOCHS_PER_TERM
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import RecordChanged
-from thorncleat_gateway.store.membership import CONTROLLER
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
 
--- a/tests/test_loads.py
+++ b/tests/test_load_table.py
@@ -8,11 +8,11 @@
 
 from thorncleat_gateway.peers.datagrams import DAEMONS_AT_SHORTEST
 from thorncleat_gateway.peers.datagrams import SHORTEST_INTERVAL_SECONDS
-from thorncleat_gateway.peers.datagrams import Peers
-from thorncleat_gateway.peers.loads import REPORT_INTERVALS
-from thorncleat_gateway.peers.loads import REPORT_SECONDS
-from thorncleat_gateway.peers.loads import Loads
-from thorncleat_gateway.requests.allowance import RetryTerms
+from thorncleat_gateway.peers.datagrams import PeerChannel
+from thorncleat_gateway.peers.load_table import REPORT_INTERVALS
+from thorncleat_gateway.peers.load_table import REPORT_SECONDS
+from thorncleat_gateway.peers.load_table import LoadTable
+from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
 from thorncleat_gateway.settings import GatewaySettings
 
 counts = st.dictionaries(st.sampled_from("abc"), st.integers(1, 5))
@@ -32,45 +32,51 @@
 @given(st.lists(reports, max_size=30))
 def test_sum_is_that_of_each_daemons_newest_report(given_reports):
     now = [100.0]
-    loads = Loads(lambda: now[0], lambda: SHORTEST_INTERVAL_SECONDS)
+    load_table = LoadTable(lambda: now[0], lambda: SHORTEST_INTERVAL_SECONDS)
     newest = {}
     for daemon, content, pause in given_reports:
         now[0] += pause
-        loads.report(daemon, content)
-        loads.refresh()
+        load_table.report(daemon, content)
+        load_table.refresh()
         newest[daemon] = (now[0], content)
         expected = collections.Counter()
         for at, one in newest.values():
             if at >= now[0] - REPORT_SECONDS:
                 expected.update(one)
-        assert {name: loads.of(name) for name in "abc"} == {name: expected[name] for name in "abc"}
+        assert {name: load_table.of(name) for name in "abc"} == {
+            name: expected[name] for name in "abc"
+        }
 
 
 def test_cost_of_a_report_does_not_grow_with_the_daemons():
-    loads = Loads(lambda: 100.0, lambda: SHORTEST_INTERVAL_SECONDS)
+    load_table = LoadTable(lambda: 100.0, lambda: SHORTEST_INTERVAL_SECONDS)
     for number in range(200):
-        loads.report(f"e{number}", _Counted(a=1))
+        load_table.report(f"e{number}", _Counted(a=1))
     before = _Counted.reads
-    loads.report("e7", _Counted(a=2))
-    assert loads.of("a") == 201
+    load_table.report("e7", _Counted(a=2))
+    assert load_table.of("a") == 201
     assert _Counted.reads - before <= 2
 
 
 def test_reports_count_for_some_intervals():
     now = [100.0]
-    loads = Loads(lambda: now[0], lambda: 2.0)
-    loads.report("e1", {"a": 3})
+    load_table = LoadTable(lambda: now[0], lambda: 2.0)
+    load_table.report("e1", {"a": 3})
     now[0] += 2.0 * REPORT_INTERVALS - 0.1
-    loads.refresh()
-    assert loads.of("a") == 3
+    load_table.refresh()
+    assert load_table.of("a") == 3
     now[0] += 0.2
-    loads.refresh()
-    assert loads.of("a") == 0
+    load_table.refresh()
+    assert load_table.of("a") == 0
 
 
 def _peers(count):
-    settings = GatewaySettings("e0", "a", ("", 0), ("", 0), ("", 0), RetryTerms(0.2, 10, 10))
-    return Peers(settings, lambda: {f"e{number}": ("127.0.0.1", number) for number in range(count)})
+    settings = GatewaySettings(
+        "e0", "a", ("", 0), ("", 0), ("", 0), RetryBudgetSettings(0.2, 10, 10)
+    )
+    return PeerChannel(
+        settings, lambda: {f"e{number}": ("127.0.0.1", number) for number in range(count)}
+    )
 
 
 @pytest.mark.parametrize("count", [1, 8, DAEMONS_AT_SHORTEST, 79, 980])
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -19,7 +19,6 @@
 from thorncleat_gateway.settings import RelaySettings
 from thorncleat_gateway.store import change_codec
 from thorncleat_gateway.store.change_log import ChangeLog
-from thorncleat_gateway.store.mirror import Mirror
 from thorncleat_gateway.store.relay_feed import RelayFeed
 from thorncleat_gateway.store.relay_server import RelayServer
 from thorncleat_gateway.store.relays import DAEMONS_PER_RELAY
@@ -32,12 +31,13 @@
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.serving import Engine
 from thorncleat_gateway.store.serving import EngineModel
-from thorncleat_gateway.store.serving import KeyHolder
 from thorncleat_gateway.store.serving import Route
 from thorncleat_gateway.store.serving import RouteKind
-from thorncleat_gateway.store.serving import ServiceTerms
+from thorncleat_gateway.store.serving import Service
 from thorncleat_gateway.store.serving import ServingConfiguration
 from thorncleat_gateway.store.serving import Split
+from thorncleat_gateway.store.serving import Workspace
+from thorncleat_gateway.store.view import StoreView
 
 ROUTE = Route(
     "chat", "h", "/c/", RouteKind.STREAMING, 3.0, 0.5, 0.2, 1, (Split("desk", 1.0),), 2, False, True
@@ -45,8 +45,8 @@
 CONFIGURATION = ServingConfiguration(
     7,
     (ROUTE,),
-    {"desk": ServiceTerms("desk", "/", Engine(4, (EngineModel("large", 2),)))},
-    (KeyHolder("growers", ("k",), 1),),
+    {"desk": Service("desk", "/", Engine(4, (EngineModel("large", 2),)))},
+    (Workspace("growers", ("k",), 1),),
 )
 MEMBER = Endpoint(
     "i-1", "desk", "a:1", "z", membership=Membership(GroupId(3, "g"), 1, GroupState.OPEN)
@@ -191,11 +191,11 @@
         self.relay = Daemon("relay", "127.0.0.1", 0)
         self.registered = [self.relay]
         self.hang = False
-        self.mirror = Mirror(self.relay_store, time.monotonic, STORE_WAIT, lambda: 0.0)
+        self.view = StoreView(self.relay_store, time.monotonic, STORE_WAIT, lambda: 0.0)
         self._read = asyncio.Event()
-        self.mirror.on_change(self._read.set)
+        self.view.on_change(self._read.set)
         self.ahead = 0.0
-        self.server = RelayServer(self.mirror, lambda: self.registered)
+        self.server = RelayServer(self.view, lambda: self.registered)
         self.feed = RelayFeed(SETTINGS, self.own_store, lambda: [self.relay], self._clock)
 
     async def start(self) -> None:
@@ -205,7 +205,7 @@
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", 0).start()
         self.relay = Daemon("relay", "127.0.0.1", self.runner.addresses[0][1])
-        await self.mirror.start()
+        await self.view.start()
         await self._read.wait()
 
     def _clock(self) -> float:
@@ -218,7 +218,7 @@
 
     async def stop(self) -> None:
         await self.feed.close()
-        await self.mirror.stop()
+        await self.view.stop()
         await self.runner.cleanup()
 
 
@@ -247,7 +247,7 @@
             found = await made.feed.changes(1, STORE_WAIT)
             answered_at = time.monotonic()
             assert not found.changes
-            assert sent_at + found.proven <= made.mirror.fresh_at
+            assert sent_at + found.proven <= made.view.fresh_at
             assert found.proven < answered_at - sent_at
 
     async def test_silent_relay_is_left_for_the_store(self):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -8,20 +8,20 @@
 
 from thorncleat_gateway.groups import formation
 from thorncleat_gateway.groups.formation import DomainView
-from thorncleat_gateway.requests.allowance import RetryAllowance
-from thorncleat_gateway.requests.allowance import RetryTerms
-from thorncleat_gateway.requests.event_stream import EventCutter
+from thorncleat_gateway.requests.event_stream import EventSplitter
+from thorncleat_gateway.requests.retry_budget import RetryBudget
+from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.roster import Roster
 from thorncleat_gateway.store.serving import EngineModel
-from thorncleat_gateway.store.serving import KeyHolder
 from thorncleat_gateway.store.serving import Route
 from thorncleat_gateway.store.serving import RouteKind
 from thorncleat_gateway.store.serving import ServingConfiguration
 from thorncleat_gateway.store.serving import Split
+from thorncleat_gateway.store.serving import Workspace
 
 LARGE = EngineModel("large", 4, share=0.67)
 SMALL = EngineModel("small", 2, share=0.33)
@@ -37,7 +37,7 @@
     CONFIGURATION = ServingConfiguration(
         1,
         (route("short", "/a/"), route("long", "/a/b/"), route("other", "/a/", "other.example")),
-        workspaces=(KeyHolder("growers", ("k1", "k2")), KeyHolder("chains", ("k3",))),
+        workspaces=(Workspace("growers", ("k1", "k2")), Workspace("chains", ("k3",))),
     )
 
     @pytest.mark.parametrize(
@@ -163,9 +163,9 @@
 
 class TestStages:
     def test_empty_spares_load_what_the_domain_carries(self):
-        spares = [endpoint("a"), endpoint("b", staged=("large",)), endpoint("c", ("small",))]
+        model_loader = [endpoint("a"), endpoint("b", staged=("large",)), endpoint("c", ("small",))]
         made = formation.stages(
-            DomainView("d0", 8), collections.Counter(large=2), [LARGE, SMALL], spares
+            DomainView("d0", 8), collections.Counter(large=2), [LARGE, SMALL], model_loader
         )
         assert [(one.endpoint.id, one.model.name) for one in made] == [
             ("a", "large"),
@@ -185,8 +185,8 @@
         steps=st.lists(st.tuples(st.integers(0, 19), st.booleans(), st.integers(0, 3))),
     )
     def test_all_daemons_together_keep_within_the_budget(self, daemons, extra, steps):
-        terms = RetryTerms(0.2, extra, 10)
-        parts = [RetryAllowance(terms) for _ in range(daemons)]
+        terms = RetryBudgetSettings(0.2, extra, 10)
+        parts = [RetryBudget(terms) for _ in range(daemons)]
         now, sent, asked = 0.0, [], []
         for who, repeat, pause in steps * 3:
             now += pause
@@ -201,7 +201,7 @@
             assert len(window) <= 0.2 * len(requests) + extra
 
     def test_requests_of_long_ago_give_nothing(self):
-        one = RetryAllowance(RetryTerms(1.0, 0, 10))
+        one = RetryBudget(RetryBudgetSettings(1.0, 0, 10))
         for _ in range(10):
             one.request(0.0)
         assert one.left(5.0, 1) == 8
@@ -213,25 +213,25 @@
 
     @given(st.lists(st.integers(1, 40), max_size=20))
     def test_however_it_is_cut_the_events_are_the_same(self, sizes):
-        cutter, out, rest = EventCutter(), b"", self.STREAM
+        splitter, out, rest = EventSplitter(), b"", self.STREAM
         for size in [*sizes, len(self.STREAM)]:
-            out += cutter.feed(rest[:size])
+            out += splitter.feed(rest[:size])
             rest = rest[size:]
         assert out == self.STREAM
-        assert not cutter.mid_event
+        assert not splitter.mid_event
 
     def test_a_run_that_continues_repeats_nothing(self):
-        cutter = EventCutter()
-        out = cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
-        assert cutter.mid_event
-        cutter.restart()
-        out += cutter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
+        splitter = EventSplitter()
+        out = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
+        assert splitter.mid_event
+        splitter.restart()
+        out += splitter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
         assert out == b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
-        assert cutter.last_id == "2"
+        assert splitter.last_id == "2"
 
     def test_ids_rise_as_numbers(self):
-        cutter = EventCutter()
-        assert cutter.feed(b"id: 9\ndata: a\n\nid: 10\ndata: b\n\n").count(b"data") == 2
+        splitter = EventSplitter()
+        assert splitter.feed(b"id: 9\ndata: a\n\nid: 10\ndata: b\n\n").count(b"data") == 2
 
 
 class TestRoster:
--- a/tests/test_mirror.py
+++ b/tests/test_store_view.py
@@ -8,9 +8,9 @@
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
-from thorncleat_gateway.store.mirror import RETURN_SECONDS
-from thorncleat_gateway.store.mirror import Mirror
 from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.view import RETURN_SECONDS
+from thorncleat_gateway.store.view import StoreView
 
 from . import virtual_time
 
@@ -60,22 +60,22 @@
         return Changes(self.revision, found, 0.0 if found else 0.8 * wait)
 
 
-async def _mirror(feed: _Feed) -> Mirror:
+async def _view(feed: _Feed) -> StoreView:
     clock = asyncio.get_running_loop().time
-    mirror = Mirror(feed, clock, WAIT_SECONDS, lambda: 0.1)
-    await mirror.start()
-    return mirror
+    view = StoreView(feed, clock, WAIT_SECONDS, lambda: 0.1)
+    await view.start()
+    return view
 
 
 async def _ages_on_a_calm_day():
     feed = _Feed()
-    mirror = await _mirror(feed)
+    view = await _view(feed)
     await asyncio.sleep(5.0)
     ages = []
     for _ in range(400):
         await asyncio.sleep(0.01)
-        ages.append(mirror.age())
-    await mirror.stop()
+        ages.append(view.age())
+    await view.stop()
     return ages
 
 
@@ -88,16 +88,16 @@
 
 async def _age_after_an_early_answer():
     feed = _Feed()
-    mirror = await _mirror(feed)
+    view = await _view(feed)
     await asyncio.sleep(5.0)
     begun = asyncio.get_running_loop().time()
     feed.list("one")
     seen = asyncio.Event()
-    mirror.on_change(seen.set)
+    view.on_change(seen.set)
     await seen.wait()
-    age = mirror.age()
+    age = view.age()
     waited = asyncio.get_running_loop().time() - begun
-    await mirror.stop()
+    await view.stop()
     return age, waited
 
 
@@ -110,7 +110,7 @@
     """Entries run out in an outage; return whether one is listed some time after it."""
     feed = _Feed()
     feed.list("one")
-    mirror = await _mirror(feed)
+    view = await _view(feed)
     await asyncio.sleep(RETURN_SECONDS + 1.0)
     feed.down = True
     await asyncio.sleep(4.0)
@@ -120,8 +120,8 @@
     if back:
         feed.list("one")
     await asyncio.sleep(moment - 1.0)
-    listed = "one" in mirror.roster.endpoints
-    await mirror.stop()
+    listed = "one" in view.roster.endpoints
+    await view.stop()
     return listed
 
 
@@ -137,12 +137,12 @@
 async def _gone_without_an_outage():
     feed = _Feed()
     feed.list("one")
-    mirror = await _mirror(feed)
+    view = await _view(feed)
     await asyncio.sleep(RETURN_SECONDS + 1.0)
     feed.remove("one")
     await asyncio.sleep(0.3)
-    listed = "one" in mirror.roster.endpoints
-    await mirror.stop()
+    listed = "one" in view.roster.endpoints
+    await view.stop()
     return listed
 
 
