--- a/bench/placement.py
+++ b/bench/placement.py
@@ -189,7 +189,6 @@
         for _ in range(4):
             idle = self._alive - {m for g in self._assignments.groups.values() for m in g.members}
             view = View(
-                frozenset(self._alive),
                 frozenset(idle),
                 frozenset(self._assignments.leaving) - frozenset(self._alive),
                 dict(self._missing),
--- a/packages/client/src/thorncleat_client/logs.py
+++ b/packages/client/src/thorncleat_client/logs.py
@@ -10,7 +10,6 @@
 Line = dict[str, t.Any]
 # what every line has, and the story need not repeat
 COMMON = frozenset({"time", "level", "message", "daemon", "event", "name"})
-GROUP_FIELDS = ("group",)
 MEMBER_FIELDS = ("leader", "endpoint", "members")
 
 
--- a/packages/core/src/thorncleat_core/codec.py
+++ b/packages/core/src/thorncleat_core/codec.py
@@ -13,7 +13,6 @@
 from .exceptions import DecodeError
 
 VERSION = 1
-MAX_VALUE_BYTES = 1_000_000
 Data = t.TypeVar("Data")
 
 
--- a/packages/core/src/thorncleat_core/daemon/fleet.py
+++ b/packages/core/src/thorncleat_core/daemon/fleet.py
@@ -74,22 +74,15 @@
         """Build from instances."""
         return cls({instance.id: instance for instance in instances})
 
-    def fabric_domains(self) -> list[str]:
-        """Return the fabric domains that hold endpoints, sorted."""
-        return sorted({one.fabric_domain for one in self.endpoints()})
-
     def endpoints(self) -> list[Instance]:
         """Return all endpoint instances, sorted by id."""
-        return self._of_kind(InstanceKind.ENDPOINT)
-
-    def entries(self) -> list[Instance]:
-        """Return all entry instances, sorted by id."""
-        return self._of_kind(InstanceKind.ENTRY)
+        found = [
+            instance
+            for instance in self.instances.values()
+            if instance.kind is InstanceKind.ENDPOINT
+        ]
+        return sorted(found, key=lambda instance: instance.id)
 
     def in_domain(self, fabric_domain: str) -> list[Instance]:
         """Return the endpoint instances of a fabric domain, sorted by id."""
         return [one for one in self.endpoints() if one.fabric_domain == fabric_domain]
-
-    def _of_kind(self, kind: InstanceKind) -> list[Instance]:
-        found = [one for one in self.instances.values() if one.kind is kind]
-        return sorted(found, key=lambda one: one.id)
--- a/packages/core/src/thorncleat_core/daemon/groups.py
+++ b/packages/core/src/thorncleat_core/daemon/groups.py
@@ -113,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class InstanceReport:
-    """What an engine says of itself when it is probed.
+    """What an engine says of itself when it is probed; what else it says is left out.
 
     :param boot: changes with each start of the engine.
     :param epoch: of the newest order it follows.
@@ -126,8 +126,6 @@
     group: str
     generation: int
     rank: int
-    running: int = 0
-    waiting: int = 0
     model: str = ""
     version: str = ""
 
--- a/packages/core/src/thorncleat_core/daemon/placement.py
+++ b/packages/core/src/thorncleat_core/daemon/placement.py
@@ -14,7 +14,6 @@
 from .fleet import Instance
 from .fleet import InstanceState
 from .journal import Placement
-from .registry import Registry
 
 
 @dataclasses.dataclass(frozen=True)
@@ -29,32 +28,6 @@
     free: tuple[Instance, ...]
 
 
-class DomainChoice(t.Protocol):
-    """Orders the fabric domains that could hold a group, the best first."""
-
-    def __call__(self, rooms: list[Room], size: int, used: t.Mapping[str, int]) -> list[Room]:
-        """Order the rooms.
-
-        :param used: groups of the same intent for each failure domain.
-        """
-        ...
-
-
-choices: Registry[DomainChoice] = Registry("domain choice")
-
-
-@choices.register("spread")
-def spread(rooms: list[Room], size: int, used: t.Mapping[str, int]) -> list[Room]:
-    """Prefer failure domains with few groups of the intent, then the tightest fit."""
-    return sorted(rooms, key=lambda one: (used[one.failure_domain], len(one.free), one.domain))
-
-
-@choices.register("first_fit")
-def first_fit(rooms: list[Room], size: int, used: t.Mapping[str, int]) -> list[Room]:
-    """Take the domains in the order of their names."""
-    return sorted(rooms, key=lambda one: one.domain)
-
-
 def free_rooms(fleet: Fleet, taken: t.Container[str]) -> list[Room]:
     """Return the free instances of each fabric domain.
 
@@ -79,10 +52,11 @@
     group: str,
     rooms: list[Room],
     used: t.Mapping[str, int],
-    choice: str = "spread",
 ) -> Result[Placement, PlacementError]:
     """Choose the instances of one new group.
 
+    Failure domains with few groups of the intent come first, then the tightest fit.
+
     :param rooms: free instances of each domain.
     :param used: groups of the intent for each failure domain.
     :return: the placement, or why there is none.
@@ -97,6 +71,8 @@
         return Failure(PlacementError(text))
     size = intent.instances_per_replica
     counted = collections.Counter(dict(used))
-    room = choices.get(choice)(fitting, size, counted)[0]
+    room = min(
+        fitting, key=lambda room: (counted[room.failure_domain], len(room.free), room.domain)
+    )
     members = tuple(instance.id for instance in room.free[:size])
     return Success(Placement(group, intent.name, room.domain, members))
--- a/packages/core/src/thorncleat_core/daemon/repair.py
+++ b/packages/core/src/thorncleat_core/daemon/repair.py
@@ -77,7 +77,6 @@
 class View:
     """What the holder sees of its domain.
 
-    :param alive: instances that answer probes.
     :param idle: instances that answer and follow no order of any group.
     :param prepared: what idle instances have loaded ahead.
     :param gone: instances that are neither listed nor answering.
@@ -85,7 +84,6 @@
     :param draining: instances to empty of work.
     """
 
-    alive: frozenset[str]
     idle: frozenset[str]
     gone: frozenset[str] = frozenset()
     missing_since: t.Mapping[str, float] = dataclasses.field(default_factory=dict)
--- a/packages/core/src/thorncleat_core/daemon/routing.py
+++ b/packages/core/src/thorncleat_core/daemon/routing.py
@@ -1,7 +1,6 @@
 """Choosing the group for a request among those that this daemon may use."""
 
 import dataclasses
-import math
 import typing as t
 
 import xxhash
@@ -11,8 +10,8 @@
 
 # how far above the mean a group may be loaded before affinity yields
 BOUND = 1.25
-# seconds after which a reported load counts half
-REPORT_HALF_LIFE = 1.0
+# least warmth that a group is reckoned with, so that a load stays finite; chosen, not measured
+MIN_WARMTH = 0.05
 PREFIX_CHARACTERS = 256
 
 
@@ -21,25 +20,17 @@
     """A group that may take a request.
 
     :param outstanding: tokens that this daemon has in it.
-    :param reported: tokens that all daemons had in it when it reported.
-    :param report_age: seconds since that report.
-    :param near: whether its failure domain is the daemon's own.
     :param warmth: 1 for a warmed-up group, less for one that has just come up.
     """
 
     group: str
     outstanding: int
-    reported: int = 0
-    report_age: float = 0.0
-    near: bool = True
     warmth: float = 1.0
 
     @property
     def load(self) -> float:
-        """Own work, and what is left to believe of the report."""
-        trust = math.pow(0.5, self.report_age / REPORT_HALF_LIFE)
-        others = max(0, self.reported - self.outstanding) * trust
-        return (self.outstanding + others) / max(self.warmth, 0.05)
+        """Own work, which weighs more while the group is cold."""
+        return self.outstanding / max(self.warmth, MIN_WARMTH)
 
 
 class Choice(t.Protocol):
@@ -81,14 +72,15 @@
 
 @choices.register("least_outstanding")
 def least_outstanding(prefix: str, cost: int, candidates: list[Candidate]) -> str:
-    """Take the least loaded group; a near one and then the prefix decide between equals."""
+    """Take the least loaded group; the prefix decides between equals."""
     best = min(
         candidates,
-        key=lambda one: (one.load, not one.near, rendezvous.score(prefix, one.group)),
+        key=lambda candidate: (candidate.load, rendezvous.score(prefix, candidate.group)),
     )
     return best.group
 
 
+# reached by its name alone, which settings may hold as ``requests.routing``
 @choices.register("prefix_hash")
 def prefix_hash(prefix: str, cost: int, candidates: list[Candidate]) -> str:
     """Take the group that the prefix hashes to, whatever its load."""
--- a/packages/core/src/thorncleat_core/daemon/settings.py
+++ b/packages/core/src/thorncleat_core/daemon/settings.py
@@ -33,7 +33,11 @@
 
 
 class Identity(_Strict):
-    """Who and where this daemon is."""
+    """Who and where this daemon is.
+
+    :param failure_domain: read by nothing; required since the first settings files.
+    :param region: likewise.
+    """
 
     id: str = pydantic.Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")
     failure_domain: str = pydantic.Field(min_length=1)
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -7,6 +7,7 @@
 from aiohttp import web
 
 from thorncleat_core.daemon import routing
+from thorncleat_core.daemon.burn import GOOD
 from thorncleat_core.daemon.configuration import Configuration
 from thorncleat_core.daemon.configuration import Intent
 
@@ -26,7 +27,6 @@
 from .dispatch import Wish
 from .dispatch import prompt_cost
 from .exceptions import RequestError
-from .metrics import GOOD
 from .metrics import Metrics
 from .once import Answered
 from .once import run_once
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -313,7 +313,6 @@
         }
         draining = self._services.config().configuration.draining | leaving
         return repair.View(
-            frozenset(self._seen.reports),
             frozenset(idle),
             frozenset(gone),
             dict(self._seen.missing_since),
--- a/packages/daemon/src/thorncleat_daemon/metrics.py
+++ b/packages/daemon/src/thorncleat_daemon/metrics.py
@@ -9,7 +9,6 @@
 from prometheus_client import Gauge
 from prometheus_client import generate_latest
 
-from thorncleat_core.daemon.burn import GOOD
 from thorncleat_core.daemon.burn import BurnCounts
 from thorncleat_core.daemon.burn import Subject
 from thorncleat_core.distributions import Distribution
@@ -69,6 +68,3 @@
 
     def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
         return Counter(f"thorncleat_{name}", help_text, labels, registry=self.registry)
-
-
-__all__ = ["GOOD", "Distribution", "Metrics"]
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -6,6 +6,7 @@
 from aiohttp import web
 
 from thorncleat_core import rendezvous
+from thorncleat_core.daemon.burn import GOOD
 from thorncleat_core.daemon.configuration import Configuration
 from thorncleat_core.daemon.configuration import Service
 from thorncleat_core.daemon.retries import Ejection
@@ -15,7 +16,6 @@
 from .callers import Caller
 from .claims import ClaimClient
 from .exceptions import RequestError
-from .metrics import GOOD
 from .metrics import Metrics
 from .once import Answered
 from .once import run_once
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -174,12 +174,6 @@
         loaded = [routing.Candidate(one.group, 1000 if one.group == first else 10) for one in calm]
         assert routing.bounded_affinity("p", 1, loaded) != first
 
-    def test_old_report_counts_less(self):
-        fresh = routing.Candidate("g", 0, reported=100, report_age=0.0)
-        old = routing.Candidate("g", 0, reported=100, report_age=10.0)
-        assert fresh.load == 100
-        assert old.load < 1
-
     def test_attachment_is_even_and_bounded(self):
         groups = {f"g{n}": n % 12 for n in range(50)}
         used = collections.Counter(
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -67,7 +67,9 @@
         )
         made = plans.make(change, State(), fleet, set())
         assert isinstance(made, Success), made
-        assert {step.domain for step in made.unwrap().steps} == set(fleet.fabric_domains())
+        assert {step.domain for step in made.unwrap().steps} == {
+            endpoint.fabric_domain for endpoint in fleet.endpoints()
+        }
 
     def test_no_example_holds_a_key(self):
         text = "".join(one.read_text() for one in (ROOT / "examples").rglob("*.json"))
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -120,7 +120,7 @@
 class TestRepair:
     def _started(self) -> Assignments:
         assignments = Assignments("d")
-        view = repair.View(frozenset(INSTANCES), frozenset(INSTANCES))
+        view = repair.View(frozenset(INSTANCES))
         for one in repair.decide(assignments, _wanted(), view, 0.0):
             assignments = assignments.with_group(one.group)
         return assignments
@@ -129,7 +129,7 @@
         alive = frozenset(INSTANCES) - set(lost)
         missing = dict.fromkeys(lost, since)
         idle = alive - assignments.taken()
-        return repair.View(alive, idle, missing_since=missing, **more)
+        return repair.View(idle, missing_since=missing, **more)
 
     def test_starts_what_is_placed(self):
         assert sorted(self._started().groups) == ["narrator-0", "narrator-1", "narrator-2"]
@@ -221,7 +221,6 @@
         alive = frozenset(INSTANCES) - set(self.dead)
         idle = frozenset(name for name in alive if not self.follows[name])
         view = repair.View(
-            alive,
             idle,
             missing_since=dict(self.dead),
             draining=frozenset(self.draining),
