--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -5,7 +5,6 @@
 
 import aiohttp
 import mode
-from aiohttp import web
 
 from . import events
 from .groups.controller import Controller
@@ -13,13 +12,13 @@
 from .groups.ended import EndedGroups
 from .groups.orders import Orders
 from .groups.records import GroupRecords
+from .listeners import Listeners
 from .metrics import Metrics
-from .peers.datagrams import LoadReport
-from .peers.datagrams import Message
 from .peers.datagrams import PeerChannel
-from .peers.datagrams import Probe
 from .peers.failure_detector import FailureDetector
+from .peers.load_reporter import LoadReporter
 from .peers.load_table import LoadTable
+from .peers.probe_answers import ProbeAnswers
 from .ports import ChangeFeed
 from .ports import Engines
 from .ports import HeaderCodec
@@ -37,13 +36,8 @@
 from .store.relay_server import RelayServer
 from .store.relays import Daemon
 from .store.relays import sources
-from .store.roster import Endpoint
 from .store.view import StoreView
 
-# for which an answer of an endpoint is told to other daemons
-HEARD_SECONDS = 1.0
-# longer than callers let a connection rest
-KEEP_ALIVE_SECONDS = 75.0
 # after the order to stop, for the balancer to notice; then requests are refused
 LEAVE_SECONDS = 2.5
 # before the end by force
@@ -71,8 +65,7 @@
         self._settings = settings
         self._clock = clock
         self._first_start = first_start
-        self._traffic_elsewhere = False
-        self._runners: list[web.ServerRunner] = []
+        self._listeners = Listeners()
         self._feed = RelayFeed(settings.relay, feed, self._relays, clock)
         self.view = StoreView(self._feed, clock, settings.watch, self._coalesce)
         self.registration = Registration(settings, records, self.view)
@@ -80,6 +73,7 @@
         self.peers = PeerChannel(settings, self.registration.addresses)
         self.detector = FailureDetector(settings.streams, self.peers, clock)
         self.load_table = LoadTable(clock, self.peers.interval)
+        self._reporter = LoadReporter(self.peers, self.load_table, self.detector)
         self.election = Election(settings, records, self.view, clock, self.registration.addresses)
         self._orders = Orders(
             settings.control,
@@ -88,6 +82,9 @@
             lambda: self.election.leads,
             lambda one: self.detector.heard(one, clock()),
         )
+        self._probe_answers = ProbeAnswers(
+            self.view, self.peers, self._reporter, self._orders.answers
+        )
         self.ended = EndedGroups(self.peers, clock)
         self.controller = Controller(
             settings,
@@ -104,7 +101,6 @@
         self._client: aiohttp.ClientSession | None = None
         self._codec = codec
         self._frontend: Frontend | None = None
-        self.peers.on_message(self._message)
         self.metrics = Metrics()
         self._add_gauges()
 
@@ -127,7 +123,7 @@
     def _quiet(self) -> bool:
         """Whether no caller has sent anything since the very first start."""
         own = self._frontend is not None and self._frontend.requests > 0
-        return self._first_start and not own and not self._traffic_elsewhere
+        return self._first_start and not own and not self._reporter.others_had_requests
 
     def _coalesce(self) -> float:
         """Return how long to let changes gather; few daemons ask the store, and others wait."""
@@ -155,11 +151,13 @@
             self.controller,
         ):
             await self.add_runtime_dependency(part)
-        await self._listen(self.relay_server.handle, self._settings.peers)
+        await self._listeners.open(self.relay_server.handle, self._settings.peers)
         if self._settings.metrics is not None:
-            await self._listen(self.metrics.handle, self._settings.metrics)
-        await self._listen(self._frontend.readiness, self._settings.readiness)
-        await self._listen(self._frontend.handle, self._settings.callers)
+            await self._listeners.open(self.metrics.handle, self._settings.metrics)
+        await self._listeners.open(self._frontend.readiness, self._settings.readiness)
+        await self._listeners.open(self._frontend.handle, self._settings.callers)
+        await self.add_runtime_dependency(self._reporter)
+        await self.add_runtime_dependency(self._probe_answers)
         events.STARTED.log(callers=self._settings.callers, first_start=self._first_start)
 
     def _build_requests(self) -> Frontend:
@@ -196,8 +194,7 @@
 
     async def on_stop(self) -> None:
         """Close the listeners."""
-        for runner in reversed(self._runners):
-            await runner.cleanup()
+        await self._listeners.close()
 
     async def on_shutdown(self) -> None:
         """Close what the parts used."""
@@ -205,58 +202,3 @@
             await self._client.close()
         await self._feed.close()
         events.STOPPED.log()
-
-    def _message(self, sender: str, message: Message) -> None:
-        match message:
-            case LoadReport(counts, _):
-                self.load_table.report(sender, counts)
-                if counts:
-                    self._traffic_elsewhere = True
-            case Probe(endpoint_id):
-                self._probe(sender, endpoint_id)
-
-    def _probe(self, asker: str, endpoint_id: str) -> None:
-        gone = self.view.roster.gone.get(endpoint_id)
-        listed = self.view.roster.endpoints.get(endpoint_id)
-        endpoint = listed or (gone.endpoint if gone else None)
-        if endpoint is not None:
-            self.add_future(self._probed(asker, endpoint))
-
-    async def _probed(self, asker: str, endpoint: Endpoint) -> None:
-        """Ask an endpoint for a controller, and tell it at once if there is an answer."""
-        if await self._orders.answers(endpoint):
-            self.peers.tell(asker, self._load_report())
-
-    def _load_report(self) -> LoadReport:
-        lately = max(HEARD_SECONDS, 2 * self.peers.interval())
-        return LoadReport(dict(self.load_table.own), self.detector.heard_lately(lately))
-
-    @mode.Service.task
-    async def _report_task(self) -> None:
-        quiet_reports = 0
-        while not self.should_stop:
-            await asyncio.sleep(self.peers.interval())
-            self.load_table.refresh()
-            report = self._load_report()
-            quiet_reports = 0 if report.counts or report.heard else quiet_reports + 1
-            if quiet_reports < 3:
-                self.peers.tell_all(report)
-
-    async def _listen(
-        self,
-        handler: t.Callable[[web.BaseRequest], t.Awaitable[web.StreamResponse]],
-        address: tuple[str, int],
-    ) -> None:
-        server = web.Server(
-            handler,
-            access_log=None,
-            keepalive_timeout=KEEP_ALIVE_SECONDS,
-            max_line_size=16_384,
-            max_field_size=16_384,
-            auto_decompress=False,
-        )
-        runner = web.ServerRunner(server, handler_cancellation=True, shutdown_timeout=0.1)
-        await runner.setup()
-        self._runners.append(runner)
-        site = web.TCPSite(runner, *address, backlog=512, reuse_address=True)
-        await site.start()
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/listeners.py
@@ -0,0 +1,58 @@
+"""The HTTP listeners of a daemon.
+
+Owns: the listening sockets, in the order in which they were opened.
+Relies on: a handler for each address; what a request means is the handler's business.
+"""
+
+import typing as t
+
+from aiohttp import web
+
+# seconds that a caller's connection may rest; more than the configurations' idle time-outs seen
+# on the users' pages, chosen, not measured
+KEEP_ALIVE_SECONDS = 75.0
+# bytes of a request line and of one header; chosen, not measured
+LONGEST_LINE_BYTES = 16_384
+# connections that may wait to be accepted; chosen, not measured
+BACKLOG = 512
+# seconds that open connections have at the end, after planned stops have waited for their
+# requests; chosen, not measured
+SHUTDOWN_SECONDS = 0.1
+
+Handler = t.Callable[[web.BaseRequest], t.Awaitable[web.StreamResponse]]
+Address = tuple[str, int]
+
+
+class Listeners:
+    """Opens listeners and closes them in the reverse order."""
+
+    def __init__(self) -> None:
+        self._runners: list[web.ServerRunner] = []
+
+    async def open(self, handler: Handler, address: Address) -> None:
+        """Listen at an address.
+
+        :param address: host and port.
+        :raises OSError: if the address is taken.
+        """
+        server = web.Server(
+            handler,
+            access_log=None,
+            keepalive_timeout=KEEP_ALIVE_SECONDS,
+            max_line_size=LONGEST_LINE_BYTES,
+            max_field_size=LONGEST_LINE_BYTES,
+            auto_decompress=False,
+        )
+        # a caller that leaves cancels the handler of its request
+        runner = web.ServerRunner(
+            server, handler_cancellation=True, shutdown_timeout=SHUTDOWN_SECONDS
+        )
+        await runner.setup()
+        self._runners.append(runner)
+        site = web.TCPSite(runner, *address, backlog=BACKLOG, reuse_address=True)
+        await site.start()
+
+    async def close(self) -> None:
+        """Close all listeners."""
+        for runner in reversed(self._runners):
+            await runner.cleanup()
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
@@ -0,0 +1,65 @@
+"""Telling the other daemons what this one has under way, and keeping what they tell.
+
+Owns: whether another daemon has reported requests since this one started.
+Relies on: the datagrams of :mod:`.datagrams`; a report that is lost is replaced by the next.
+"""
+
+import asyncio
+
+import mode
+
+from .datagrams import LoadReport
+from .datagrams import Message
+from .datagrams import PeerChannel
+from .failure_detector import FailureDetector
+from .load_table import LoadTable
+
+# seconds for which an endpoint's answer is told to the others; chosen, not measured
+HEARD_SECONDS = 1.0
+# where reports are rarer than that, reports that tell of an answer; so that one may be lost
+HEARD_REPORTS = 2
+# reports without content that are sent before a daemon falls silent; chosen, not measured
+EMPTY_REPORTS = 2
+
+
+class LoadReporter(mode.Service):
+    """Sends this daemon's load reports at the interval of the channel."""
+
+    def __init__(
+        self, peers: PeerChannel, load_table: LoadTable, detector: FailureDetector
+    ) -> None:
+        super().__init__()
+        self._peers = peers
+        self._load_table = load_table
+        self._detector = detector
+        self._others_had_requests = False
+        peers.on_message(self._message)
+
+    @property
+    def others_had_requests(self) -> bool:
+        """Whether another daemon has reported a request since this one started."""
+        return self._others_had_requests
+
+    def report(self) -> LoadReport:
+        """Return what this daemon has under way now."""
+        lately = max(HEARD_SECONDS, HEARD_REPORTS * self._peers.interval())
+        return LoadReport(dict(self._load_table.own), self._detector.heard_lately(lately))
+
+    def _message(self, sender: str, message: Message) -> None:
+        if not isinstance(message, LoadReport):
+            return
+        self._load_table.report(sender, message.counts)
+        if message.counts:
+            self._others_had_requests = True
+
+    @mode.Service.task
+    async def _report_task(self) -> None:
+        empty_reports = 0
+        while not self.should_stop:
+            await asyncio.sleep(self._peers.interval())
+            self._load_table.refresh()
+            report = self.report()
+            is_empty = not report.counts and not report.heard
+            empty_reports = empty_reports + 1 if is_empty else 0
+            if empty_reports <= EMPTY_REPORTS:
+                self._peers.tell_all(report)
