--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -1,6 +1,12 @@
-"""One daemon of the gateway: builds its parts and runs them."""
+"""One daemon of the gateway: builds its parts and runs them.
+
+This is the one place that wires the parts; what they decide stands in their modules, which
+docs/ARCHITECTURE.md lists.
+
+Owns: the parts, the order in which they start and end, and the HTTP client to the endpoints.
+Relies on: the adapter's ports for the store, the engines and the names of headers.
+"""
 
-import asyncio
 import typing as t
 
 import aiohttp
@@ -19,6 +25,7 @@
 from .peers.load_reporter import LoadReporter
 from .peers.load_table import LoadTable
 from .peers.probe_answers import ProbeAnswers
+from .planned_stop import PlannedStop
 from .ports import ChangeFeed
 from .ports import Engines
 from .ports import HeaderCodec
@@ -38,11 +45,6 @@
 from .store.relays import sources
 from .store.view import StoreView
 
-# after the order to stop, for the balancer to notice; then requests are refused
-LEAVE_SECONDS = 2.5
-# before the end by force
-STOP_MARGIN_SECONDS = 0.7
-
 
 class Gateway(mode.Service):
     """One daemon.
@@ -68,33 +70,33 @@
         self._listeners = Listeners()
         self._feed = RelayFeed(settings.relay, feed, self._relays, clock)
         self.view = StoreView(self._feed, clock, settings.watch, self._coalesce)
-        self.registration = Registration(settings, records, self.view)
-        self.relay_server = RelayServer(self.view, self._daemons)
-        self.peers = PeerChannel(settings, self.registration.addresses)
-        self.detector = FailureDetector(settings.streams, self.peers, clock)
-        self.load_table = LoadTable(clock, self.peers.interval)
-        self._reporter = LoadReporter(self.peers, self.load_table, self.detector)
-        self.election = Election(settings, records, self.view, clock, self.registration.addresses)
+        self._registration = Registration(settings, records, self.view)
+        self._relay_server = RelayServer(self.view, self._daemons)
+        self._peers = PeerChannel(settings, self._registration.addresses)
+        self._detector = FailureDetector(settings.streams, self._peers, clock)
+        self.load_table = LoadTable(clock, self._peers.interval)
+        self._reporter = LoadReporter(self._peers, self.load_table, self._detector)
+        self._election = Election(settings, records, self.view, clock, self._registration.addresses)
         self._orders = Orders(
             settings.control,
             engines,
             self.view,
-            lambda: self.election.leads,
-            lambda one: self.detector.heard(one, clock()),
+            lambda: self._election.leads,
+            lambda one: self._detector.heard(one, clock()),
         )
         self._probe_answers = ProbeAnswers(
-            self.view, self.peers, self._reporter, self._orders.answers
+            self.view, self._peers, self._reporter, self._orders.answers
         )
-        self.ended = EndedGroups(self.peers, clock)
-        self.controller = Controller(
+        self._ended = EndedGroups(self._peers, clock)
+        self._controller = Controller(
             settings,
             self.view,
-            self.election,
+            self._election,
             self._orders,
-            GroupRecords(records, self.view, self.election),
-            self.detector,
-            self.peers,
-            self.ended,
+            GroupRecords(records, self.view, self._election),
+            self._detector,
+            self._peers,
+            self._ended,
             clock,
             lambda: self._quiet,
         )
@@ -110,11 +112,11 @@
         add("configuration_version", "In force here", self.view.configuration_version)
         add("requests_running", "Requests being answered", self._running)
         add("endpoints_listed", "Endpoints known", lambda: len(self.view.roster.endpoints))
-        add("daemons_registered", "Daemons known", lambda: self.peers.daemons)
-        add("controls_groups", "1 if this daemon does", lambda: float(self.election.leads))
-        add("controller_lease_seconds", "Left of the lease", lambda: self.election.left)
-        add("datagrams_rejected", "From unknown senders", lambda: self.peers.rejected)
-        add("relayed_answers", "Given to other daemons", lambda: self.relay_server.answered)
+        add("daemons_registered", "Daemons known", lambda: self._peers.daemons)
+        add("controls_groups", "1 if this daemon does", lambda: float(self._election.leads))
+        add("controller_lease_seconds", "Left of the lease", lambda: self._election.left)
+        add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected)
+        add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
 
     def _running(self) -> float:
         return self._frontend.running if self._frontend is not None else 0
@@ -131,27 +133,27 @@
         return self._settings.coalesce if fallen_back else self._settings.quick_coalesce
 
     def _daemons(self) -> t.Iterable[Daemon]:
-        return self.registration.daemons().values()
+        return self._registration.daemons().values()
 
     def _relays(self) -> t.Sequence[Daemon]:
         """Return the relays to learn from; the controller reads the store itself."""
-        if self.election.leads:
+        if self._election.leads:
             return []
-        return sources(self._daemons(), self.registration.own)
+        return sources(self._daemons(), self._registration.own)
 
     async def on_start(self) -> None:
         """Start all parts, then listen."""
         self._frontend = self._build_requests()
         for part in (
             self.view,
-            self.registration,
-            self.peers,
-            self.detector,
-            self.election,
-            self.controller,
+            self._registration,
+            self._peers,
+            self._detector,
+            self._election,
+            self._controller,
         ):
             await self.add_runtime_dependency(part)
-        await self._listeners.open(self.relay_server.handle, self._settings.peers)
+        await self._listeners.open(self._relay_server.handle, self._settings.peers)
         if self._settings.metrics is not None:
             await self._listeners.open(self.metrics.handle, self._settings.metrics)
         await self._listeners.open(self._frontend.readiness, self._settings.readiness)
@@ -165,32 +167,30 @@
         self._client = endpoint_client.session()
         calls = EndpointClient(self._client, self._codec, settings.connect_timeout)
         selector = EndpointSelector(
-            settings, self.view, self.load_table, self.detector, self.ended, clock
+            settings, self.view, self.load_table, self._detector, self._ended, clock
         )
         retry_budgets = RetryBudgets(settings.retry, clock, self._sharing)
-        parts = (self._codec, calls, selector, self.load_table, retry_budgets, self.detector, clock)
+        parts = (
+            self._codec,
+            calls,
+            selector,
+            self.load_table,
+            retry_budgets,
+            self._detector,
+            clock,
+        )
         plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
         return Frontend(settings, self.view, self._codec, plain, streams, retry_budgets, clock)
 
     def _sharing(self) -> int:
         """Return how many daemons share what all may spend."""
-        return max(self._settings.daemons, self.peers.daemons)
+        return max(self._settings.daemons, self._peers.daemons)
 
     async def drain(self) -> None:
-        """Finish what runs before the end: first let the balancer and the callers know."""
+        """Finish what runs before the end, while the balancer and the callers notice."""
         assert self._frontend is not None
-        events.STOPPING.log(running=self._frontend.running)
-        begun = self._clock()
-        self._frontend.stopping = True
-        self.election.stopping = True
-        until = begun + self._settings.grace - STOP_MARGIN_SECONDS
-        while self._clock() < until:
-            await asyncio.sleep(0.05)
-            if self._clock() - begun > LEAVE_SECONDS:
-                # where many daemons stop at once, the balancer goes on using them
-                self._frontend.closed = True
-                if not self._frontend.running:
-                    break
+        stop = PlannedStop(self._frontend, self._election, self._settings.grace, self._clock)
+        await stop.wait()
 
     async def on_stop(self) -> None:
         """Close the listeners."""
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,7 +9,7 @@
 import aiohttp
 import pytest
 
-from thorncleat_gateway import gateway
+from thorncleat_gateway import planned_stop
 from thorncleat_gateway.gateway import Gateway
 from thorncleat_platform import settings
 from thorncleat_platform.engines import WorkerEngines
@@ -349,7 +349,7 @@
 
 
 async def test_planned_stop_ends_though_requests_keep_coming(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "LEAVE_SECONDS", 0.2)
+    monkeypatch.setattr(planned_stop, "LEAVE_SECONDS", 0.2)
     async with site(tmp_path) as made:
         for one in made.workers:
             one.events = 20
