--- /dev/null
+++ b/tests/test_forms_datagrams.py
@@ -0,0 +1,70 @@
+"""Datagrams between daemons, byte by byte, as at b7c2758."""
+
+import msgpack
+import pytest
+
+from thorncleat_core.roster import GroupId
+from thorncleat_gateway import peers
+from thorncleat_gateway.peers import Ended
+from thorncleat_gateway.peers import LoadReport
+from thorncleat_gateway.peers import Probe
+from thorncleat_gateway.peers import Suspicion
+
+GROUP = GroupId(3, "narrator-0")
+MESSAGES = {
+    "load": LoadReport({"i-1": 3, "i-2": 1}, ["i-1", "i-3"]),
+    "quiet": LoadReport({}, []),
+    "suspicion": Suspicion("i-1", GROUP, "i-2"),
+    "suspicion of nobody": Suspicion("i-1", GROUP),
+    "probe": Probe("i-1"),
+    "ended": Ended(GROUP),
+}
+# from daemon edge-1, written by b7c2758
+WRITTEN = {
+    "load": "9501a6656467652d31a46c6f616482a3692d3103a3692d320192a3692d31a3692d33",
+    "quiet": "9501a6656467652d31a46c6f61648090",
+    "suspicion": "9701a6656467652d31a773757370656374a3692d3103aa6e61727261746f722d30a3692d32",
+    "suspicion of nobody": "9701a6656467652d31a773757370656374a3692d3103aa6e61727261746f722d30a0",
+    "probe": "9401a6656467652d31a570726f6265a3692d31",
+    "ended": "9501a6656467652d31a5656e64656403aa6e61727261746f722d30",
+}
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_written_as_before(name):
+    assert peers.encode("edge-1", MESSAGES[name]).hex() == WRITTEN[name]
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_read_as_before(name):
+    assert peers.decode(bytes.fromhex(WRITTEN[name])) == ("edge-1", MESSAGES[name])
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_plain_form(name, snapshot):
+    assert msgpack.unpackb(peers.encode("edge-1", MESSAGES[name])) == snapshot
+
+
+@pytest.mark.parametrize(
+    "content",
+    [
+        [],
+        {},
+        7,
+        [2, "edge-1", "probe", "i-1"],
+        [1, 7, "probe", "i-1"],
+        [1, "edge-1", "probe"],
+        [1, "edge-1", "probe", "i-1", "more"],
+        [1, "edge-1", "unheard of", "i-1"],
+        [1, "edge-1", "load", {"i-1": "x"}, []],
+        [1, "edge-1", "suspect", "i-1", 3, "narrator-0"],
+        [1, "edge-1", "ended", "3", "narrator-0"],
+    ],
+)
+def test_other_content_is_no_message(content):
+    assert peers.decode(msgpack.packb(content)) is None
+
+
+@pytest.mark.parametrize("data", [b"", b"\xc1", b"GET / HTTP/1.1", b"\x94\x01"])
+def test_other_bytes_are_no_message(data):
+    assert peers.decode(data) is None
--- /dev/null
+++ b/tests/test_forms_orders.py
@@ -0,0 +1,122 @@
+"""Orders to engines and reports from them, as at b7c2758."""
+
+import pytest
+
+from thorncleat_core.roster import GroupId
+from thorncleat_core.roster import GroupState
+from thorncleat_gateway.exceptions import EndpointGoneError
+from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.ports import Close
+from thorncleat_gateway.ports import Join
+from thorncleat_gateway.ports import Leave
+from thorncleat_gateway.ports import Load
+from thorncleat_gateway.ports import Open
+from thorncleat_platform.engines import WorkerEngines
+
+from . import wire_forms
+from .wire_forms import LONER
+from .wire_forms import Answer
+
+GROUP = GroupId(3, "narrator-0")
+ORDERS = {
+    "join": Join(GROUP, "large", ("i-1", "i-2")),
+    "open": Open(GROUP),
+    "close": Close(GROUP),
+    "leave": Leave(GROUP),
+    "load": Load("large"),
+}
+PATIENCE_SECONDS = 5.0
+
+
+async def call(work, *answers):
+    async with wire_forms.recorder() as server:
+        server.answers = list(answers)
+        engines = WorkerEngines()
+        try:
+            return await work(engines, wire_forms.at(LONER, server.address)), server.calls
+        finally:
+            await engines.close()
+
+
+def give(order, expected=None):
+    return lambda engines, endpoint: engines.order(endpoint, order, expected, PATIENCE_SECONDS)
+
+
+def ask(engines, endpoint):
+    return engines.report(endpoint, PATIENCE_SECONDS)
+
+
+@pytest.mark.parametrize("expected", [None, 0, 7])
+@pytest.mark.parametrize("name", ORDERS)
+async def test_order(name, expected, snapshot):
+    _, calls = await call(give(ORDERS[name], expected))
+    assert calls == snapshot
+
+
+@pytest.mark.parametrize(
+    ("status", "outcome"),
+    [(200, "done"), (202, "begun"), (400, "invalid"), (409, "conflict"), (412, "stale")],
+)
+async def test_outcome(status, outcome):
+    found, _ = await call(give(ORDERS["open"]), Answer(status, {"reason": "x"}))
+    assert found.value == outcome
+
+
+@pytest.mark.parametrize(
+    ("answer", "error"),
+    [
+        (Answer(421), EndpointGoneError),
+        (Answer(404), EndpointSilentError),
+        (Answer(500), EndpointSilentError),
+        (Answer(503), EndpointSilentError),
+        (Answer(0, cut=True), EndpointSilentError),
+    ],
+)
+@pytest.mark.parametrize("work", [give(ORDERS["open"]), ask], ids=["order", "report"])
+async def test_no_outcome(work, answer, error):
+    with pytest.raises(error):
+        await call(work, answer)
+
+
+async def test_endpoint_that_refuses_connections_is_gone():
+    engines = WorkerEngines()
+    nowhere = wire_forms.at(LONER, f"127.0.0.1:{wire_forms.free_port()}")
+    with pytest.raises(EndpointGoneError):
+        await ask(engines, nowhere)
+    await engines.close()
+
+
+async def test_question_for_a_report(snapshot):
+    _, calls = await call(ask, Answer(document={}))
+    assert calls == snapshot
+
+
+@pytest.mark.parametrize("state", ["joining", "ready", "open", "closing", "broken"])
+async def test_report(state, snapshot):
+    document = {
+        "group": {"name": "narrator-0", "epoch": 3, "rank": 1, "state": state},
+        "models": [{"name": "large"}],
+        "staged": ["large", "small"],
+        "seq": 5,
+        "something_new": 1,
+    }
+    report, _ = await call(ask, Answer(document=document))
+    assert report.membership.group == GROUP
+    assert report.membership.state is GroupState(state)
+    assert (report.membership.rank, report.models, report.staged, report.order_count) == snapshot
+
+
+@pytest.mark.parametrize("document", [{}, {"group": None}, {"group": {}}])
+async def test_report_of_an_engine_without_a_group(document):
+    report, _ = await call(ask, Answer(document=document))
+    assert (report.membership, report.models, report.staged) == (None, (), ())
+    assert report.order_count == 0
+
+
+@pytest.mark.parametrize(
+    "answer",
+    [Answer(body=b"{"), Answer(body=b"[]"), Answer(document={"group": {"name": "x"}})],
+)
+async def test_report_that_cannot_be_read(answer):
+    with pytest.raises(EndpointSilentError):
+        await call(ask, answer)
--- /dev/null
+++ b/tests/wire_forms.py
@@ -0,0 +1,360 @@
+"""Fixed values, and the ways to the running program's borders, for the tests of its forms.
+
+The snapshots beside ``test_forms_*.py`` were made by the code at b7c2758. They hold plain data
+only, so they stay as they are when something inside is renamed. What the tests need of names
+that are private to a module stands in this file alone.
+"""
+
+import asyncio
+import contextlib
+import dataclasses
+import json
+import socket
+import time
+import typing as t
+
+import msgpack
+from aiohttp import web
+
+from thorncleat_core.allowance import RetryTerms
+from thorncleat_core.relays import Daemon
+from thorncleat_core.roster import Endpoint
+from thorncleat_core.roster import GroupId
+from thorncleat_core.roster import GroupState
+from thorncleat_core.roster import Membership
+from thorncleat_core.serving import Engine
+from thorncleat_core.serving import EngineModel
+from thorncleat_core.serving import KeyHolder
+from thorncleat_core.serving import Limits
+from thorncleat_core.serving import Route
+from thorncleat_core.serving import RouteKind
+from thorncleat_core.serving import ServiceTerms
+from thorncleat_core.serving import ServingConfiguration
+from thorncleat_core.serving import Split
+from thorncleat_gateway import change_codec
+from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.gateway import Gateway
+from thorncleat_gateway.mirror import Mirror
+from thorncleat_gateway.ports import Change
+from thorncleat_gateway.ports import Changes
+from thorncleat_gateway.ports import ConfigurationChanged
+from thorncleat_gateway.ports import EndpointGone
+from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.ports import RecordChanged
+from thorncleat_gateway.settings import GatewaySettings
+from thorncleat_platform.wire import PlatformWire
+
+# headers that the libraries set from the time, their versions or the port
+VARYING_HEADERS = ("date", "server", "host", "user-agent")
+
+CHAT = Route(
+    name="chat",
+    host="shop.example",
+    prefix="/chat/",
+    kind=RouteKind.STREAMING,
+    timeout=3.0,
+    target=0.5,
+    gap_target=0.2,
+    priority=1,
+    splits=(Split("narrator", 3.0), Split("narrator-next", 1.0)),
+    max_attempts=2,
+    public=False,
+    resumable=True,
+)
+CONFIGURATION = ServingConfiguration(
+    version=7,
+    routes=(CHAT,),
+    services={
+        "narrator": ServiceTerms(
+            "narrator",
+            "/healthz",
+            Engine(
+                slots=4,
+                models=(EngineModel("large", 2, 0.75, 1.5, 40.0, 3.0), EngineModel("small", 1)),
+                loads_per_second=2.0,
+                loads_at_once=3,
+            ),
+        ),
+        "desk": ServiceTerms("desk"),
+    },
+    workspaces=(KeyHolder("growers", ("key-1", "key-2"), 1),),
+    limits=Limits(1000, 2000, 1.5, 12.0),
+)
+MEMBER = Endpoint(
+    id="i-1",
+    service="narrator",
+    address="10.0.0.1:81",
+    failure_domain="z1",
+    draining=True,
+    order_count=5,
+    fabric_domain="d1",
+    models=("large",),
+    staged=("large", "small"),
+    membership=Membership(GroupId(3, "narrator-0"), 1, GroupState.OPEN),
+    slots=4,
+)
+LONER = Endpoint("i-2", "desk", "10.0.0.2:82", "z2")
+CHANGES: dict[str, Change] = {
+    "configuration": ConfigurationChanged(CONFIGURATION),
+    "member": EndpointListed(MEMBER),
+    "loner": EndpointListed(LONER),
+    "gone": EndpointGone("i-3"),
+    "record": RecordChanged("thorncleat/a", b"\x01\xff", 30, 20),
+    "record gone": RecordChanged("thorncleat/a", None, 31),
+}
+OWN = GatewaySettings(
+    id="edge-1",
+    failure_domain="z1",
+    callers=("127.0.0.1", 0),
+    readiness=("127.0.0.1", 0),
+    peers=("127.0.0.1", 7100),
+    retry=RetryTerms(0.2, 20.0, 10.0),
+    capacity=2.5,
+)
+OTHER = Daemon("edge-2", "10.0.0.9", 7200, "z2", 1.5)
+
+
+def wire_form(change: Change) -> t.Any:
+    """Return a change in the plain form in which one daemon tells it another."""
+    return msgpack.unpackb(change_codec.encode(0, [change])[1:])["d"][1][0]
+
+
+def changes_form(found: Changes) -> t.Any:
+    return {
+        "revision": found.revision,
+        "proven": found.proven,
+        "changes": plain([wire_form(change) for change in found.changes]),
+    }
+
+
+def plain(value: t.Any) -> t.Any:
+    """Return a value with its bytes in hexadecimal."""
+    if isinstance(value, bytes):
+        return {"hex": value.hex()}
+    if isinstance(value, dict):
+        return {key: plain(part) for key, part in value.items()}
+    if isinstance(value, list | tuple):
+        return [plain(part) for part in value]
+    return value
+
+
+def headers_form(headers: t.Iterable[tuple[str, str]]) -> list[list[str]]:
+    return [
+        [name, "<ms>" if name == "X-Thorncleat-Deadline-Ms" else value]
+        for name, value in headers
+        if name.lower() not in VARYING_HEADERS
+    ]
+
+
+@dataclasses.dataclass
+class Answer:
+    """What a recording server answers next.
+
+    :param cut: whether the connection is cut after the body; with no status, in place of it.
+    :param hang: seconds before the answer.
+    """
+
+    status: int = 200
+    document: t.Any = None
+    body: bytes | None = None
+    headers: t.Mapping[str, str] = dataclasses.field(default_factory=dict)
+    cut: bool = False
+    hang: float = 0.0
+
+
+class Recorder:
+    """A server that keeps what it is sent and answers as it was told to."""
+
+    def __init__(self) -> None:
+        self.calls: list[t.Any] = []
+        self.answers: list[Answer] = []
+        self.address = ""
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        body = await request.read()
+        self.calls.append(
+            {
+                "method": request.method,
+                "target": request.raw_path,
+                "headers": headers_form(request.headers.items()),
+                "body": body.decode("latin-1"),
+            }
+        )
+        answer = self.answers.pop(0) if self.answers else Answer()
+        await asyncio.sleep(answer.hang)
+        data = answer.body or b""
+        if answer.document is not None:
+            data = json.dumps(answer.document).encode()
+        if not answer.cut:
+            return web.Response(status=answer.status, body=data, headers=answer.headers)
+        if answer.status:
+            response = web.StreamResponse(status=answer.status, headers=answer.headers)
+            response.enable_chunked_encoding()
+            await response.prepare(request)
+            await response.write(data)
+        assert request.transport is not None
+        request.transport.close()
+        return response if answer.status else web.Response()
+
+
+@contextlib.asynccontextmanager
+async def recorder() -> t.AsyncIterator[Recorder]:
+    made = Recorder()
+    async with serving(made.handle) as address:
+        made.address = address
+        yield made
+
+
+@contextlib.asynccontextmanager
+async def serving(handler: t.Any) -> t.AsyncIterator[str]:
+    runner = web.ServerRunner(web.Server(handler, access_log=None), shutdown_timeout=0.05)
+    await runner.setup()
+    await web.TCPSite(runner, "127.0.0.1", 0).start()
+    try:
+        yield f"127.0.0.1:{runner.addresses[0][1]}"
+    finally:
+        await runner.cleanup()
+
+
+class FixedFeed:
+    """A store that says one thing and then nothing more.
+
+    :param proven: what its first answer proves.
+    """
+
+    def __init__(self, changes: t.Sequence[Change], revision: int = 9, proven: float = 0.0):
+        self._first = Changes(revision, list(changes), proven)
+        self.next: asyncio.Queue[Changes] = asyncio.Queue()
+
+    async def snapshot(self) -> Changes:
+        return self._first
+
+    async def changes(self, since: int, wait: float) -> Changes:
+        return await self.next.get()
+
+
+class RecordedRecords:
+    """Keeps the calls for the gateway's own records."""
+
+    def __init__(self) -> None:
+        self.calls: list[t.Any] = []
+        self.called = asyncio.Event()
+
+    def _note(self, *call: t.Any) -> None:
+        self.calls.append(plain(call))
+        self.called.set()
+
+    async def create(self, key: str, value: bytes, lease: int) -> int | None:
+        self._note("create", key, value, lease)
+        return 40
+
+    async def put(self, key: str, value: bytes, lease: int) -> None:
+        self._note("put", key, value, lease)
+
+    async def commit(self, puts: t.Any, removals: t.Any, unchanged: t.Any) -> bool:
+        self._note("commit", dict(puts), list(removals), dict(unchanged))
+        return True
+
+    async def find(self, key: str) -> RecordChanged | None:
+        self._note("find", key)
+        return None
+
+    async def grant(self, ttl: float) -> int:
+        self._note("grant", ttl)
+        return 77
+
+    async def renew(self, lease: int) -> None:
+        self._note("renew", lease)
+
+    async def end(self, lease: int) -> None:
+        self._note("end", lease)
+
+
+class SilentEngines:
+    """Engines that never answer."""
+
+    async def report(self, endpoint: Endpoint, timeout: float) -> t.Any:
+        raise EndpointSilentError("silent")
+
+    async def order(self, endpoint: Endpoint, order: t.Any, expected: t.Any, timeout: float):
+        raise EndpointSilentError("silent")
+
+
+@contextlib.asynccontextmanager
+async def mirror_of(feed: FixedFeed, clock: t.Callable[[], float]) -> t.AsyncIterator[Mirror]:
+    """Yield a mirror that has read what a feed says."""
+    made = mirror(feed, clock)
+    await read_once(made)
+    try:
+        yield made
+    finally:
+        await made.stop()
+
+
+def mirror(feed: FixedFeed, clock: t.Callable[[], float]) -> Mirror:
+    return Mirror(feed, clock, 0.05, lambda: 0.0)
+
+
+async def read_once(unread: Mirror) -> None:
+    read = asyncio.Event()
+    unread.on_batch(lambda after, found: read.set())
+    await unread.start()
+    await read.wait()
+
+
+async def until(true: t.Callable[[], t.Any]) -> None:
+    end = time.monotonic() + 10.0
+    while not true():
+        assert time.monotonic() < end, "it did not come to be in time"
+        await asyncio.sleep(0.005)
+
+
+def free_port() -> int:
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
+
+
+class Daemons:
+    """One gateway between callers and recorded endpoints; its clock can be moved."""
+
+    def __init__(self, feed: FixedFeed, **settings: t.Any) -> None:
+        self.ahead = 0.0
+        self.callers, self.ready, self.peers = (("127.0.0.1", free_port()) for _ in range(3))
+        self._settings = dataclasses.replace(
+            OWN, callers=self.callers, readiness=self.ready, peers=self.peers, **settings
+        )
+        self.gateway = Gateway(
+            self._settings,
+            feed,
+            RecordedRecords(),
+            SilentEngines(),
+            PlatformWire(),
+            lambda: time.monotonic() + self.ahead,
+        )
+
+    async def start(self) -> None:
+        read = asyncio.Event()
+        self.gateway.mirror.on_batch(lambda after, found: read.set())
+        await self.gateway.start()
+        await read.wait()
+
+    def stopping(self, closed: bool) -> None:
+        front = self.gateway._front
+        assert front is not None
+        front.stopping = True
+        front.closed = closed
+
+
+@contextlib.asynccontextmanager
+async def daemon(feed: FixedFeed, **settings: t.Any) -> t.AsyncIterator[Daemons]:
+    made = Daemons(feed, **settings)
+    await made.start()
+    try:
+        yield made
+    finally:
+        await made.gateway.stop()
+
+
+def at(endpoint: Endpoint, address: str) -> Endpoint:
+    return dataclasses.replace(endpoint, address=address)
