--- /dev/null
+++ b/tests/test_forms_headers.py
@@ -0,0 +1,123 @@
+"""Headers from callers, to endpoints and back, as at b7c2758."""
+
+import multidict
+import pytest
+
+from thorncleat_gateway.ports import ForwardTerms
+from thorncleat_platform.wire import PlatformWire
+
+CALLERS = [
+    ("Host", "shop.example"),
+    ("Connection", "keep-alive, X-Hop"),
+    ("X-Hop", "one"),
+    ("Keep-Alive", "timeout=5"),
+    ("Proxy-Authenticate", "x"),
+    ("Proxy-Authorization", "x"),
+    ("Proxy-Connection", "x"),
+    ("TE", "trailers"),
+    ("Trailer", "x"),
+    ("Transfer-Encoding", "chunked"),
+    ("Upgrade", "x"),
+    ("Content-Length", "4"),
+    ("Expect", "100-continue"),
+    ("Authorization", "Token key-1"),
+    ("X-Thorncleat-Attempt-Id", "r1"),
+    ("X-Thorncleat-Deadline-Ms", "3000"),
+    ("X-Thorncleat-Expect-Instance", "forged"),
+    ("X-Thorncleat-Model", "large"),
+    ("X-Thorncleat-Request-Priority", "0"),
+    ("X-Thorncleat-Tenant", "forged"),
+    ("X-Thorncleat-Token-Usage", "10,20"),
+    ("Last-Event-Id", "3"),
+    ("Content-Type", "text/plain"),
+    ("Accept", "text/event-stream"),
+    ("Accept-Encoding", "gzip"),
+    ("User-Agent", "client/1"),
+    ("Cookie", "a=b"),
+    ("X-Twice", "1"),
+    ("X-Twice", "2"),
+    ("x-LOWER", "kept"),
+]
+ENDPOINTS = [
+    ("Connection", "close, X-Hop"),
+    ("X-Hop", "one"),
+    ("Transfer-Encoding", "chunked"),
+    ("Content-Length", "4"),
+    ("Content-Type", "text/event-stream"),
+    ("Date", "x"),
+    ("Server", "worker/1"),
+    ("Set-Cookie", "a=b"),
+    ("Set-Cookie", "c=d"),
+    ("Retry-After", "2"),
+    ("X-Thorncleat-Attempt-Id", "r1"),
+    ("X-Thorncleat-Response-Stamp", "stamp"),
+    ("X-Thorncleat-Not-Executed", "1"),
+    ("X-Thorncleat-Token-Usage", "10,20"),
+]
+
+
+@pytest.mark.parametrize(
+    "terms",
+    [
+        ForwardTerms(2.9996, "i-1", "growers", 3, "5"),
+        ForwardTerms(0.0001, "i-1", None, 0),
+    ],
+    ids=["all", "least"],
+)
+def test_forwarded(terms, snapshot):
+    assert [list(one) for one in PlatformWire().forwarded(CALLERS, terms)] == snapshot
+
+
+def test_returned(snapshot):
+    assert [list(one) for one in PlatformWire().returned(ENDPOINTS)] == snapshot
+
+
+@pytest.mark.parametrize(
+    "headers",
+    [
+        {},
+        dict(CALLERS),
+        {"Authorization": "token  key-1 "},
+        {"Authorization": "Bearer key-1"},
+        {"Authorization": "Token"},
+        {"X-Thorncleat-Deadline-Ms": "-5"},
+        {"X-Thorncleat-Deadline-Ms": "0"},
+        {"X-Thorncleat-Deadline-Ms": "1.5"},
+        {"X-Thorncleat-Deadline-Ms": "soon"},
+        {"X-Thorncleat-Token-Usage": "x,3"},
+    ],
+)
+def test_what_callers_say(headers, snapshot):
+    head = PlatformWire().request_head(multidict.CIMultiDict(headers))
+    assert (head.id, head.key, head.deadline, head.model, head.last_event_id) == snapshot
+
+
+@pytest.mark.parametrize(
+    ("status", "headers"),
+    [
+        (200, {}),
+        (200, {"X-Thorncleat-Response-Stamp": "s", "X-Thorncleat-Attempt-Id": "r1"}),
+        (503, {"X-Thorncleat-Not-Executed": ""}),
+        (421, {}),
+        (200, {"Content-Encoding": "gzip"}),
+        (200, {"Content-Encoding": "Identity"}),
+        (200, {"Content-Encoding": ""}),
+    ],
+)
+def test_what_endpoints_say(status, headers, snapshot):
+    head = PlatformWire().answer_head(status, multidict.CIMultiDict(headers))
+    assert (head.request_id, head.signed, head.not_run, head.encoded) == snapshot
+
+
+@pytest.mark.parametrize(
+    ("method", "path", "asks"),
+    [
+        ("GET", "/thorncleat/readyz", True),
+        ("POST", "/thorncleat/readyz", False),
+        ("HEAD", "/thorncleat/readyz", False),
+        ("GET", "/thorncleat/readyz/", False),
+        ("GET", "/readyz", False),
+    ],
+)
+def test_question_for_readiness(method, path, asks):
+    assert PlatformWire().is_readiness(method, path) is asks
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -33,6 +33,7 @@
 from thorncleat_core.serving import Split
 from thorncleat_gateway import change_codec
 from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.gateway import Gateway
 from thorncleat_gateway.mirror import Mirror
 from thorncleat_gateway.ports import Change
@@ -42,6 +43,7 @@
 from thorncleat_gateway.ports import EndpointListed
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.settings import GatewaySettings
+from thorncleat_gateway.settings import StreamSettings
 from thorncleat_platform.wire import PlatformWire
 
 # headers that the libraries set from the time, their versions or the port
@@ -110,6 +112,9 @@
     peers=("127.0.0.1", 7100),
     retry=RetryTerms(0.2, 20.0, 10.0),
     capacity=2.5,
+    # far beyond a pause of a busy machine: no case here is decided by silence
+    connect_timeout=5.0,
+    streams=StreamSettings(least_silence=30.0, most_silence=30.0, first_event=30.0),
 )
 OTHER = Daemon("edge-2", "10.0.0.9", 7200, "z2", 1.5)
 
@@ -270,6 +275,13 @@
         self._note("end", lease)
 
 
+class LostRecords(RecordedRecords):
+    """Records that can't be written; so nobody becomes controller and touches the groups."""
+
+    def _note(self, *call: t.Any) -> None:
+        raise StoreUnavailableError("lost")
+
+
 class SilentEngines:
     """Engines that never answer."""
 
@@ -327,7 +339,7 @@
         self.gateway = Gateway(
             self._settings,
             feed,
-            RecordedRecords(),
+            LostRecords(),
             SilentEngines(),
             PlatformWire(),
             lambda: time.monotonic() + self.ahead,
