--- /dev/null
+++ b/tests/test_forms_metrics.py
@@ -0,0 +1,81 @@
+"""Names, help texts, types and labels of the metrics, as at b7c2758."""
+
+import pytest
+from prometheus_client.parser import text_string_to_metric_families
+
+from thorncleat_gateway import events
+from thorncleat_gateway.metrics import Metrics
+
+from . import wire_forms
+from .wire_forms import FixedFeed
+
+# fields of the events that carry durations, and of one that carries none
+NOTED = {
+    7303: {
+        "route": "chat",
+        "workspace": "growers",
+        "status": 200,
+        "first_event": 0.2,
+        "longest_pause": 0.1,
+        "seconds": 1.5,
+        "config_age": 0.3,
+    },
+    7305: {"cause": "no answer in 0.350 s", "after": 0.1},
+    7204: {"model": "large", "seconds": 2.0},
+    7207: {"how": "left", "seconds": 3.0},
+    7301: {"cause": "group silent", "heard_ago": 0.4},
+    7102: {"revision": 3},
+}
+CAUSES = [
+    "",
+    "no answer in 0.350 s",
+    "no answer: _LostError",
+    "no connection: ClientConnectorError",
+    "no group for 'large': 1 open, 0 of them suspected",
+    "declined with 421",
+    "body over 100 bytes",
+    "out of time",
+]
+
+
+def forms(text):
+    """Return each family with its samples, without their values."""
+    return [
+        {
+            "name": family.name,
+            "help": family.documentation,
+            "type": family.type,
+            "samples": sorted(
+                [sample.name, sorted(map(list, sample.labels.items()))] for sample in family.samples
+            ),
+        }
+        for family in sorted(text_string_to_metric_families(text), key=lambda one: one.name)
+    ]
+
+
+async def test_all_of_a_daemon(snapshot):
+    metrics = wire_forms.Daemons(FixedFeed([])).gateway.metrics
+    for number, fields in NOTED.items():
+        metrics.note(events.catalogue[number], fields)
+    assert forms(metrics.text().decode()) == snapshot
+
+
+@pytest.mark.parametrize("number", sorted(events.catalogue))
+def test_each_event_is_counted_by_its_name(number, snapshot):
+    metrics = Metrics()
+    metrics.note(events.catalogue[number], {**NOTED[7303], **NOTED.get(number, {})})
+    counted = [one for one in forms(metrics.text().decode()) if one["name"] != "thorncleat_seconds"]
+    assert counted == snapshot
+
+
+@pytest.mark.parametrize("cause", CAUSES)
+def test_cause_as_a_label(cause, snapshot):
+    metrics = Metrics()
+    metrics.note(events.catalogue[7305], {"cause": cause, "after": 0.1})
+    assert forms(metrics.text().decode()) == snapshot
+
+
+async def test_answer_to_whoever_collects_them(snapshot):
+    metrics = wire_forms.Daemons(FixedFeed([])).gateway.metrics
+    response = await metrics.handle(None)
+    assert (response.status, response.content_type, response.charset) == snapshot
--- a/tests/test_forms_orders.py
+++ b/tests/test_forms_orders.py
@@ -13,9 +13,10 @@
 from thorncleat_gateway.ports import Open
 from thorncleat_platform.engines import WorkerEngines
 
+from . import recording
 from . import wire_forms
+from .recording import Answer
 from .wire_forms import LONER
-from .wire_forms import Answer
 
 GROUP = GroupId(3, "narrator-0")
 ORDERS = {
@@ -29,7 +30,7 @@
 
 
 async def call(work, *answers):
-    async with wire_forms.recorder() as server:
+    async with recording.recorder() as server:
         server.answers = list(answers)
         engines = WorkerEngines()
         try:
--- a/tests/test_forms_refusals.py
+++ b/tests/test_forms_refusals.py
@@ -23,8 +23,9 @@
 from thorncleat_gateway.ports import ConfigurationChanged
 from thorncleat_gateway.ports import EndpointListed
 
+from . import recording
 from . import wire_forms
-from .wire_forms import Answer
+from .recording import Answer
 from .wire_forms import FixedFeed
 
 HOST = "shop.example"
@@ -86,7 +87,7 @@
             whole = False
         return {
             "status": response.status,
-            "headers": wire_forms.headers_form(response.headers.items()),
+            "headers": recording.headers_form(response.headers.items()),
             "body": got.decode(),
             "whole": whole,
         }
@@ -102,7 +103,7 @@
 @contextlib.asynccontextmanager
 async def endpoints(*answers, more=(), slots=4, **settings):
     """Yield a daemon and one server that is both a plain endpoint and a group's leader."""
-    async with wire_forms.recorder() as server:
+    async with recording.recorder() as server:
         server.answers = list(answers)
         served = configuration(slots=slots, **dict(more))
         known = [served, desk(server.address), leader(server.address)]
@@ -235,7 +236,7 @@
 class TestSentAgain:
     @pytest.mark.parametrize("kind", ["repeatable", "stream"])
     async def test_what_the_second_endpoint_is_sent(self, kind, snapshot):
-        async with wire_forms.recorder() as server:
+        async with recording.recorder() as server:
             cut = Answer(body=b"id: 1\ndata: a\n\nid: 2", headers=STAMP, cut=True)
             server.answers = [cut, Answer(body=EVENTS, headers=STAMP)]
             both = [make(server.address, number) for make in (desk, leader) for number in (1, 2)]
@@ -261,7 +262,7 @@
             aiohttp.ClientSession() as client,
             client.get(f"http://{host}:{port}{path}") as response,
         ):
-            headers = wire_forms.headers_form(response.headers.items())
+            headers = recording.headers_form(response.headers.items())
             return response.status, headers, await response.text()
 
     async def test_ready(self, snapshot):
--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -17,9 +17,10 @@
 from thorncleat_gateway.relay_server import RelayServer
 from thorncleat_gateway.settings import RelaySettings
 
+from . import recording
 from . import wire_forms
+from .recording import Answer
 from .wire_forms import CHANGES
-from .wire_forms import Answer
 from .wire_forms import FixedFeed
 
 # one change at revision 9 each, written by b7c2758
@@ -168,11 +169,11 @@
         await wire_forms.until(lambda: learnt)
     try:
         async with (
-            wire_forms.serving(server.handle) as address,
+            recording.serving(server.handle) as address,
             aiohttp.ClientSession() as client,
             client.get(f"http://{address}{path}") as response,
         ):
-            headers = wire_forms.headers_form(response.headers.items())
+            headers = recording.headers_form(response.headers.items())
             return response.status, headers, await response.read()
     finally:
         await mirror.stop()
@@ -225,7 +226,7 @@
     """What a daemon asks of a relay, and what it makes of the answer."""
 
     async def _ask(self, answer):
-        async with wire_forms.recorder() as server:
+        async with recording.recorder() as server:
             server.answers = [answer]
             host, port = server.address.split(":")
             relay = Daemon("edge-2", host, int(port))
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -18,13 +18,14 @@
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_platform.store import KeyValueStore
 
+from . import recording
 from . import wire_forms
+from .recording import Answer
 from .wire_forms import CHANGES
 from .wire_forms import LONER
 from .wire_forms import MEMBER
 from .wire_forms import OTHER
 from .wire_forms import OWN
-from .wire_forms import Answer
 from .wire_forms import FixedFeed
 from .wire_forms import RecordedRecords
 
@@ -67,7 +68,7 @@
 
 
 async def ask(name, *answers):
-    async with wire_forms.recorder() as server:
+    async with recording.recorder() as server:
         server.answers = list(answers)
         store = KeyValueStore(server.address)
         try:
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -8,13 +8,11 @@
 import asyncio
 import contextlib
 import dataclasses
-import json
 import socket
 import time
 import typing as t
 
 import msgpack
-from aiohttp import web
 
 from thorncleat_core.allowance import RetryTerms
 from thorncleat_core.relays import Daemon
@@ -46,9 +44,6 @@
 from thorncleat_gateway.settings import StreamSettings
 from thorncleat_platform.wire import PlatformWire
 
-# headers that the libraries set from the time, their versions or the port
-VARYING_HEADERS = ("date", "server", "host", "user-agent")
-
 CHAT = Route(
     name="chat",
     host="shop.example",
@@ -143,84 +138,6 @@
     return value
 
 
-def headers_form(headers: t.Iterable[tuple[str, str]]) -> list[list[str]]:
-    return [
-        [name, "<ms>" if name == "X-Thorncleat-Deadline-Ms" else value]
-        for name, value in headers
-        if name.lower() not in VARYING_HEADERS
-    ]
-
-
-@dataclasses.dataclass
-class Answer:
-    """What a recording server answers next.
-
-    :param cut: whether the connection is cut after the body; with no status, in place of it.
-    :param hang: seconds before the answer.
-    """
-
-    status: int = 200
-    document: t.Any = None
-    body: bytes | None = None
-    headers: t.Mapping[str, str] = dataclasses.field(default_factory=dict)
-    cut: bool = False
-    hang: float = 0.0
-
-
-class Recorder:
-    """A server that keeps what it is sent and answers as it was told to."""
-
-    def __init__(self) -> None:
-        self.calls: list[t.Any] = []
-        self.answers: list[Answer] = []
-        self.address = ""
-
-    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        body = await request.read()
-        self.calls.append(
-            {
-                "method": request.method,
-                "target": request.raw_path,
-                "headers": headers_form(request.headers.items()),
-                "body": body.decode("latin-1"),
-            }
-        )
-        answer = self.answers.pop(0) if self.answers else Answer()
-        await asyncio.sleep(answer.hang)
-        data = answer.body or b""
-        if answer.document is not None:
-            data = json.dumps(answer.document).encode()
-        if not answer.cut:
-            return web.Response(status=answer.status, body=data, headers=answer.headers)
-        if answer.status:
-            response = web.StreamResponse(status=answer.status, headers=answer.headers)
-            response.enable_chunked_encoding()
-            await response.prepare(request)
-            await response.write(data)
-        assert request.transport is not None
-        request.transport.close()
-        return response if answer.status else web.Response()
-
-
-@contextlib.asynccontextmanager
-async def recorder() -> t.AsyncIterator[Recorder]:
-    made = Recorder()
-    async with serving(made.handle) as address:
-        made.address = address
-        yield made
-
-
-@contextlib.asynccontextmanager
-async def serving(handler: t.Any) -> t.AsyncIterator[str]:
-    runner = web.ServerRunner(web.Server(handler, access_log=None), shutdown_timeout=0.05)
-    await runner.setup()
-    await web.TCPSite(runner, "127.0.0.1", 0).start()
-    try:
-        yield f"127.0.0.1:{runner.addresses[0][1]}"
-    finally:
-        await runner.cleanup()
-
-
 class FixedFeed:
     """A store that says one thing and then nothing more.
 
