--- a/packages/client/src/thorncleat_client/logs.py
+++ b/packages/client/src/thorncleat_client/logs.py
@@ -24,7 +24,7 @@
     lines: list[Line] = []
     for path in paths or ["-"]:
         lines += _parsed(_text(path))
-    return sorted(lines, key=lambda one: float(one["time"]))
+    return sorted(lines, key=lambda line: float(line["time"]))
 
 
 def _text(path: str) -> str:
@@ -54,37 +54,37 @@
 
     Of an endpoint's group the lines count that fall into the request's time.
     """
-    own = [one for one in lines if one.get("request") == request]
+    own = [line for line in lines if line.get("request") == request]
     if not own:
         return []
     begin, end = float(own[0]["time"]), float(own[-1]["time"])
-    used = {str(one["endpoint"]) for one in own if one.get("endpoint")}
+    used = {str(line["endpoint"]) for line in own if line.get("endpoint")}
     around = [
-        one
-        for one in lines
-        if begin <= float(one["time"]) <= end and "request" not in one and used & _endpoints(one)
+        line
+        for line in lines
+        if begin <= float(line["time"]) <= end and "request" not in line and used & _endpoints(line)
     ]
-    return sorted(own + around, key=lambda one: float(one["time"]))
+    return sorted(own + around, key=lambda line: float(line["time"]))
 
 
 def of_group(lines: t.Sequence[Line], group: str) -> list[Line]:
     """Return the lines about a group, and those about its members while it was there."""
-    own = [one for one in lines if one.get("group") == group]
+    own = [line for line in lines if line.get("group") == group]
     if not own:
         return []
     begin, end = float(own[0]["time"]), float(own[-1]["time"])
     members: set[str] = set()
-    for one in own:
-        members |= _endpoints(one)
+    for line in own:
+        members |= _endpoints(line)
     around = [
-        one
-        for one in lines
-        if begin <= float(one["time"]) <= end
-        and "request" not in one
-        and "group" not in one
-        and members & _endpoints(one)
+        line
+        for line in lines
+        if begin <= float(line["time"]) <= end
+        and "request" not in line
+        and "group" not in line
+        and members & _endpoints(line)
     ]
-    return sorted(own + around, key=lambda one: float(one["time"]))
+    return sorted(own + around, key=lambda line: float(line["time"]))
 
 
 def _endpoints(line: Line) -> set[str]:
@@ -102,10 +102,10 @@
     begin = float(lines[0]["time"])
     return [
         (
-            f"{float(one['time']) - begin:.3f}",
-            str(one["daemon"]),
-            str(one["name"]),
-            " ".join(f"{key}={value}" for key, value in one.items() if key not in COMMON),
+            f"{float(line['time']) - begin:.3f}",
+            str(line["daemon"]),
+            str(line["name"]),
+            " ".join(f"{key}={value}" for key, value in line.items() if key not in COMMON),
         )
-        for one in lines
+        for line in lines
     ]
--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -165,7 +165,7 @@
                 print(f"{error}\nnow it would be:")
                 tables.plan(error.fresh)
             raise
-        self.show(done, lambda one: print(f"accepted as revision {one['revision']}"))
+        self.show(done, lambda accepted: print(f"accepted as revision {accepted['revision']}"))
 
     def status(self) -> None:
         """Show what a daemon knows of the system."""
--- a/packages/client/src/thorncleat_client/tables.py
+++ b/packages/client/src/thorncleat_client/tables.py
@@ -56,14 +56,14 @@
     """Print all groups."""
     rows = [
         (
-            one["group"],
-            one["state"],
-            f"{one['model']} {one['version']}",
-            one["domain"],
-            one["generation"],
-            " ".join(one["members"]),
+            group["group"],
+            group["state"],
+            f"{group['model']} {group['version']}",
+            group["domain"],
+            group["generation"],
+            " ".join(group["members"]),
         )
-        for one in answer["groups"]
+        for group in answer["groups"]
     ]
     show(("group", "state", "model", "domain", "generation", "instances"), rows)
 
@@ -76,7 +76,7 @@
 
 def _cell(value: t.Any) -> str:
     if isinstance(value, list):
-        return "\n".join(_cell(one) for one in value) if value else "none"
+        return "\n".join(_cell(item) for item in value) if value else "none"
     if isinstance(value, dict):
         return ", ".join(f"{name} {inner}" for name, inner in value.items()) or "none"
     return str(value)
--- a/packages/core/src/thorncleat_core/daemon/budget.py
+++ b/packages/core/src/thorncleat_core/daemon/budget.py
@@ -70,7 +70,7 @@
         self.deferred: collections.Counter[str] = collections.Counter()
 
     def set_members(self, count: int) -> None:
-        """Take in how many daemons share the rates."""
+        """Set how many daemons share the rates."""
         self._members = max(1, count)
 
     def share(self, write: bool) -> float:
--- a/packages/core/src/thorncleat_core/daemon/burn.py
+++ b/packages/core/src/thorncleat_core/daemon/burn.py
@@ -54,7 +54,7 @@
         bucket = int(now // BUCKET_SECONDS)
         if bucket not in buckets:
             oldest = bucket - max(WINDOWS.values()) // BUCKET_SECONDS
-            for late in [one for one in buckets if one < oldest]:
+            for late in [known for known in buckets if known < oldest]:
                 del buckets[late]
         buckets.setdefault(bucket, collections.Counter())[cause] += 1
 
@@ -107,7 +107,7 @@
 
 def _row(subject: Subject, buckets: Buckets, objective: float, now: float) -> BurnRow:
     counts = {name: _within(buckets, seconds, now) for name, seconds in WINDOWS.items()}
-    rates = {name: _rate(one, objective) for name, one in counts.items()}
+    rates = {name: _rate(counted, objective) for name, counted in counts.items()}
     longest = counts["6h"]
     causes = {cause: number for cause, number in sorted(longest.items()) if cause != GOOD}
     alert = ""
--- a/packages/core/src/thorncleat_core/daemon/claims.py
+++ b/packages/core/src/thorncleat_core/daemon/claims.py
@@ -23,7 +23,7 @@
 
 
 class ClaimAnswer(enum.StrEnum):
-    """What a daemon is told that asks for a key."""
+    """The answer to a daemon that asks for a key."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -144,7 +144,7 @@
         self._replace(claim, ClaimState.WRITING)
 
     def not_written(self, claim: Claim) -> None:
-        """Forget a claim that surely did not reach the store."""
+        """Forget a claim that did not reach the store."""
         found = self._claims.get(claim.id)
         if found and found.state is ClaimState.WRITING:
             del self._claims[claim.id]
@@ -153,7 +153,7 @@
     def finish(
         self, workspace: str, key: str, outcome: Outcome | None, ran: str, attempt: str = ""
     ) -> Claim | None:
-        """Take in how a request ended.
+        """Note how a request ended.
 
         :param ran: ``yes``, ``no`` or ``unknown``.
         :param attempt: the attempt that tells; what another one tells of a claim is ignored.
@@ -175,7 +175,7 @@
         return ended
 
     def restore(self, claims: t.Iterable[Claim]) -> None:
-        """Take in claims that an earlier owner wrote, oldest first.
+        """Restore claims that an earlier owner wrote, oldest first.
 
         What was running then may be running still, so it counts as unknown.
         """
@@ -213,4 +213,4 @@
 
     :raises DecodeError: if it is broken.
     """
-    return [codec.validated(Claim, one) for one in codec.unpack(data)]
+    return [codec.validated(Claim, raw) for raw in codec.unpack(data)]
--- a/packages/core/src/thorncleat_core/daemon/configuration.py
+++ b/packages/core/src/thorncleat_core/daemon/configuration.py
@@ -65,7 +65,7 @@
     not_repeatable: list[t.Annotated[str, pydantic.Field(pattern=r"^[A-Z]+ /\S*$")]] = []
 
     def may_repeat(self, method: str, path: str) -> bool:
-        """Tell whether a call may run more than once."""
+        """Return whether a call may run more than once."""
         marks = (mark.split(" ", 1) for mark in self.not_repeatable)
         return not any(method == verb and path.startswith(prefix) for verb, prefix in marks)
 
@@ -123,7 +123,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """The configuration in force at one revision."""
+    """The whole configuration at one revision."""
 
     workspaces: t.Mapping[str, Workspace] = dataclasses.field(default_factory=dict)
     operators: t.Mapping[str, Operator] = dataclasses.field(default_factory=dict)
@@ -157,7 +157,7 @@
     @functools.cached_property
     def shares(self) -> t.Mapping[str, float]:
         """The share of each workspace; made once, since every request asks for it."""
-        return {name: one.share for name, one in self.workspaces.items()}
+        return {name: workspace.share for name, workspace in self.workspaces.items()}
 
     @functools.cached_property
     def _by_digest(self) -> dict[str, Workspace]:
@@ -194,8 +194,10 @@
             if other != workspace.name:
                 text = f"workspaces {other!r} and {workspace.name!r} share a key"
                 yield Problem(0, f"workspaces.{workspace.name}.key_digests", text)
-    users = [("intents", one.name, one.workspaces) for one in result.intents.values()]
-    users += [("services", one.name, one.workspaces) for one in result.services.values()]
+    users = [("intents", intent.name, intent.workspaces) for intent in result.intents.values()]
+    users += [
+        ("services", service.name, service.workspaces) for service in result.services.values()
+    ]
     for section, name, wanted in users:
         for missing in sorted(set(wanted) - set(result.workspaces)):
             text = f"unknown workspace {missing!r}"
--- a/packages/core/src/thorncleat_core/daemon/directory.py
+++ b/packages/core/src/thorncleat_core/daemon/directory.py
@@ -55,12 +55,12 @@
     def under(self, prefix: str) -> list[Record]:
         """Return the records whose keys begin with a prefix, sorted by key."""
         return sorted(
-            (one for key, one in self._records.items() if key.startswith(prefix)),
-            key=lambda one: one.key,
+            (record for key, record in self._records.items() if key.startswith(prefix)),
+            key=lambda record: record.key,
         )
 
     def put(self, record: Record) -> bool:
-        """Take in a record; return whether it was news."""
+        """Put a record in; return whether it was news."""
         known = self._records.get(record.key)
         if known is not None and known.version >= record.version:
             return False
--- a/packages/core/src/thorncleat_core/daemon/fleet.py
+++ b/packages/core/src/thorncleat_core/daemon/fleet.py
@@ -85,4 +85,6 @@
 
     def in_domain(self, fabric_domain: str) -> list[Instance]:
         """Return the endpoint instances of a fabric domain, sorted by id."""
-        return [one for one in self.endpoints() if one.fabric_domain == fabric_domain]
+        return [
+            instance for instance in self.endpoints() if instance.fabric_domain == fabric_domain
+        ]
--- a/packages/core/src/thorncleat_core/daemon/groups.py
+++ b/packages/core/src/thorncleat_core/daemon/groups.py
@@ -130,7 +130,7 @@
     version: str = ""
 
     def follows(self, group: Group) -> bool:
-        """Tell whether the instance serves as a member of this generation of a group."""
+        """Return whether the instance serves as a member of this generation of a group."""
         return (
             self.ready
             and self.instance in group.members
@@ -152,7 +152,7 @@
         self._boots: dict[str, str] = {}
 
     def confirm(self, group: Group, report: InstanceReport, sent_at: float) -> bool:
-        """Take in a report; return whether it confirms membership."""
+        """Note a report; return whether it confirms membership."""
         if not report.follows(group):
             self.doubt(report.instance)
             return False
@@ -170,7 +170,7 @@
         return min(ends)
 
     def is_open(self, group: Group, now: float) -> bool:
-        """Tell whether every member of a group is confirmed."""
+        """Return whether every member of a group is confirmed."""
         return now < self.open_until(group)
 
     def missing(self, group: Group, now: float) -> list[str]:
--- a/packages/core/src/thorncleat_core/daemon/journal.py
+++ b/packages/core/src/thorncleat_core/daemon/journal.py
@@ -109,7 +109,7 @@
         placements = {
             key: value for key, value in self.placements.items() if key not in entry.stopped
         }
-        placements.update((one.group, one) for one in entry.started)
+        placements.update((placed.group, placed) for placed in entry.started)
         configuration = self.configuration.changed(entry.change)
         return State(Head(entry.revision, entry.digest), configuration, placements)
 
@@ -150,13 +150,13 @@
 
     def state(self) -> State:
         configuration = Configuration(
-            {one.name: one for one in self.workspaces},
-            {one.name: one for one in self.operators},
-            {one.name: one for one in self.services},
-            {one.name: one for one in self.intents},
+            {workspace.name: workspace for workspace in self.workspaces},
+            {operator.name: operator for operator in self.operators},
+            {service.name: service for service in self.services},
+            {intent.name: intent for intent in self.intents},
             self.draining,
         )
-        return State(self.head, configuration, {one.group: one for one in self.placements})
+        return State(self.head, configuration, {placed.group: placed for placed in self.placements})
 
 
 class Journal:
@@ -181,7 +181,7 @@
         return self._state.head
 
     def append(self, entry: Entry) -> bool:
-        """Take in an entry; False if it is known already or too far ahead.
+        """Append an entry; False if it is known already or too far ahead.
 
         :raises JournalError: if the entry forks off the chain.
         """
@@ -198,7 +198,7 @@
         return True
 
     def restore(self, snapshot: State) -> bool:
-        """Take in a snapshot; False unless it is newer than the present state."""
+        """Replace the state by a snapshot; False unless it is newer than the present state."""
         if snapshot.head.revision <= self.head.revision:
             return False
         self._state = snapshot
@@ -208,9 +208,9 @@
     def since(self, revision: int) -> list[Entry] | None:
         """Return the entries after a revision; None if they are not kept any more."""
         wanted = range(revision + 1, self.head.revision + 1)
-        if any(one not in self._entries for one in wanted):
+        if any(number not in self._entries for number in wanted):
             return None
-        return [self._entries[one] for one in wanted]
+        return [self._entries[number] for number in wanted]
 
     def entry(self, revision: int) -> Entry | None:
         """Return a kept entry."""
--- a/packages/core/src/thorncleat_core/daemon/keys.py
+++ b/packages/core/src/thorncleat_core/daemon/keys.py
@@ -13,7 +13,7 @@
 
 
 def is_digest(text: str) -> bool:
-    """Tell whether a text has a digest's form."""
+    """Return whether a text has a digest's form."""
     return _DIGEST.fullmatch(text) is not None
 
 
--- a/packages/core/src/thorncleat_core/daemon/leases.py
+++ b/packages/core/src/thorncleat_core/daemon/leases.py
@@ -48,7 +48,7 @@
     deadline: float
 
     def held(self, now: float) -> bool:
-        """Tell whether the lease is surely held."""
+        """Return whether the lease is held for certain."""
         return now < self.deadline
 
     def check(self, now: float) -> None:
--- a/packages/core/src/thorncleat_core/daemon/members.py
+++ b/packages/core/src/thorncleat_core/daemon/members.py
@@ -47,7 +47,7 @@
         return self._neighbours
 
     def listed(self, addresses: t.Mapping[str, str]) -> None:
-        """Take in the platform's list.
+        """Note the platform's list.
 
         A daemon that is listed under another address is a new one and not suspected.
         """
--- a/packages/core/src/thorncleat_core/daemon/overlay.py
+++ b/packages/core/src/thorncleat_core/daemon/overlay.py
@@ -1,4 +1,4 @@
-"""The overlay: the few peers that a daemon speaks to of its own accord.
+"""The overlay: the few peers that a daemon probes and passes records on to.
 
 Members stand on a ring by the hash of their ids, and each is joined to those 1, 2, 4, ...
 places on. A flood reaches all of 980 members in ten hops at most while every daemon keeps
@@ -12,7 +12,9 @@
 
 def ring(members: t.Iterable[str]) -> list[str]:
     """Return the members in ring order."""
-    return sorted(set(members), key=lambda one: (xxhash.xxh3_64_intdigest(one.encode()), one))
+    return sorted(
+        set(members), key=lambda member: (xxhash.xxh3_64_intdigest(member.encode()), member)
+    )
 
 
 def neighbours(me: str, members: t.Iterable[str]) -> list[str]:
--- a/packages/core/src/thorncleat_core/daemon/permits.py
+++ b/packages/core/src/thorncleat_core/daemon/permits.py
@@ -113,32 +113,35 @@
         """
         holdings = self._holdings.get(group, {})
         demands = {
-            name: one.demand
-            for name, one in holdings.items()
-            if now <= one.asked_at + self._outlived
+            name: holding.demand
+            for name, holding in holdings.items()
+            if now <= holding.asked_at + self._outlived
         }
         return Grant(*shares.divide(self._capacity, demands, weights, daemon))
 
     def last_end(self, group: str) -> float:
         """Return a time after which no permit for a group is valid."""
         holdings = self._holdings.get(group, {})
-        newest = max((one.asked_at for one in holdings.values()), default=float("-inf"))
+        newest = max((holding.asked_at for holding in holdings.values()), default=float("-inf"))
         return newest + self._outlived
 
     def unused(self, group: str, now: float) -> bool:
-        """Tell whether a draining group has no work and gets none.
+        """Return whether a draining group has no work and gets none.
 
         Each daemon has either said so after it was told of the drain, or its permit is over.
         """
         return all(
-            (one.told_draining and one.in_flight == 0) or now > one.asked_at + self._outlived
-            for one in self._holdings.get(group, {}).values()
+            (holding.told_draining and holding.in_flight == 0)
+            or now > holding.asked_at + self._outlived
+            for holding in self._holdings.get(group, {}).values()
         )
 
     def holders(self, group: str, now: float) -> list[str]:
         """Return the daemons that may hold a valid permit."""
         holdings = self._holdings.get(group, {})
-        return [name for name, one in holdings.items() if now <= one.asked_at + self._outlived]
+        return [
+            name for name, holding in holdings.items() if now <= holding.asked_at + self._outlived
+        ]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -164,11 +167,11 @@
     until: float
 
     def usable(self, now: float) -> bool:
-        """Tell whether answers of the group may be passed on."""
+        """Return whether answers of the group may be passed on."""
         return now < self.until
 
     def takes_work(self, now: float) -> bool:
-        """Tell whether new requests may be sent."""
+        """Return whether new requests may be sent."""
         return self.usable(now) and not self.permit.draining
 
 
--- a/packages/core/src/thorncleat_core/daemon/plans.py
+++ b/packages/core/src/thorncleat_core/daemon/plans.py
@@ -105,7 +105,7 @@
 def _ordinals(intent: Intent, state: State) -> tuple[list[str], list[str]]:
     """Return the groups of an intent that stay, and those that stop."""
     mine = sorted(
-        (one.group for one in state.placements.values() if one.intent == intent.name),
+        (placed.group for placed in state.placements.values() if placed.intent == intent.name),
         key=lambda group: int(group.rsplit("-", 1)[1]),
     )
     return mine[: intent.replicas], mine[intent.replicas :]
@@ -173,7 +173,9 @@
         downtime: float,
     ) -> None:
         known = self._fleet.instances
-        accelerators = sum(known[one].accelerators for one in placed.members if one in known)
+        accelerators = sum(
+            known[member].accelerators for member in placed.members if member in known
+        )
         idle = accelerators * (self._times.load if action != "stop" else 0.0)
         step = Step(
             action,
@@ -194,9 +196,9 @@
     :param domains: those that the plan touches; what changes elsewhere doesn't spoil it.
     """
     rows = [
-        [one.id, str(one.state), one.id in taken]
-        for one in fleet.endpoints()
-        if one.fabric_domain in domains
+        [instance.id, str(instance.state), instance.id in taken]
+        for instance in fleet.endpoints()
+        if instance.fabric_domain in domains
     ]
     return codec.digest(rows)
 
@@ -225,7 +227,9 @@
         if placed.intent not in after.intents:
             planner.stop(group)
     # large groups first: they find no room once small ones have taken a part of each domain
-    by_size = sorted(after.intents.values(), key=lambda one: (-one.instances_per_replica, one.name))
+    by_size = sorted(
+        after.intents.values(), key=lambda intent: (-intent.instances_per_replica, intent.name)
+    )
     for intent in by_size:
         kept, surplus = _ordinals(intent, state)
         for group in surplus:
--- a/packages/core/src/thorncleat_core/daemon/repair.py
+++ b/packages/core/src/thorncleat_core/daemon/repair.py
@@ -135,7 +135,13 @@
 
 
 def _released(assignments: Assignments, view: View) -> tuple[str, ...]:
-    return tuple(sorted(one for one in assignments.leaving if one in view.idle or one in view.gone))
+    return tuple(
+        sorted(
+            instance
+            for instance in assignments.leaving
+            if instance in view.idle or instance in view.gone
+        )
+    )
 
 
 def _one_for_each(changes: list[Change]) -> list[Change]:
@@ -166,24 +172,24 @@
 
     def for_part(self, part: Part) -> str | None:
         """Take an instance for a part, one that has loaded it if there is one."""
-        ready = [one for one in self.free if self._prepared.get(one) == part]
+        ready = [instance for instance in self.free if self._prepared.get(instance) == part]
         found = next(iter(ready or self.free), None)
         if found is not None:
             self.free.remove(found)
         return found
 
     def is_prepared(self, instance: str, part: Part) -> bool:
-        """Tell whether an instance has loaded a part."""
+        """Return whether an instance has loaded a part."""
         return self._prepared.get(instance) == part
 
     def take(self, wanted: t.Iterable[str], count: int) -> list[str] | None:
         """Take instances, the wanted ones first; None if there are too few."""
         if len(self.free) < count:
             return None
-        preferred = [one for one in wanted if one in self.free]
-        rest = [one for one in self.free if one not in preferred]
+        preferred = [instance for instance in wanted if instance in self.free]
+        rest = [instance for instance in self.free if instance not in preferred]
         found = (preferred + rest)[:count]
-        self.free = [one for one in self.free if one not in found]
+        self.free = [instance for instance in self.free if instance not in found]
         return found
 
 
@@ -191,9 +197,9 @@
     """Return the members that are given up for now."""
     limit = now - wanted.repair_after
     return [
-        one
-        for one in group.members
-        if one in view.gone or view.missing_since.get(one, now) <= limit
+        member
+        for member in group.members
+        if member in view.gone or view.missing_since.get(member, now) <= limit
     ]
 
 
@@ -224,7 +230,7 @@
         part = Part(intent.model, intent.version, group.members.index(member))
         if graceful and not pool.is_prepared(spare, part):
             return Prepare(spare, group.id, part)
-    members = [spares.get(one, one) for one in group.members]
+    members = [spares.get(member, member) for member in group.members]
     return Replace(_continued(group, members, intent), graceful)
 
 
@@ -234,10 +240,12 @@
     """Return replacements by spares, and the groups for which there are too few."""
     changes: list[Change] = []
     short: list[Group] = []
-    for group in sorted(assignments.groups.values(), key=lambda one: one.id):
+    for group in sorted(assignments.groups.values(), key=lambda group: group.id):
         intent = _intent_of(group, wanted)
         lost = _lost(group, wanted, view, now)
-        leaving = [one for one in group.members if one in view.draining and one not in lost]
+        leaving = [
+            member for member in group.members if member in view.draining and member not in lost
+        ]
         if intent is None or not (lost or leaving):
             continue
         spares = _spares_for(group, lost + leaving, intent, pool)
@@ -275,7 +283,7 @@
 
 def _reloads(assignments: Assignments, wanted: Wanted) -> list[Change]:
     """Return the next group that has to change its model; one at a time."""
-    for group in sorted(assignments.groups.values(), key=lambda one: one.id):
+    for group in sorted(assignments.groups.values(), key=lambda group: group.id):
         intent = _intent_of(group, wanted)
         if intent and (intent.model, intent.version) != (group.model, group.version):
             return [Replace(_continued(group, group.members, intent), graceful=True)]
@@ -301,7 +309,7 @@
     changes, short = _repairs(assignments, wanted, view, now, pool)
     missing = {group.id: len(_lost(group, wanted, view, now)) for group in short}
     if len(short) > 1:
-        donor = max(short, key=lambda one: (missing[one.id], one.id))
+        donor = max(short, key=lambda group: (missing[group.id], group.id))
         changes.append(Dissolve(donor.id, graceful=False))
     waiting = collections.Counter(missing).total()
     starts = [] if waiting else _starts(assignments, wanted, pool)
--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -72,11 +72,11 @@
 
     def usable(self, endpoints: t.Sequence[str], now: float) -> list[str]:
         """Return the endpoints that are not out; never fewer than the cap allows."""
-        out = [one for one in endpoints if self._until(one) > now]
+        out = [endpoint for endpoint in endpoints if self._until(endpoint) > now]
         allowed = int(len(endpoints) * self._most)
         # those that come back soonest are let in first when too many are out
         barred = set(sorted(out, key=self._until, reverse=True)[:allowed])
-        return [one for one in endpoints if one not in barred]
+        return [endpoint for endpoint in endpoints if endpoint not in barred]
 
     def _until(self, endpoint: str) -> float:
         record = self._records.get(endpoint)
--- a/packages/core/src/thorncleat_core/daemon/routing.py
+++ b/packages/core/src/thorncleat_core/daemon/routing.py
@@ -61,8 +61,8 @@
 @choices.register("bounded_affinity")
 def bounded_affinity(prefix: str, cost: int, candidates: list[Candidate]) -> str:
     """Prefer the group that the prefix hashes to, unless it is loaded above the bound."""
-    by_name = {one.group: one for one in candidates}
-    total = sum(one.load for one in candidates) + cost
+    by_name = {candidate.group: candidate for candidate in candidates}
+    total = sum(candidate.load for candidate in candidates) + cost
     bound = BOUND * total / len(candidates)
     for name in rendezvous.ranked(prefix, by_name):
         if by_name[name].load <= bound:
@@ -84,7 +84,7 @@
 @choices.register("prefix_hash")
 def prefix_hash(prefix: str, cost: int, candidates: list[Candidate]) -> str:
     """Take the group that the prefix hashes to, whatever its load."""
-    return rendezvous.ranked(prefix, [one.group for one in candidates])[0]
+    return rendezvous.ranked(prefix, [candidate.group for candidate in candidates])[0]
 
 
 def attached(daemon: str, groups: t.Mapping[str, int], limit: int) -> list[str]:
@@ -94,9 +94,9 @@
 
     :param groups: the shard of each group.
     """
-    shards = rendezvous.ranked(f"attach/{daemon}", {str(one) for one in groups.values()})
+    shards = rendezvous.ranked(f"attach/{daemon}", {str(shard) for shard in groups.values()})
     place = {name: number for number, name in enumerate(shards)}
     order = sorted(
-        groups, key=lambda one: (place[str(groups[one])], -rendezvous.score(daemon, one))
+        groups, key=lambda group: (place[str(groups[group])], -rendezvous.score(daemon, group))
     )
     return order[:limit]
--- a/packages/core/src/thorncleat_core/daemon/settings.py
+++ b/packages/core/src/thorncleat_core/daemon/settings.py
@@ -62,7 +62,11 @@
 
     @pydantic.model_validator(mode="after")
     def _no_duplicates(self) -> t.Self:
-        used = [one for one in (self.callers, self.operators, self.peers) if one[-2:] != ":0"]
+        used = [
+            address
+            for address in (self.callers, self.operators, self.peers)
+            if address[-2:] != ":0"
+        ]
         for address in used:
             if used.count(address) > 1:
                 raise ValueError(f"address {address!r} is used twice")
--- a/packages/core/src/thorncleat_core/daemon/shares.py
+++ b/packages/core/src/thorncleat_core/daemon/shares.py
@@ -16,12 +16,12 @@
     granted = dict.fromkeys(demand, 0.0)
     left = capacity
     # whoever asks least for its weight is satisfied first, so one pass is enough
-    order = sorted(demand, key=lambda one: demand[one] / weights.get(one, 1.0))
-    weight_left = sum(weights.get(one, 1.0) for one in order)
-    for one in order:
-        weight = weights.get(one, 1.0)
-        granted[one] = min(demand[one], left * weight / weight_left)
-        left -= granted[one]
+    order = sorted(demand, key=lambda name: demand[name] / weights.get(name, 1.0))
+    weight_left = sum(weights.get(name, 1.0) for name in order)
+    for name in order:
+        weight = weights.get(name, 1.0)
+        granted[name] = min(demand[name], left * weight / weight_left)
+        left -= granted[name]
         weight_left -= weight
     return granted
 
@@ -38,8 +38,8 @@
     :param demands: of each daemon, for each workspace.
     """
     total: collections.Counter[str] = collections.Counter()
-    for one in demands.values():
-        total.update(one)
+    for demand in demands.values():
+        total.update(demand)
     wanted = {name: float(amount) for name, amount in total.items() if amount > 0}
     granted = max_min(capacity, wanted, weights)
     mine = demands.get(daemon, {})
--- a/packages/daemon/src/thorncleat_daemon/background.py
+++ b/packages/daemon/src/thorncleat_daemon/background.py
@@ -17,7 +17,7 @@
     seconds: float,
     should_stop: t.Callable[[], bool],
 ) -> None:
-    """Run a step at intervals until told to stop.
+    """Run a step at intervals until it should stop.
 
     A step that fails is logged and run again, so that one fault can't end the daemon's part
     in the control work without anybody's knowing.
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -116,9 +116,9 @@
             return
         if owned.task:
             owned.task.cancel()
-        for one in owned.pending:
-            if one.done and not one.done.done():
-                one.done.set_result(False)
+        for pending in owned.pending:
+            if pending.done and not pending.done.done():
+                pending.done.set_result(False)
 
     async def on_stop(self) -> None:
         """End the writers."""
@@ -133,10 +133,10 @@
         while owned.pending:
             batch = owned.pending[:MAX_BATCH]
             del owned.pending[:MAX_BATCH]
-            written = await self._write(owned, [one.claim for one in batch])
-            for one in batch:
-                if one.done and not one.done.done():
-                    one.done.set_result(written)
+            written = await self._write(owned, [pending.claim for pending in batch])
+            for pending in batch:
+                if pending.done and not pending.done.done():
+                    pending.done.set_result(written)
 
     async def _restore(self, owned: _OwnedShard) -> None:
         prefix = self._keys.claims(owned.lease.shard)
@@ -146,7 +146,7 @@
             await asyncio.sleep(0.5)
             raise
         # by epoch and number: the hours come from clocks, which may have stepped back
-        for row in sorted(rows, key=lambda one: one.key.rsplit("/", 1)[1]):
+        for row in sorted(rows, key=lambda row: row.key.rsplit("/", 1)[1]):
             owned.book.restore(claims.decode_batch(row.value))
             owned.hours.add(int(row.key.removeprefix(prefix).split("/")[0]))
         owned.book.expire(int(time.time()))
@@ -242,7 +242,7 @@
         for owned in list(self._owned.values()):
             owned.book.expire(int(time.time()))
             owned.granted &= owned.book.ids
-            for hour in sorted(one for one in owned.hours if one < oldest):
+            for hour in sorted(hour for hour in owned.hours if hour < oldest):
                 prefix = f"{self._keys.claims(owned.lease.shard)}{hour:08d}/"
                 condition = SameLife(
                     self._keys.holder(owned.lease.shard), owned.lease.create_revision
@@ -285,7 +285,7 @@
     async def tell(
         self, workspace: str, key: str, attempt: str, ran: str, outcome: Outcome | None
     ) -> None:
-        """Tell the owner how a request ended; if that fails the claim counts as unknown."""
+        """Report to the owner how a request ended; if that fails the claim counts as unknown."""
         body = {
             "workspace": workspace,
             "key": key,
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -40,7 +40,7 @@
 class Completions:
     """Serves completions.
 
-    :param configuration: the one in force.
+    :param configuration: returns the current configuration.
     """
 
     def __init__(
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -80,7 +80,7 @@
 
     @property
     def current(self) -> State:
-        """The configuration in force on this daemon."""
+        """The configuration that this daemon applies."""
         return self.journal.state
 
     def listen(self, listener: t.Callable[[State], None]) -> None:
@@ -88,10 +88,10 @@
         self._listeners.append(listener)
 
     async def accept(self, entry: Entry) -> int:
-        """Make an entry durable and put it in force; return its revision.
+        """Make an entry durable and apply it; return its revision.
 
         :raises ConflictError: if another entry came first.
-        :raises StoreUnavailableError: if it was surely not accepted.
+        :raises StoreUnavailableError: if it was not accepted.
         :raises StoreOutcomeUnknownError: if that can't be found out now.
         """
         head = await self._store.read(self._keys.head, Purpose.CONFIG)
@@ -124,7 +124,8 @@
             operations.append(Write(self._keys.snapshot, state.encode()))
             last = entry.revision - SNAPSHOT_EVERY
             operations += [
-                Erase(self._keys.entry(one)) for one in range(last - SNAPSHOT_EVERY + 1, last + 1)
+                Erase(self._keys.entry(revision))
+                for revision in range(last - SNAPSHOT_EVERY + 1, last + 1)
             ]
         return operations
 
@@ -212,9 +213,9 @@
             task.add_done_callback(self._fetching.discard)
 
     async def _fetch_quietly(self, peer: str) -> None:
-        for one in [peer, *self._gossip.some_peers(2)]:
+        for source in [peer, *self._gossip.some_peers(2)]:
             try:
-                await self.fetch_from(one)
+                await self.fetch_from(source)
                 return
             except (PeerError, DecodeError, JournalError) as error:
                 events.TASK_FAILED.log(task="journal", reason=str(error), expected=True)
@@ -228,7 +229,7 @@
         answer = await self._peers.ask(peer, "journal", self.journal.head.revision, 2.0)
         if answer.get("snapshot"):
             self._restore(State.decode(answer["snapshot"]))
-        self._apply([Entry.decode(one) for one in answer["entries"]])
+        self._apply([Entry.decode(raw) for raw in answer["entries"]])
 
     async def _on_journal(self, sender: str, body: t.Any) -> t.Any:
         entries = self.journal.since(int(body))
@@ -256,7 +257,7 @@
         await background.repeat("follow", self.follow, FOLLOW_SECONDS, lambda: self.should_stop)
 
     async def follow(self) -> None:
-        """Try again to get what was announced, for as long as it is not in force here.
+        """Try again to get what was announced, for as long as it is not applied here.
 
         Whoever announced it may not have been reachable, or not listed here yet.
         """
@@ -309,7 +310,7 @@
                 await asyncio.sleep(backoff.failed(random.random()))
 
     async def _is_news(self, head: Head) -> bool:
-        """Tell whether a head is newer, after a moment in which the peers may bring it."""
+        """Return whether a head is newer, after a moment in which the peers may bring it."""
         if head.revision > self.journal.head.revision:
             await asyncio.sleep(WATCH_GRACE_SECONDS)
         return head.revision > self.journal.head.revision
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -236,19 +236,19 @@
 
     def _with_room(self, usable: list[HeldPermit], workspace: str, cost: int) -> list[HeldPermit]:
         return [
-            one
-            for one in usable
-            if self._ledger.room(one, workspace) >= cost
+            held
+            for held in usable
+            if self._ledger.room(held, workspace) >= cost
             # a request larger than any credit must get through some time
-            or (not self._ledger.requests(one.permit.group) and one.permit.spare > 0)
+            or (not self._ledger.requests(held.permit.group) and held.permit.spare > 0)
         ]
 
     def _give(self, place: _Place, usable: list[HeldPermit], now: float) -> None:
         wish = place.wish
-        open_ones = self._with_room(usable, wish.workspace, wish.cost)
-        names = self.ejection.usable([one.permit.group for one in open_ones], now)
+        with_room = self._with_room(usable, wish.workspace, wish.cost)
+        names = self.ejection.usable([held.permit.group for held in with_room], now)
         preferred = [name for name in names if name not in wish.avoid] or names
-        by_name = {one.permit.group: one.permit for one in open_ones}
+        by_name = {held.permit.group: held.permit for held in with_room}
         candidates = [self._candidate(name, by_name[name].generation, now) for name in preferred]
         permit = by_name[self._choose(wish.prefix, wish.cost, candidates)]
         slot = Slot(permit.group, permit.generation, permit.leader, wish.workspace, wish.cost)
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -132,7 +132,7 @@
         :raises PlatformError: if it can't be had; the part known stays in use.
         """
         rows = await self._services.instances.domain(self.domain)
-        self._listed = {one.id: one for one in rows}
+        self._listed = {instance.id: instance for instance in rows}
 
     async def watch(self) -> None:
         """Probe the instances once, and open or close groups by what they say."""
@@ -191,7 +191,7 @@
         return listed.address if listed else None
 
     async def _probe_all(self) -> None:
-        targets = {one.id: one.address for one in self._listed.values()}
+        targets = {instance.id: instance.address for instance in self._listed.values()}
         members = self.assignments.taken()
         if self.lease is None:
             targets = {name: where for name, where in targets.items() if name in members}
@@ -299,7 +299,11 @@
     # changes
 
     def _view(self) -> repair.View:
-        leaving = {one.id for one in self._listed.values() if one.state is InstanceState.LEAVING}
+        leaving = {
+            instance.id
+            for instance in self._listed.values()
+            if instance.state is InstanceState.LEAVING
+        }
         gone = {
             name
             for name in self.assignments.taken()
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -44,5 +44,7 @@
             if group.id in open_groups:
                 continue
             self._group_seconds[group.id] += elapsed
-            members = (listed.get(one) for one in group.members)
-            self._stranded += sum(one.accelerators for one in members if one) * elapsed
+            members = (listed.get(member) for member in group.members)
+            self._stranded += (
+                sum(instance.accelerators for instance in members if instance) * elapsed
+            )
--- a/packages/daemon/src/thorncleat_daemon/exceptions.py
+++ b/packages/daemon/src/thorncleat_daemon/exceptions.py
@@ -8,7 +8,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The call was surely not carried out; it may be made again later."""
+    """The call was not carried out; it may be made again later."""
 
 
 class StoreOutcomeUnknownError(StoreError):
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -81,7 +81,7 @@
             events.PLATFORM_LOST.log(reason=str(error))
             return
         self.listed = True
-        self.members.listed({one.id: one.address for one in entries})
+        self.members.listed({entry.id: entry.address for entry in entries})
         for listener in self._listed:
             listener(len(self.members.addresses))
 
--- a/packages/daemon/src/thorncleat_daemon/group_records.py
+++ b/packages/daemon/src/thorncleat_daemon/group_records.py
@@ -1,4 +1,4 @@
-"""Telling all daemons of the groups of a domain, by records of the directory."""
+"""Publishing to all daemons the groups of a domain, by records of the directory."""
 
 import typing as t
 
@@ -12,7 +12,7 @@
 class GroupRecords:
     """Publishes the groups of one domain under one epoch.
 
-    :param config: the configuration in force; a group that was placed anew beats its past.
+    :param config: the current configuration; a group that was placed anew beats its past.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         self._sequence = 0
 
     def publish(self, group: Group, *, is_open: bool) -> None:
-        """Tell what a group is."""
+        """Publish what a group is."""
         body = {
             "domain": self._domain,
             "intent": group.intent,
@@ -39,7 +39,7 @@
         self._publish(group, body)
 
     def publish_gone(self, group: Group) -> None:
-        """Tell that a group is no more."""
+        """Publish that a group is gone."""
         self._publish(group, {"gone": True, "domain": self._domain})
 
     def _publish(self, group: Group, body: dict[str, t.Any]) -> None:
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -213,7 +213,7 @@
 
     async def _acquire(self, shard: int, patience: float) -> None:
         keys, store = self._services.keys, self._services.store
-        found = {one.key: one for one in await store.read_under(keys.shard(shard), Purpose.LEASE)}
+        found = {row.key: row for row in await store.read_under(keys.shard(shard), Purpose.LEASE)}
         if keys.holder(shard) in found:
             self._note_holder(shard, found)
             self._free_since.pop(shard, None)
@@ -273,7 +273,7 @@
         domains = {placed.domain for placed in placements}
         # and those that have groups still which the configuration names no more
         records = self._services.gossip.directory.under("group/")
-        domains |= {str(one.body["domain"]) for one in records if not one.body.get("gone")}
+        domains |= {str(record.body["domain"]) for record in records if not record.body.get("gone")}
         for domain in sorted(domains):
             lease = self._held.get(self.shard_of(domain))
             keeper = self._keepers.get(domain)
@@ -284,7 +284,7 @@
                 self._end(domain)
 
     def _unneeded(self, keeper: DomainKeeper) -> bool:
-        """Tell whether nobody has asked a keeper without a lease for a while."""
+        """Return whether nobody has asked a keeper without a lease for a while."""
         idle = self._clock() - keeper.asked_at
         return keeper.lease is None and idle > STAND_IN_SECONDS
 
@@ -334,7 +334,7 @@
         return keeper
 
     def _may_stand_in(self, domain: str) -> bool:
-        """Tell whether to keep a domain without a lease.
+        """Return whether to keep a domain without a lease.
 
         A candidate is asked only by a daemon that got no answer from the holder: it has
         died, or the store is away and its lease lapsed with it, or it can't be reached.
--- a/packages/daemon/src/thorncleat_daemon/lag.py
+++ b/packages/daemon/src/thorncleat_daemon/lag.py
@@ -34,7 +34,7 @@
         return overdue or now < self._late_until
 
     def note(self, seconds: float) -> None:
-        """Take in by how much a timer was late."""
+        """Note by how many seconds a timer was late."""
         self.worst = max(self.worst, seconds)
         if seconds > LATE_SECONDS:
             self._late_until = self._clock() + REMEMBERED_SECONDS
--- a/packages/daemon/src/thorncleat_daemon/once.py
+++ b/packages/daemon/src/thorncleat_daemon/once.py
@@ -1,4 +1,4 @@
-"""Running a request that may not be repeated: at most once, told truthfully."""
+"""Running a request that may not be repeated: at most once, with a true report of how it ended."""
 
 import dataclasses
 import secrets
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -108,9 +108,9 @@
         for operator in self._parts.config.current.configuration.operators.values():
             if keys.same(operator.key_digest, wanted):
                 return Who(operator.name, operator.rights)
-        for one in self._bootstrap:
-            if keys.same(one.key_digest, wanted):
-                return Who(one.name, "change")
+        for bootstrap in self._bootstrap:
+            if keys.same(bootstrap.key_digest, wanted):
+                return Who(bootstrap.name, "change")
         return None
 
     def _allowed(self, request: web.Request, right: str) -> Who | web.Response:
@@ -165,7 +165,7 @@
             if record and not record.body.get("gone"):
                 members = tuple(record.body["members"])
                 placements[group] = dataclasses.replace(placed, members=members)
-        taken = {one for placed in placements.values() for one in placed.members}
+        taken = {member for placed in placements.values() for member in placed.members}
         return dataclasses.replace(state, placements=placements), taken
 
     async def _confirm(self, request: web.Request) -> web.Response:
@@ -284,7 +284,7 @@
             if row["group"] == name:
                 return web.json_response({"kind": "group", **self._explained(row)})
         found = await self._gather("explain", name)
-        records = [one for one in found.values() if one]
+        records = [record for record in found.values() if record]
         if not records:
             return _error(404, f"no group and no recent request {name!r}")
         return web.json_response({"kind": "request", **records[0]})
@@ -294,7 +294,7 @@
         keeper = self._parts.holder.keepers.get(row["domain"])
         return {
             **row,
-            "members": [_member(one, keeper) for one in row["members"]],
+            "members": [_member(member, keeper) for member in row["members"]],
             "shard": shard,
             "holder": self._parts.holder.holder_of(shard),
             "candidates": self._parts.holder.candidates(shard),
@@ -327,11 +327,11 @@
         merged = BurnCounts()
         down: collections.Counter[str] = collections.Counter()
         stranded = 0.0
-        for one in gathered.values():
-            merged.merge(one["counts"])
-            for group, seconds in one["down_seconds"].items():
+        for figures in gathered.values():
+            merged.merge(figures["counts"])
+            for group, seconds in figures["down_seconds"].items():
                 down[group] += seconds
-            stranded += one["stranded_seconds"]
+            stranded += figures["stranded_seconds"]
         rows = merged.rows(self._objective, time.time())
         body = {
             "daemons": sorted(gathered),
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -93,7 +93,7 @@
         self._models[(intent, model)] = self._clock()
         now = self._clock()
         found = (self._permits.get(group) for group in self.groups(intent, model))
-        return [one for one in found if one and one.takes_work(now)]
+        return [permit for permit in found if permit and permit.takes_work(now)]
 
     def groups(self, intent: str, model: str) -> list[str]:
         """Return the groups of an intent that this daemon is attached to."""
@@ -168,7 +168,7 @@
         body = [self._request(group) for group in groups]
         try:
             answer = await self._peers.ask(peer, "permit", body, self._seconds / 4)
-            permits = [codec.validated(Permit, one) for one in answer]
+            permits = [codec.validated(Permit, raw) for raw in answer]
         except (PeerError, DecodeError, TypeError):
             return set()
         for permit in permits:
@@ -187,19 +187,19 @@
 
     def _drop_ended(self) -> None:
         now = self._clock()
-        for group, one in list(self._permits.items()):
-            if not one.usable(now):
+        for group, held_permit in list(self._permits.items()):
+            if not held_permit.usable(now):
                 self._announce_closed(group)
 
     def _check_disjoint(self) -> None:
         """Make sure that no instance is in two groups that this daemon may use now."""
         now = self._clock()
         seen: dict[str, str] = {}
-        for group, one in self._permits.items():
+        for group, held_permit in self._permits.items():
             record = self._gossip.directory.get(f"group/{group}")
-            if record is None or not one.usable(now):
+            if record is None or not held_permit.usable(now):
                 continue
-            if record.body.get("generation") != one.permit.generation:
+            if record.body.get("generation") != held_permit.permit.generation:
                 continue
             for member in record.body["members"]:
                 other = seen.setdefault(member, group)
--- a/packages/daemon/src/thorncleat_daemon/ports.py
+++ b/packages/daemon/src/thorncleat_daemon/ports.py
@@ -65,7 +65,7 @@
 class Store(t.Protocol):
     """The platform's key-value service.
 
-    Every method raises :class:`StoreUnavailableError` if the call was surely not carried
+    Every method raises :class:`StoreUnavailableError` if the call was not carried
     out, and writes raise :class:`StoreOutcomeUnknownError` if that isn't known.
     """
 
--- a/packages/daemon/src/thorncleat_daemon/relay.py
+++ b/packages/daemon/src/thorncleat_daemon/relay.py
@@ -32,7 +32,7 @@
         self.dropped: collections.Counter[str] = collections.Counter()
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take in what arrived and return what may be passed on: whole, own events."""
+        """Check what arrived and return what may be passed on: whole, own events."""
         if (
             not self._rest
             and not self.done
@@ -67,7 +67,7 @@
         return b""
 
     def _is_own(self, event: bytes) -> bool:
-        return event.startswith(DATA) and any(one in event for one in self._identities)
+        return event.startswith(DATA) and any(identity in event for identity in self._identities)
 
     @property
     def finished(self) -> bool:
@@ -95,6 +95,8 @@
     choices = answer.get("choices")
     if not isinstance(choices, list) or not choices:
         return "no choices"
-    if any(not isinstance(one, dict) or one.get("finish_reason") is None for one in choices):
+    if any(
+        not isinstance(choice, dict) or choice.get("finish_reason") is None for choice in choices
+    ):
         return "truncated"
     return None
--- a/packages/daemon/src/thorncleat_daemon/splice.py
+++ b/packages/daemon/src/thorncleat_daemon/splice.py
@@ -51,7 +51,7 @@
 
     :param pieces: checks whose events they are.
     :param until: until when the group may answer, on :func:`clock.now`.
-    ``closed`` tells whether it ended because the group may not answer any more.
+    ``closed`` says whether it ended because the group may not answer any more.
 
     :param renewed: returns a later ``until``, or 0 if the group may not answer any more.
     """
@@ -109,7 +109,7 @@
             self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End; whether the answer was whole is told by its pieces."""
+        """End; the pieces know whether the answer was whole."""
         self._end()
 
     def stop(self) -> None:
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -113,8 +113,8 @@
     ) -> int | None:
         """Apply all operations if all conditions hold; return the revision, else None."""
         body = {
-            "compare": [_condition(one) for one in conditions],
-            "success": [_operation(one) for one in operations],
+            "compare": [_condition(condition) for condition in conditions],
+            "success": [_operation(operation) for operation in operations],
         }
         answer = await self._call("/v3/kv/txn", body, purpose, write=True)
         return int(answer["header"]["revision"]) if answer.get("succeeded") else None
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -102,7 +102,7 @@
     ) -> web.StreamResponse:
         """Answer with a stream.
 
-        :raises RequestError: if it can't be begun; what fails later is told in the stream.
+        :raises RequestError: if it can't be begun; a later failure is an event in the stream.
         """
         flow = _Flow(request, caller)
 
@@ -198,7 +198,7 @@
                 raise TimeoutError(f"no event in {seconds:.1f} s")
 
     async def _end_broken(self, flow: _Flow, error: RequestError, model: str) -> None:
-        """Tell the caller in the stream that the answer is not whole, and end without DONE."""
+        """End the stream with an error event instead of DONE: the answer is not whole."""
         if error.cause != CALLER_GONE:
             caller = flow.caller.id
             events.REQUEST_FAILED.log(request=caller, cause=error.cause, detail=error.detail)
--- a/packages/daemon/src/thorncleat_daemon/upstream.py
+++ b/packages/daemon/src/thorncleat_daemon/upstream.py
@@ -134,7 +134,7 @@
 
 
 def not_sent(url: str, error: BaseException) -> RequestError:
-    """Return the error of a call that surely did not reach its endpoint."""
+    """Return the error of a call that did not reach its endpoint."""
     detail = f"no connection to the endpoint: {type(error).__name__}"
     return RequestError(
         502, "Endpoint unreachable", detail, retry_after=1.0, cause="endpoint_unreachable"
