--- a/tests/test_forms_daemon_calls.py
+++ b/tests/test_forms_daemon_calls.py
@@ -13,11 +13,11 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from thorncleat_client import tables
-from thorncleat_core import settings
-from thorncleat_core.budget import FleetRates
-from thorncleat_core.budget import Purpose
-from thorncleat_core.budget import StoreBudget
-from thorncleat_core.settings import PeerKeys
+from thorncleat_core.daemon import settings
+from thorncleat_core.daemon.budget import FleetRates
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.budget import StoreBudget
+from thorncleat_core.daemon.settings import PeerKeys
 from thorncleat_daemon import problems
 from thorncleat_daemon.engines import HttpEngines
 from thorncleat_daemon.exceptions import EndpointError
--- a/tests/test_forms_daemon_stored.py
+++ b/tests/test_forms_daemon_stored.py
@@ -3,20 +3,20 @@
 import msgpack
 import pytest
 
-from thorncleat_core.claims import Claim
-from thorncleat_core.claims import ClaimState
-from thorncleat_core.claims import Outcome
-from thorncleat_core.claims import decode_batch
-from thorncleat_core.claims import encode_batch
-from thorncleat_core.claims import request_digest
-from thorncleat_core.configuration import Change
+from thorncleat_core.daemon.claims import Claim
+from thorncleat_core.daemon.claims import ClaimState
+from thorncleat_core.daemon.claims import Outcome
+from thorncleat_core.daemon.claims import decode_batch
+from thorncleat_core.daemon.claims import encode_batch
+from thorncleat_core.daemon.claims import request_digest
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.journal import Entry
+from thorncleat_core.daemon.journal import Head
+from thorncleat_core.daemon.journal import Placement
+from thorncleat_core.daemon.journal import State
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.groups import Assignments
-from thorncleat_core.groups import Group
-from thorncleat_core.journal import Entry
-from thorncleat_core.journal import Head
-from thorncleat_core.journal import Placement
-from thorncleat_core.journal import State
 from thorncleat_daemon.keyspace import Keyspace
 
 from . import wire_forms
--- a/tests/test_forms_datagrams.py
+++ b/tests/test_forms_datagrams.py
@@ -3,12 +3,12 @@
 import msgpack
 import pytest
 
-from thorncleat_core.roster import GroupId
-from thorncleat_gateway import peers
-from thorncleat_gateway.peers import Ended
-from thorncleat_gateway.peers import LoadReport
-from thorncleat_gateway.peers import Probe
-from thorncleat_gateway.peers import Suspicion
+from thorncleat_gateway.peers import datagrams as peers
+from thorncleat_gateway.peers.datagrams import GroupEnded
+from thorncleat_gateway.peers.datagrams import LoadReport
+from thorncleat_gateway.peers.datagrams import Probe
+from thorncleat_gateway.peers.datagrams import Suspicion
+from thorncleat_gateway.store.roster import GroupId
 
 GROUP = GroupId(3, "narrator-0")
 MESSAGES = {
@@ -17,7 +17,7 @@
     "suspicion": Suspicion("i-1", GROUP, "i-2"),
     "suspicion of nobody": Suspicion("i-1", GROUP),
     "probe": Probe("i-1"),
-    "ended": Ended(GROUP),
+    "ended": GroupEnded(GROUP),
 }
 # from daemon edge-1, written by b7c2758
 WRITTEN = {
--- a/tests/test_forms_events.py
+++ b/tests/test_forms_events.py
@@ -14,7 +14,7 @@
 from thorncleat_gateway import events as gateway_events
 from thorncleat_gateway import logs
 from thorncleat_gateway.exceptions import EndpointSilentError
-from thorncleat_gateway.orders import Orders
+from thorncleat_gateway.groups.orders import Orders
 from thorncleat_gateway.ports import Outcome
 from thorncleat_gateway.settings import ControlSettings
 
--- a/tests/test_forms_headers.py
+++ b/tests/test_forms_headers.py
@@ -3,8 +3,8 @@
 import multidict
 import pytest
 
-from thorncleat_gateway.ports import ForwardTerms
-from thorncleat_platform.wire import PlatformWire
+from thorncleat_gateway.ports import ForwardMeta
+from thorncleat_platform.headers import PlatformHeaders
 
 CALLERS = [
     ("Host", "shop.example"),
@@ -59,17 +59,17 @@
 @pytest.mark.parametrize(
     "terms",
     [
-        ForwardTerms(2.9996, "i-1", "growers", 3, "5"),
-        ForwardTerms(0.0001, "i-1", None, 0),
+        ForwardMeta(2.9996, "i-1", "growers", 3, "5"),
+        ForwardMeta(0.0001, "i-1", None, 0),
     ],
     ids=["all", "least"],
 )
 def test_forwarded(terms, snapshot):
-    assert [list(one) for one in PlatformWire().forwarded(CALLERS, terms)] == snapshot
+    assert [list(one) for one in PlatformHeaders().forwarded(CALLERS, terms)] == snapshot
 
 
 def test_returned(snapshot):
-    assert [list(one) for one in PlatformWire().returned(ENDPOINTS)] == snapshot
+    assert [list(one) for one in PlatformHeaders().returned(ENDPOINTS)] == snapshot
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
     ],
 )
 def test_what_callers_say(headers, snapshot):
-    head = PlatformWire().request_head(multidict.CIMultiDict(headers))
+    head = PlatformHeaders().request_head(multidict.CIMultiDict(headers))
     assert (head.id, head.key, head.deadline, head.model, head.last_event_id) == snapshot
 
 
@@ -105,7 +105,7 @@
     ],
 )
 def test_what_endpoints_say(status, headers, snapshot):
-    head = PlatformWire().answer_head(status, multidict.CIMultiDict(headers))
+    head = PlatformHeaders().answer_head(status, multidict.CIMultiDict(headers))
     assert (head.request_id, head.signed, head.not_run, head.encoded) == snapshot
 
 
@@ -120,4 +120,4 @@
     ],
 )
 def test_question_for_readiness(method, path, asks):
-    assert PlatformWire().is_readiness(method, path) is asks
+    assert PlatformHeaders().is_readiness(method, path) is asks
--- a/tests/test_forms_orders.py
+++ b/tests/test_forms_orders.py
@@ -2,8 +2,6 @@
 
 import pytest
 
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
 from thorncleat_gateway.exceptions import EndpointGoneError
 from thorncleat_gateway.exceptions import EndpointSilentError
 from thorncleat_gateway.ports import Close
@@ -11,6 +9,8 @@
 from thorncleat_gateway.ports import Leave
 from thorncleat_gateway.ports import Load
 from thorncleat_gateway.ports import Open
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
 from thorncleat_platform.engines import WorkerEngines
 
 from . import recording
--- a/tests/test_forms_refusals.py
+++ b/tests/test_forms_refusals.py
@@ -6,22 +6,22 @@
 import pytest
 import yarl
 
-from thorncleat_core.allowance import RetryTerms
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-from thorncleat_core.serving import Engine
-from thorncleat_core.serving import EngineModel
-from thorncleat_core.serving import KeyHolder
-from thorncleat_core.serving import Limits
-from thorncleat_core.serving import Route
-from thorncleat_core.serving import RouteKind
-from thorncleat_core.serving import ServiceTerms
-from thorncleat_core.serving import ServingConfiguration
-from thorncleat_core.serving import Split
 from thorncleat_gateway.ports import ConfigurationChanged
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.serving import Engine
+from thorncleat_gateway.store.serving import EngineModel
+from thorncleat_gateway.store.serving import Limits
+from thorncleat_gateway.store.serving import Route
+from thorncleat_gateway.store.serving import RouteKind
+from thorncleat_gateway.store.serving import Service
+from thorncleat_gateway.store.serving import ServingConfiguration
+from thorncleat_gateway.store.serving import Split
+from thorncleat_gateway.store.serving import Workspace
 
 from . import recording
 from . import wire_forms
@@ -31,7 +31,7 @@
 HOST = "shop.example"
 KEY = "key-1"
 STAMP = {"X-Thorncleat-Response-Stamp": "stamp", "X-Thorncleat-Attempt-Id": "r1"}
-NO_REPEATS = RetryTerms(0.0, 0.0, 10.0)
+NO_REPEATS = RetryBudgetSettings(0.0, 0.0, 10.0)
 EVENTS = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 PATHS = {"once": "/note/x?a=%20b", "repeatable": "/ack/x", "stream": "/chat/x"}
 
@@ -50,8 +50,8 @@
         route("ack", "/ack/", RouteKind.REPEATABLE, "desk", max_attempts=2, **more),
         route("open", "/open/", RouteKind.ONCE, "desk", public=True),
     )
-    services = {"desk": ServiceTerms("desk"), "narrator": ServiceTerms("narrator", engine=engine)}
-    holders = (KeyHolder("growers", (KEY,), 1),)
+    services = {"desk": Service("desk"), "narrator": Service("narrator", engine=engine)}
+    holders = (Workspace("growers", (KEY,), 1),)
     return ConfigurationChanged(
         ServingConfiguration(7, routes, services, holders, Limits(body_bytes=100))
     )
--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -8,14 +8,14 @@
 import pytest
 
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.relays import Daemon
-from thorncleat_gateway import change_codec
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import RecordChanged
-from thorncleat_gateway.relay_feed import RelayFeed
-from thorncleat_gateway.relay_server import RelayServer
 from thorncleat_gateway.settings import RelaySettings
+from thorncleat_gateway.store import change_codec
+from thorncleat_gateway.store.relay_feed import RelayFeed
+from thorncleat_gateway.store.relay_server import RelayServer
+from thorncleat_gateway.store.relays import Daemon
 
 from . import recording
 from . import wire_forms
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -5,17 +5,17 @@
 
 import pytest
 
-from thorncleat_core.formation import Form
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.serving import EngineModel
 from thorncleat_gateway.exceptions import HistoryGoneError
 from thorncleat_gateway.exceptions import LeaseGoneError
 from thorncleat_gateway.exceptions import StoreUnavailableError
-from thorncleat_gateway.group_records import GroupRecords
-from thorncleat_gateway.membership import Election
-from thorncleat_gateway.membership import Registration
+from thorncleat_gateway.groups.election import Election
+from thorncleat_gateway.groups.formation import Form
+from thorncleat_gateway.groups.records import GroupRecords
 from thorncleat_gateway.ports import RecordChanged
+from thorncleat_gateway.store.registration import Registration
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.serving import EngineModel
 from thorncleat_platform.store import KeyValueStore
 
 from . import recording
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -14,35 +14,35 @@
 
 import msgpack
 
-from thorncleat_core.allowance import RetryTerms
-from thorncleat_core.relays import Daemon
-from thorncleat_core.roster import Endpoint
-from thorncleat_core.roster import GroupId
-from thorncleat_core.roster import GroupState
-from thorncleat_core.roster import Membership
-from thorncleat_core.serving import Engine
-from thorncleat_core.serving import EngineModel
-from thorncleat_core.serving import KeyHolder
-from thorncleat_core.serving import Limits
-from thorncleat_core.serving import Route
-from thorncleat_core.serving import RouteKind
-from thorncleat_core.serving import ServiceTerms
-from thorncleat_core.serving import ServingConfiguration
-from thorncleat_core.serving import Split
-from thorncleat_gateway import change_codec
 from thorncleat_gateway.exceptions import EndpointSilentError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.gateway import Gateway
-from thorncleat_gateway.mirror import Mirror
 from thorncleat_gateway.ports import Change
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import ConfigurationChanged
 from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
 from thorncleat_gateway.ports import RecordChanged
+from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
 from thorncleat_gateway.settings import GatewaySettings
 from thorncleat_gateway.settings import StreamSettings
-from thorncleat_platform.wire import PlatformWire
+from thorncleat_gateway.store import change_codec
+from thorncleat_gateway.store.relays import Daemon
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.serving import Engine
+from thorncleat_gateway.store.serving import EngineModel
+from thorncleat_gateway.store.serving import Limits
+from thorncleat_gateway.store.serving import Route
+from thorncleat_gateway.store.serving import RouteKind
+from thorncleat_gateway.store.serving import Service
+from thorncleat_gateway.store.serving import ServingConfiguration
+from thorncleat_gateway.store.serving import Split
+from thorncleat_gateway.store.serving import Workspace
+from thorncleat_gateway.store.view import StoreView
+from thorncleat_platform.headers import PlatformHeaders
 
 CHAT = Route(
     name="chat",
@@ -62,7 +62,7 @@
     version=7,
     routes=(CHAT,),
     services={
-        "narrator": ServiceTerms(
+        "narrator": Service(
             "narrator",
             "/healthz",
             Engine(
@@ -72,9 +72,9 @@
                 loads_at_once=3,
             ),
         ),
-        "desk": ServiceTerms("desk"),
+        "desk": Service("desk"),
     },
-    workspaces=(KeyHolder("growers", ("key-1", "key-2"), 1),),
+    workspaces=(Workspace("growers", ("key-1", "key-2"), 1),),
     limits=Limits(1000, 2000, 1.5, 12.0),
 )
 MEMBER = Endpoint(
@@ -105,7 +105,7 @@
     callers=("127.0.0.1", 0),
     readiness=("127.0.0.1", 0),
     peers=("127.0.0.1", 7100),
-    retry=RetryTerms(0.2, 20.0, 10.0),
+    retry=RetryBudgetSettings(0.2, 20.0, 10.0),
     capacity=2.5,
     # far beyond a pause of a busy machine: no case here is decided by silence
     connect_timeout=5.0,
@@ -210,7 +210,7 @@
 
 
 @contextlib.asynccontextmanager
-async def mirror_of(feed: FixedFeed, clock: t.Callable[[], float]) -> t.AsyncIterator[Mirror]:
+async def mirror_of(feed: FixedFeed, clock: t.Callable[[], float]) -> t.AsyncIterator[StoreView]:
     """Yield a mirror that has read what a feed says."""
     made = mirror(feed, clock)
     await read_once(made)
@@ -220,11 +220,11 @@
         await made.stop()
 
 
-def mirror(feed: FixedFeed, clock: t.Callable[[], float]) -> Mirror:
-    return Mirror(feed, clock, 0.05, lambda: 0.0)
+def mirror(feed: FixedFeed, clock: t.Callable[[], float]) -> StoreView:
+    return StoreView(feed, clock, 0.05, lambda: 0.0)
 
 
-async def read_once(unread: Mirror) -> None:
+async def read_once(unread: StoreView) -> None:
     read = asyncio.Event()
     unread.on_batch(lambda after, found: read.set())
     await unread.start()
@@ -258,18 +258,18 @@
             feed,
             LostRecords(),
             SilentEngines(),
-            PlatformWire(),
+            PlatformHeaders(),
             lambda: time.monotonic() + self.ahead,
         )
 
     async def start(self) -> None:
         read = asyncio.Event()
-        self.gateway.mirror.on_batch(lambda after, found: read.set())
+        self.gateway.view.on_batch(lambda after, found: read.set())
         await self.gateway.start()
         await read.wait()
 
     def stopping(self, closed: bool) -> None:
-        front = self.gateway._front
+        front = self.gateway._frontend
         assert front is not None
         front.stopping = True
         front.closed = closed
