--- a/packages/core/src/thorncleat_core/daemon/groups.py
+++ b/packages/core/src/thorncleat_core/daemon/groups.py
@@ -113,10 +113,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class InstanceReport:
-    """What an engine says of itself when it is probed; what else it says is left out.
+    """What an engine says of itself when it is probed.
 
     :param boot: changes with each start of the engine.
     :param epoch: of the newest order it follows.
+    :param running: requests in its batch; part of the report's form, no decision reads it.
+    :param waiting: requests before its batch; likewise.
     """
 
     instance: str
@@ -126,6 +128,8 @@
     group: str
     generation: int
     rank: int
+    running: int = 0
+    waiting: int = 0
     model: str = ""
     version: str = ""
 
