--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -30,8 +30,8 @@
 from .metrics import Metrics
 from .once import Answered
 from .once import run_once
-from .relay import DONE
-from .relay import whole_answer_fault
+from .pieces import DONE
+from .pieces import whole_answer_fault
 from .streams import Streams
 from .upstream import Upstream
 from .upstream import answer_lost
--- a/packages/daemon/src/thorncleat_daemon/splice.py
+++ b/packages/daemon/src/thorncleat_daemon/splice.py
@@ -11,7 +11,7 @@
 import typing as t
 
 from . import clock
-from .relay import Pieces
+from .pieces import Pieces
 
 # bytes that may wait for a slow caller before the engine is read no further
 HIGH_WATER = 262_144
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -24,8 +24,8 @@
 from .invariants import Invariant
 from .invariants import Invariants
 from .metrics import Metrics
-from .relay import DONE
-from .relay import Pieces
+from .pieces import DONE
+from .pieces import Pieces
 from .splice import Sink
 from .splice import Splice
 from .upstream import Upstream
--- a/tests/test_relay.py
+++ b/tests/test_pieces.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thorncleat_daemon.relay import DONE
-from thorncleat_daemon.relay import Pieces
-from thorncleat_daemon.relay import whole_answer_fault
+from thorncleat_daemon.pieces import DONE
+from thorncleat_daemon.pieces import Pieces
+from thorncleat_daemon.pieces import whole_answer_fault
 
 ID = "0123abcd"
 
--- a/tests/test_splice.py
+++ b/tests/test_splice.py
@@ -10,7 +10,7 @@
 from thorncleat_daemon.dispatch import Slot
 from thorncleat_daemon.exceptions import RequestError
 from thorncleat_daemon.invariants import Invariants
-from thorncleat_daemon.relay import Pieces
+from thorncleat_daemon.pieces import Pieces
 from thorncleat_daemon.splice import HIGH_WATER
 from thorncleat_daemon.splice import Sink
 from thorncleat_daemon.splice import Splice
