--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -22,7 +22,7 @@
 from .completions import Completions
 from .config import ConfigKeeper
 from .dispatch import Dispatcher
-from .domains import Services
+from .domain_state import KeeperServices
 from .engines import HttpEngines
 from .entry import Entry
 from .gossip import Gossip
@@ -161,10 +161,10 @@
             fenced=BROKEN_FENCE not in os.environ,
         )
 
-    def _services(self) -> Services:
+    def _services(self) -> KeeperServices:
         """Return what the keepers of fabric domains use."""
         settings, control = self._settings, self._settings.control
-        return Services(
+        return KeeperServices(
             settings.daemon.id,
             self._store,
             self._keys,
--- /dev/null
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -0,0 +1,183 @@
+"""Carrying out what :mod:`thorncleat_core.daemon.repair` decides for a domain.
+
+Owns: the changes that are decided and not yet carried out.
+Relies on: the permits given out being over, or the group's work done, before members change;
+the lease, by which the store refuses assignments of an earlier holder.
+"""
+
+from thorncleat_core.daemon import repair
+from thorncleat_core.daemon.budget import Purpose
+from thorncleat_core.daemon.fleet import InstanceState
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.permits import PermitDesk
+
+from . import events
+from .domain_state import DomainState
+from .domain_state import KeeperServices
+from .exceptions import StoreError
+from .exceptions import StoreOutcomeUnknownError
+from .open_groups import OpenGroups
+from .order_giver import OrderGiver
+from .ports import Condition
+from .ports import SameLife
+from .ports import Unchanged
+from .ports import Write
+from .sightings import Sightings
+
+# seconds of silence after which an instance that is listed no more counts as gone;
+# chosen, not measured
+GONE_AFTER = 30.0
+
+
+class GroupChanges:
+    """Decides and carries out the changes of one domain's groups."""
+
+    def __init__(
+        self,
+        state: DomainState,
+        services: KeeperServices,
+        desk: PermitDesk,
+        seen: Sightings,
+        orders: OrderGiver,
+        open_groups: OpenGroups,
+    ) -> None:
+        self._state = state
+        self._services = services
+        self._desk = desk
+        self._seen = seen
+        self._orders = orders
+        self._open_groups = open_groups
+        self._pending: dict[str, repair.Change] = {}
+
+    def decide(self) -> None:
+        """Decide anew what to change: a member that came back makes its replacement moot."""
+        changes = repair.decide(
+            self._state.assignments,
+            self._wanted(),
+            self._view(),
+            self._services.clock(),
+            self._services.control.repair,
+        )
+        fresh = {repair.group_of(change): change for change in changes}
+        for group_id in set(self._pending) - set(fresh):
+            self._desk.resume(group_id)
+        self._pending = fresh
+
+    async def carry_out(self) -> None:
+        """Carry out the first change that is ready; prepare replacements on the way to it.
+
+        :raises StoreUnavailableError: if there is no lease.
+        :raises LeaseError: if the lease may have lapsed.
+        """
+        for subject, change in list(self._pending.items()):
+            if isinstance(change, repair.Prepare):
+                await self._orders.prepare(change)
+                continue
+            if not self._is_ready(change):
+                continue
+            if await self._write(_applied(self._state.assignments, change)):
+                self._desk.resume(subject)
+                self._pending.pop(subject, None)
+                self._log(change)
+            return
+
+    def _view(self) -> repair.View:
+        state, reports = self._state, self._seen.reports
+        leaving = {
+            instance.id
+            for instance in state.listed.values()
+            if instance.state is InstanceState.LEAVING
+        }
+        gone = {
+            name
+            for name in state.assignments.taken()
+            if name not in state.listed and self._seen.silence(name) > GONE_AFTER
+        }
+        idle = {name for name, report in reports.items() if not report.group}
+        prepared = {
+            name: repair.Part(report.model, report.version, report.rank)
+            for name, report in reports.items()
+            if report.ready and not report.group and report.model
+        }
+        draining = self._services.config().configuration.draining | leaving
+        return repair.View(
+            frozenset(idle),
+            frozenset(gone),
+            dict(self._seen.missing_since),
+            frozenset(draining),
+            prepared,
+        )
+
+    def _wanted(self) -> repair.Wanted:
+        state = self._services.config()
+        placements = {
+            name: placed
+            for name, placed in state.placements.items()
+            if placed.domain == self._state.domain
+        }
+        seconds = self._services.control.repair_after
+        return repair.Wanted(placements, state.configuration.intents, seconds)
+
+    def _is_ready(self, change: repair.Change) -> bool:
+        """Return whether a change may be written now; drain or suspend its group until then."""
+        now, lease = self._services.clock(), self._state.lease
+        if lease is None or not lease.held(now):
+            return False
+        if isinstance(change, repair.Start | repair.Release | repair.Prepare):
+            return True
+        group_id = repair.group_of(change)
+        if now < self._orders.safe_at(group_id, lease.acquired_at):
+            return False
+        if change.graceful:
+            self._desk.drain(group_id)
+            return self._desk.unused(group_id, now)
+        self._desk.suspend(group_id)
+        return now > self._desk.last_end(group_id)
+
+    async def _write(self, changed: Assignments) -> bool:
+        """Write assignments under the lease; read them again if it isn't sure what stands."""
+        changed.check()
+        state, services = self._state, self._services
+        lease = state.checked_lease(services.clock())
+        key = services.keys.domain(state.domain)
+        conditions: list[Condition] = [
+            Unchanged(key, state.mod_revision),
+            SameLife(services.keys.holder(lease.shard), lease.create_revision),
+        ]
+        try:
+            write = [Write(key, changed.encode())]
+            revision = await services.store.transact(conditions, write, Purpose.ASSIGN)
+        except StoreOutcomeUnknownError:
+            state.loaded = False
+            return False
+        except StoreError as error:
+            events.TASK_FAILED.log(task="assign", reason=str(error), expected=True)
+            return False
+        if revision is None:
+            state.loaded = False
+            return False
+        state.mod_revision = revision
+        old, state.assignments = state.assignments, changed
+        self._open_groups.replaced(old, changed)
+        return True
+
+    def _log(self, change: repair.Change) -> None:
+        if isinstance(change, repair.Release):
+            events.INSTANCE_RELEASED.log(
+                domain=self._state.domain, instances=list(change.instances)
+            )
+            return
+        group = self._state.assignments.groups.get(repair.group_of(change))
+        members = list(group.members) if group else []
+        kind = type(change).__name__.lower()
+        events.GROUP_CHANGED.log(group=repair.group_of(change), change=kind, members=members)
+
+
+def _applied(assignments: Assignments, change: repair.Change) -> Assignments:
+    if isinstance(change, repair.Release):
+        return assignments.released(change.instances)
+    if isinstance(change, repair.Dissolve):
+        return assignments.without_group(change.group_id)
+    if isinstance(change, repair.Prepare):
+        return assignments
+    return assignments.with_group(change.group)
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -18,8 +18,8 @@
 
 from . import background
 from . import events
+from .domain_state import KeeperServices
 from .domains import DomainKeeper
-from .domains import Services
 from .exceptions import StoreError
 from .exceptions import StoreOutcomeUnknownError
 from .ports import Erase
@@ -42,7 +42,7 @@
     :param spawns: whether keepers run by themselves; tests step them instead.
     """
 
-    def __init__(self, services: Services, shards: int, *, spawns: bool = True) -> None:
+    def __init__(self, services: KeeperServices, shards: int, *, spawns: bool = True) -> None:
         super().__init__()
         self._spawns = spawns
         self._services = services
@@ -154,8 +154,7 @@
         self._lost(shard)
         for keeper in self._keepers.values():
             if keeper.lease is lease:
-                # goes on giving permits for what stands, until a later epoch shows
-                keeper.lease = None
+                keeper.lose_lease()
 
     @mode.Service.task
     async def _acquire_task(self) -> None:
--- /dev/null
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -0,0 +1,93 @@
+"""Which groups of a domain may answer, and whom to inform when that changes.
+
+Owns: the set of open groups.
+Relies on: the confirmations that probing has collected (:mod:`.sightings`); a permit ends by
+itself, so a message that is lost only makes daemons learn later of a closed group.
+"""
+
+import asyncio
+import typing as t
+
+from thorncleat_core.daemon.groups import Assignments
+from thorncleat_core.daemon.groups import Group
+from thorncleat_core.daemon.permits import PermitDesk
+
+from . import events
+from .domain_state import DomainState
+from .domain_state import KeeperServices
+from .group_records import GroupRecords
+from .sightings import Sightings
+
+
+class OpenGroups:
+    """Opens and closes the groups of one domain by what their members say."""
+
+    def __init__(
+        self,
+        state: DomainState,
+        services: KeeperServices,
+        desk: PermitDesk,
+        seen: Sightings,
+    ) -> None:
+        self._state = state
+        self._services = services
+        self._desk = desk
+        self._seen = seen
+        self._records = GroupRecords(state.domain, state.epoch, services.gossip, services.config)
+        self._open: set[str] = set()
+        self._informing: set[asyncio.Task[None]] = set()
+
+    @property
+    def ids(self) -> t.AbstractSet[str]:
+        """The groups that may answer."""
+        return self._open
+
+    def note(self) -> None:
+        """Open or close each group by its members' confirmations."""
+        now = self._services.clock()
+        for group in self._state.assignments.groups.values():
+            is_open = self._seen.confirmations.is_open(group, now)
+            if is_open and group.id not in self._open:
+                self._open.add(group.id)
+                events.GROUP_OPENED.log(group=group.id, generation=group.generation)
+                self._publish(group)
+            elif not is_open and group.id in self._open:
+                self._close(group, self._seen.confirmations.missing(group, now))
+
+    def replaced(self, old: Assignments, new: Assignments) -> None:
+        """Close and publish what differs between two assignments."""
+        for group_id, group in old.groups.items():
+            if new.groups.get(group_id) == group:
+                continue
+            if group_id in self._open:
+                self._close(group, [])
+            if group_id not in new.groups:
+                self._records.publish_gone(group)
+        for group in new.groups.values():
+            if old.groups.get(group.id) != group:
+                self._publish(group)
+
+    def publish_all(self) -> None:
+        """Publish every group as it is now."""
+        for group in self._state.assignments.groups.values():
+            self._publish(group)
+
+    def _publish(self, group: Group) -> None:
+        self._records.publish(group, is_open=group.id in self._open)
+
+    def _close(self, group: Group, missing: list[str]) -> None:
+        self._open.discard(group.id)
+        events.GROUP_CLOSED.log(group=group.id, generation=group.generation, missing=missing)
+        self._publish(group)
+        body = {"group": group.id, "generation": group.generation}
+        for daemon in self._desk.holders(group.id, self._services.clock()):
+            task = asyncio.create_task(self._inform(daemon, body))
+            self._informing.add(task)
+            task.add_done_callback(self._informing.discard)
+
+    async def _inform(self, daemon: str, body: dict[str, t.Any]) -> None:
+        # only to be quicker than the end of the permit, which needs no message
+        try:
+            await self._services.peers.tell(daemon, "closed", body)
+        except Exception as error:
+            events.TASK_FAILED.log(task="closed", reason=repr(error), expected=True)
--- /dev/null
+++ b/packages/daemon/src/thorncleat_daemon/order_giver.py
@@ -0,0 +1,97 @@
+"""Orders to the engines of a domain: who serves in which group, and what to load ahead.
+
+Owns: the time from which each group may be changed, since its members have followed an order
+of this epoch long enough.
+Relies on: a held lease, checked before each order; the epoch, by which engines refuse the
+orders of earlier keepers.
+"""
+
+import asyncio
+
+from thorncleat_core.daemon import repair
+from thorncleat_core.daemon.groups import Group
+
+from . import events
+from .domain_state import DomainState
+from .domain_state import KeeperServices
+from .exceptions import EndpointError
+from .ports import Order
+from .sightings import Sightings
+
+
+class OrderGiver:
+    """Gives the engines of one domain the orders that their reports lack."""
+
+    def __init__(self, state: DomainState, services: KeeperServices, seen: Sightings) -> None:
+        self._state = state
+        self._services = services
+        self._seen = seen
+        self._safe_at: dict[str, float] = {}
+
+    def safe_at(self, group_id: str, acquired_at: float) -> float:
+        """Return from when a group may be changed.
+
+        :param acquired_at: when the lease was acquired; it counts until an order is followed.
+        """
+        return self._safe_at.get(group_id, acquired_at + self._services.outlived)
+
+    async def give(self) -> None:
+        """Give all orders that are due.
+
+        :raises StoreUnavailableError: if there is no lease.
+        :raises LeaseError: if the lease may have lapsed.
+        """
+        state = self._state
+        orders = [
+            self._order(name, self._order_for(group, rank))
+            for group in state.assignments.groups.values()
+            for rank, name in enumerate(group.members)
+            if self._needs_order(name, group)
+        ]
+        generation = state.assignments.generation
+        orders += [
+            self._order(name, Order(state.epoch, "", generation, -1, "", ""))
+            for name, report in self._seen.reports.items()
+            if report.group and state.group_of(name) is None
+        ]
+        await asyncio.gather(*orders)
+
+    async def prepare(self, change: repair.Prepare) -> None:
+        """Let an instance load a part ahead, unless it does already."""
+        report = self._seen.reports.get(change.instance)
+        part = change.part
+        loading = report and (report.model, report.version, report.rank) == (
+            part.model,
+            part.version,
+            part.rank,
+        )
+        if not loading:
+            generation = self._state.assignments.generation
+            order = Order(self._state.epoch, "", generation, part.rank, part.model, part.version)
+            await self._order(change.instance, order)
+
+    def _order_for(self, group: Group, rank: int) -> Order:
+        epoch = self._state.epoch
+        return Order(epoch, group.id, group.generation, rank, group.model, group.version)
+
+    def _needs_order(self, name: str, group: Group) -> bool:
+        report = self._seen.reports.get(name)
+        if report is None:
+            return False
+        placed = (report.group, report.generation, report.epoch)
+        return placed != (group.id, group.generation, self._state.epoch)
+
+    async def _order(self, name: str, order: Order) -> None:
+        address = self._state.address(name)
+        if address is None:
+            return
+        self._state.checked_lease(self._services.clock())
+        try:
+            await self._services.engines.order(address, order)
+        except EndpointError as error:
+            events.ORDER_REFUSED.log(instance=name, reason=str(error))
+            return
+        if order.group:
+            # whoever kept the group before sees the new epoch from now on
+            safe_at = self._services.clock() + self._services.outlived
+            self._safe_at.setdefault(order.group, safe_at)
--- a/tests/world.py
+++ b/tests/world.py
@@ -22,7 +22,7 @@
 from thorncleat_core.daemon.leases import LeaseTerms
 from thorncleat_core.daemon.settings import Control
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_daemon.domains import Services
+from thorncleat_daemon.domain_state import KeeperServices
 from thorncleat_daemon.exceptions import EndpointError
 from thorncleat_daemon.exceptions import PeerError
 from thorncleat_daemon.exceptions import StaleOrderError
@@ -245,7 +245,7 @@
         self.store = FakeStore(world, name)
         self.peers = FakePeers(world, name)
         self.gossip = Gossip(name, self.peers, FakeList(world), 1.0, 1.0)
-        services = Services(
+        services = KeeperServices(
             name,
             self.store,
             Keyspace("test"),
