--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -35,6 +35,7 @@
 from .ports import SameLife
 from .ports import Store
 from .ports import Write
+from .shard_map import ShardMap
 
 HOUR = 3600
 MAX_BATCH = 500
@@ -91,7 +92,7 @@
         self._clock = clock.now
         self._store = store
         self._keys = keys
-        self._holder = holder
+        self._shards = holder.shards
         self._keep = keep
         self._owned: dict[int, _OwnedShard] = {}
         holder.on_change(self._acquired, self._lost)
@@ -185,7 +186,7 @@
         return not self._fenced or lease.held(self._clock())
 
     def _owner(self, workspace: str, key: str) -> _OwnedShard | None:
-        owned = self._owned.get(self._holder.shard_of(claim_name(workspace, key)))
+        owned = self._owned.get(self._shards.shard_of(claim_name(workspace, key)))
         if owned is None or not owned.restored or not self._holds(owned.lease):
             return None
         return owned
@@ -259,8 +260,8 @@
 class ClaimClient:
     """Asks the owner of a claim and tells it how the request ended."""
 
-    def __init__(self, holder: ShardHolder, peers: Peers) -> None:
-        self._holder = holder
+    def __init__(self, shards: ShardMap, peers: Peers) -> None:
+        self._shards = shards
         self._peers = peers
 
     async def ask(self, workspace: str, key: str, request: str, attempt: str) -> Reply:
@@ -299,8 +300,8 @@
             return
 
     async def _ask(self, kind: str, workspace: str, key: str, body: t.Any) -> t.Any:
-        shard = self._holder.shard_of(claim_name(workspace, key))
-        owner = self._holder.holder_of(shard)
+        shard = self._shards.shard_of(claim_name(workspace, key))
+        owner = self._shards.holder_of(shard)
         if owner is None:
             raise PeerError(f"shard {shard!r} has no holder")
         return await self._peers.ask(owner, kind, body, ASK_SECONDS)
--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -37,6 +37,7 @@
 from .plain import PlainServices
 from .platform import HttpInstanceList
 from .recent import RecentRequests
+from .shard_map import ShardMap
 from .store import EtcdStore
 from .streams import Streams
 from .upstream import Upstream
@@ -150,7 +151,8 @@
         self._config = ConfigKeeper(
             me, self._store, self._keys, self._gossip, self._peers, invariants
         )
-        self._holder = ShardHolder(self._services(), control.shards)
+        self._shards = ShardMap(me, self._gossip, control.shards)
+        self._holder = ShardHolder(self._services(), self._shards)
         self._claim_owner = ClaimOwner(
             self._store,
             self._keys,
@@ -186,7 +188,7 @@
         self._permits = PermitKeeper(
             settings.daemon.id,
             self._gossip,
-            self._holder,
+            self._shards,
             self._peers,
             settings.control.permit,
             limits.attach,
@@ -195,7 +197,7 @@
         self._dispatcher = Dispatcher(
             self._permits, self._configuration, limits.routing, limits.queue_tokens
         )
-        claims = ClaimClient(self._holder, self._peers)
+        claims = ClaimClient(self._shards, self._peers)
         attempts = Attempts(self._dispatcher, self._permits, self.metrics)
         streams = Streams(
             attempts, self._upstream, self.metrics, limits.stall, self.metrics.invariants
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -290,14 +290,14 @@
         return web.json_response({"kind": "request", **records[0]})
 
     def _explained(self, row: dict[str, t.Any]) -> dict[str, t.Any]:
-        shard = self._parts.holder.shard_of(row["domain"])
+        shard = self._parts.holder.shards.shard_of(row["domain"])
         keeper = self._parts.holder.keepers.get(row["domain"])
         return {
             **row,
             "members": [_member(member, keeper) for member in row["members"]],
             "shard": shard,
-            "holder": self._parts.holder.holder_of(shard),
-            "candidates": self._parts.holder.candidates(shard),
+            "holder": self._parts.holder.shards.holder_of(shard),
+            "candidates": self._parts.holder.shards.candidates(shard),
         }
 
     async def _on_explain(self, sender: str, body: t.Any) -> t.Any:
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -18,10 +18,10 @@
 from . import clock
 from .exceptions import PeerError
 from .gossip import Gossip
-from .holder import ShardHolder
 from .invariants import Invariant
 from .invariants import Invariants
 from .ports import Peers
+from .shard_map import ShardMap
 
 NUDGE_SECONDS = 0.05
 IDLE_SECONDS = 300.0
@@ -50,7 +50,7 @@
         self,
         me: str,
         gossip: Gossip,
-        holder: ShardHolder,
+        shards: ShardMap,
         peers: Peers,
         seconds: float,
         attach: int,
@@ -62,7 +62,7 @@
         self._clock = now
         self._invariants = invariants or Invariants()
         self._gossip = gossip
-        self._holder = holder
+        self._shards = shards
         self._peers = peers
         self._seconds = seconds
         self._attach = attach
@@ -104,7 +104,7 @@
 
     def _find_groups(self, intent: str, model: str) -> list[str]:
         known = {
-            record.key.removeprefix("group/"): self._holder.shard_of(str(record.body["domain"]))
+            record.key.removeprefix("group/"): self._shards.shard_of(str(record.body["domain"]))
             for record in self._gossip.directory.under(f"group/{intent}-")
             if record.body.get("model") == model and record.body.get("intent") == intent
         }
@@ -136,7 +136,7 @@
         for group in sorted(wanted | set(self._permits)):
             record = self._gossip.directory.get(f"group/{group}")
             if record:
-                by_shard[self._holder.shard_of(str(record.body["domain"]))].append(group)
+                by_shard[self._shards.shard_of(str(record.body["domain"]))].append(group)
         await asyncio.gather(*(self._ask(shard, names) for shard, names in by_shard.items()))
         self._drop_ended()
         self._check_disjoint()
@@ -154,8 +154,8 @@
 
     async def _ask(self, shard: int, groups: list[str]) -> None:
         """Ask the holder, and while it is silent those who would follow it."""
-        holder = self._holder.holder_of(shard)
-        others = [name for name in self._holder.candidates(shard) if name != holder]
+        holder = self._shards.holder_of(shard)
+        others = [name for name in self._shards.candidates(shard) if name != holder]
         left = groups
         for peer in [holder, *others] if holder else others:
             answered = await self._ask_one(peer, left)
--- a/tests/world.py
+++ b/tests/world.py
@@ -36,6 +36,7 @@
 from thorncleat_daemon.ports import Order
 from thorncleat_daemon.ports import SameLife
 from thorncleat_daemon.ports import Stored
+from thorncleat_daemon.shard_map import ShardMap
 from thorncleat_standins import kv
 
 from .makers import change
@@ -260,11 +261,12 @@
             1.0,
             self.clock,
         )
-        self.holder = ShardHolder(services, 1, spawns=False)
+        shards = ShardMap(name, self.gossip, 1)
+        self.holder = ShardHolder(services, shards, spawns=False)
         self.permits = PermitKeeper(
             name,
             self.gossip,
-            self.holder,
+            shards,
             self.peers,
             world.control.permit,
             8,
