--- a/packages/core/src/thorncleat_core/daemon/plans.py
+++ b/packages/core/src/thorncleat_core/daemon/plans.py
@@ -1,7 +1,9 @@
 """Plans: what a change would do, computed the same way by every daemon.
 
-A plan is not kept anywhere. Whoever confirms it sends it back whole; the daemon computes it
-again from the present configuration and fleet, and carries it out only if nothing differs.
+Owns: nothing. A plan is not kept anywhere: whoever confirms it sends it back whole; the daemon
+computes it again from the present configuration and fleet, and carries it out only if nothing
+differs.
+Relies on: the same state, fleet and change giving the same steps in the same order everywhere.
 """
 
 import collections
@@ -17,6 +19,7 @@
 from ..exceptions import PlacementError
 from . import placement
 from .configuration import Change
+from .configuration import Configuration
 from .configuration import Intent
 from .fleet import Fleet
 from .journal import Entry
@@ -30,10 +33,11 @@
 class Estimates:
     """What durations a plan reckons with, in seconds.
 
-    :param load: loading a model on a group.
+    :param load: loading a model on a group; the daemon gives its setting ``control.load``.
     :param drain: letting a group finish its work.
     """
 
+    # both chosen, not measured
     load: float = 120.0
     drain: float = 30.0
 
@@ -136,15 +140,39 @@
         placed = self._state.placements[group]
         self._add("stop", placed, self._times.drain, 0.0)
 
-    def reload(self, group: str) -> None:
+    def load_again(self, action: t.Literal["reload", "move"], group: str) -> None:
         placed = self._state.placements[group]
         seconds = self._times.drain + self._times.load
-        self._add("reload", placed, seconds, self._times.load)
-
-    def move(self, group: str) -> None:
-        placed = self._state.placements[group]
-        seconds = self._times.drain + self._times.load
-        self._add("move", placed, seconds, self._times.load)
+        self._add(action, placed, seconds, self._times.load)
+
+    def move_and_stop(self, after: Configuration) -> None:
+        """Move groups off instances that are drained now, and stop those without an intent."""
+        emptied = after.draining - self._state.configuration.draining
+        placements = sorted(self._state.placements.items())
+        for group, placed in placements:
+            if placed.intent in after.intents and emptied.intersection(placed.members):
+                self.load_again("move", group)
+        for group, placed in placements:
+            if placed.intent not in after.intents:
+                self.stop(group)
+
+    def fulfil(self, intent: Intent) -> PlacementError | None:
+        """Stop, reload and start groups until an intent has what it wants.
+
+        :return: why a group can't be placed, if one can't.
+        """
+        kept, surplus = _ordinals(intent, self._state)
+        for group in surplus:
+            self.stop(group)
+        old = self._state.configuration.intents.get(intent.name)
+        if old and (old.model, old.version) != (intent.model, intent.version):
+            for group in kept:
+                self.load_again("reload", group)
+        used = self.used(kept)
+        for group in _new_names(intent, kept, self._state):
+            if error := self.start(intent, group, used):
+                return error
+        return None
 
     def start(self, intent: Intent, group: str, used: t.Counter[str]) -> PlacementError | None:
         rooms = placement.free_rooms(self._fleet, self._taken)
@@ -219,29 +247,14 @@
     """
     after = state.configuration.changed(change)
     planner = _Planner(state, fleet, set(taken) | after.draining, times)
-    for group, placed in sorted(state.placements.items()):
-        emptied = after.draining - state.configuration.draining
-        if placed.intent in after.intents and emptied.intersection(placed.members):
-            planner.move(group)
-    for group, placed in sorted(state.placements.items()):
-        if placed.intent not in after.intents:
-            planner.stop(group)
+    planner.move_and_stop(after)
     # large groups first: they find no room once small ones have taken a part of each domain
     by_size = sorted(
         after.intents.values(), key=lambda intent: (-intent.instances_per_replica, intent.name)
     )
     for intent in by_size:
-        kept, surplus = _ordinals(intent, state)
-        for group in surplus:
-            planner.stop(group)
-        old = state.configuration.intents.get(intent.name)
-        if old and (old.model, old.version) != (intent.model, intent.version):
-            for group in kept:
-                planner.reload(group)
-        used = planner.used(kept)
-        for group in _new_names(intent, kept, state):
-            if error := planner.start(intent, group, used):
-                return Failure(error)
+        if error := planner.fulfil(intent):
+            return Failure(error)
     head = state.head
     digest = fleet_digest(fleet, set(taken), {step.domain for step in planner.steps})
     return Success(Plan(head.revision, head.digest, digest, change, tuple(planner.steps)))
--- /dev/null
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -0,0 +1,156 @@
+"""Operators' changes: a plan is shown first and carried out once it is confirmed.
+
+Owns: nothing; a plan comes back whole and is computed again from what is known now.
+Relies on: :mod:`thorncleat_core.daemon.plans` giving the same plan from the same state on every
+daemon; the journal (:mod:`.config`), which takes an entry once.
+"""
+
+import dataclasses
+import json
+import typing as t
+
+from aiohttp import web
+from returns.result import Failure
+
+from thorncleat_core import codec
+from thorncleat_core import jsonc
+from thorncleat_core.daemon import plans
+from thorncleat_core.daemon.configuration import Change
+from thorncleat_core.daemon.fleet import Fleet
+from thorncleat_core.daemon.journal import State
+from thorncleat_core.daemon.plans import Plan
+from thorncleat_core.exceptions import ConflictError
+from thorncleat_core.exceptions import DecodeError
+from thorncleat_core.exceptions import DocumentError
+
+from . import events
+from .config import ConfigKeeper
+from .exceptions import PlatformError
+from .exceptions import StoreOutcomeUnknownError
+from .exceptions import StoreUnavailableError
+from .gossip import Gossip
+from .operator_access import Who
+from .operator_access import problem
+from .ports import InstanceList
+
+
+class OperatorPlans:
+    """Makes plans for operators and carries out those that they confirm.
+
+    :param load_seconds: estimate for loading a model.
+    """
+
+    def __init__(
+        self,
+        config: ConfigKeeper,
+        gossip: Gossip,
+        instances: InstanceList,
+        load_seconds: float,
+    ) -> None:
+        self._config = config
+        self._gossip = gossip
+        self._instances = instances
+        self._load_seconds = load_seconds
+
+    async def plan(self, request: web.Request, who: Who) -> web.Response:
+        """Show what a change would do."""
+        try:
+            raw = await request.json()
+            document = jsonc.parse(str(raw["document"]), str(raw.get("name", "intent")))
+            change = jsonc.validate(document, Change)
+            # a plan from a revision that has just been overtaken could not be confirmed
+            await self._config.catch_up_if_possible()
+            plan = await self._fresh(change)
+        except DocumentError as error:
+            return problem(422, "the document is unusable", problems=_problems(error))
+        except (ValueError, KeyError, TypeError) as error:
+            return problem(400, f"a document is wanted: {error!r}")
+        if isinstance(plan, web.Response):
+            return plan
+        events.PLAN_MADE.log(operator=who.name, plan=plan.digest, revision=plan.base_revision)
+        return web.json_response(_plan_json(plan))
+
+    async def _fresh(self, change: Change) -> Plan | web.Response:
+        try:
+            fleet = Fleet.of(await self._instances.everything())
+        except PlatformError as error:
+            return problem(503, str(error), accepted="no")
+        state, taken = self._actual()
+        times = plans.Estimates(load=self._load_seconds)
+        made = plans.make(change, state, fleet, taken, times)
+        if isinstance(made, Failure):
+            return problem(422, str(made.failure()), problems=[])
+        return made.unwrap()
+
+    def _actual(self) -> tuple[State, set[str]]:
+        """Return the state with placements as they stand after repairs, and what is taken."""
+        state = self._config.current
+        placements = dict(state.placements)
+        for group, placed in state.placements.items():
+            record = self._gossip.directory.get(f"group/{group}")
+            if record and not record.body.get("gone"):
+                members = tuple(record.body["members"])
+                placements[group] = dataclasses.replace(placed, members=members)
+        taken = {member for placed in placements.values() for member in placed.members}
+        return dataclasses.replace(state, placements=placements), taken
+
+    async def confirm(self, request: web.Request, who: Who) -> web.Response:
+        """Carry a plan out, if it is still what would be planned now."""
+        try:
+            plan = codec.validated(Plan, (await request.json())["plan"])
+        except (ValueError, KeyError, TypeError, DecodeError) as error:
+            return problem(400, f"a plan is wanted: {error}")
+        done = self._accepted_before(plan)
+        if done is not None:
+            return web.json_response({"revision": done, "repeated": True})
+        return await self._accept(plan, who)
+
+    def _accepted_before(self, plan: Plan) -> int | None:
+        entry = self._config.journal.entry(plan.base_revision + 1)
+        return entry.revision if entry and entry.plan == plan.digest else None
+
+    async def _accept(self, plan: Plan, who: Who) -> web.Response:
+        try:
+            fresh = await self._fresh(plan.change)
+            if isinstance(fresh, web.Response):
+                return fresh
+            plans.verify(plan, fresh)
+            revision = await self._config.accept(plan.entry(who.name))
+        except ConflictError as error:
+            return await self._conflict(plan, who, error)
+        except DocumentError as error:
+            return problem(422, "the change contradicts itself", problems=_problems(error))
+        except StoreUnavailableError as error:
+            return problem(503, f"not accepted: {error}", accepted="no")
+        except StoreOutcomeUnknownError as error:
+            text = f"{error}; confirm the same plan again to find out"
+            return problem(504, text, accepted="unknown")
+        events.PLAN_CONFIRMED.log(operator=who.name, plan=plan.digest, revision=revision)
+        return web.json_response({"revision": revision, "repeated": False})
+
+    async def _conflict(self, plan: Plan, who: Who, error: ConflictError) -> web.Response:
+        done = self._accepted_before(plan)
+        if done is not None:
+            # this very plan was accepted meanwhile, at another daemon
+            return web.json_response({"revision": done, "repeated": True})
+        events.PLAN_REFUSED.log(operator=who.name, plan=plan.digest, reason=str(error))
+        try:
+            fresh = await self._fresh(plan.change)
+        except DocumentError as unusable:
+            return problem(422, "the change contradicts itself", problems=_problems(unusable))
+        if isinstance(fresh, web.Response):
+            return problem(409, str(error))
+        return problem(409, str(error), fresh=_plan_json(fresh))
+
+
+def _problems(error: DocumentError) -> list[dict[str, t.Any]]:
+    return [dataclasses.asdict(problem) for problem in error.problems]
+
+
+def _plan_json(plan: Plan) -> dict[str, t.Any]:
+    return {
+        "digest": plan.digest,
+        "downtime_seconds": plan.downtime_seconds,
+        "idle_accelerator_seconds": plan.idle_accelerator_seconds,
+        "plan": json.loads(json.dumps(plan, default=codec.plain)),
+    }
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -1,4 +1,8 @@
-"""The operators' side: plans, confirmation, and what the system is doing."""
+"""The operators' side: what the system is doing, over all daemons.
+
+Owns: nothing; it reads the daemon's parts and asks the other daemons.
+Relies on: :mod:`.operator_access` for who may ask; :mod:`.operator_plans` for changes.
+"""
 
 import asyncio
 import collections
@@ -8,51 +12,34 @@
 import typing as t
 
 from aiohttp import web
-from returns.result import Failure
 
-from thorncleat_core import codec
 from thorncleat_core import jsonc
-from thorncleat_core.daemon import keys
-from thorncleat_core.daemon import plans
 from thorncleat_core.daemon.burn import BurnCounts
 from thorncleat_core.daemon.burn import Subject
-from thorncleat_core.daemon.configuration import Change
-from thorncleat_core.daemon.fleet import Fleet
-from thorncleat_core.daemon.journal import State
-from thorncleat_core.daemon.plans import Plan
 from thorncleat_core.daemon.settings import BootstrapOperator
-from thorncleat_core.exceptions import ConflictError
-from thorncleat_core.exceptions import DecodeError
-from thorncleat_core.exceptions import DocumentError
 
-from . import events
 from .config import ConfigKeeper
 from .dispatch import Dispatcher
 from .domains import DomainKeeper
 from .exceptions import PeerError
-from .exceptions import PlatformError
-from .exceptions import StoreOutcomeUnknownError
-from .exceptions import StoreUnavailableError
 from .gossip import Gossip
 from .holder import ShardHolder
 from .metrics import Metrics
+from .operator_access import OperatorAccess
+from .operator_access import Who
+from .operator_access import problem
+from .operator_plans import OperatorPlans
 from .peers import ZmqPeers
 from .ports import InstanceList
 from .recent import RecentRequests
 
 PREFIX = "/operators/v1"
+# daemons asked at the same time; chosen, not measured
 GATHER_AT_ONCE = 32
+# for each daemon's answer; chosen, not measured
 GATHER_SECONDS = 2.0
 
 
-@dataclasses.dataclass(frozen=True)
-class Who:
-    """An operator who was recognised."""
-
-    name: str
-    rights: str
-
-
 @dataclasses.dataclass
 class Parts:
     """The daemon's parts that operators look at."""
@@ -70,11 +57,6 @@
     load_seconds: float
 
 
-def _error(status: int, detail: str, **more: t.Any) -> web.Response:
-    body = {"status": status, "detail": detail, **more}
-    return web.json_response(body, status=status, content_type="application/problem+json")
-
-
 class Operators:
     """Takes the operators' requests.
 
@@ -83,147 +65,26 @@
 
     def __init__(self, parts: Parts, bootstrap: t.Sequence[BootstrapOperator]) -> None:
         self._parts = parts
-        self._bootstrap = bootstrap
+        self._access = OperatorAccess(lambda: parts.config.current.configuration, bootstrap)
+        self._plans = OperatorPlans(parts.config, parts.gossip, parts.instances, parts.load_seconds)
         parts.peers.handle("burn", self._on_burn)
         parts.peers.handle("explain", self._on_explain)
 
     def application(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application(client_max_size=2 * jsonc.MAX_DOCUMENT_BYTES)
-        app.router.add_post(f"{PREFIX}/plans", self._plan)
-        app.router.add_post(f"{PREFIX}/confirm", self._confirm)
-        app.router.add_get(f"{PREFIX}/status", self._status)
-        app.router.add_get(f"{PREFIX}/groups", self._groups)
-        app.router.add_get(f"{PREFIX}/explain/{{name}}", self._explain)
-        app.router.add_get(f"{PREFIX}/burn", self._burn)
+        may = self._access.guarded
+        app.router.add_post(f"{PREFIX}/plans", may("change", self._plans.plan))
+        app.router.add_post(f"{PREFIX}/confirm", may("change", self._plans.confirm))
+        app.router.add_get(f"{PREFIX}/status", may("read", self._status))
+        app.router.add_get(f"{PREFIX}/groups", may("read", self._groups))
+        app.router.add_get(f"{PREFIX}/explain/{{name}}", may("read", self._explain))
+        app.router.add_get(f"{PREFIX}/burn", may("read", self._burn))
         return app
 
-    # who may do what
-
-    def _who(self, request: web.Request) -> Who | None:
-        key = keys.bearer(request.headers.get("Authorization"))
-        if key is None:
-            return None
-        wanted = keys.digest(key)
-        for operator in self._parts.config.current.configuration.operators.values():
-            if keys.same(operator.key_digest, wanted):
-                return Who(operator.name, operator.rights)
-        for bootstrap in self._bootstrap:
-            if keys.same(bootstrap.key_digest, wanted):
-                return Who(bootstrap.name, "change")
-        return None
-
-    def _allowed(self, request: web.Request, right: str) -> Who | web.Response:
-        who = self._who(request)
-        if who is None:
-            return _error(401, "an operator's key is wanted as a bearer")
-        if right == "change" and who.rights != "change":
-            events.OPERATOR_DENIED.log(operator=who.name, path=request.path)
-            return _error(403, f"operator {who.name!r} may read only")
-        return who
-
-    # plans
-
-    async def _plan(self, request: web.Request) -> web.Response:
-        who = self._allowed(request, "change")
-        if isinstance(who, web.Response):
-            return who
-        try:
-            raw = await request.json()
-            document = jsonc.parse(str(raw["document"]), str(raw.get("name", "intent")))
-            change = jsonc.validate(document, Change)
-            # a plan from a revision that has just been overtaken could not be confirmed
-            await self._parts.config.catch_up_if_possible()
-            plan = await self._fresh(change)
-        except DocumentError as error:
-            return _error(422, "the document is unusable", problems=_problems(error))
-        except (ValueError, KeyError, TypeError) as error:
-            return _error(400, f"a document is wanted: {error!r}")
-        if isinstance(plan, web.Response):
-            return plan
-        events.PLAN_MADE.log(operator=who.name, plan=plan.digest, revision=plan.base_revision)
-        return web.json_response(_plan_json(plan))
-
-    async def _fresh(self, change: Change) -> Plan | web.Response:
-        try:
-            fleet = Fleet.of(await self._parts.instances.everything())
-        except PlatformError as error:
-            return _error(503, str(error), accepted="no")
-        state, taken = self._actual()
-        times = plans.Estimates(load=self._parts.load_seconds)
-        made = plans.make(change, state, fleet, taken, times)
-        if isinstance(made, Failure):
-            return _error(422, str(made.failure()), problems=[])
-        return made.unwrap()
-
-    def _actual(self) -> tuple[State, set[str]]:
-        """Return the state with placements as they stand after repairs, and what is taken."""
-        state = self._parts.config.current
-        placements = dict(state.placements)
-        for group, placed in state.placements.items():
-            record = self._parts.gossip.directory.get(f"group/{group}")
-            if record and not record.body.get("gone"):
-                members = tuple(record.body["members"])
-                placements[group] = dataclasses.replace(placed, members=members)
-        taken = {member for placed in placements.values() for member in placed.members}
-        return dataclasses.replace(state, placements=placements), taken
-
-    async def _confirm(self, request: web.Request) -> web.Response:
-        who = self._allowed(request, "change")
-        if isinstance(who, web.Response):
-            return who
-        try:
-            plan = codec.validated(Plan, (await request.json())["plan"])
-        except (ValueError, KeyError, TypeError, DecodeError) as error:
-            return _error(400, f"a plan is wanted: {error}")
-        done = self._accepted_before(plan)
-        if done is not None:
-            return web.json_response({"revision": done, "repeated": True})
-        return await self._accept(plan, who)
-
-    def _accepted_before(self, plan: Plan) -> int | None:
-        entry = self._parts.config.journal.entry(plan.base_revision + 1)
-        return entry.revision if entry and entry.plan == plan.digest else None
-
-    async def _accept(self, plan: Plan, who: Who) -> web.Response:
-        try:
-            fresh = await self._fresh(plan.change)
-            if isinstance(fresh, web.Response):
-                return fresh
-            plans.verify(plan, fresh)
-            revision = await self._parts.config.accept(plan.entry(who.name))
-        except ConflictError as error:
-            return await self._conflict(plan, who, error)
-        except DocumentError as error:
-            return _error(422, "the change contradicts itself", problems=_problems(error))
-        except StoreUnavailableError as error:
-            return _error(503, f"not accepted: {error}", accepted="no")
-        except StoreOutcomeUnknownError as error:
-            text = f"{error}; confirm the same plan again to find out"
-            return _error(504, text, accepted="unknown")
-        events.PLAN_CONFIRMED.log(operator=who.name, plan=plan.digest, revision=revision)
-        return web.json_response({"revision": revision, "repeated": False})
-
-    async def _conflict(self, plan: Plan, who: Who, error: ConflictError) -> web.Response:
-        done = self._accepted_before(plan)
-        if done is not None:
-            # this very plan was accepted meanwhile, at another daemon
-            return web.json_response({"revision": done, "repeated": True})
-        events.PLAN_REFUSED.log(operator=who.name, plan=plan.digest, reason=str(error))
-        try:
-            fresh = await self._fresh(plan.change)
-        except DocumentError as problem:
-            return _error(422, "the change contradicts itself", problems=_problems(problem))
-        if isinstance(fresh, web.Response):
-            return _error(409, str(error))
-        return _error(409, str(error), fresh=_plan_json(fresh))
-
     # looking
 
-    async def _status(self, request: web.Request) -> web.Response:
-        who = self._allowed(request, "read")
-        if isinstance(who, web.Response):
-            return who
+    async def _status(self, request: web.Request, who: Who) -> web.Response:
         parts = self._parts
         configuration = parts.config.current.configuration
         body = {
@@ -269,16 +130,10 @@
             )
         return rows
 
-    async def _groups(self, request: web.Request) -> web.Response:
-        who = self._allowed(request, "read")
-        if isinstance(who, web.Response):
-            return who
+    async def _groups(self, request: web.Request, who: Who) -> web.Response:
         return web.json_response({"groups": self._group_rows()})
 
-    async def _explain(self, request: web.Request) -> web.Response:
-        who = self._allowed(request, "read")
-        if isinstance(who, web.Response):
-            return who
+    async def _explain(self, request: web.Request, who: Who) -> web.Response:
         name = request.match_info["name"]
         for row in self._group_rows():
             if row["group"] == name:
@@ -286,7 +141,7 @@
         found = await self._gather("explain", name)
         records = [record for record in found.values() if record]
         if not records:
-            return _error(404, f"no group and no recent request {name!r}")
+            return problem(404, f"no group and no recent request {name!r}")
         return web.json_response({"kind": "request", **records[0]})
 
     def _explained(self, row: dict[str, t.Any]) -> dict[str, t.Any]:
@@ -319,10 +174,7 @@
             "stranded_seconds": sum(keeper.downtime.stranded_seconds for keeper in keepers),
         }
 
-    async def _burn(self, request: web.Request) -> web.Response:
-        who = self._allowed(request, "read")
-        if isinstance(who, web.Response):
-            return who
+    async def _burn(self, request: web.Request, who: Who) -> web.Response:
         gathered = await self._gather("burn", None)
         merged = BurnCounts()
         down: collections.Counter[str] = collections.Counter()
@@ -378,16 +230,3 @@
         return {**found, "reports": "nothing"}
     follows = f"{report.group or 'no group'} at {report.generation}"
     return {**found, "reports": follows if report.ready else f"{follows}, loading"}
-
-
-def _problems(error: DocumentError) -> list[dict[str, t.Any]]:
-    return [dataclasses.asdict(problem) for problem in error.problems]
-
-
-def _plan_json(plan: Plan) -> dict[str, t.Any]:
-    return {
-        "digest": plan.digest,
-        "downtime_seconds": plan.downtime_seconds,
-        "idle_accelerator_seconds": plan.idle_accelerator_seconds,
-        "plan": json.loads(json.dumps(plan, default=codec.plain)),
-    }
