--- /dev/null
+++ b/packages/core/src/thorncleat_core/metrics_registry.py
@@ -0,0 +1,39 @@
+"""What a program counts and measures, in the Prometheus text format; shared by both programs.
+
+Owns: the registry and the distributions of durations.
+Relies on: each program naming its own metrics in a class that builds on this one.
+"""
+
+import typing as t
+
+from prometheus_client import CollectorRegistry
+from prometheus_client import Counter
+from prometheus_client import Gauge
+from prometheus_client import generate_latest
+
+from .distributions import Distributions
+
+PREFIX = "thorncleat"
+
+
+class MetricsRegistry:
+    """A registry with distributions, to which a program adds its counters and gauges."""
+
+    def __init__(self) -> None:
+        self._registry = CollectorRegistry()
+        self._distributions = Distributions()
+        self._registry.register(t.cast(t.Any, self._distributions))
+
+    def gauge(self, name: str, help_text: str, value: t.Callable[[], float]) -> None:
+        """Show a value that is read when it is asked for."""
+        self._gauge(name, help_text).set_function(value)
+
+    def text(self) -> bytes:
+        """Return everything in the Prometheus text format."""
+        return generate_latest(self._registry)
+
+    def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
+        return Counter(f"{PREFIX}_{name}", help_text, labels, registry=self._registry)
+
+    def _gauge(self, name: str, help_text: str, *labels: str) -> Gauge:
+        return Gauge(f"{PREFIX}_{name}", help_text, labels, registry=self._registry)
--- a/packages/daemon/src/thorncleat_daemon/metrics.py
+++ b/packages/daemon/src/thorncleat_daemon/metrics.py
@@ -1,46 +1,35 @@
-"""Counts and distributions that the daemon shows at ``/metrics``."""
+"""Counts and distributions that the daemon shows at ``/metrics``.
+
+Owns: the daemon's counters, the counts behind the report on burn, and the broken invariants.
+Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text form.
+"""
 
 import functools
 import time
-import typing as t
-
-from prometheus_client import CollectorRegistry
-from prometheus_client import Counter
-from prometheus_client import Gauge
-from prometheus_client import generate_latest
 
 from thorncleat_core.daemon.burn import BurnCounts
 from thorncleat_core.daemon.burn import Subject
 from thorncleat_core.distributions import Distribution
-from thorncleat_core.distributions import Distributions
+from thorncleat_core.metrics_registry import MetricsRegistry
 
 from .invariants import Invariant
 from .invariants import Invariants
 
 
-class Metrics:
+class Metrics(MetricsRegistry):
     """All that one daemon counts."""
 
     def __init__(self) -> None:
-        self.registry = CollectorRegistry()
+        super().__init__()
         self.invariants = Invariants()
         self.burn = BurnCounts()
-        self._distributions = Distributions()
-        self.registry.register(t.cast(t.Any, self._distributions))
         self.requests = self._counter("requests", "Requests by outcome", "workspace", "outcome")
         self.tokens = self._counter("tokens", "Events of answers passed on", "workspace", "target")
         self.dropped = self._counter("dropped_pieces", "Pieces that were not their own", "reason")
         self.retries = self._counter("retries", "Requests sent again", "reason")
-        self.in_flight = Gauge(
-            "thorncleat_in_flight", "Requests being answered", registry=self.registry
-        )
+        self.in_flight = self._gauge("in_flight", "Requests being answered")
         # all are shown as 0 from the start: an alert needs the series to be there
-        broken = Gauge(
-            "thorncleat_broken_invariants",
-            "What must hold and did not",
-            ["name"],
-            registry=self.registry,
-        )
+        broken = self._gauge("broken_invariants", "What must hold and did not", "name")
         for which in Invariant:
             broken.labels(str(which)).set_function(
                 functools.partial(self.invariants.broken.__getitem__, which)
@@ -50,10 +39,6 @@
         """Return the distribution of a kind of duration for a model or service."""
         return self._distributions.of(what, target)
 
-    def gauge(self, name: str, help_text: str, value: t.Callable[[], float]) -> None:
-        """Show a value that is read when it is asked for."""
-        Gauge(f"thorncleat_{name}", help_text, registry=self.registry).set_function(value)
-
     def ended(self, workspace: str, target: str, cause: str) -> None:
         """Count how a request ended.
 
@@ -61,10 +46,3 @@
         """
         self.requests.labels(workspace, cause).inc()
         self.burn.note(Subject(workspace, target), cause, time.time())
-
-    def text(self) -> bytes:
-        """Return everything in the Prometheus text format."""
-        return generate_latest(self.registry)
-
-    def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
-        return Counter(f"thorncleat_{name}", help_text, labels, registry=self.registry)
--- a/packages/daemon/src/thorncleat_daemon/upstream.py
+++ b/packages/daemon/src/thorncleat_daemon/upstream.py
@@ -1,12 +1,19 @@
-"""Calls to endpoints for callers, with what is known of their fate when they fail."""
+"""Calls to endpoints for callers, with what is known of their fate when they fail.
+
+Owns: the sessions towards endpoints.
+Relies on: the client library raising a connector error only while nothing was sent.
+"""
 
 import contextlib
 import typing as t
 
 import aiohttp
 
+from thorncleat_core.single_send import never_again
+
 from .exceptions import RequestError
 
+# until a connection to an endpoint stands; chosen, not measured
 CONNECT_SECONDS = 1.0
 HOP_BY_HOP = frozenset(
     {
@@ -26,31 +33,11 @@
 )
 
 
-class _LostError(aiohttp.ClientError):
-    """A connection was lost after something may have been sent."""
-
-
-async def _never_again(
-    request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
-) -> aiohttp.ClientResponse:
-    """Keep the client library from sending a request twice.
-
-    It repeats some methods by itself, PUT and DELETE among them, when a connection is lost,
-    on a new connection too. It knows those errors by their class, so they get another.
-    """
-    try:
-        return await handler(request)
-    except aiohttp.ClientConnectorError:
-        raise
-    except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise _LostError(repr(error)) from error
-
-
 def single_session() -> aiohttp.ClientSession:
     """Return a session for calls that may run once: each has a connection of its own."""
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     return aiohttp.ClientSession(
-        connector=connector, auto_decompress=False, middlewares=(_never_again,)
+        connector=connector, auto_decompress=False, middlewares=(never_again,)
     )
 
 
