--- a/packages/client/src/thorncleat_client/api.py
+++ b/packages/client/src/thorncleat_client/api.py
@@ -1,4 +1,8 @@
-"""Calls to the operators' side of a daemon."""
+"""Calls to the operators' side of a daemon.
+
+Owns: nothing.
+Relies on: the daemon's operators' side answering in JSON; each status has an error of its own.
+"""
 
 import asyncio
 import typing as t
@@ -14,6 +18,7 @@
 from .exceptions import UnusableDocumentError
 
 PREFIX = "/operators/v1"
+# for a whole call; chosen, not measured
 TIMEOUT_SECONDS = 20.0
 Json = dict[str, t.Any]
 
--- a/packages/client/src/thorncleat_client/exceptions.py
+++ b/packages/client/src/thorncleat_client/exceptions.py
@@ -1,4 +1,8 @@
-"""Errors of the client, each with the exit code of the program."""
+"""Errors of the client, each with the exit code of the program.
+
+Owns: nothing.
+Relies on: the exit codes being those that docs/OPERATORS.md lists.
+"""
 
 import typing as t
 
--- a/packages/client/src/thorncleat_client/logs.py
+++ b/packages/client/src/thorncleat_client/logs.py
@@ -1,4 +1,8 @@
-"""The story of a request or of a group, read out of the daemons' log lines."""
+"""The story of a request or of a group, read out of the daemons' log lines.
+
+Owns: nothing.
+Relies on: the names of log events' fields, which docs/LOGS.md lists.
+"""
 
 import json
 import pathlib
--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -1,4 +1,8 @@
-"""The program ``thorncleat``."""
+"""The program ``thorncleat``.
+
+Owns: nothing.
+Relies on: a daemon's operators' side for all but keys, checks and stories, which need none.
+"""
 
 import json
 import os
@@ -28,6 +32,7 @@
 
 URL_VARIABLE = "THORNCLEAT_URL"
 KEY_VARIABLE = "THORNCLEAT_KEY"
+# of randomness in a new key; chosen, not measured
 KEY_BYTES = 24
 Json = dict[str, t.Any]
 
--- a/packages/client/src/thorncleat_client/page.py
+++ b/packages/client/src/thorncleat_client/page.py
@@ -1,11 +1,18 @@
-"""The report on service-level burn as one self-contained page."""
+"""The report on service-level burn as one self-contained page.
+
+Owns: nothing.
+Relies on: the rows that the operators' side gives for ``/burn``.
+"""
 
 import html
 import typing as t
 
 Json = dict[str, t.Any]
+# pixels; chosen, not measured
 BAR_WIDTH = 300
+# pixels; chosen, not measured
 BAR_HEIGHT = 14
+# burn rate that fills a bar: that of the alert ``page`` (core's burn.ALERTS)
 FULL_BURN = 14.4
 _STYLE = """
 body { font: 14px sans-serif; margin: 2em; color: #222 }
--- a/packages/client/src/thorncleat_client/tables.py
+++ b/packages/client/src/thorncleat_client/tables.py
@@ -1,4 +1,8 @@
-"""Tables for people."""
+"""Tables for people.
+
+Owns: nothing.
+Relies on: the answers of the operators' side; nothing is fetched here.
+"""
 
 import typing as t
 
@@ -6,6 +10,7 @@
 from rich.table import Table
 
 Json = dict[str, t.Any]
+# characters; chosen, not measured
 WIDTH = 120
 
 
--- a/packages/core/src/thorncleat_core/daemon/budget.py
+++ b/packages/core/src/thorncleat_core/daemon/budget.py
@@ -1,4 +1,8 @@
-"""The store's budget: one limiter in each daemon, sharing the fleet's rates."""
+"""The store's budget: one limiter in each daemon, sharing the fleet's rates.
+
+Owns: how many calls this daemon may make now.
+Relies on: the number of daemons, which views of the membership give about alike.
+"""
 
 import collections
 import dataclasses
@@ -15,7 +19,7 @@
     READ = "read"
 
 
-# part of a bucket that must stay in it for calls of greater importance
+# part of a bucket that must stay in it for calls of greater importance; chosen, not measured
 RESERVES = {
     Purpose.LEASE: 0.0,
     Purpose.CLAIM: 0.2,
@@ -57,6 +61,7 @@
     :param rates: of the whole fleet.
     """
 
+    # calls, part of the fleet's rates, and seconds; all chosen, not measured
     MIN_DEPTH = 8.0
     USED_PART = 0.8
     DEPTH_SECONDS = 10.0
--- a/packages/core/src/thorncleat_core/daemon/burn.py
+++ b/packages/core/src/thorncleat_core/daemon/burn.py
@@ -1,11 +1,17 @@
-"""Service-level burn: how fast each workspace's error budget is used up, and by what."""
+"""Service-level burn: how fast each workspace's error budget is used up, and by what.
+
+Owns: counts of good and bad requests of the last six hours.
+Relies on: clocks of the daemons that agree to about a minute.
+"""
 
 import collections
 import dataclasses
 import typing as t
 
+# length of a bucket; chosen, not measured
 BUCKET_SECONDS = 60
-# windows of the multi-window rule: a fast one and a slow one must both burn
+# windows of the multi-window rule: a fast one and a slow one must both burn, at the rate that
+# stands last; docs/OPERATORS.md names both alerts; chosen, not measured
 WINDOWS = {"5m": 300, "1h": 3600, "6h": 21_600}
 ALERTS = (("page", "5m", "1h", 14.4), ("ticket", "1h", "6h", 6.0))
 GOOD = "good"
--- a/packages/core/src/thorncleat_core/daemon/claims.py
+++ b/packages/core/src/thorncleat_core/daemon/claims.py
@@ -3,6 +3,9 @@
 The owner of a claim shard gives each key to one daemon once, and only after the claim is
 durable in the store. It never gives a key a second time unless the first daemon says that
 nothing was sent.
+
+Owns: the claims of the shards held.
+Relies on: the owner's lease, which :mod:`thorncleat_daemon.claims` checks around each write.
 """
 
 import dataclasses
--- a/packages/core/src/thorncleat_core/daemon/configuration.py
+++ b/packages/core/src/thorncleat_core/daemon/configuration.py
@@ -1,4 +1,8 @@
-"""The operators' configuration: what should hold, as documents and as data."""
+"""The operators' configuration: what should hold, as documents and as data.
+
+Owns: nothing.
+Relies on: documents being validated whole before any of it is used.
+"""
 
 import dataclasses
 import functools
@@ -10,7 +14,9 @@
 from ..exceptions import Problem
 from . import keys
 
+# instances in a replica; bound of the house brief: 4 to 32 in one fabric domain
 MIN_GROUP_SIZE = 4
+# the same bound
 MAX_GROUP_SIZE = 32
 Name = t.Annotated[str, pydantic.Field(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
 
--- a/packages/core/src/thorncleat_core/daemon/directory.py
+++ b/packages/core/src/thorncleat_core/daemon/directory.py
@@ -3,6 +3,9 @@
 Records are flooded over the overlay and compared with a neighbour now and then. The
 directory decides nothing: a lease decides who holds a shard, a permit whether a group may
 be used, the journal what is configured. A stale record costs a failed call at most.
+
+Owns: this daemon's copy of the records.
+Relies on: versions that only ever rise, each given by the one daemon that may.
 """
 
 import dataclasses
--- a/packages/core/src/thorncleat_core/daemon/fleet.py
+++ b/packages/core/src/thorncleat_core/daemon/fleet.py
@@ -1,4 +1,8 @@
-"""Instances and where they stand, as the platform lists them."""
+"""Instances and where they stand, as the platform lists them.
+
+Owns: nothing.
+Relies on: the platform's list, which lags behind.
+"""
 
 import dataclasses
 import enum
--- a/packages/core/src/thorncleat_core/daemon/groups.py
+++ b/packages/core/src/thorncleat_core/daemon/groups.py
@@ -1,4 +1,9 @@
-"""Serving groups of one fabric domain: who is in which, and whether a group may answer."""
+"""Serving groups of one fabric domain: who is in which, and whether a group may answer.
+
+Owns: when each member of a group last confirmed that it serves in it.
+Relies on: assignments being changed by one holder at a time; engines that report the truth of
+themselves.
+"""
 
 import dataclasses
 import typing as t
--- a/packages/core/src/thorncleat_core/daemon/journal.py
+++ b/packages/core/src/thorncleat_core/daemon/journal.py
@@ -2,6 +2,9 @@
 
 A daemon only ever moves forward along the chain, so neither a late watch event nor a stale
 peer can make it revert.
+
+Owns: this daemon's newest state and the latest entries.
+Relies on: the store accepting one entry for each revision.
 """
 
 import dataclasses
--- a/packages/core/src/thorncleat_core/daemon/keys.py
+++ b/packages/core/src/thorncleat_core/daemon/keys.py
@@ -1,4 +1,8 @@
-"""Keys of callers and operators. Only digests are ever kept."""
+"""Keys of callers and operators. Only digests are ever kept.
+
+Owns: nothing.
+Relies on: keys being long and random, so that a plain digest keeps them.
+"""
 
 import hashlib
 import hmac
--- a/packages/core/src/thorncleat_core/daemon/leases.py
+++ b/packages/core/src/thorncleat_core/daemon/leases.py
@@ -1,15 +1,18 @@
 """Leases on shards of the control work, held through the platform's store.
 
 Times are readings of the holder's own monotonic clock, in seconds. Nothing compares the
-clocks of two machines: a lease counts from before the call that got it, and a wait counts
+clocks of two instances: a lease counts from before the call that got it, and a wait counts
 from after the call that began it, so both err on the safe side.
+
+Owns: nothing; the holder keeps its leases.
+Relies on: clocks that run alike to :data:`MAX_DRIFT`, whatever they show.
 """
 
 import dataclasses
 
 from ..exceptions import LeaseError
 
-# how much faster one machine's clock may run than another's
+# how much faster one instance's clock may run than another's; chosen, not measured
 MAX_DRIFT = 0.01
 
 
--- a/packages/core/src/thorncleat_core/daemon/members.py
+++ b/packages/core/src/thorncleat_core/daemon/members.py
@@ -3,6 +3,9 @@
 A daemon probes only its neighbours on the overlay. A suspicion is a directory record with
 the suspect's own incarnation; only the suspect can raise that and so refute it. A false
 suspicion moves some preferences for a moment and nothing else.
+
+Owns: which daemons are listed, and who of the neighbours has missed probes.
+Relies on: the directory, which carries suspicions and their refutation.
 """
 
 import typing as t
--- a/packages/core/src/thorncleat_core/daemon/overlay.py
+++ b/packages/core/src/thorncleat_core/daemon/overlay.py
@@ -3,6 +3,9 @@
 Members stand on a ring by the hash of their ids, and each is joined to those 1, 2, 4, ...
 places on. A flood reaches all of 980 members in ten hops at most while every daemon keeps
 about twenty connections, where a mesh would need 979.
+
+Owns: nothing.
+Relies on: all daemons having about the same list.
 """
 
 import typing as t
--- a/packages/core/src/thorncleat_core/daemon/permits.py
+++ b/packages/core/src/thorncleat_core/daemon/permits.py
@@ -3,6 +3,10 @@
 A permit counts from the moment the daemon asked, on the daemon's own clock, and never
 outlasts the confirmations that it rests on. Nothing has to be delivered to end one. It
 carries the daemon's credits: how much work of each workspace it may have in the group.
+
+Owns: who has asked for which group, and until when.
+Relies on: clocks that run alike to :data:`~thorncleat_core.daemon.leases.MAX_DRIFT`;
+confirmations of all members (:mod:`.groups`).
 """
 
 import dataclasses
--- a/packages/core/src/thorncleat_core/daemon/placement.py
+++ b/packages/core/src/thorncleat_core/daemon/placement.py
@@ -1,4 +1,9 @@
-"""Choosing instances for new groups: which fabric domain, and which instances in it."""
+"""Choosing instances for new groups: which fabric domain, and which instances in it.
+
+Owns: nothing.
+Relies on: the platform's list for what is free; a choice is checked again when a plan is
+confirmed.
+"""
 
 import collections
 import dataclasses
--- a/packages/core/src/thorncleat_core/daemon/queues.py
+++ b/packages/core/src/thorncleat_core/daemon/queues.py
@@ -1,7 +1,10 @@
-"""The queue of one daemon before one model: fair between workspaces, short, and honest.
+"""The queue of one daemon before one model: short, and fair between workspaces.
 
 Between workspaces deficit round robin by tokens; inside a workspace by priority, then by
 deadline, then by arrival.
+
+Owns: the requests that wait, and how fast they have left lately.
+Relies on: costs in tokens that are estimated before the request runs.
 """
 
 import collections
@@ -12,9 +15,11 @@
 
 Item = t.TypeVar("Item")
 
+# shortest seconds after which to come back; chosen, not measured
 MIN_RETRY_AFTER = 0.5
+# longest; chosen, not measured
 MAX_RETRY_AFTER = 30.0
-# weight of the newest second in the measured drain rate
+# weight of the newest second in the measured drain rate; chosen, not measured
 RATE_GAIN = 0.3
 
 
--- a/packages/core/src/thorncleat_core/daemon/registry.py
+++ b/packages/core/src/thorncleat_core/daemon/registry.py
@@ -1,4 +1,8 @@
-"""Registries that decorators fill, for behaviour that varies by name."""
+"""Registries that decorators fill, for behaviour that varies by name.
+
+Owns: the entries of each name.
+Relies on: modules being imported before their names are looked up.
+"""
 
 import typing as t
 
--- a/packages/core/src/thorncleat_core/daemon/repair.py
+++ b/packages/core/src/thorncleat_core/daemon/repair.py
@@ -3,6 +3,9 @@
 Pure decisions: the present assignments, what is wanted and what is seen give a list of
 changes. Carrying one out is the holder's work, which first makes sure that the group is
 closed or empty of work.
+
+Owns: nothing.
+Relies on: whoever carries a change out to wait until the group is closed or empty.
 """
 
 import collections
--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -1,4 +1,8 @@
-"""When a request may be sent again, and which endpoints are left out for a while."""
+"""When a request may be sent again, and which endpoints are left out for a while.
+
+Owns: the retries left, and each endpoint's failures in a row.
+Relies on: callers that note each success and failure.
+"""
 
 import dataclasses
 import typing as t
@@ -48,6 +52,7 @@
     :param most: part of the endpoints that may be out at once.
     """
 
+    # of the time out, so 32 times the first; chosen, not measured
     MAX_DOUBLINGS = 5
 
     def __init__(self, threshold: int = 3, seconds: float = 1.0, most: float = 0.5) -> None:
--- a/packages/core/src/thorncleat_core/daemon/routing.py
+++ b/packages/core/src/thorncleat_core/daemon/routing.py
@@ -1,4 +1,8 @@
-"""Choosing the group for a request among those that this daemon may use."""
+"""Choosing the group for a request among those that this daemon may use.
+
+Owns: nothing.
+Relies on: candidates that the daemon has a usable permit for.
+"""
 
 import dataclasses
 import typing as t
@@ -8,10 +12,11 @@
 from .. import rendezvous
 from .registry import Registry
 
-# how far above the mean a group may be loaded before affinity yields
+# how far above the mean a group may be loaded before affinity yields; chosen, not measured
 BOUND = 1.25
 # least warmth that a group is reckoned with, so that a load stays finite; chosen, not measured
 MIN_WARMTH = 0.05
+# leading characters of a prompt that make its identity; chosen, not measured
 PREFIX_CHARACTERS = 256
 
 
--- a/packages/core/src/thorncleat_core/daemon/settings.py
+++ b/packages/core/src/thorncleat_core/daemon/settings.py
@@ -1,4 +1,8 @@
-"""Settings of a daemon: one file of JSON with comments."""
+"""Settings of a daemon: one file of JSON with comments.
+
+Owns: nothing.
+Relies on: the file being read once, at the start.
+"""
 
 import ipaddress
 import pathlib
@@ -92,7 +96,9 @@
     """
 
     endpoints: list[Address] = pydantic.Field(min_length=1)
+    # chosen, not measured
     timeout: Seconds = 2.0
+    # bound of the users' letters: about 100 writes and 2,000 reads a second for the fleet
     writes: float = pydantic.Field(default=100.0, gt=0)
     reads: float = pydantic.Field(default=2000.0, gt=0)
 
@@ -101,6 +107,7 @@
     """The platform's list of instances."""
 
     endpoints: list[Address] = pydantic.Field(min_length=1)
+    # between fetches; chosen, not measured
     poll: Seconds = 2.0
 
 
@@ -117,10 +124,12 @@
     :param repair: how groups are repaired when spares are short.
     """
 
+    # chosen, not measured, but for the lease
     shards: int = pydantic.Field(default=16, ge=1, le=1024)
     probe: Seconds = 0.5
     window: Seconds = 2.0
     permit: Seconds = 2.0
+    # shorter ones take too many writes: at 128 holders 64 of the store's 100, commit b724ec2
     lease: Seconds = 6.0
     lease_margin: Seconds = 1.0
     member_probe: Seconds = 1.0
@@ -151,6 +160,7 @@
     :param routing: how a group is chosen.
     """
 
+    # all chosen, not measured
     body: int = pydantic.Field(default=4_000_000, ge=1024, le=64_000_000)
     deadline: Seconds = 60.0
     stall: Seconds = 10.0
--- a/packages/core/src/thorncleat_core/daemon/shares.py
+++ b/packages/core/src/thorncleat_core/daemon/shares.py
@@ -1,4 +1,8 @@
-"""Weighted max-min shares of a group's capacity between workspaces, over all daemons."""
+"""Weighted max-min shares of a group's capacity between workspaces, over all daemons.
+
+Owns: nothing.
+Relies on: the demands that daemons name when they ask for permits.
+"""
 
 import collections
 import typing as t
--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -1,4 +1,9 @@
-"""Trying a request in one group after another, where that is safe."""
+"""Trying a request in one group after another, where that is safe.
+
+Owns: the calls that run in each group, and the retries left.
+Relies on: permits (:mod:`.permits`) to say whether a group may answer; errors to say whether a
+request ran.
+"""
 
 import asyncio
 import typing as t
@@ -15,6 +20,7 @@
 from .metrics import Metrics
 from .permits import PermitKeeper
 
+# groups that a request is tried in; chosen, not measured
 MAX_ATTEMPTS = 4
 RETRIED = frozenset(
     {
--- a/packages/daemon/src/thorncleat_daemon/background.py
+++ b/packages/daemon/src/thorncleat_daemon/background.py
@@ -1,4 +1,8 @@
-"""Running a step again and again, whatever it raises."""
+"""Running a step again and again, whatever it raises.
+
+Owns: nothing.
+Relies on: steps that leave a state from which they can be run again.
+"""
 
 import asyncio
 import random
@@ -8,6 +12,7 @@
 
 from . import events
 
+# part by which an interval varies; chosen, not measured
 JITTER = 0.1
 
 
--- a/packages/daemon/src/thorncleat_daemon/callers.py
+++ b/packages/daemon/src/thorncleat_daemon/callers.py
@@ -1,4 +1,8 @@
-"""What every request of a caller has: identity, workspace, deadline, priority, key."""
+"""What every request of a caller has: identity, workspace, deadline, priority, key.
+
+Owns: nothing.
+Relies on: the configuration for keys; nothing else of a request is believed.
+"""
 
 import dataclasses
 import math
@@ -17,8 +21,11 @@
 PRIORITY = "X-Request-Priority"
 REPEATABLE = "X-Request-Repeatable"
 KEY = "Idempotency-Key"
+# highest priority that a caller may name; chosen, not measured
 MAX_PRIORITY = 9
+# characters of a key; chosen, not measured
 MAX_KEY = 200
+# longest deadline in seconds; chosen, not measured
 MAX_DEADLINE = 3600.0
 
 
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -1,4 +1,9 @@
-"""Owning claims for the shards held, and asking the owners of others."""
+"""Owning claims for the shards held, and asking the owners of others.
+
+Owns: the claims of the shards held here, and the batches on their way to the store.
+Relies on: the lease of each shard, checked before and after each write; core's
+:mod:`~thorncleat_core.daemon.claims` for the decisions.
+"""
 
 import asyncio
 import dataclasses
@@ -37,10 +42,15 @@
 from .ports import Write
 from .shard_map import ShardMap
 
+# seconds; claims are kept in the store by the hour, to be erased by the hour
 HOUR = 3600
+# claims in one write; chosen, not measured
 MAX_BATCH = 500
+# body of an answer that is kept for repeats; chosen, not measured
 MAX_OUTCOME_BYTES = 65_536
+# between two looks for expired hours; chosen, not measured
 CLEAN_SECONDS = 600.0
+# for the owner's answer, a write to the store included; chosen, not measured
 ASK_SECONDS = 3.0
 
 
--- a/packages/daemon/src/thorncleat_daemon/completion.py
+++ b/packages/daemon/src/thorncleat_daemon/completion.py
@@ -1,4 +1,8 @@
-"""A request for a completion, as far as the daemon reads it, and the engine's refusals."""
+"""A request for a completion, as far as the daemon reads it, and the engine's refusals.
+
+Owns: nothing.
+Relies on: the engine to check what is not read here.
+"""
 
 import dataclasses
 import json
@@ -11,7 +15,9 @@
 from .exceptions import RequestError
 
 PATH = "/v1/chat/completions"
+# tokens of an answer when the request doesn't say; chosen, not measured
 DEFAULT_MAX_TOKENS = 256
+# most tokens that a request may ask for; chosen, not measured
 MAX_TOKENS = 131_072
 # the engine is not (or no longer) what the directory says, or has no room
 REFUSED_BY_ENGINE = frozenset({404, 409, 429, 503})
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -1,4 +1,9 @@
-"""Answering ``POST /v1/chat/completions``: who may ask what, whole answers, and repeats."""
+"""Answering ``POST /v1/chat/completions``: who may ask what, whole answers, and repeats.
+
+Owns: nothing.
+Relies on: :mod:`.attempts` to try groups, :mod:`.streams` for streams, :mod:`.once` for
+requests that may run once.
+"""
 
 import json
 import typing as t
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -1,4 +1,8 @@
-"""Keeping the configuration: loading it, accepting changes, and passing them on."""
+"""Keeping the configuration: loading it, accepting changes, and passing them on.
+
+Owns: this daemon's journal and whether it was ever loaded.
+Relies on: the store's compare-and-swap on the head, which makes one chain of all changes.
+"""
 
 import asyncio
 import random
@@ -37,13 +41,21 @@
 from .ports import Unchanged
 from .ports import Write
 
+# daemons that watch the store; chosen, not measured
 WATCHERS = 3
 RECORD = "config"
+# revisions; chosen, not measured
 SNAPSHOT_EVERY = 64
+# between looks at the store; chosen, not measured
 POLL_SECONDS = 60.0
+# for finding out whether a write took effect; chosen, not measured
 READ_BACK_SECONDS = 5.0
+# entries sent to a peer before a snapshot is sent instead; chosen, not measured
 ENTRIES_AT_ONCE = 64
+# in which peers may bring what a watch announces; commit 8e5f038 (60 changes everywhere
+# within 0.067 s)
 WATCH_GRACE_SECONDS = 0.1
+# between tries to get what was announced; commit e484512 (30 of 30 daemons after 2 s)
 FOLLOW_SECONDS = 0.5
 
 
--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -1,4 +1,8 @@
-"""The daemon: builds its parts from the settings and runs them."""
+"""The daemon: builds its parts from the settings and runs them.
+
+Owns: every part, its sessions and its listeners.
+Relies on: settings that were checked before.
+"""
 
 import os
 import ssl
@@ -44,6 +48,7 @@
 from .upstream import single_session
 from .upstream import stream_session
 
+# for running requests when the daemon stops; chosen, not measured
 FINISH_SECONDS = 60.0
 # for tests only: the soak run must notice when claims are given without a lease
 BROKEN_FENCE = "THORNCLEAT_TEST_BROKEN_FENCE"
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -1,4 +1,8 @@
-"""Deciding when and where each request is sent: queue, credits, choice of group."""
+"""Deciding when and where each request is sent: queue, credits, choice of group.
+
+Owns: the queue of each intent, and what is outstanding in each group.
+Relies on: permits and their credits (:mod:`.permits`); each slot being given back once.
+"""
 
 import asyncio
 import collections
@@ -20,9 +24,13 @@
 from .exceptions import RequestError
 from .permits import PermitKeeper
 
+# between looks at what waits; chosen, not measured
 TICK_SECONDS = 0.05
+# of a prompt, for its estimated cost; chosen, not measured
 CHARACTERS_PER_TOKEN = 4
+# in which a new group comes up to full weight; chosen, not measured
 WARM_SECONDS = 5.0
+# part by which Retry-After is spread upwards; chosen, not measured
 RETRY_JITTER = 0.5
 
 
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -1,4 +1,8 @@
-"""What the groups of a domain have cost so far: downtime, and accelerators stranded by it."""
+"""What the groups of a domain have cost so far: downtime, and accelerators stranded by it.
+
+Owns: seconds of downtime since this daemon began to keep the domain.
+Relies on: being called once for each round of probes.
+"""
 
 import collections
 import typing as t
--- a/packages/daemon/src/thorncleat_daemon/engines.py
+++ b/packages/daemon/src/thorncleat_daemon/engines.py
@@ -1,4 +1,8 @@
-"""Adapter to the control side of the model engines."""
+"""Adapter to the control side of the model engines.
+
+Owns: nothing.
+Relies on: engines that refuse orders of an earlier epoch.
+"""
 
 import dataclasses
 
--- a/packages/daemon/src/thorncleat_daemon/entry.py
+++ b/packages/daemon/src/thorncleat_daemon/entry.py
@@ -1,4 +1,8 @@
-"""The callers' side: the HTTP application that takes requests."""
+"""The callers' side: the HTTP application that takes requests.
+
+Owns: the gate for callers' requests.
+Relies on: the balancer asking ``/readyz`` before it sends requests.
+"""
 
 import random
 import time
--- a/packages/daemon/src/thorncleat_daemon/events.py
+++ b/packages/daemon/src/thorncleat_daemon/events.py
@@ -1,4 +1,8 @@
-"""Numbered log events. The catalogue in ``docs/LOGS.md`` is checked against this module."""
+"""Numbered log events. The catalogue in ``docs/LOGS.md`` is checked against this module.
+
+Owns: the catalogue of this program's events.
+Relies on: numbers that are never given a second meaning.
+"""
 
 import logging
 
--- a/packages/daemon/src/thorncleat_daemon/exceptions.py
+++ b/packages/daemon/src/thorncleat_daemon/exceptions.py
@@ -1,4 +1,8 @@
-"""Errors of the daemon's layers; each adapter turns those of its library into these."""
+"""Errors of the daemon's layers; each adapter turns those of its library into these.
+
+Owns: nothing.
+Relies on: adapters that let no error of a library through.
+"""
 
 from thorncleat_core.exceptions import ThorncleatError
 
--- a/packages/daemon/src/thorncleat_daemon/gate.py
+++ b/packages/daemon/src/thorncleat_daemon/gate.py
@@ -4,6 +4,9 @@
 start in the same turn, the loop gets to nothing else for a second: probes come late, permits
 end, and the daemon closes its own groups. The gate keeps each turn short; the rush takes as
 long as before, and the control work goes on in between.
+
+Owns: the requests that wait for their turn.
+Relies on: a turn of the loop being short once few requests start in it.
 """
 
 import asyncio
@@ -13,7 +16,8 @@
 class Gate:
     """Lets a bounded number of requests start in each turn of the loop.
 
-    :param per_turn: how many.
+    :param per_turn: how many; 2 and the limit stand since commit ae35788 (400 streams at once:
+        253 errors before, none after).
     :param limit: how many may wait; more are refused.
     """
 
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -1,4 +1,8 @@
-"""Passing records on among the daemons, and probing the neighbours."""
+"""Passing records on among the daemons, and probing the neighbours.
+
+Owns: the directory and the membership.
+Relies on: the platform's list for addresses; peers for everything newer.
+"""
 
 import asyncio
 import random
@@ -18,7 +22,9 @@
 from .ports import InstanceList
 from .ports import Peers
 
+# for which records wait for others to go out with; chosen, not measured
 FLUSH_SECONDS = 0.02
+# records in one message; chosen, not measured
 MAX_RECORDS = 500
 Listener = t.Callable[[Record, str], None]
 
--- a/packages/daemon/src/thorncleat_daemon/group_records.py
+++ b/packages/daemon/src/thorncleat_daemon/group_records.py
@@ -1,4 +1,8 @@
-"""Publishing to all daemons the groups of a domain, by records of the directory."""
+"""Publishing to all daemons the groups of a domain, by records of the directory.
+
+Owns: the sequence of this keeper's records.
+Relies on: the epoch, by which records of an earlier holder lose.
+"""
 
 import typing as t
 
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -30,8 +30,11 @@
 from .ports import Write
 from .shard_map import ShardMap
 
+# between looks at a shard that another daemon holds; chosen, not measured
 LOOK_SECONDS = 2.0
+# between two shards given away; chosen, not measured
 BALANCE_SECONDS = 5.0
+# shards beyond an even part that a daemon keeps; chosen, not measured
 BALANCE_SLACK = 1
 
 
--- a/packages/daemon/src/thorncleat_daemon/invariants.py
+++ b/packages/daemon/src/thorncleat_daemon/invariants.py
@@ -1,4 +1,8 @@
-"""What must always hold, checked inside the running daemon and counted when it does not."""
+"""What must always hold, checked inside the running daemon and counted when it does not.
+
+Owns: how often each invariant was broken.
+Relies on: checks that stand where the thing happens.
+"""
 
 import collections
 import enum
--- a/packages/daemon/src/thorncleat_daemon/keyspace.py
+++ b/packages/daemon/src/thorncleat_daemon/keyspace.py
@@ -1,4 +1,8 @@
-"""The keys under which the daemons keep what must last in the platform's store."""
+"""The keys under which the daemons keep what must last in the platform's store.
+
+Owns: nothing.
+Relies on: all daemons of a cluster naming it alike; a key that changes is data lost.
+"""
 
 import dataclasses
 
--- a/packages/daemon/src/thorncleat_daemon/lag.py
+++ b/packages/daemon/src/thorncleat_daemon/lag.py
@@ -3,6 +3,9 @@
 A probe that runs out of time while the loop itself was late says nothing of the endpoint:
 the answer may lie in the socket unread. Such a silence is no reason for doubt; the
 confirmation only grows older, and ends by itself at the end of its window.
+
+Owns: the worst lag, and until when the loop counts as late.
+Relies on: a timer that fires late by as much as everything else does.
 """
 
 import asyncio
@@ -11,8 +14,11 @@
 
 from .clock import Clock
 
+# between timers; chosen, not measured
 TICK_SECONDS = 0.02
+# for which the loop counts as late afterwards; chosen, not measured
 REMEMBERED_SECONDS = 1.0
+# by which a timer must be late to count; chosen, not measured
 LATE_SECONDS = 0.1
 
 
--- a/packages/daemon/src/thorncleat_daemon/logs.py
+++ b/packages/daemon/src/thorncleat_daemon/logs.py
@@ -1,4 +1,8 @@
-"""Logging as JSON lines on standard error."""
+"""Logging as JSON lines on standard error.
+
+Owns: the handler of the process.
+Relies on: a reader of standard error; a write waits for it.
+"""
 
 import logging
 import sys
--- a/packages/daemon/src/thorncleat_daemon/main.py
+++ b/packages/daemon/src/thorncleat_daemon/main.py
@@ -1,4 +1,8 @@
-"""The program ``thorncleatd``."""
+"""The program ``thorncleatd``.
+
+Owns: the process.
+Relies on: signals to stop; standard output for the ports that were taken.
+"""
 
 import asyncio
 import json
@@ -14,6 +18,7 @@
 from . import logs
 from .daemon import Daemon
 
+# exit code for settings that are not usable, as the client's for documents
 EXIT_SETTINGS = 2
 
 
--- a/packages/daemon/src/thorncleat_daemon/once.py
+++ b/packages/daemon/src/thorncleat_daemon/once.py
@@ -1,4 +1,8 @@
-"""Running a request that may not be repeated: at most once, with a true report of how it ended."""
+"""Running a request that may not be repeated: at most once, with a true report of how it ended.
+
+Owns: nothing.
+Relies on: the owner of a key's shard to grant it once (:mod:`.claims`).
+"""
 
 import dataclasses
 import secrets
@@ -15,6 +19,7 @@
 from .claims import kept_outcome
 from .exceptions import RequestError
 
+# of randomness that tell attempts apart; chosen, not measured
 ATTEMPT_BYTES = 8
 
 
--- a/packages/daemon/src/thorncleat_daemon/peers.py
+++ b/packages/daemon/src/thorncleat_daemon/peers.py
@@ -1,4 +1,9 @@
-"""Messages between daemons over ZeroMQ with CURVE; strangers get nothing."""
+"""Messages between daemons over ZeroMQ with CURVE; strangers get nothing.
+
+Owns: the sockets, one to each peer in use, and the answers awaited.
+Relies on: CURVE keys that the settings accept; nothing is believed of a frame before its form
+is checked.
+"""
 
 import asyncio
 import collections
@@ -18,9 +23,13 @@
 from .exceptions import PeerError
 from .ports import Handler
 
+# bytes; chosen, not measured
 MAX_FRAME = 1_200_000
+# sockets to peers, the least lately used closed first; chosen, not measured
 MAX_CONNECTIONS = 64
+# messages handled at the same time; chosen, not measured
 MAX_HANDLING = 256
+# messages that wait in a socket; chosen, not measured
 HIGH_WATER = 1000
 ZAP_DOMAIN = "thorncleat"
 
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -1,4 +1,9 @@
-"""Keeping permits for the groups that this daemon uses."""
+"""Keeping permits for the groups that this daemon uses.
+
+Owns: the permits held, and the groups attached to for each model.
+Relies on: holders to answer within a quarter of a permit's life; this daemon's own clock for
+its end.
+"""
 
 import asyncio
 import collections
@@ -23,7 +28,9 @@
 from .ports import Peers
 from .shard_map import ShardMap
 
+# least time between renewals out of turn; chosen, not measured
 NUDGE_SECONDS = 0.05
+# after which a model that nobody asks for needs no permits; chosen, not measured
 IDLE_SECONDS = 300.0
 
 
--- a/packages/daemon/src/thorncleat_daemon/pieces.py
+++ b/packages/daemon/src/thorncleat_daemon/pieces.py
@@ -2,6 +2,9 @@
 
 The events are not parsed: each must begin as the engine begins the events of this request,
 which costs one comparison, and anything else is looked at more closely.
+
+Owns: half an event that has come, and what was dropped.
+Relies on: engines that name the request in each event.
 """
 
 import collections
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -1,4 +1,8 @@
-"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through."""
+"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through.
+
+Owns: the retries left and the endpoints left out.
+Relies on: a service's own list of what may be repeated.
+"""
 
 import typing as t
 
@@ -23,6 +27,7 @@
 from .upstream import answer_lost
 from .upstream import end_to_end
 
+# endpoints that a call is tried at; chosen, not measured
 MAX_ATTEMPTS = 3
 DEFAULT_TYPE = "application/octet-stream"
 
--- a/packages/daemon/src/thorncleat_daemon/platform.py
+++ b/packages/daemon/src/thorncleat_daemon/platform.py
@@ -1,4 +1,8 @@
-"""Adapter to the platform's list of instances."""
+"""Adapter to the platform's list of instances.
+
+Owns: the parts of the list that were fetched, by tag.
+Relies on: the platform's servers, tried one after the other.
+"""
 
 import typing as t
 
@@ -11,7 +15,9 @@
 from .exceptions import PlatformError
 
 PATH = "/platform/instances"
+# for a whole call; chosen, not measured
 TIMEOUT_SECONDS = 3.0
+# HTTP status: the part has the tag that was named
 NOT_MODIFIED = 304
 _ROWS = pydantic.TypeAdapter(list[ListedInstance])
 
--- a/packages/daemon/src/thorncleat_daemon/ports.py
+++ b/packages/daemon/src/thorncleat_daemon/ports.py
@@ -1,4 +1,8 @@
-"""The ports: what the daemon needs from outside, for adapters and fakes to provide."""
+"""The ports: what the daemon needs from outside, for adapters and fakes to provide.
+
+Owns: nothing.
+Relies on: adapters to keep what each method promises, errors too.
+"""
 
 import dataclasses
 import typing as t
--- a/packages/daemon/src/thorncleat_daemon/problems.py
+++ b/packages/daemon/src/thorncleat_daemon/problems.py
@@ -1,4 +1,8 @@
-"""Errors as callers see them: problem documents after RFC 9457."""
+"""Errors as callers see them: problem documents after RFC 9457.
+
+Owns: nothing.
+Relies on: errors that say whether the request ran.
+"""
 
 import json
 import math
--- a/packages/daemon/src/thorncleat_daemon/recent.py
+++ b/packages/daemon/src/thorncleat_daemon/recent.py
@@ -1,10 +1,15 @@
-"""The latest requests of this daemon, for operators who ask what became of one."""
+"""The latest requests of this daemon, for operators who ask what became of one.
+
+Owns: the latest requests, in memory alone.
+Relies on: nothing; a daemon that restarts has none.
+"""
 
 import collections
 import dataclasses
 import time
 import typing as t
 
+# requests; chosen, not measured
 KEPT = 5000
 
 
--- a/packages/daemon/src/thorncleat_daemon/sightings.py
+++ b/packages/daemon/src/thorncleat_daemon/sightings.py
@@ -1,4 +1,8 @@
-"""What the keeper of a fabric domain sees of its instances by probing them."""
+"""What the keeper of a fabric domain sees of its instances by probing them.
+
+Owns: the newest report of each instance, and since when each is silent.
+Relies on: probes that are sent oftener than a confirmation lasts.
+"""
 
 import asyncio
 import typing as t
--- a/packages/daemon/src/thorncleat_daemon/splice.py
+++ b/packages/daemon/src/thorncleat_daemon/splice.py
@@ -5,6 +5,9 @@
 profile showed that waking a task for each token, the library's stream reader and its chunk
 framing cost as much as the sockets themselves. Only public interfaces are used: the engine
 is asked in HTTP/1.0, so that its body comes without chunks and ends with the connection.
+
+Owns: one engine's connection and one caller's transport while an answer lasts.
+Relies on: :mod:`.pieces` to say which bytes may pass; the permit's end, read before each write.
 """
 
 import asyncio
@@ -13,9 +16,11 @@
 from . import clock
 from .pieces import Pieces
 
-# bytes that may wait for a slow caller before the engine is read no further
+# bytes that may wait for a slow caller before the engine is read no further; chosen, not measured
 HIGH_WATER = 262_144
+# bytes at which a paused engine is read again; chosen, not measured
 LOW_WATER = 65_536
+# between looks at what a slow caller has yet to read; chosen, not measured
 DRAIN_SECONDS = 0.02
 
 
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -1,4 +1,9 @@
-"""Adapter to the platform's key-value service, by the JSON form of the etcd v3 interface."""
+"""Adapter to the platform's key-value service, by the JSON form of the etcd v3 interface.
+
+Owns: which server is asked, and whether the store answered last.
+Relies on: the budget (:mod:`thorncleat_core.daemon.budget`); every call saying whether it may
+have taken effect.
+"""
 
 import asyncio
 import base64
@@ -22,6 +27,7 @@
 from .ports import Stored
 
 HTTP_NOT_DONE = frozenset({429, 503})
+# seconds that a call may wait for the budget; chosen, not measured
 MAX_BUDGET_WAIT = 2.0
 Json = dict[str, t.Any]
 
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -1,4 +1,9 @@
-"""Streamed answers: from the engine to the caller, whole, in one group or several."""
+"""Streamed answers: from the engine to the caller, whole, in one group or several.
+
+Owns: one caller's answer while it lasts.
+Relies on: :mod:`.attempts` to move it to another group; engines that go on from an event's
+number.
+"""
 
 import asyncio
 import contextlib
