--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/store/freshness.py
@@ -0,0 +1,71 @@
+"""How old what is known from the store may be, and whether an unlisted endpoint has gone.
+
+Owns: nothing; each call or failure leads to another :class:`Freshness`.
+Relies on: times of this daemon's own clock, and on :func:`thorncleat_gateway.ports.proven_part`
+for what an answer proves.
+"""
+
+import dataclasses
+import enum
+
+# a failure of the store that lasts so long may let entries of living endpoints run out;
+# chosen, not measured (4d4bdb4)
+LAPSING_OUTAGE_SECONDS = 1.0
+# after the store's return, for those entries to be written anew; 4d4bdb4 played one day with
+# it (a trial: requests refused after the outage 41 -> 0)
+RETURN_SECONDS = 2.0
+
+
+class Absence(enum.Enum):
+    """What it means that an endpoint is not listed."""
+
+    GONE = "it has gone"
+    FIRST_READING = "it may not have been written anew: this daemon has only begun to read"
+    AFTER_OUTAGE = "it may not have been written anew: the store has only come back"
+
+
+@dataclasses.dataclass(frozen=True)
+class Freshness:
+    """What the calls to the store so far have shown; times on this daemon's clock.
+
+    :param fresh_at: up to which every change is known.
+    :param settled_at: before which an endpoint that is missing may yet be listed anew.
+    :param unsettled_by: why it may, before that time.
+    :param failing_since: at which calls began to fail; None if the last one was answered.
+    """
+
+    fresh_at: float = float("-inf")
+    settled_at: float = float("inf")
+    unsettled_by: Absence = Absence.FIRST_READING
+    failing_since: float | None = None
+
+    def age(self, now: float) -> float:
+        """Return the seconds for which a change may have been made that isn't known."""
+        return now - self.fresh_at
+
+    def absence(self, now: float) -> Absence:
+        """Return what it means that an endpoint is not listed."""
+        return Absence.GONE if now >= self.settled_at else self.unsettled_by
+
+    def removed_at(self, now: float) -> float | None:
+        """Return when an endpoint that isn't listed is to be removed; None for at once."""
+        return None if self.absence(now) is Absence.GONE else self.settled_at
+
+    def failed(self, now: float) -> "Freshness":
+        """Return what is known once a call has failed."""
+        if self.failing_since is not None:
+            return self
+        return dataclasses.replace(self, failing_since=now)
+
+    def answered(self, now: float, proven_at: float) -> "Freshness":
+        """Return what is known once a call has been answered.
+
+        :param proven_at: up to which the answer holds every change.
+        """
+        settled_at, unsettled_by = self.settled_at, self.unsettled_by
+        failing = self.failing_since
+        if settled_at == float("inf"):
+            settled_at = now + RETURN_SECONDS
+        elif failing is not None and now - failing >= LAPSING_OUTAGE_SECONDS:
+            settled_at, unsettled_by = now + RETURN_SECONDS, Absence.AFTER_OUTAGE
+        return Freshness(max(self.fresh_at, proven_at), settled_at, unsettled_by)
--- a/packages/gateway/src/thorncleat_gateway/store/roster.py
+++ b/packages/gateway/src/thorncleat_gateway/store/roster.py
@@ -2,13 +2,16 @@
 
 Nothing of a group is stored: its members name it, its epoch and their ranks themselves, so
 whoever reads the list knows all groups.
+
+Owns: the listed endpoints, and for a while those that have gone.
+Relies on: :mod:`.view` for each change of the list and for when a missing endpoint is removed.
 """
 
 import dataclasses
 import enum
 import typing as t
 
-# how long an endpoint that is no longer listed is remembered, in seconds
+# for which an endpoint that has gone is remembered; chosen, not measured (33c23af)
 REMEMBER_GONE_SECONDS = 60.0
 
 
@@ -117,6 +120,7 @@
     def __init__(self) -> None:
         self._endpoints: dict[str, Endpoint] = {}
         self._groups: dict[GroupId, Group] | None = None
+        # not listed any more, and when they are removed unless they are listed again
         self._lapsed: dict[str, float] = {}
         self.gone: dict[str, Gone] = {}
 
@@ -133,58 +137,61 @@
         return self._groups
 
     def put(self, endpoint: Endpoint) -> None:
-        """Take in an endpoint's newest entry."""
+        """Keep an endpoint's newest entry."""
         self._endpoints[endpoint.id] = endpoint
         self._lapsed.pop(endpoint.id, None)
         self.gone.pop(endpoint.id, None)
         self._groups = None
 
+    def unlist(self, endpoint_id: str, now: float, removed_at: float | None) -> None:
+        """Note that an endpoint is no longer listed.
+
+        :param removed_at: before which it may be listed again, and counts as listed; None to
+            remove it at once.
+        """
+        if removed_at is None:
+            self.remove(endpoint_id, now)
+        elif endpoint_id in self._endpoints:
+            self._lapsed.setdefault(endpoint_id, removed_at)
+
     def remove(self, endpoint_id: str, now: float) -> None:
-        """Take in that an endpoint is no longer listed."""
+        """Remove an endpoint, and remember it for a while as gone."""
         endpoint = self._endpoints.pop(endpoint_id, None)
         self._lapsed.pop(endpoint_id, None)
         if endpoint is None:
             return
         self._groups = None
         self.gone = {
-            key: one for key, one in self.gone.items() if now - one.at < REMEMBER_GONE_SECONDS
+            key: gone for key, gone in self.gone.items() if now - gone.at < REMEMBER_GONE_SECONDS
         }
         self.gone[endpoint_id] = Gone(endpoint, now)
 
     def replace(
-        self, endpoints: t.Iterable[Endpoint], now: float, until: float | None = None
+        self, endpoints: t.Iterable[Endpoint], now: float, removed_at: float | None = None
     ) -> None:
-        """Take in the whole list.
+        """Put the whole list in place of what was known.
 
-        :param until: when those that are missing are removed; None for at once.
+        :param removed_at: for those that are missing, as for :meth:`unlist`.
         """
-        listed = {one.id: one for one in endpoints}
+        listed = {endpoint.id: endpoint for endpoint in endpoints}
         for missing in set(self._endpoints) - set(listed):
-            if until is None:
-                self.remove(missing, now)
-            else:
-                self.lapse(missing, until)
-        for one in listed.values():
-            self.put(one)
+            self.unlist(missing, now, removed_at)
+        for endpoint in listed.values():
+            self.put(endpoint)
 
-    def lapse(self, endpoint_id: str, until: float) -> None:
-        """Take in that an endpoint is not listed, though it may be so again by a moment.
+    def expire(self, now: float) -> bool:
+        """Remove the endpoints that weren't listed again in time.
 
-        Until then it counts as listed.
+        :returns: whether there were any.
         """
-        if endpoint_id in self._endpoints:
-            self._lapsed.setdefault(endpoint_id, until)
-
-    def expire(self, now: float) -> bool:
-        """Remove the endpoints that were not listed again in time; tell whether there were any."""
-        late = [key for key, until in self._lapsed.items() if until <= now]
+        late = [key for key, removed_at in self._lapsed.items() if removed_at <= now]
         for endpoint_id in late:
             self.remove(endpoint_id, now)
         return bool(late)
 
     def of_service(self, service: str) -> list[Endpoint]:
         """Return the listed endpoints of a service."""
-        return [one for one in self._endpoints.values() if one.service == service]
+        return [endpoint for endpoint in self._endpoints.values() if endpoint.service == service]
 
 
 def _grouped(endpoints: t.Iterable[Endpoint]) -> dict[GroupId, Group]:
--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -1,4 +1,10 @@
-"""This daemon's copy of what the platform's store says, and how old it may be."""
+"""This daemon's copy of what the platform's store says.
+
+Owns: the endpoints, the gateway's records and the configuration as last read, the revision
+they stand at, and how fresh they are.
+Relies on: a :class:`ChangeFeed` for the changes in the store's order, and on
+:mod:`.freshness` for what its answers and failures mean.
+"""
 
 import asyncio
 import typing as t
@@ -15,16 +21,15 @@
 from ..ports import EndpointGone
 from ..ports import EndpointListed
 from ..ports import RecordChanged
+from .freshness import Absence
+from .freshness import Freshness
 from .roster import Roster
 from .serving import ServingConfiguration
 
-# pause after a failed call; doubled up to the longest
+# pause after a failed call, doubled up to the longest; chosen, not measured (33c23af)
 FIRST_PAUSE_SECONDS = 0.05
 LONGEST_PAUSE_SECONDS = 0.4
-# an outage in which entries of living endpoints may have run out
-LAPSING_OUTAGE_SECONDS = 1.0
-# after the store's return, for those entries to be written anew
-RETURN_SECONDS = 2.0
+# between two looks for endpoints that were not listed again; chosen, not measured (4d4bdb4)
 EXPIRE_SECONDS = 0.25
 
 
@@ -50,27 +55,39 @@
         self._revision: int | None = None
         self._listeners: list[t.Callable[[], None]] = []
         self._batch_listeners: list[t.Callable[[int | None, Changes], None]] = []
+        self._freshness = Freshness()
         self.roster = Roster()
         self.records: dict[str, RecordChanged] = {}
         self.configuration: ServingConfiguration | None = None
-        self.fresh_at = float("-inf")
+        # rises with each batch of changes
         self.version = 0
-        self._failing_since: float | None = None
-        # before which an entry that is missing may yet be written anew
-        self._settled_at = float("inf")
 
     @property
     def loaded(self) -> bool:
         """Whether a configuration is known."""
         return self.configuration is not None
 
+    @property
+    def fresh_at(self) -> float:
+        """The time up to which every change is known."""
+        return self._freshness.fresh_at
+
+    @property
+    def settled(self) -> bool:
+        """Whether an endpoint that isn't listed is gone.
+
+        For a short time after an outage of the store, or after this daemon's first reading, it
+        may only not have been written anew yet.
+        """
+        return self._freshness.absence(self._clock()) is Absence.GONE
+
     def configuration_version(self) -> float:
-        """Return the version in force, or 0."""
+        """Return the version of the configuration, or 0 if none is known."""
         return self.configuration.version if self.configuration else 0
 
     def age(self) -> float:
         """Return for how many seconds a newer configuration may have been accepted."""
-        return self._clock() - self.fresh_at
+        return self._freshness.age(self._clock())
 
     def on_change(self, listener: t.Callable[[], None]) -> None:
         """Call a function after each batch of changes."""
@@ -83,15 +100,6 @@
         """
         self._batch_listeners.append(listener)
 
-    @property
-    def settled(self) -> bool:
-        """Whether an endpoint that isn't listed is gone.
-
-        For a short time after an outage of the store, or after this daemon's first reading, it
-        may only not have been written anew yet.
-        """
-        return self._clock() >= self._settled_at
-
     @mode.Service.task
     async def _follow_task(self) -> None:
         pause = FIRST_PAUSE_SECONDS
@@ -105,8 +113,7 @@
             except StoreError as error:
                 if pause == FIRST_PAUSE_SECONDS:
                     events.STORE_LOST.log(reason=str(error), age=round(self.age(), 3))
-                if self._failing_since is None:
-                    self._failing_since = self._clock()
+                self._freshness = self._freshness.failed(self._clock())
                 await asyncio.sleep(pause)
                 pause = min(pause * 2, LONGEST_PAUSE_SECONDS)
                 continue
@@ -124,31 +131,26 @@
                 self._announce()
 
     async def _step(self) -> bool:
+        """Ask for changes once; return whether there were any."""
         sent_at = self._clock()
         if self._revision is None:
-            found = await self._feed.snapshot()
-            self._answered(sent_at + found.proven)
-            self._replace(found.changes)
+            answer = await self._feed.snapshot()
+            self._answered(sent_at + answer.proven)
+            self._replace(answer.changes)
         else:
-            found = await self._feed.changes(self._revision, self._wait)
-            self._answered(sent_at + found.proven)
-            for change in found.changes:
+            answer = await self._feed.changes(self._revision, self._wait)
+            self._answered(sent_at + answer.proven)
+            for change in answer.changes:
                 self._apply(change)
-        after, self._revision = self._revision, found.revision
+        after, self._revision = self._revision, answer.revision
         for listener in self._batch_listeners:
-            listener(after, found)
-        if found.changes:
+            listener(after, answer)
+        if answer.changes:
             self._announce()
-        return bool(found.changes)
+        return bool(answer.changes)
 
     def _answered(self, proven_at: float) -> None:
-        """Take in that the store answers."""
-        now = self._clock()
-        self.fresh_at = max(self.fresh_at, proven_at)
-        failing, self._failing_since = self._failing_since, None
-        first = self._settled_at == float("inf")
-        if first or (failing is not None and now - failing >= LAPSING_OUTAGE_SECONDS):
-            self._settled_at = now + RETURN_SECONDS
+        self._freshness = self._freshness.answered(self._clock(), proven_at)
 
     def _announce(self) -> None:
         self.version += 1
@@ -156,34 +158,30 @@
             listener()
 
     def _replace(self, changes: t.Sequence[Change]) -> None:
-        endpoints = [one.endpoint for one in changes if isinstance(one, EndpointListed)]
-        until = None if self.settled else self._settled_at
-        self.roster.replace(endpoints, self._clock(), until)
+        listed = [change.endpoint for change in changes if isinstance(change, EndpointListed)]
+        now = self._clock()
+        self.roster.replace(listed, now, self._freshness.removed_at(now))
         self.records.clear()
         for change in changes:
             if not isinstance(change, EndpointListed):
                 self._apply(change)
 
-    def _missing(self, endpoint_id: str) -> None:
-        if self.settled:
-            self.roster.remove(endpoint_id, self._clock())
-        else:
-            self.roster.lapse(endpoint_id, self._settled_at)
-
     def _apply(self, change: Change) -> None:
         match change:
             case ConfigurationChanged(configuration):
-                self._take(configuration)
+                self._configure(configuration)
             case EndpointListed(endpoint):
                 self.roster.put(endpoint)
             case EndpointGone(endpoint_id):
-                self._missing(endpoint_id)
+                now = self._clock()
+                self.roster.unlist(endpoint_id, now, self._freshness.removed_at(now))
             case RecordChanged(key, None):
                 self.records.pop(key, None)
             case RecordChanged(key):
                 self.records[key] = change
 
-    def _take(self, configuration: ServingConfiguration) -> None:
+    def _configure(self, configuration: ServingConfiguration) -> None:
+        """Keep a configuration unless a newer one is known, as after a new snapshot."""
         known = self.configuration.version if self.configuration else -1
         if configuration.version <= known:
             return
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -3,6 +3,10 @@
 import pytest
 
 from thorncleat_gateway.ports import proven_part
+from thorncleat_gateway.store.freshness import LAPSING_OUTAGE_SECONDS
+from thorncleat_gateway.store.freshness import RETURN_SECONDS
+from thorncleat_gateway.store.freshness import Absence
+from thorncleat_gateway.store.freshness import Freshness
 
 
 @pytest.mark.parametrize(
@@ -30,3 +34,73 @@
     wait, took, changed, proven
 ):
     assert proven_part(wait, took, changed=changed) == pytest.approx(proven)
+
+
+FIRST, OUTAGE, GONE = Absence.FIRST_READING, Absence.AFTER_OUTAGE, Absence.GONE
+RETURN, LAPSING = RETURN_SECONDS, LAPSING_OUTAGE_SECONDS
+
+
+def _after(*steps):
+    """Return what is known after answers ``(now, proven at)`` and failures ``(now,)``."""
+    known = Freshness()
+    for step in steps:
+        known = known.answered(*step) if len(step) == 2 else known.failed(*step)
+    return known
+
+
+@pytest.mark.parametrize(
+    ("steps", "now", "age"),
+    [
+        ([], 5.0, float("inf")),
+        ([(10.0, 9.5)], 10.0, 0.5),
+        ([(10.0, 9.5)], 12.0, 2.5),
+        ([(10.0, 9.5), (11.0, 9.0)], 11.0, 1.5),
+        ([(10.0, 9.5), (11.0,)], 11.0, 1.5),
+    ],
+    ids=[
+        "nothing was read",
+        "an answer proves a moment",
+        "age grows until the next answer",
+        "an answer that proves less changes nothing",
+        "a failure proves nothing",
+    ],
+)
+def test_age_runs_from_the_newest_moment_that_an_answer_proves(steps, now, age):
+    assert _after(*steps).age(now) == age
+
+
+@pytest.mark.parametrize(
+    ("steps", "now", "absence", "removed_at"),
+    [
+        ([], 5.0, FIRST, float("inf")),
+        ([(10.0, 10.0)], 10.0, FIRST, 10.0 + RETURN),
+        ([(10.0, 10.0)], 10.0 + RETURN, GONE, None),
+        ([(3.0,), (10.0, 10.0)], 11.0, FIRST, 10.0 + RETURN),
+        ([(10.0, 10.0), (11.0, 11.0)], 11.5, FIRST, 10.0 + RETURN),
+        ([(10.0, 10.0), (20.0,)], 30.0, GONE, None),
+        ([(10.0, 10.0), (20.0,), (20.0 + LAPSING, 20.0)], 21.0, OUTAGE, 20.0 + LAPSING + RETURN),
+        ([(10.0, 10.0), (20.0,), (19.99 + LAPSING, 20.0)], 21.0, GONE, None),
+        ([(0.0, 0.0), (20.0,), (20.9,), (21.0, 21.0)], 21.0, OUTAGE, 21.0 + RETURN),
+        ([(0.0, 0.0), (20.0,), (25.0, 25.0), (26.0, 26.0)], 26.5, OUTAGE, 25.0 + RETURN),
+        ([(0.0, 0.0), (20.0,), (25.0, 25.0)], 25.0 + RETURN, GONE, None),
+    ],
+    ids=[
+        "nothing was read",
+        "just after the first reading",
+        "some time after the first reading",
+        "failures before the first reading",
+        "a second answer changes nothing",
+        "while the store is silent",
+        "after an outage",
+        "after a short failure",
+        "an outage runs from its first failure",
+        "a second answer after an outage changes nothing",
+        "some time after an outage",
+    ],
+)
+def test_an_unlisted_endpoint_is_gone_unless_it_may_not_be_written_yet(
+    steps, now, absence, removed_at
+):
+    known = _after(*steps)
+    assert known.absence(now) is absence
+    assert known.removed_at(now) == removed_at
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -8,8 +8,8 @@
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.store.freshness import RETURN_SECONDS
 from thorncleat_gateway.store.roster import Endpoint
-from thorncleat_gateway.store.view import RETURN_SECONDS
 from thorncleat_gateway.store.view import StoreView
 
 from . import virtual_time
