--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -36,7 +36,6 @@
 from .store.relay_feed import RelayFeed
 from .store.relay_server import RelayServer
 from .store.relays import Daemon
-from .store.relays import sources
 from .store.roster import Endpoint
 from .store.view import StoreView
 
@@ -138,10 +137,8 @@
         return self.registration.daemons().values()
 
     def _relays(self) -> t.Sequence[Daemon]:
-        """Return the relays to learn from; the controller reads the store itself."""
-        if self.election.leads:
-            return []
-        return sources(self._daemons(), self.registration.own)
+        """Return the relays to learn from."""
+        return self.registration.sources(controls=self.election.leads).relays
 
     async def on_start(self) -> None:
         """Start all parts, then listen."""
--- a/packages/gateway/src/thorncleat_gateway/store/change_codec.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_codec.py
@@ -22,16 +22,19 @@
 from .roster import Endpoint
 from .serving import ServingConfiguration
 
+# from which compression is worth its processor time; chosen, not measured (b8a6914)
 COMPRESS_FROM_BYTES = 2_000
+# of zlib, the quickest; chosen, not measured (b8a6914)
 COMPRESSION_LEVEL = 1
+# the first byte of what is sent
 PLAIN, COMPRESSED = b"\0", b"\1"
-# what a relay may make this daemon unpack
+# that a relay may make this daemon unpack; chosen, not measured (b8a6914)
 MAX_BYTES = 64_000_000
 
 
 def encode(revision: int, changes: t.Sequence[Change]) -> bytes:
     """Return changes as bytes."""
-    data = codec.pack([revision, [_form(one) for one in changes]])
+    data = codec.pack([revision, [_form(change) for change in changes]])
     if len(data) < COMPRESS_FROM_BYTES:
         return PLAIN + data
     return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
@@ -45,7 +48,7 @@
     try:
         match codec.unpack(_unpacked(data)):
             case [int(revision), list(forms)]:
-                return revision, [_change(one) for one in forms]
+                return revision, [_change(form) for form in forms]
     except (zlib.error, ValueError, TypeError) as error:
         raise DecodeError(f"{len(data)} bytes of changes: {error}") from error
     raise DecodeError(f"{len(data)} bytes that are no changes")
--- a/packages/gateway/src/thorncleat_gateway/store/change_log.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_log.py
@@ -1,4 +1,8 @@
-"""What a daemon has learnt lately, in order, for those that learn it from this daemon."""
+"""What a daemon has learnt lately, in order, for those that learn it from this daemon.
+
+Owns: the newest batches of changes.
+Relies on: nothing.
+"""
 
 import collections
 import dataclasses
@@ -6,6 +10,8 @@
 
 from ..ports import Change
 
+# batches that are kept; a daemon that is further behind is sent to the store; chosen, not
+# measured (b8a6914)
 BATCHES = 256
 
 
@@ -37,7 +43,7 @@
         self._begin = revision
 
     def add(self, revision: int, changes: t.Sequence[Change]) -> None:
-        """Take in a batch.
+        """Keep a batch.
 
         :param revision: the store's revision with it.
         """
@@ -55,5 +61,5 @@
         """
         if revision < self._begin:
             return None
-        newer = [one for one in self._batches if one.revision > revision]
-        return [change for one in newer for change in one.changes]
+        newer = [batch for batch in self._batches if batch.revision > revision]
+        return [change for batch in newer for change in batch.changes]
--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -1,4 +1,8 @@
-"""Which daemons run: each keeps a record of its address under a lease in the store."""
+"""Which daemons run: each keeps a record of its address under a lease in the store.
+
+Owns: this daemon's record and its lease, and the records of all daemons as read last.
+Relies on: :class:`RecordStore` for the lease, and on :class:`.view.StoreView` for the records.
+"""
 
 import asyncio
 import typing as t
@@ -11,10 +15,14 @@
 from ..ports import RecordStore
 from ..settings import GatewaySettings
 from .relays import Daemon
+from .relays import Sources
+from .relays import sources
 from .view import StoreView
 
 DAEMONS = "thorncleat/daemons/"
+# time to live of a daemon's record, renewed at each third of it; chosen, not measured (33c23af)
 DAEMON_LEASE_SECONDS = 12.0
+# pause after a failed call; chosen, not measured (33c23af)
 RETRY_SECONDS = 0.3
 
 
@@ -29,6 +37,7 @@
         self._seen_version = -1
         self._daemons: dict[str, Daemon] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
+        self._sources: Sources | None = None
 
     @property
     def own(self) -> Daemon:
@@ -45,7 +54,10 @@
                 for key, record in self._view.records.items()
                 if key.startswith(DAEMONS) and record.value
             }
-            self._addresses = {key: (one.host, one.port) for key, one in self._daemons.items()}
+            self._addresses = {
+                name: (daemon.host, daemon.port) for name, daemon in self._daemons.items()
+            }
+            self._sources = None
         return self._daemons
 
     def addresses(self) -> t.Mapping[str, tuple[str, int]]:
@@ -53,15 +65,29 @@
         self.daemons()
         return self._addresses
 
+    def sources(self, *, controls: bool) -> Sources:
+        """Return whom this daemon asks for changes.
+
+        :param controls: whether it is the controller.
+        """
+        if controls:
+            return sources((), self.own, controls=True)
+        daemons = self.daemons()
+        if self._sources is None:
+            self._sources = sources(daemons.values(), self.own)
+        return self._sources
+
     @mode.Service.task
     async def _keep_task(self) -> None:
         while not self.should_stop:
             try:
                 await self._hold()
             except StoreError:
+                # not logged: the view logs that the store is lost
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def _hold(self) -> None:
+        """Register under a new lease, and renew that until it is over."""
         lease = await self._records.grant(DAEMON_LEASE_SECONDS)
         key = DAEMONS + self._settings.id
         value = _record(self.own)
@@ -74,11 +100,14 @@
             except LeaseGoneError:
                 return
             except StoreError:
+                # not logged: the view logs that the store is lost
                 await asyncio.sleep(RETRY_SECONDS)
 
 
-def _record(one: Daemon) -> bytes:
-    packed: bytes = msgpack.packb([one.host, one.port, one.failure_domain, one.capacity])
+def _record(daemon: Daemon) -> bytes:
+    packed: bytes = msgpack.packb(
+        [daemon.host, daemon.port, daemon.failure_domain, daemon.capacity]
+    )
     return packed
 
 
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -1,23 +1,23 @@
-"""A feed that asks a relay in place of the store, and the store when no relay will do."""
+"""A feed that asks a relay in place of the store, and the store when no relay will do.
+
+Owns: the connections to relays, and which of these are avoided until when.
+Relies on: :mod:`.relays` for whom to ask, and on :mod:`.relay_answer` for when a relay is left.
+"""
 
 import asyncio
 import typing as t
 
 import aiohttp
 
-from thorncleat_core.exceptions import DecodeError
-
 from .. import events
-from ..exceptions import StoreUnavailableError
+from ..exceptions import RelayError
+from ..exceptions import RelayFault
 from ..http_session import LazySession
-from ..ports import Change
 from ..ports import ChangeFeed
 from ..ports import Changes
 from ..ports import proven_part
 from ..settings import RelaySettings
-from . import change_codec
-from .relay_server import AGE
-from .relay_server import CHANGES_PATH
+from . import relay_answer
 from .relays import Daemon
 
 STORE = "store"
@@ -41,6 +41,7 @@
         self._sources = sources
         self._clock = clock
         self._session = LazySession(keep_connections=True)
+        # ids of relays that failed, and until when they are not asked
         self._avoided: dict[str, float] = {}
         self._asked = ""
 
@@ -58,15 +59,15 @@
         return await self._store.snapshot()
 
     async def changes(self, since: int, wait: float) -> Changes:
-        """Return what has changed since a revision, from whoever can tell."""
+        """Return what has changed since a revision, from a relay or from the store."""
         relay = self._relay()
         if relay is None:
             self._note(STORE, "no relay to ask")
             return await self._store.changes(since, wait)
         try:
             found = await self._ask(relay, since)
-        except StoreUnavailableError as error:
-            self._avoided[relay.id] = self._clock() + self._settings.avoid
+        except RelayError as error:
+            self._avoid(relay)
             self._note(STORE, str(error))
             # the relay has cost time already
             return await self._store.changes(since, 0.0)
@@ -75,8 +76,15 @@
 
     def _relay(self) -> Daemon | None:
         now = self._clock()
-        sound = (one for one in self._sources() if self._avoided.get(one.id, 0.0) <= now)
-        return next(sound, None)
+        for relay in self._sources():
+            if self._avoided.get(relay.id, 0.0) <= now:
+                return relay
+        return None
+
+    def _avoid(self, relay: Daemon) -> None:
+        now = self._clock()
+        self._avoided = {name: until for name, until in self._avoided.items() if until > now}
+        self._avoided[relay.id] = now + self._settings.avoid
 
     def _note(self, source: str, cause: str) -> None:
         if source != self._asked:
@@ -86,31 +94,19 @@
     async def _ask(self, relay: Daemon, since: int) -> Changes:
         """Ask a relay.
 
-        :raises StoreUnavailableError: if it does not answer, isn't up to date itself, or does
-            not remember so far back.
+        :raises RelayError: if it does not answer, isn't up to date itself, or does not remember
+            so far back.
         """
         wait, sent_at = self._settings.wait, self._clock()
-        url = f"http://{relay.host}:{relay.port}{CHANGES_PATH}"
+        url = f"http://{relay.host}:{relay.port}{relay_answer.CHANGES_PATH}"
+        query = {"since": str(since), "wait": str(wait)}
         try:
             async with asyncio.timeout(wait + self._settings.patience):
-                async with self._session.get().get(
-                    url, params={"since": str(since), "wait": str(wait)}
-                ) as response:
-                    data = await response.read()
+                async with self._session.get().get(url, params=query) as response:
+                    body = await response.read()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise StoreUnavailableError(f"relay {relay.id}: {error!r}") from error
-        if response.status != 200 or len(data) < AGE.size:
-            raise StoreUnavailableError(f"relay {relay.id} answered {response.status}")
-        age, revision, changes = self._decoded(relay, data)
+            raise RelayError(f"relay {relay.id}: {error!r}", RelayFault.SILENT) from error
+        answer = relay_answer.read(relay.id, response.status, body, self._settings.oldest)
         took = self._clock() - sent_at
-        proven = proven_part(wait, took, changed=bool(changes))
-        return Changes(revision, changes, proven - age)
-
-    def _decoded(self, relay: Daemon, data: bytes) -> tuple[float, int, list[Change]]:
-        (age,) = AGE.unpack(data[: AGE.size])
-        if not 0.0 <= age <= self._settings.oldest:
-            raise StoreUnavailableError(f"relay {relay.id} is itself {age:.3f} s behind")
-        try:
-            return age, *change_codec.decode(data[AGE.size :])
-        except DecodeError as error:
-            raise StoreUnavailableError(f"relay {relay.id}: {error}") from error
+        proven = proven_part(wait, took, changed=bool(answer.changes))
+        return Changes(answer.revision, answer.changes, proven - answer.age)
--- a/packages/gateway/src/thorncleat_gateway/store/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -1,21 +1,25 @@
-"""Serves what this daemon has learnt from the store to other daemons."""
+"""Serves what this daemon has learnt from the store to other daemons.
+
+Owns: the newest changes (:class:`.change_log.ChangeLog`) and the last encoded answers.
+Relies on: :class:`.view.StoreView` for the changes and for how old they are.
+"""
 
 import asyncio
-import struct
 import typing as t
 
 from aiohttp import web
 
 from ..ports import Changes
 from . import change_codec
+from . import relay_answer
 from .change_log import ChangeLog
 from .relays import Daemon
 from .view import StoreView
 
-CHANGES_PATH = "/changes"
-AGE = struct.Struct("!d")
+# however long a daemon asks this one to wait; chosen, not measured (b8a6914)
 LONGEST_WAIT_SECONDS = 5.0
-# encoded answers that are kept for the next daemon that asks the same
+# encoded answers that are kept for the next daemon that asks the same; chosen, not measured
+# (b8a6914)
 KEPT_ANSWERS = 8
 
 
@@ -31,6 +35,7 @@
         self._log = ChangeLog()
         self._revision = 0
         self._news = asyncio.Event()
+        # by the revision asked for and this daemon's own
         self._encoded: dict[tuple[int, int], bytes] = {}
         self.answered = 0
         view.on_batch(self._learnt)
@@ -48,7 +53,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer as soon as there is something new, or after the time that was asked for."""
-        if request.path != CHANGES_PATH or not self._known(request.remote):
+        if request.path != relay_answer.CHANGES_PATH or not self._known(request.remote):
             return web.Response(status=404)
         try:
             since = int(request.query["since"])
@@ -61,19 +66,21 @@
         if body is None:
             return web.Response(status=410)
         self.answered += 1
-        return web.Response(body=AGE.pack(self._view.age()) + body)
+        return web.Response(body=relay_answer.write(self._view.age(), body))
 
     def _known(self, host: str | None) -> bool:
-        return any(one.host == host for one in self._daemons())
+        return any(daemon.host == host for daemon in self._daemons())
 
     async def _wait(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
                 await self._news.wait()
         except TimeoutError:
+            # nothing new: the answer tells how old that is
             pass
 
     def _answer(self, since: int) -> bytes | None:
+        """Return the encoded changes; None if some may be missing."""
         key = (since, self._revision)
         if key in self._encoded:
             return self._encoded[key]
