--- /dev/null
+++ b/tests/test_platform_documents.py
@@ -0,0 +1,145 @@
+"""The adapter's documents and store answers: what may be left out, and what is refused."""
+
+import base64
+import json
+
+import pytest
+
+from thorncleat_core.exceptions import DecodeError
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.serving import Limits
+from thorncleat_gateway.store.serving import RouteKind
+from thorncleat_gateway.store.serving import Split
+from thorncleat_platform import documents
+from thorncleat_platform import store_forms
+from thorncleat_platform.wire import parse
+
+ROUTE = {
+    "name": "chat",
+    "host": "h",
+    "path_prefix": "/c/",
+    "route_kind": "streaming",
+    "timeout_ms": 1500,
+    "service": "desk",
+}
+ENGINE = {"slots": 4, "models": [{"name": "large"}]}
+ENTRY = {"service": "desk", "address": "a:1", "state": "ready"}
+GROUP = {"name": "g", "epoch": 3, "rank": 2, "state": "open"}
+
+
+def data(document):
+    return json.dumps(document).encode()
+
+
+def configuration(**changes):
+    document = {"version": 1, "routes": [ROUTE], "services": [{"name": "desk"}], **changes}
+    return documents.configuration(data(document))
+
+
+def route(**changes):
+    return configuration(routes=[ROUTE | changes]).routes[0]
+
+
+def engine(**changes):
+    services = [{"name": "desk", "engine": ENGINE | changes}]
+    return configuration(services=services).services["desk"].engine
+
+
+def endpoint(**changes):
+    return documents.endpoint("i-1", data(ENTRY | changes))
+
+
+@pytest.mark.parametrize(
+    ("found", "wanted"),
+    [
+        (lambda: route().target, 0.5),
+        (lambda: route(latency_target_ms=None).target, 0.5),
+        (lambda: route(latency_target_ms=0).target, 0.0),
+        (lambda: route(max_attempts=0).max_attempts, 1),
+        (lambda: route(max_attempts=2.9).max_attempts, 2),
+        (lambda: route(priority=None).priority, 0),
+        (lambda: route(public=None).public, False),
+        (lambda: route(route_kind="of tomorrow").kind, RouteKind.ONCE),
+        (lambda: route(split=[]).splits, (Split("desk", 1.0),)),
+        (lambda: route(split=[{"service": "a", "weight": 3}]).splits, (Split("a", 3.0),)),
+        (lambda: configuration(tenants=None).workspaces, ()),
+        (lambda: configuration(limits=None).limits, Limits()),
+        (lambda: configuration(limits={"max_body_bytes": 0}).limits, Limits()),
+        (lambda: configuration().services["desk"].engine, None),
+        (lambda: engine(models=[]), None),
+        (lambda: engine(loads_per_s=0).loads_per_second, 0.0),
+        (lambda: engine(loads_at_once=0).loads_at_once, 1),
+        (lambda: engine().models[0].load, 60.0),
+        (lambda: engine(models=[{"name": "m", "share": 0}]).models[0].share, 0.0),
+        (lambda: endpoint().membership, None),
+        (lambda: endpoint(group={}).membership, None),
+        (lambda: endpoint(group={"name": ""}).membership, None),
+        (
+            lambda: endpoint(group=GROUP).membership,
+            Membership(GroupId(3, "g"), 2, GroupState.OPEN),
+        ),
+        (lambda: endpoint(group=GROUP | {"rank": None}).membership.rank, 0),
+        (lambda: endpoint().draining, False),
+        (lambda: endpoint(state="draining").draining, True),
+        (lambda: endpoint(state=None).draining, True),
+        (lambda: endpoint(zone=None).failure_domain, ""),
+        (lambda: endpoint(zone="z", domain="d").failure_domain, "z"),
+        (lambda: endpoint(zone="z", domain="d").fabric_domain, "d"),
+        (lambda: endpoint(models=["a", {"name": "b", "version": 1}]).models, ("a", "b")),
+        (lambda: endpoint(slots=None).slots, 1),
+        (lambda: documents.report(data({"seq": 7})).order_count, 7),
+        (lambda: documents.report(b"{}").order_count, 0),
+    ],
+)
+def test_what_is_left_out_has_a_default(found, wanted):
+    assert found() == wanted
+
+
+@pytest.mark.parametrize(
+    ("read", "message"),
+    [
+        (lambda: documents.configuration(b"{"), "configuration: "),
+        (lambda: documents.configuration(b"[]"), "configuration: "),
+        (lambda: documents.configuration(b"\xff{}"), "configuration: "),
+        (lambda: configuration(version=None), "configuration: version: "),
+        (lambda: configuration(routes=None), "configuration: routes: "),
+        (lambda: route(timeout_ms="soon"), "configuration: routes.0.timeout_ms: "),
+        (lambda: route(service=None), "configuration: route 'chat' leads to no service"),
+        (lambda: engine(slots=None), "configuration: services.0.engine.slots: "),
+        (lambda: endpoint(address=None), "endpoint 'i-1': address: "),
+        (lambda: endpoint(group={"name": "g"}), "endpoint 'i-1': group.epoch: "),
+        (lambda: endpoint(group=GROUP | {"state": "odd"}), "endpoint 'i-1': group.state: "),
+        (lambda: documents.report(b"null"), "report: "),
+        (lambda: documents.report(data({"seq": "x"})), "report: seq: "),
+    ],
+)
+def test_what_cannot_be_read_is_named(read, message):
+    with pytest.raises(DecodeError) as caught:
+        read()
+    assert str(caught.value).startswith(message)
+
+
+def test_key_is_not_repeated_in_an_error():
+    with pytest.raises(DecodeError) as caught:
+        configuration(tenants=[{"name": "growers", "api_keys": ["secret", {"x": "secret"}]}])
+    assert "secret" not in str(caught.value)
+
+
+def item(**changes):
+    document = {"private_key": "servers/i-1", "revision": 3, **changes}
+    return parse(store_forms.Item, "kv-key", data(document))
+
+
+@pytest.mark.parametrize("value", [None, "a", "ä"], ids=["none", "cut off", "not ASCII"])
+def test_item_without_a_value_in_base64_is_an_error(value):
+    with pytest.raises(DecodeError, match="'servers/i-1'"):
+        item(value=value).value  # noqa: B018
+
+
+def test_record_lives_from_the_revision_of_its_creation():
+    value = base64.b64encode(b"\x01").decode()
+    record = item(value=value, created=2, lease_id=5).record
+    assert (record.value, record.revision, record.created) == (b"\x01", 3, 2)
+    assert item(deleted=True).record.value is None
