--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -42,7 +42,6 @@
 from .store.relay_feed import RelayFeed
 from .store.relay_server import RelayServer
 from .store.relays import Daemon
-from .store.relays import sources
 from .store.view import StoreView
 
 
@@ -136,10 +135,8 @@
         return self._registration.daemons().values()
 
     def _relays(self) -> t.Sequence[Daemon]:
-        """Return the relays to learn from; the controller reads the store itself."""
-        if self._election.leads:
-            return []
-        return sources(self._daemons(), self._registration.own)
+        """Return the relays to learn from."""
+        return self._registration.sources(controls=self._election.leads).relays
 
     async def on_start(self) -> None:
         """Start all parts, then listen."""
