--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -166,9 +166,7 @@
         settings, clock = self._settings, self._clock
         self._client = endpoint_client.session()
         calls = EndpointClient(self._client, self._codec, settings.connect_timeout)
-        selector = EndpointSelector(
-            settings, self.view, self.load_table, self.detector, self.ended, clock
-        )
+        selector = EndpointSelector(self.view, self.load_table, self.detector, self.ended, clock)
         retry_budgets = RetryBudgets(settings.retry, clock, self._sharing)
         parts = (self._codec, calls, selector, self.load_table, retry_budgets, self.detector, clock)
         plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -11,7 +11,6 @@
 
 from ..exceptions import AttemptError
 from ..exceptions import Ran
-from ..ports import AnswerMeta
 from ..ports import HeaderCodec
 from ..ports import Headers
 
@@ -71,14 +70,10 @@
 
 
 class Exchange:
-    """An endpoint's answer whose head has come.
+    """An endpoint's answer whose head has come."""
 
-    :param meta: what its headers say.
-    """
-
-    def __init__(self, response: aiohttp.ClientResponse, meta: AnswerMeta) -> None:
+    def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
-        self.meta = meta
 
     @property
     def status(self) -> int:
@@ -150,9 +145,10 @@
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
                 raise AttemptError(f"no answer: {type(error).__name__}", Ran.MAYBE) from error
             stack.callback(response.close)
-            yield Exchange(response, self._checked(response, request_id))
+            self._check(response, request_id)
+            yield Exchange(response)
 
-    def _checked(self, response: aiohttp.ClientResponse, request_id: str) -> AnswerMeta:
+    def _check(self, response: aiohttp.ClientResponse, request_id: str) -> None:
         meta = self._codec.answer_head(response.status, response.headers)
         if meta.not_run:
             raise AttemptError(f"declined with {response.status}", Ran.NO)
@@ -160,7 +156,6 @@
             raise AttemptError("answer of another request", Ran.MAYBE)
         if meta.encoded or (not meta.signed and response.status < 400):
             raise AttemptError("not the endpoint's own answer", Ran.MAYBE)
-        return meta
 
 
 async def within(seconds: float, work: t.Awaitable[t.Any]) -> t.Any:
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -6,7 +6,6 @@
 from ..groups.ended import EndedGroups
 from ..peers.failure_detector import FailureDetector
 from ..peers.load_table import LoadTable
-from ..settings import GatewaySettings
 from ..store.roster import Endpoint
 from ..store.serving import Engine
 from ..store.view import StoreView
@@ -29,14 +28,12 @@
 
     def __init__(
         self,
-        settings: GatewaySettings,
         view: StoreView,
         load_table: LoadTable,
         detector: FailureDetector,
         ended: EndedGroups,
         clock: t.Callable[[], float],
     ) -> None:
-        self._settings = settings
         self._view = view
         self._load_table = load_table
         self._detector = detector
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -43,7 +43,6 @@
         self._request = request
         self._closing = closing
         self._response: web.StreamResponse | None = None
-        self.whole = False
 
     @property
     def begun(self) -> bool:
@@ -73,7 +72,6 @@
         """End the answer as whole."""
         assert self._response is not None
         await self._response.write_eof()
-        self.whole = True
 
     def cut(self) -> None:
         """Break the connection, so that the answer can't be taken for whole."""
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -117,12 +117,6 @@
         """Count a caller's request."""
         self._budgets[request.service.name].request(self._clock())
 
-    def possible(self, request: Request) -> bool:
-        """Tell whether a request could be sent once more now."""
-        if not self._within_attempts(request):
-            return False
-        return self._budgets[request.service.name].left(self._clock(), self._daemons()) > 0
-
     def take(self, request: Request) -> bool:
         """Count a repeat if one may be sent; tell whether it may."""
         if not self._within_attempts(request):
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
@@ -32,7 +32,7 @@
     def __init__(self, terms: RetryBudgetSettings) -> None:
         self._terms = terms
         self._requests: collections.deque[float] = collections.deque()
-        self._retry_budgets: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
     def request(self, now: float) -> None:
         """Count a caller's request."""
@@ -46,17 +46,17 @@
         """
         self._forget(now)
         own = self._terms.ratio * len(self._requests) + self._terms.extra / max(1, daemons)
-        return math.floor(own * SAFETY) - len(self._retry_budgets)
+        return math.floor(own * SAFETY) - len(self._retries)
 
     def take(self, now: float, daemons: int) -> bool:
         """Count a repeat if one may be sent; tell whether it may."""
         if self.left(now, daemons) < 1:
             return False
-        self._retry_budgets.append(now)
+        self._retries.append(now)
         return True
 
     def _forget(self, now: float) -> None:
         begin = now - self._terms.window
-        for times in (self._requests, self._retry_budgets):
+        for times in (self._requests, self._retries):
             while times and times[0] < begin:
                 times.popleft()
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -11,8 +11,6 @@
 from thorncleat_gateway.peers.failure_detector import FailureDetector
 from thorncleat_gateway.peers.load_table import LoadTable
 from thorncleat_gateway.requests.endpoint_selector import EndpointSelector
-from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
-from thorncleat_gateway.settings import GatewaySettings
 from thorncleat_gateway.settings import StreamSettings
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
@@ -29,7 +27,6 @@
 from .test_failure_detector import PeerChannel
 
 ENGINE = Engine(4, (EngineModel("m", 1),))
-SETTINGS = GatewaySettings("e0", "a", ("", 0), ("", 0), ("", 0), RetryBudgetSettings(0.2, 10, 10))
 
 
 def leader(name, epoch):
@@ -56,7 +53,6 @@
         self.view = StoreView()
         self.ended = EndedGroups(self.peers, lambda: self.now)
         self.selector = EndpointSelector(
-            SETTINGS,
             self.view,
             LoadTable(lambda: self.now, lambda: 0.1),
             FailureDetector(StreamSettings(), PeerChannel(), lambda: self.now),
