--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -1,4 +1,9 @@
-"""Choosing the endpoint for a request."""
+"""Which endpoint gets a request: of those that can take it, the one with the least weight.
+
+Owns: how often each endpoint failed lately, and which are avoided for a while. Relies on:
+:mod:`.group_leaders` and the roster for those there are, :mod:`..peers.load_table` for the
+requests that they have, and :mod:`..peers.failure_detector` for those that are suspected.
+"""
 
 import random
 import typing as t
@@ -9,20 +14,31 @@
 from ..store.roster import Endpoint
 from ..store.serving import Engine
 from ..store.view import StoreView
+from .group_leaders import GroupLeaders
 
-# seconds for which an endpoint that refused or cut a connection is avoided
+# for which an endpoint that refused or cut a connection is avoided; chosen, not measured
 AVOID_SECONDS = 1.0
-# requests for each slot from which on a group is full
-FULL = 2.0
-# failures of an endpoint weigh less with each answer, by this factor
+# requests for each slot from which on a group is full; chosen, not measured
+FULL_PER_SLOT = 2.0
+# failures of an endpoint weigh less with each answer, by this factor; chosen, not measured
 FORGET = 0.9
+# weights are in requests under way: that of an endpoint which failed all requests lately;
+# chosen, not measured
 FAILURE_WEIGHT = 12.0
-# requests by which a choice varies at random, where the others' are known as well as can be
+# by which a choice varies at random, where the others' requests are known as well as can be;
+# chosen, not measured (1e0ca95 measured only that it grows with what is not known)
 SPREAD = 0.9
-# a group that will probably lose a member counts as if it had this many requests more
+# of a group that will probably lose a member; chosen, not measured
 WEAK_WEIGHT = 4.0
 
 
+class GroupCount(t.NamedTuple):
+    """How many groups there are for a request, and how many of them are suspected."""
+
+    open: int
+    suspected: int
+
+
 class EndpointSelector:
     """Knows which endpoints can take a request, and chooses the least loaded."""
 
@@ -37,92 +53,70 @@
         self._view = view
         self._load_table = load_table
         self._detector = detector
-        self._ended = ended
         self._clock = clock
+        self._leaders = GroupLeaders(view, ended)
         self._avoid: dict[str, float] = {}
         self._failures: dict[str, float] = {}
-        self._seen = -1
-        self._leaders: dict[tuple[str, str], list[Endpoint]] = {}
-        # leaders of groups with a member that is draining or not listed
-        self._weak: set[str] = set()
 
     def avoid(self, endpoint_id: str, seconds: float = AVOID_SECONDS) -> None:
         """Prefer others for some time."""
         self._avoid[endpoint_id] = self._clock() + seconds
 
     def answered(self, endpoint_id: str, *, well: bool) -> None:
-        """Take in how an attempt at an endpoint ended."""
+        """Note how an attempt at an endpoint ended."""
         before = self._failures.get(endpoint_id, 0.0)
         self._failures[endpoint_id] = before * FORGET + (0.0 if well else 1 - FORGET)
 
     def plain(self, service: str, tried: t.Container[str]) -> Endpoint | None:
-        """Return the endpoint of a plain service for a request."""
+        """Return the endpoint of a plain service for a request, or None if there is none."""
         listed = self._view.roster.of_service(service)
-        return self._best([one for one in listed if not one.draining and one.id not in tried])
+        return self._best(
+            [endpoint for endpoint in listed if not endpoint.draining and endpoint.id not in tried]
+        )
 
     def leader(
         self, service: str, engine: Engine, model: str, tried: t.Container[str]
     ) -> Endpoint | None:
-        """Return the leader of the group for a request."""
-        leaders = [one for one in self._serving(service, model) if one.id not in tried]
-        trusted = [one for one in leaders if not self._detector.suspected(one.id)]
+        """Return the leader of the group for a request, or None if no group can take it.
+
+        Groups that are suspected get none, by whomever they are; if all are, those that only
+        other daemons suspect are used, since these may be cut off themselves.
+        """
+        leaders = [leader for leader in self._leaders.of(service, model) if leader.id not in tried]
+        trusted = [leader for leader in leaders if not self._detector.suspected(leader.id)]
         if not trusted:
-            # others may suspect them only because they are cut off themselves
-            trusted = [one for one in leaders if not self._detector.suspected_here(one.id)]
+            trusted = [leader for leader in leaders if not self._detector.suspected_here(leader.id)]
         chosen = self._best(trusted)
-        if chosen is not None and self._load_table.of(chosen.id) >= FULL * engine.slots:
+        if chosen is not None and self._load_table.of(chosen.id) >= FULL_PER_SLOT * engine.slots:
             return None
         return chosen
 
-    def known(self, service: str, model: str) -> tuple[int, int]:
+    def known(self, service: str, model: str) -> GroupCount:
         """Return how many groups there are for a request, and how many are suspected."""
-        leaders = self._serving(service, model)
-        return len(leaders), sum(self._detector.suspected(one.id) for one in leaders)
+        leaders = self._leaders.of(service, model)
+        suspected = sum(self._detector.suspected(leader.id) for leader in leaders)
+        return GroupCount(len(leaders), suspected)
 
-    def others(self, service: str, model: str, but: t.Container[str]) -> bool:
-        """Tell whether there is another group for a request."""
+    def others(self, service: str, model: str, tried: t.Container[str]) -> bool:
+        """Return whether there is another group for a request, which nobody suspects."""
         return any(
-            one.id not in but and not self._detector.suspected(one.id)
-            for one in self._serving(service, model)
+            leader.id not in tried and not self._detector.suspected(leader.id)
+            for leader in self._leaders.of(service, model)
         )
 
-    def _serving(self, service: str, model: str) -> list[Endpoint]:
-        """Return the leaders of the groups that nobody is ending."""
-        self._refresh()
-        listed = self._leaders.get((service, model), [])
-        return [one for one in listed if one.membership and one.membership.group not in self._ended]
-
     def _best(self, endpoints: t.Sequence[Endpoint]) -> Endpoint | None:
+        """Return the endpoint with the least weight, of those not avoided if there are any."""
         now = self._clock()
-        sound = [one for one in endpoints if self._avoid.get(one.id, 0.0) <= now] or endpoints
-        if not sound:
+        usable = [
+            endpoint for endpoint in endpoints if self._avoid.get(endpoint.id, 0.0) <= now
+        ] or endpoints
+        if not usable:
             return None
-        return min(sound, key=self._weight)
+        return min(usable, key=self._weight)
 
-    def _weight(self, one: Endpoint) -> float:
-        failing = FAILURE_WEIGHT * self._failures.get(one.id, 0.0)
-        weak = WEAK_WEIGHT if one.id in self._weak else 0.0
+    def _weight(self, endpoint: Endpoint) -> float:
+        failing = FAILURE_WEIGHT * self._failures.get(endpoint.id, 0.0)
+        weak = WEAK_WEIGHT if self._leaders.is_weak(endpoint.id) else 0.0
         # daemons that know equally little of each other must not all choose the same
         spread = random.random() * SPREAD * self._load_table.uncertainty
-        return self._load_table.of(one.id) + failing + weak + spread
-
-    def _refresh(self) -> None:
-        if self._seen == self._view.version:
-            return
-        self._seen = self._view.version
-        self._leaders = {}
-        self._weak = set()
-        configuration = self._view.configuration
-        roster = self._view.roster
-        for one in roster.endpoints.values():
-            if not one.leads or not one.models or configuration is None:
-                continue
-            service = configuration.services.get(one.service)
-            model = service.engine.model(one.models[0]) if service and service.engine else None
-            group = roster.groups[one.membership.group] if one.membership else None
-            if model is None or group is None or one.draining:
-                continue
-            self._leaders.setdefault((one.service, model.name), []).append(one)
-            sound = sum(not member.draining for member in group.members.values())
-            if sound < model.size:
-                self._weak.add(one.id)
+        return self._load_table.of(endpoint.id) + failing + weak + spread
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -0,0 +1,69 @@
+"""Which endpoints lead the groups of each service and model.
+
+Owns: a table of leaders, made anew whenever the store's view has changed. Relies on:
+:mod:`..store.view` for endpoints and configuration, and :mod:`..groups.ended` for the groups
+that are being ended.
+"""
+
+from ..groups.ended import EndedGroups
+from ..store.roster import Endpoint
+from ..store.roster import Roster
+from ..store.serving import EngineModel
+from ..store.serving import ServingConfiguration
+from ..store.view import StoreView
+
+
+class GroupLeaders:
+    """The leaders of all groups that are open."""
+
+    def __init__(self, view: StoreView, ended: EndedGroups) -> None:
+        self._view = view
+        self._ended = ended
+        self._version = -1
+        self._leaders: dict[tuple[str, str], list[Endpoint]] = {}
+        self._weak: set[str] = set()
+
+    def of(self, service: str, model: str) -> list[Endpoint]:
+        """Return the leaders of the groups of a model, but for those that are being ended."""
+        if self._version != self._view.version:
+            self._rebuild()
+        listed = self._leaders.get((service, model), [])
+        return [
+            leader
+            for leader in listed
+            if leader.membership and leader.membership.group not in self._ended
+        ]
+
+    def is_weak(self, leader_id: str) -> bool:
+        """Return whether a member of a leader's group is draining or not listed."""
+        return leader_id in self._weak
+
+    def _rebuild(self) -> None:
+        self._version = self._view.version
+        self._leaders = {}
+        self._weak = set()
+        configuration, roster = self._view.configuration, self._view.roster
+        if configuration is None:
+            return
+        for endpoint in roster.endpoints.values():
+            model = _led_model(configuration, endpoint)
+            if model is None:
+                continue
+            self._leaders.setdefault((endpoint.service, model.name), []).append(endpoint)
+            if _is_weak(roster, endpoint, model):
+                self._weak.add(endpoint.id)
+
+
+def _led_model(configuration: ServingConfiguration, endpoint: Endpoint) -> EngineModel | None:
+    """Return the model of the group that an endpoint leads, or None if it takes no requests."""
+    if not endpoint.leads or not endpoint.models or endpoint.draining:
+        return None
+    service = configuration.services.get(endpoint.service)
+    return service.engine.model(endpoint.models[0]) if service and service.engine else None
+
+
+def _is_weak(roster: Roster, leader: Endpoint, model: EngineModel) -> bool:
+    """Return whether fewer members than the model needs are listed and not draining."""
+    assert leader.membership is not None
+    members = roster.groups[leader.membership.group].members.values()
+    return sum(not member.draining for member in members) < model.size
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -129,8 +129,11 @@
             if one is not None:
                 return one
             if not caller.begun:
-                there, suspected = self._selector.known(request.service.name, model)
-                cause = f"no group for {model!r}: {there} open, {suspected} of them suspected"
+                groups = self._selector.known(request.service.name, model)
+                cause = (
+                    f"no group for {model!r}: "
+                    f"{groups.open} open, {groups.suspected} of them suspected"
+                )
                 raise request.refusal(cause, RETRY_AFTER_SECONDS)
             if self._clock() >= until:
                 raise CutError("no group to go on in")
--- /dev/null
+++ b/tests/test_endpoint_selector.py
@@ -0,0 +1,185 @@
+"""Which endpoint gets a request: a table of cases, one line each."""
+
+import dataclasses
+
+import pytest
+
+from thorncleat_gateway.requests.endpoint_selector import AVOID_SECONDS
+from thorncleat_gateway.requests.endpoint_selector import EndpointSelector
+from thorncleat_gateway.store.roster import Endpoint
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+from thorncleat_gateway.store.roster import Roster
+from thorncleat_gateway.store.serving import Engine
+from thorncleat_gateway.store.serving import EngineModel
+from thorncleat_gateway.store.serving import Service
+from thorncleat_gateway.store.serving import ServingConfiguration
+
+SLOTS = 4
+ENGINE = Engine(SLOTS, (EngineModel("m", 2), EngineModel("n", 1)))
+
+
+def member(name, epoch, rank=0, **more):
+    place = Membership(GroupId(epoch, f"g{epoch}"), rank, GroupState.OPEN)
+    return Endpoint(name, "narrator", "", "a", models=("m",), membership=place, **more)
+
+
+class StoreView:
+    def __init__(self, endpoints):
+        self.version = 1
+        self.roster = Roster()
+        for endpoint in endpoints:
+            self.roster.put(endpoint)
+        self.configuration = ServingConfiguration(
+            1, services={"narrator": Service("narrator", "/", ENGINE), "desk": Service("desk")}
+        )
+
+
+class LoadTable:
+    uncertainty = 0.0
+
+    def __init__(self, counts):
+        self._counts = counts
+
+    def of(self, endpoint_id):
+        return self._counts.get(endpoint_id, 0)
+
+
+@dataclasses.dataclass
+class Detector:
+    all_suspects: tuple[str, ...] = ()
+    own_suspects: tuple[str, ...] = ()
+
+    def suspected(self, endpoint_id):
+        return endpoint_id in self.all_suspects
+
+    def suspected_here(self, endpoint_id):
+        return endpoint_id in self.own_suspects
+
+
+GROUPS = [member("a0", 1), member("a1", 1, rank=1), member("b0", 2), member("b1", 2, rank=1)]
+
+
+def selector(endpoints=GROUPS, load=(), suspects=(), own_suspects=(), ended=()):
+    now = [100.0]
+    made = EndpointSelector(
+        StoreView(endpoints),
+        LoadTable(dict(load)),
+        Detector(suspects, own_suspects),
+        [GroupId(epoch, f"g{epoch}") for epoch in ended],
+        lambda: now[0],
+    )
+    made.now = now
+    return made
+
+
+def without(name):
+    return [endpoint for endpoint in GROUPS if endpoint.id != name]
+
+
+def draining(name):
+    return [dataclasses.replace(endpoint, draining=endpoint.id == name) for endpoint in GROUPS]
+
+
+@pytest.mark.parametrize(
+    ("given", "tried", "expected"),
+    [
+        pytest.param({"load": {"a0": 1}}, (), "b0", id="least loaded"),
+        pytest.param({"load": {"a0": 1}}, ("b0",), "a0", id="not one that was tried"),
+        pytest.param({}, ("a0", "b0"), None, id="all were tried"),
+        pytest.param({"load": {"b0": 1}, "suspects": ("a0",)}, (), "b0", id="not a suspected one"),
+        pytest.param({"suspects": ("a0", "b0")}, (), "a0", id="all suspected, but not by us"),
+        pytest.param(
+            {"suspects": ("a0", "b0"), "own_suspects": ("a0",)}, (), "b0", id="one not by us"
+        ),
+        pytest.param(
+            {"suspects": ("a0", "b0"), "own_suspects": ("a0", "b0")}, (), None, id="all by us too"
+        ),
+        pytest.param({"load": {"b0": 7}, "ended": (1,)}, (), "b0", id="not one being ended"),
+        pytest.param({"load": {"a0": 8, "b0": 7}}, (), "b0", id="below two for each slot"),
+        pytest.param({"load": {"a0": 8, "b0": 8}}, (), None, id="all full"),
+        pytest.param(
+            {"endpoints": draining("a0"), "load": {"b0": 5}}, (), "b0", id="leader leaves"
+        ),
+        pytest.param(
+            {"endpoints": draining("a1"), "load": {"b0": 3}}, (), "b0", id="member leaves: weak"
+        ),
+        pytest.param(
+            {"endpoints": draining("a1"), "load": {"b0": 5}}, (), "a0", id="weak counts as 4 more"
+        ),
+        pytest.param(
+            {"endpoints": without("a1"), "load": {"b0": 3}}, (), "b0", id="member unlisted: weak"
+        ),
+    ],
+)
+def test_group_for_a_request(given, tried, expected):
+    chosen = selector(**given).leader("narrator", ENGINE, "m", tried)
+    assert (chosen.id if chosen else None) == expected
+
+
+def test_no_group_of_another_model_or_service():
+    assert selector().leader("narrator", ENGINE, "n", ()) is None
+    assert selector().leader("desk", ENGINE, "m", ()) is None
+
+
+DESKS = [Endpoint("a", "desk", "", "a"), Endpoint("b", "desk", "", "a")]
+
+
+@pytest.mark.parametrize(
+    ("endpoints", "load", "tried", "expected"),
+    [
+        pytest.param(DESKS, {"a": 1}, (), "b", id="least loaded"),
+        pytest.param(DESKS, {"a": 1}, ("b",), "a", id="not one that was tried"),
+        pytest.param(DESKS, {}, ("a", "b"), None, id="all were tried"),
+        pytest.param([], {}, (), None, id="nobody there"),
+        pytest.param(
+            [dataclasses.replace(DESKS[0], draining=True)], {}, (), None, id="only a draining one"
+        ),
+        pytest.param(DESKS, {"a": 100}, ("b",), "a", id="a plain service is never full"),
+    ],
+)
+def test_endpoint_of_a_plain_service(endpoints, load, tried, expected):
+    chosen = selector(endpoints, load).plain("desk", tried)
+    assert (chosen.id if chosen else None) == expected
+
+
+def test_refusing_endpoint_is_avoided_for_a_while_if_there_is_another():
+    made = selector(DESKS, {"b": 3})
+    made.avoid("a")
+    assert made.plain("desk", ()).id == "b"
+    assert made.plain("desk", ("b",)).id == "a"
+    made.now[0] += AVOID_SECONDS
+    assert made.plain("desk", ()).id == "a"
+
+
+@pytest.mark.parametrize(
+    ("ends", "load_of_other", "expected"),
+    [
+        pytest.param([False], 1, "a", id="a failure weighs 1.2 requests, against 1: other"),
+        pytest.param([False], 2, "b", id="a failure weighs 1.2 requests, against 2: same"),
+        pytest.param([False, True], 1, "a", id="1.08 after an answer"),
+        pytest.param([False, True, True], 1, "b", id="0.972 after two answers"),
+        pytest.param([False] * 2, 2, "a", id="two failures weigh 2.28"),
+    ],
+)
+def test_failures_weigh_and_are_forgotten(ends, load_of_other, expected):
+    made = selector(DESKS, {"a": load_of_other})
+    for well in ends:
+        made.answered("b", well=well)
+    assert made.plain("desk", ()).id == expected
+
+
+@pytest.mark.parametrize(
+    ("given", "known", "others"),
+    [
+        pytest.param({}, (2, 0), True, id="both"),
+        pytest.param({"suspects": ("b0",)}, (2, 1), False, id="other suspected"),
+        pytest.param({"ended": (2,)}, (1, 0), False, id="other being ended"),
+        pytest.param({"endpoints": draining("b0")}, (1, 0), False, id="other draining"),
+    ],
+)
+def test_groups_known_and_others_than_the_first(given, known, others):
+    made = selector(**given)
+    assert made.known("narrator", "m") == known
+    assert made.others("narrator", "m", ("a0",)) is others
