--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -38,7 +38,7 @@
 
 
 class Ran(enum.Enum):
-    """What is known of a failed attempt."""
+    """Whether a request may have run in a failed attempt; the value stands in the log line."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -70,3 +70,10 @@
         self.status = status
         self.cause = cause
         self.retry_after = retry_after
+
+
+class CutError(RefusalError):
+    """An answer that has begun can't be completed; the caller's connection has to be cut."""
+
+    def __init__(self, cause: str) -> None:
+        super().__init__(502, cause)
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -29,7 +29,7 @@
 from .requests.endpoint_selector import EndpointSelector
 from .requests.frontend import Frontend
 from .requests.plain import PlainForwarder
-from .requests.request import RetryBudgets
+from .requests.retry_budget import RetryBudgets
 from .requests.streams import StreamForwarder
 from .settings import GatewaySettings
 from .store.registration import Registration
@@ -168,9 +168,9 @@
         calls = EndpointClient(self._client, self._codec, settings.connect_timeout)
         selector = EndpointSelector(self.view, self.load_table, self.detector, self.ended, clock)
         retry_budgets = RetryBudgets(settings.retry, clock, self._sharing)
-        parts = (self._codec, calls, selector, self.load_table, retry_budgets, self.detector, clock)
+        parts = (calls, selector, self.load_table, retry_budgets, self.detector, clock)
         plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
-        return Frontend(settings, self.view, self._codec, plain, streams, retry_budgets, clock)
+        return Frontend(settings, self.view, self._codec, plain, streams, clock)
 
     def _sharing(self) -> int:
         """Return how many daemons share what all may spend."""
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -1,4 +1,8 @@
-"""One attempt at an endpoint, with what is known of its fate when it fails."""
+"""One attempt at an endpoint, with what is known of its fate when it fails.
+
+Owns: the connections to endpoints, one for each attempt. Relies on: aiohttp as its client
+library, and on the platform's adapter (:class:`~..ports.HeaderCodec`) for the names of headers.
+"""
 
 import asyncio
 import contextlib
@@ -11,10 +15,16 @@
 
 from ..exceptions import AttemptError
 from ..exceptions import Ran
+from ..ports import ForwardMeta
 from ..ports import HeaderCodec
 from ..ports import Headers
+from ..store.roster import Endpoint
+from .request import Request
 
-SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+# headers that the client library adds by itself; only the caller's own are sent
+SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+# status from which on an answer needs no signature of the endpoint: it carries no result
+UNSIGNED_STATUS = 400
 
 
 class _LostError(aiohttp.ClientError):
@@ -26,8 +36,8 @@
 ) -> aiohttp.ClientResponse:
     """Keep the client library from sending a request twice.
 
-    It repeats some methods by itself when a connection is lost. It knows those errors by
-    their class, so they get another.
+    It repeats some methods itself when a connection is lost. It recognizes those errors by
+    their class, so they get another one.
     """
     try:
         return await handler(request)
@@ -38,9 +48,10 @@
 
 
 class _Connection(ResponseHandler):
-    """A connection that tells an answer without a length from one that was reset.
+    """A connection that distinguishes a reset from the end of an answer without a length.
 
-    Such an answer ends with its connection, and the client library takes any end for it.
+    Such an answer ends with its connection, and the client library takes any end of the
+    connection for the end of the answer.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -63,7 +74,7 @@
     return aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
-        skip_auto_headers=SKIPPED,
+        skip_auto_headers=SKIPPED_HEADERS,
         middlewares=(_never_again,),
         cookie_jar=aiohttp.DummyCookieJar(),
     )
@@ -72,8 +83,9 @@
 class Exchange:
     """An endpoint's answer whose head has come."""
 
-    def __init__(self, response: aiohttp.ClientResponse) -> None:
+    def __init__(self, response: aiohttp.ClientResponse, codec: HeaderCodec) -> None:
         self._response = response
+        self._codec = codec
 
     @property
     def status(self) -> int:
@@ -81,9 +93,9 @@
         return self._response.status
 
     @property
-    def headers(self) -> list[tuple[str, str]]:
-        """The endpoint's headers, as they came."""
-        return list(self._response.headers.items())
+    def headers(self) -> Headers:
+        """The endpoint's headers that the caller gets."""
+        return self._codec.returned(list(self._response.headers.items()))
 
     async def body(self) -> bytes:
         """Return the whole body.
@@ -121,18 +133,19 @@
 
     @contextlib.asynccontextmanager
     async def open(
-        self, address: str, method: str, path: str, headers: Headers, body: bytes, request_id: str
+        self, endpoint: Endpoint, request: Request, meta: ForwardMeta
     ) -> t.AsyncIterator[Exchange]:
         """Send a request and yield the exchange once the answer's head is there.
 
-        :param path: as it stood in the caller's request line.
-        :raises AttemptError: if there is no answer of this request's.
+        :param meta: what the endpoint is told beside the caller's own headers.
+        :raises AttemptError: if there is no answer to this request.
         """
+        has_body = request.body or request.method not in ("GET", "HEAD")
         call = self._client.request(
-            method,
-            URL(f"http://{address}{path}", encoded=True),
-            data=body if body or method not in ("GET", "HEAD") else None,
-            headers=headers,
+            request.method,
+            URL(f"http://{endpoint.address}{request.path}", encoded=True),
+            data=request.body if has_body else None,
+            headers=self._codec.forwarded(request.headers, meta),
             timeout=self._timeout,
             allow_redirects=False,
         )
@@ -145,8 +158,8 @@
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
                 raise AttemptError(f"no answer: {type(error).__name__}", Ran.MAYBE) from error
             stack.callback(response.close)
-            self._check(response, request_id)
-            yield Exchange(response)
+            self._check(response, request.meta.id)
+            yield Exchange(response, self._codec)
 
     def _check(self, response: aiohttp.ClientResponse, request_id: str) -> None:
         meta = self._codec.answer_head(response.status, response.headers)
@@ -154,12 +167,12 @@
             raise AttemptError(f"declined with {response.status}", Ran.NO)
         if meta.request_id is not None and meta.request_id != request_id:
             raise AttemptError("answer of another request", Ran.MAYBE)
-        if meta.encoded or (not meta.signed and response.status < 400):
+        if meta.encoded or (not meta.signed and response.status < UNSIGNED_STATUS):
             raise AttemptError("not the endpoint's own answer", Ran.MAYBE)
 
 
 async def within(seconds: float, work: t.Awaitable[t.Any]) -> t.Any:
-    """Wait for something for some seconds.
+    """Return the result of some work, for which an attempt has some seconds.
 
     :raises AttemptError: if it takes longer.
     """
--- a/packages/gateway/src/thorncleat_gateway/requests/event_stream.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/event_stream.py
@@ -1,4 +1,8 @@
-"""Cutting a stream of server-sent events into whole events, and keeping their order."""
+"""Splitting a stream of server-sent events into whole events, and keeping their order.
+
+Owns: the part of an event that has come so far, and the last event's id, of one request.
+Relies on: endpoints that end each event with an empty line and raise the ids.
+"""
 
 BOUNDARY = b"\n\n"
 ID_FIELD = b"id:"
@@ -13,9 +17,9 @@
 
 
 class EventSplitter:
-    """Yields only whole events whose ids go on rising.
+    """Passes on only whole events whose ids go on rising.
 
-    A run that continues at another endpoint may repeat the last events; those are dropped.
+    An attempt that continues at another endpoint may repeat the last events; those are dropped.
     """
 
     def __init__(self) -> None:
@@ -29,12 +33,12 @@
         return bool(self._rest)
 
     def feed(self, data: bytes) -> bytes:
-        """Take in bytes and return the whole events that may be passed on."""
+        """Add bytes. Returns the whole events that may be passed on."""
         *whole, self._rest = (self._rest + data).split(BOUNDARY)
-        return b"".join(one + BOUNDARY for one in whole if self._is_next(one))
+        return b"".join(event + BOUNDARY for event in whole if self._is_next(event))
 
     def restart(self) -> None:
-        """Drop a part of an event, before another run continues."""
+        """Drop a part of an event, before another attempt continues."""
         self._rest = b""
 
     def _is_next(self, event: bytes) -> bool:
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from .. import events
+from ..exceptions import CutError
 from ..exceptions import RefusalError
 from ..ports import HeaderCodec
 from ..ports import Headers
@@ -17,10 +17,9 @@
 from ..store.serving import ServingConfiguration
 from ..store.serving import Workspace
 from ..store.view import StoreView
+from . import request_log
 from .plain import PlainForwarder
 from .request import Request
-from .request import RetryBudgets
-from .streams import CutError
 from .streams import StreamForwarder
 
 # part of the time to take a key away in which the configuration counts as new enough
@@ -93,7 +92,6 @@
         codec: HeaderCodec,
         plain: PlainForwarder,
         streams: StreamForwarder,
-        retry_budgets: RetryBudgets,
         clock: t.Callable[[], float],
     ) -> None:
         self._settings = settings
@@ -101,7 +99,6 @@
         self._codec = codec
         self._plain = plain
         self._streams = streams
-        self._retry_budgets = retry_budgets
         self._clock = clock
         self.stopping = False
         self.closed = False
@@ -135,29 +132,20 @@
         try:
             return await self._serve(request, meta, caller, received_at)
         except CutError as error:
-            events.REQUEST_CUT.log(request=meta.id, cause=error.cause)
+            request_log.cut(meta.id, error.cause)
             caller.cut()
             assert caller.response is not None
             return caller.response
         except RefusalError as error:
             return self._refused(meta, error, received_at)
         except (asyncio.CancelledError, ConnectionError):
-            events.REQUEST_LEFT.log(
-                request=meta.id, after=round(self._clock() - received_at, 3), begun=caller.begun
-            )
+            request_log.caller_left(meta.id, self._clock() - received_at, begun=caller.begun)
             raise
         finally:
             self.running -= 1
 
     def _refused(self, meta: RequestMeta, error: RefusalError, received_at: float) -> web.Response:
-        events.REQUEST_REFUSED.log(
-            request=meta.id,
-            status=error.status,
-            cause=error.cause,
-            retry_after=error.retry_after,
-            after=round(self._clock() - received_at, 3),
-            config_age=round(self._view.age(), 3),
-        )
+        request_log.refused(meta.id, error, self._clock() - received_at, self._view.age())
         response = web.Response(status=error.status, text=error.cause + "\n")
         if error.retry_after is not None:
             response.headers["Retry-After"] = f"{error.retry_after:.2f}"
@@ -194,10 +182,10 @@
             min(deadline_at, received_at + route.timeout) - MARGIN_SECONDS,
             deadline_at,
         )
-        self._retry_budgets.request(wanted)
         await self._forward(wanted, caller)
-        self._log_done(wanted, caller)
         assert caller.response is not None
+        status = caller.response.status
+        request_log.done(wanted, status, self._clock(), self._view.age())
         return caller.response
 
     async def _forward(self, wanted: Request, caller: Caller) -> None:
@@ -243,20 +231,6 @@
                     break
         return configuration.services.get(split.service) or Service(split.service)
 
-    def _log_done(self, wanted: Request, caller: Caller) -> None:
-        events.REQUEST_DONE.log(
-            request=wanted.meta.id,
-            route=wanted.route.name,
-            workspace=wanted.workspace.name if wanted.workspace else None,
-            status=caller.response.status if caller.response else 0,
-            sends=wanted.sends + 1,
-            endpoint=wanted.endpoint_id,
-            first_event=round(max(0.0, wanted.first_event_at - wanted.received_at), 3),
-            longest_pause=round(wanted.longest_pause, 3),
-            seconds=round(self._clock() - wanted.received_at, 3),
-            config_age=round(self._view.age(), 3),
-        )
-
 
 async def _read(request: web.BaseRequest, limit: int) -> bytes:
     parts: list[bytes] = []
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -1,25 +1,27 @@
-"""Requests to plain services: the whole answer, or a refusal that says whether it ran."""
+"""Requests to plain services: the whole answer, or a refusal that says whether it ran.
+
+Owns: nothing beside the request at hand. Relies on: :mod:`.retry_policy` for what follows a
+failed attempt, and on :mod:`.endpoint_selector` for the endpoint.
+"""
 
 import dataclasses
 import typing as t
 
 from ..exceptions import AttemptError
 from ..exceptions import Ran
-from ..peers.failure_detector import FailureDetector
-from ..peers.load_table import LoadTable
-from ..ports import HeaderCodec
 from ..ports import Headers
 from ..store.roster import Endpoint
-from .endpoint_client import EndpointClient
+from . import request_log
+from . import retry_policy
 from .endpoint_client import within
-from .endpoint_selector import EndpointSelector
+from .forwarder import Forwarder
 from .request import Request
-from .request import RetryBudgets
-from .request import log_failed
+from .retry_policy import GiveUp
+from .retry_policy import Next
+from .retry_policy import PlainDecision
 
-RETRY_AFTER_SECONDS = 0.3
-# a repeatable request goes to another endpoint after this many times its target
-PATIENCE = 0.8
+# status from which on an answer says that the endpoint failed
+FAILURE_STATUS = 500
 
 
 @dataclasses.dataclass(frozen=True)
@@ -30,80 +32,84 @@
     headers: Headers
     body: bytes
 
+    @property
+    def failed(self) -> bool:
+        """Whether it says that the endpoint failed."""
+        return self.status >= FAILURE_STATUS
 
-class PlainForwarder:
-    """Sends requests to the endpoints of plain services."""
 
-    def __init__(
-        self,
-        codec: HeaderCodec,
-        endpoint_client: EndpointClient,
-        selector: EndpointSelector,
-        load_table: LoadTable,
-        retry_budgets: RetryBudgets,
-        detector: FailureDetector,
-        clock: t.Callable[[], float],
-    ) -> None:
-        self._codec = codec
-        self._endpoint_client = endpoint_client
-        self._selector = selector
-        self._load_table = load_table
-        self._retry_budgets = retry_budgets
-        self._detector = detector
-        self._clock = clock
+class PlainForwarder(Forwarder):
+    """Sends requests to the endpoints of plain services."""
 
     async def serve(self, request: Request) -> PlainAnswer:
         """Return an endpoint's answer.
 
         :raises RefusalError: if there is none.
         """
+        self._count(request)
         kept: PlainAnswer | None = None
         while True:
-            one = self._selector.plain(request.service.name, request.tried)
-            if one is None and kept is not None:
-                return kept
-            if one is None:
-                raise request.refusal("no endpoint", RETRY_AFTER_SECONDS)
+            endpoint = self._selector.plain(request.service.name, request.tried)
+            if endpoint is None:
+                end = retry_policy.without_endpoint(
+                    may_have_run=request.may_have_run, has_kept=kept is not None
+                )
+                return self._end(end, kept)
             try:
-                kept = await self._attempt(request, one)
-                self._detector.heard(one.id, self._clock())
-                self._selector.answered(one.id, well=kept.status < 500)
-                if kept.status < 500 or not self._again(request):
+                kept = await self._attempt(request, endpoint)
+                self._detector.heard(endpoint.id, self._clock())
+                self._selector.answered(endpoint.id, well=not kept.failed)
+                if not kept.failed or not self._may_try_elsewhere(request):
                     return kept
-                error = AttemptError(f"status {kept.status}", Ran.MAYBE)
-            except AttemptError as failure:
-                error = failure
-                self._selector.answered(one.id, well=False)
-                if not error.sent:
-                    self._selector.avoid(one.id)
-            request.failed(one, error)
-            log_failed(request, one, error, self._clock())
-            if self._clock() >= request.until:
-                raise request.refusal("out of time", RETRY_AFTER_SECONDS)
-            if request.may_have_run and not request.route.repeatable:
-                raise request.refusal(error.cause, None)
-            if not self._retry_budgets.take(request):
-                if kept is not None:
-                    return kept
-                raise request.refusal(error.cause, RETRY_AFTER_SECONDS)
+                failure = AttemptError(f"status {kept.status}", Ran.MAYBE)
+            except AttemptError as error:
+                failure = error
+                self._selector.answered(endpoint.id, well=False)
+                if not failure.sent:
+                    self._selector.avoid(endpoint.id)
+            decision = self._after_failure(request, endpoint, failure, has_kept=kept is not None)
+            if decision is not Next.SEND_AGAIN:
+                return self._end(decision, kept)
+
+    def _after_failure(
+        self, request: Request, endpoint: Endpoint, failure: AttemptError, *, has_kept: bool
+    ) -> PlainDecision:
+        # a plain service gives no sign of life but its answer, so whatever was sent counts
+        counted = retry_policy.counts_as_sent(failure, heard_since_sent=True)
+        request.failed(endpoint, failure, counted=counted)
+        request_log.failed(request, endpoint, failure, self._clock())
+        return retry_policy.after_plain_failure(
+            failure,
+            request.used(self._clock()),
+            request.route,
+            self._token(request),
+            has_kept=has_kept,
+        )
+
+    @staticmethod
+    def _end(
+        decision: t.Literal[Next.RETURN_KEPT_ANSWER] | GiveUp, kept: PlainAnswer | None
+    ) -> PlainAnswer:
+        """Return the answer that was kept, or raise the refusal."""
+        if isinstance(decision, GiveUp):
+            raise decision.error()
+        assert kept is not None
+        return kept
 
-    def _again(self, request: Request) -> bool:
-        """Tell whether a failure of the endpoint's own may be tried elsewhere."""
-        more = request.sends + 1 < request.route.max_attempts
-        return request.route.repeatable and more and self._clock() < request.until
+    def _may_try_elsewhere(self, request: Request) -> bool:
+        late = self._clock() >= request.until
+        return retry_policy.may_try_elsewhere(request.route, request.sends, late=late)
 
-    async def _attempt(self, request: Request, one: Endpoint) -> PlainAnswer:
+    async def _attempt(self, request: Request, endpoint: Endpoint) -> PlainAnswer:
         left = request.until - self._clock()
-        if self._again(request):
-            left = min(left, PATIENCE * request.route.target)
-        with self._load_table.running(one.id):
-            answer: PlainAnswer = await within(left, self._exchange(request, one))
+        elsewhere = self._may_try_elsewhere(request)
+        seconds = retry_policy.attempt_seconds(request.route, left, elsewhere=elsewhere)
+        with self._load_table.running(endpoint.id):
+            answer: PlainAnswer = await within(seconds, self._exchange(request, endpoint))
         return answer
 
-    async def _exchange(self, request: Request, one: Endpoint) -> PlainAnswer:
-        headers = request.forwarded(self._codec, one, self._clock(), None)
-        async with self._endpoint_client.open(
-            one.address, request.method, request.path, headers, request.body, request.meta.id
-        ) as exchange:
+    async def _exchange(self, request: Request, endpoint: Endpoint) -> PlainAnswer:
+        meta = request.forward_meta(endpoint, self._clock(), None)
+        async with self._endpoint_client.open(endpoint, request, meta) as exchange:
             body = await exchange.body()
-            return PlainAnswer(exchange.status, self._codec.returned(exchange.headers), body)
+            return PlainAnswer(exchange.status, exchange.headers, body)
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/requests/request_log.py
@@ -0,0 +1,81 @@
+"""The log lines of a request's way, one function for each.
+
+Owns: nothing. Relies on: :mod:`..events` for the numbers and names of the lines.
+"""
+
+from .. import events
+from ..exceptions import AttemptError
+from ..exceptions import RefusalError
+from ..store.roster import Endpoint
+from .request import Request
+
+
+def sent(request: Request, endpoint: Endpoint, load: int, last_event_id: str | None) -> None:
+    """Write the line of an attempt of a streamed request.
+
+    :param load: requests under way at the endpoint.
+    """
+    events.REQUEST_SENT.log(
+        request=request.meta.id, endpoint=endpoint.id, load=load, last=last_event_id
+    )
+
+
+def failed(request: Request, endpoint: Endpoint, failure: AttemptError, now: float) -> None:
+    """Write the line of a failed attempt."""
+    events.REQUEST_MOVED.log(
+        request=request.meta.id,
+        endpoint=endpoint.id,
+        cause=failure.cause,
+        ran=failure.ran.value,
+        sends=request.sends,
+        after=round(now - request.received_at, 3),
+    )
+
+
+def done(request: Request, status: int, now: float, config_age: float) -> None:
+    """Write the line of an answer that was passed on whole.
+
+    :param config_age: seconds since a newer configuration was excluded.
+    """
+    events.REQUEST_DONE.log(
+        request=request.meta.id,
+        route=request.route.name,
+        workspace=request.workspace.name if request.workspace else None,
+        status=status,
+        sends=request.sends + 1,
+        endpoint=request.endpoint_id,
+        first_event=round(max(0.0, request.first_event_at - request.received_at), 3),
+        longest_pause=round(request.longest_pause, 3),
+        seconds=round(now - request.received_at, 3),
+        config_age=round(config_age, 3),
+    )
+
+
+def refused(request_id: str, refusal: RefusalError, after: float, config_age: float) -> None:
+    """Write the line of an answer of the gateway's own.
+
+    :param after: seconds since the request came.
+    :param config_age: seconds since a newer configuration was excluded.
+    """
+    events.REQUEST_REFUSED.log(
+        request=request_id,
+        status=refusal.status,
+        cause=refusal.cause,
+        retry_after=refusal.retry_after,
+        after=round(after, 3),
+        config_age=round(config_age, 3),
+    )
+
+
+def cut(request_id: str, cause: str) -> None:
+    """Write the line of an answer that was broken off."""
+    events.REQUEST_CUT.log(request=request_id, cause=cause)
+
+
+def caller_left(request_id: str, after: float, *, begun: bool) -> None:
+    """Write the line of a caller who has gone.
+
+    :param after: seconds since the request came.
+    :param begun: whether the caller had got the head of the answer.
+    """
+    events.REQUEST_LEFT.log(request=request_id, after=round(after, 3), begun=begun)
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
@@ -1,14 +1,19 @@
-"""How many repeats a daemon may send, so that all daemons together stay within a budget.
+"""How many retries a daemon may send, so that all daemons together stay within a budget.
 
 Each daemon has its part of the fixed allowance and the ratio of its own requests. The parts
 add up to the whole budget whatever the daemons know of each other's counts.
+
+Owns: this daemon's requests and retries within the window, for each service. Relies on: the
+number of daemons that share a budget, which must not be too low.
 """
 
 import collections
 import dataclasses
 import math
+import typing as t
 
-# part of the budget that is used; the rest covers requests and repeats in different windows
+# part of the budget that is used; the rest covers requests and retries in different windows;
+# chosen, not measured
 SAFETY = 0.8
 
 
@@ -16,8 +21,8 @@
 class RetryBudgetSettings:
     """The budget of all daemons for one service.
 
-    :param ratio: repeats for each request in a window.
-    :param extra: repeats in a window beside these.
+    :param ratio: retries for each request in a window.
+    :param extra: retries in a window beside these.
     :param window: seconds.
     """
 
@@ -27,7 +32,7 @@
 
 
 class RetryBudget:
-    """Counts one daemon's requests and repeats to one service in a sliding window."""
+    """Counts one daemon's requests and retries to one service in a sliding window."""
 
     def __init__(self, terms: RetryBudgetSettings) -> None:
         self._terms = terms
@@ -40,7 +45,7 @@
         self._forget(now)
 
     def left(self, now: float, daemons: int) -> int:
-        """Return how many repeats may be sent now.
+        """Return how many retries may be sent now.
 
         :param daemons: daemons that share the budget.
         """
@@ -49,7 +54,7 @@
         return math.floor(own * SAFETY) - len(self._retries)
 
     def take(self, now: float, daemons: int) -> bool:
-        """Count a repeat if one may be sent; tell whether it may."""
+        """Count a retry if one may be sent. Returns whether it may."""
         if self.left(now, daemons) < 1:
             return False
         self._retries.append(now)
@@ -60,3 +65,25 @@
         for times in (self._requests, self._retries):
             while times and times[0] < begin:
                 times.popleft()
+
+
+class RetryBudgets:
+    """The retry budget of each service, as far as it is this daemon's.
+
+    :param daemons: returns how many daemons share it.
+    """
+
+    def __init__(
+        self, terms: RetryBudgetSettings, clock: t.Callable[[], float], daemons: t.Callable[[], int]
+    ) -> None:
+        self._clock = clock
+        self._daemons = daemons
+        self._budgets: dict[str, RetryBudget] = collections.defaultdict(lambda: RetryBudget(terms))
+
+    def request(self, service: str) -> None:
+        """Count a caller's request to a service."""
+        self._budgets[service].request(self._clock())
+
+    def take(self, service: str) -> bool:
+        """Count a retry to a service if one may be sent. Returns whether it may."""
+        return self._budgets[service].take(self._clock(), self._daemons())
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -0,0 +1,216 @@
+"""What happens to a request after a failed attempt: send it again, give it up, or cut it.
+
+Owns: nothing; every rule is a pure function of the failure, of what the request has used up and
+of its route. The retry budget comes in as a function, since taking a token is a part of the
+rule: one is taken only where everything else allows another attempt.
+
+Relies on: :class:`~..exceptions.AttemptError` for what is known of a failed attempt, and
+:mod:`.retry_after` for the times to come back.
+"""
+
+import dataclasses
+import enum
+import typing as t
+
+from ..exceptions import AttemptError
+from ..exceptions import CutError
+from ..exceptions import Ran
+from ..exceptions import RefusalError
+from ..store.serving import Route
+from . import retry_after
+
+# attempts, in all, while nothing of them counts towards the route's; chosen, not measured
+UNSENT_TRIES = 4
+# part of the route's target after which a repeatable request that has attempts left goes to
+# another endpoint; chosen, not measured
+PATIENCE = 0.8
+# seconds for which a stream that has begun waits for a group to go on in; chosen, not measured
+WAIT_FOR_GROUP_SECONDS = 2.0
+# causes, as they stand in log lines and answers
+OUT_OF_TIME = "out of time"
+NO_ENDPOINT = "no endpoint"
+NO_GROUP_LEFT = "no group to go on in"
+
+
+@dataclasses.dataclass(frozen=True)
+class AttemptsUsed:
+    """What a request has used up, its newest failed attempt included.
+
+    :param sends: attempts that count towards the route's.
+    :param unsent: attempts that don't, since they surely did not run.
+    :param may_have_run: whether any attempt may have run.
+    :param late: whether its time is over.
+    """
+
+    sends: int
+    unsent: int
+    may_have_run: bool
+    late: bool
+
+
+class Next(enum.Enum):
+    """What to do other than end the request with an answer of the gateway's own."""
+
+    SEND_AGAIN = "send again"
+    # the answer with a failure status that an endpoint of a plain service gave before
+    RETURN_KEPT_ANSWER = "return kept answer"
+    WAIT_FOR_GROUP = "wait for group"
+
+
+@dataclasses.dataclass(frozen=True)
+class GiveUp:
+    """End a request of whose answer the caller has nothing yet.
+
+    :param status: 502 if it may have run, which promises nothing; else 503, the promise that
+        it has not run.
+    :param retry_after: seconds after which coming back helps; None if nothing is promised.
+    """
+
+    cause: str
+    status: int
+    retry_after: float | None
+
+    def error(self) -> RefusalError:
+        """Return the error that ends the request so."""
+        return RefusalError(self.status, self.cause, retry_after=self.retry_after)
+
+
+@dataclasses.dataclass(frozen=True)
+class CutAnswer:
+    """Break the connection of a caller who has got a part of the answer."""
+
+    cause: str
+
+    def error(self) -> CutError:
+        """Return the error that ends the request so."""
+        return CutError(self.cause)
+
+
+StreamDecision = t.Literal[Next.SEND_AGAIN] | GiveUp | CutAnswer
+PlainDecision = t.Literal[Next.SEND_AGAIN, Next.RETURN_KEPT_ANSWER] | GiveUp
+
+
+def give_up(cause: str, seconds: float | None, *, may_have_run: bool) -> GiveUp:
+    """Return the final answer; whether it promises anything depends on what may have run.
+
+    :param seconds: after which coming back helps if nothing has run.
+    """
+    return GiveUp(cause, 502, None) if may_have_run else GiveUp(cause, 503, seconds)
+
+
+def within_attempts(route: Route, sends: int, unsent: int) -> bool:
+    """Return whether a request has attempts left."""
+    return sends < route.max_attempts and unsent < UNSENT_TRIES
+
+
+def after_stream_failure(
+    failure: AttemptError,
+    used: AttemptsUsed,
+    route: Route,
+    take_token: t.Callable[[], bool],
+    *,
+    begun: bool,
+) -> StreamDecision:
+    """Decide how a streamed request goes on.
+
+    A route with a resumable stream lets an attempt that may have run go on in another group.
+
+    :param take_token: takes a token of the retry budget; returns whether there was one.
+    :param begun: whether the caller has got the head of the answer.
+    """
+    movable = failure.ran is Ran.NO or route.resumable
+    allowed = not used.late and movable and within_attempts(route, used.sends, used.unsent)
+    if allowed and take_token():
+        return Next.SEND_AGAIN
+    cause = OUT_OF_TIME if used.late else failure.cause
+    if begun:
+        return CutAnswer(cause)
+    return give_up(cause, retry_after.STREAM_SECONDS, may_have_run=used.may_have_run)
+
+
+def after_plain_failure(
+    failure: AttemptError,
+    used: AttemptsUsed,
+    route: Route,
+    take_token: t.Callable[[], bool],
+    *,
+    has_kept: bool,
+) -> PlainDecision:
+    """Decide how a request to a plain service goes on.
+
+    :param take_token: takes a token of the retry budget; returns whether there was one.
+    :param has_kept: whether an endpoint has answered with a failure status.
+    """
+    if used.late:
+        return give_up(OUT_OF_TIME, retry_after.PLAIN_SECONDS, may_have_run=used.may_have_run)
+    if used.may_have_run and not route.repeatable:
+        return give_up(failure.cause, None, may_have_run=True)
+    if within_attempts(route, used.sends, used.unsent) and take_token():
+        return Next.SEND_AGAIN
+    if has_kept:
+        return Next.RETURN_KEPT_ANSWER
+    return give_up(failure.cause, retry_after.PLAIN_SECONDS, may_have_run=used.may_have_run)
+
+
+def without_endpoint(
+    *, may_have_run: bool, has_kept: bool
+) -> t.Literal[Next.RETURN_KEPT_ANSWER] | GiveUp:
+    """Decide how a request to a plain service ends if there is no endpoint that it has not tried.
+
+    :param has_kept: whether an endpoint has answered with a failure status.
+    """
+    if has_kept:
+        return Next.RETURN_KEPT_ANSWER
+    return give_up(NO_ENDPOINT, retry_after.PLAIN_SECONDS, may_have_run=may_have_run)
+
+
+def without_group(
+    cause: str, *, may_have_run: bool, begun: bool, waited: bool
+) -> t.Literal[Next.WAIT_FOR_GROUP] | GiveUp | CutAnswer:
+    """Decide how a streamed request goes on while no group can take it.
+
+    :param cause: of the refusal if nothing has begun.
+    :param begun: whether the caller has got the head of the answer; only then is it worth
+        waiting, since a caller who has nothing can come back to another daemon.
+    :param waited: whether the time to wait for a group is over.
+    """
+    if not begun:
+        return give_up(cause, retry_after.STREAM_SECONDS, may_have_run=may_have_run)
+    return CutAnswer(NO_GROUP_LEFT) if waited else Next.WAIT_FOR_GROUP
+
+
+def may_try_elsewhere(route: Route, sends: int, *, late: bool) -> bool:
+    """Return whether a plain request whose next attempt fails could go to another endpoint.
+
+    So its answer need not be waited for to the end, nor be passed on if it says that the
+    endpoint failed.
+
+    :param sends: attempts before the next one that count towards the route's.
+    """
+    return route.repeatable and sends + 1 < route.max_attempts and not late
+
+
+def attempt_seconds(route: Route, left: float, *, elsewhere: bool) -> float:
+    """Return the seconds that an attempt at a plain service gets.
+
+    :param left: seconds until the request is given up.
+    :param elsewhere: whether it could go to another endpoint after that.
+    """
+    return min(left, PATIENCE * route.target) if elsewhere else left
+
+
+def may_leave_group(route: Route, sends: int) -> bool:
+    """Return whether a stream may leave a silent group for another one.
+
+    :param sends: attempts before the running one that count towards the route's.
+    """
+    return route.resumable and sends + 1 < route.max_attempts
+
+
+def counts_as_sent(failure: AttemptError, *, heard_since_sent: bool) -> bool:
+    """Return whether a failed attempt at a group counts towards the route's attempts.
+
+    One of which nothing was sent doesn't, nor does one that may have run at a group that nobody
+    has heard since: the group was silent before, so the attempt surely did not begin to run.
+    """
+    return failure.sent and (failure.ran is not Ran.MAYBE or heard_since_sent)
--- /dev/null
+++ b/tests/test_retry_policy.py
@@ -0,0 +1,360 @@
+"""What happens to a request after a failed attempt: a table for each rule, one line a case."""
+
+import pytest
+
+from thorncleat_gateway.exceptions import AttemptError
+from thorncleat_gateway.exceptions import CutError
+from thorncleat_gateway.exceptions import Ran
+from thorncleat_gateway.exceptions import RefusalError
+from thorncleat_gateway.requests import retry_policy
+from thorncleat_gateway.requests.retry_policy import UNSENT_TRIES
+from thorncleat_gateway.requests.retry_policy import AttemptsUsed
+from thorncleat_gateway.requests.retry_policy import CutAnswer
+from thorncleat_gateway.requests.retry_policy import GiveUp
+from thorncleat_gateway.requests.retry_policy import Next
+from thorncleat_gateway.store.serving import Route
+from thorncleat_gateway.store.serving import RouteKind
+from thorncleat_gateway.store.serving import Split
+
+NO = AttemptError("no connection: X", Ran.NO, sent=False)
+DECLINED = AttemptError("declined with 503", Ran.NO)
+MAYBE = AttemptError("answer cut: X", Ran.MAYBE)
+
+
+def route(kind=RouteKind.REPEATABLE, max_attempts=2, resumable=False):
+    return Route(
+        "r", "h", "/", kind, 3.0, 0.5, 0.3, 1, (Split("s", 1.0),), max_attempts, False, resumable
+    )
+
+
+REPEATABLE, ONCE = route(), route(RouteKind.ONCE)
+RESUMABLE, STREAM = (route(RouteKind.STREAMING, resumable=value) for value in (True, False))
+
+
+def used(sends=1, unsent=0, ran=False, late=False):
+    return AttemptsUsed(sends, unsent, ran, late)
+
+
+class Budget:
+    """A retry budget with some tokens."""
+
+    def __init__(self, tokens):
+        self.tokens = tokens
+        self.asked = 0
+
+    def take(self):
+        self.asked += 1
+        self.tokens -= 1
+        return self.tokens >= 0
+
+
+AGAIN = Next.SEND_AGAIN
+KEPT = Next.RETURN_KEPT_ANSWER
+
+# failure, used, route, begun, tokens; decision, whether the budget was asked
+STREAMS = [
+    ("not run, has attempts", DECLINED, used(), STREAM, False, 1, AGAIN, True),
+    ("not sent, has attempts", NO, used(0, 1), STREAM, False, 1, AGAIN, True),
+    ("may have run, resumable", MAYBE, used(ran=True), RESUMABLE, False, 1, AGAIN, True),
+    ("begun, resumable", MAYBE, used(ran=True), RESUMABLE, True, 1, AGAIN, True),
+    (
+        "may have run, not resumable",
+        MAYBE,
+        used(ran=True),
+        STREAM,
+        False,
+        1,
+        GiveUp("answer cut: X", 502, None),
+        False,
+    ),
+    (
+        "begun, not resumable",
+        MAYBE,
+        used(ran=True),
+        STREAM,
+        True,
+        1,
+        CutAnswer("answer cut: X"),
+        False,
+    ),
+    (
+        "not run, no attempts left",
+        DECLINED,
+        used(2),
+        STREAM,
+        False,
+        1,
+        GiveUp("declined with 503", 503, 0.4),
+        False,
+    ),
+    (
+        "not sent, too often",
+        NO,
+        used(0, UNSENT_TRIES),
+        STREAM,
+        False,
+        1,
+        GiveUp("no connection: X", 503, 0.4),
+        False,
+    ),
+    (
+        "not run, budget spent",
+        DECLINED,
+        used(),
+        STREAM,
+        False,
+        0,
+        GiveUp("declined with 503", 503, 0.4),
+        True,
+    ),
+    (
+        "not run now but perhaps before, budget spent",
+        DECLINED,
+        used(ran=True),
+        RESUMABLE,
+        False,
+        0,
+        GiveUp("declined with 503", 502, None),
+        True,
+    ),
+    (
+        "begun, budget spent",
+        MAYBE,
+        used(ran=True),
+        RESUMABLE,
+        True,
+        0,
+        CutAnswer("answer cut: X"),
+        True,
+    ),
+    (
+        "late, not run",
+        DECLINED,
+        used(late=True),
+        STREAM,
+        False,
+        1,
+        GiveUp("out of time", 503, 0.4),
+        False,
+    ),
+    (
+        "late, may have run",
+        MAYBE,
+        used(ran=True, late=True),
+        RESUMABLE,
+        False,
+        1,
+        GiveUp("out of time", 502, None),
+        False,
+    ),
+    (
+        "late, begun",
+        MAYBE,
+        used(ran=True, late=True),
+        RESUMABLE,
+        True,
+        1,
+        CutAnswer("out of time"),
+        False,
+    ),
+]
+
+
+@pytest.mark.parametrize(
+    ("failure", "spent", "on", "begun", "tokens", "expected", "asked"),
+    [pytest.param(*row, id=name) for name, *row in STREAMS],
+)
+def test_streamed_request_after_a_failure(failure, spent, on, begun, tokens, expected, asked):
+    budget = Budget(tokens)
+    decision = retry_policy.after_stream_failure(failure, spent, on, budget.take, begun=begun)
+    assert decision == expected
+    assert budget.asked == asked
+
+
+# failure, used, route, has kept answer, tokens; decision, whether the budget was asked
+PLAIN = [
+    ("not sent", NO, used(0, 1), ONCE, False, 1, AGAIN, True),
+    ("declined", DECLINED, used(), ONCE, False, 1, AGAIN, True),
+    ("may have run, repeatable", MAYBE, used(ran=True), REPEATABLE, False, 1, AGAIN, True),
+    ("failure status, repeatable", MAYBE, used(ran=True), REPEATABLE, True, 1, AGAIN, True),
+    (
+        "may have run, once",
+        MAYBE,
+        used(ran=True),
+        ONCE,
+        False,
+        1,
+        GiveUp("answer cut: X", 502, None),
+        False,
+    ),
+    (
+        "not run, no attempts left",
+        DECLINED,
+        used(2),
+        ONCE,
+        False,
+        1,
+        GiveUp("declined with 503", 503, 0.3),
+        False,
+    ),
+    (
+        "not sent, too often",
+        NO,
+        used(0, UNSENT_TRIES),
+        ONCE,
+        False,
+        1,
+        GiveUp("no connection: X", 503, 0.3),
+        False,
+    ),
+    (
+        "not run, budget spent",
+        DECLINED,
+        used(),
+        ONCE,
+        False,
+        0,
+        GiveUp("declined with 503", 503, 0.3),
+        True,
+    ),
+    (
+        "may have run, repeatable, budget spent",
+        MAYBE,
+        used(ran=True),
+        REPEATABLE,
+        False,
+        0,
+        GiveUp("answer cut: X", 502, None),
+        True,
+    ),
+    ("kept answer, budget spent", MAYBE, used(ran=True), REPEATABLE, True, 0, KEPT, True),
+    ("kept answer, no attempts left", MAYBE, used(2, ran=True), REPEATABLE, True, 1, KEPT, False),
+    (
+        "late, not run",
+        DECLINED,
+        used(late=True),
+        ONCE,
+        False,
+        1,
+        GiveUp("out of time", 503, 0.3),
+        False,
+    ),
+    (
+        "late, may have run",
+        MAYBE,
+        used(ran=True, late=True),
+        ONCE,
+        False,
+        1,
+        GiveUp("out of time", 502, None),
+        False,
+    ),
+    (
+        "late, kept answer",
+        MAYBE,
+        used(ran=True, late=True),
+        REPEATABLE,
+        True,
+        1,
+        GiveUp("out of time", 502, None),
+        False,
+    ),
+]
+
+
+@pytest.mark.parametrize(
+    ("failure", "spent", "on", "has_kept", "tokens", "expected", "asked"),
+    [pytest.param(*row, id=name) for name, *row in PLAIN],
+)
+def test_plain_request_after_a_failure(failure, spent, on, has_kept, tokens, expected, asked):
+    budget = Budget(tokens)
+    decision = retry_policy.after_plain_failure(failure, spent, on, budget.take, has_kept=has_kept)
+    assert decision == expected
+    assert budget.asked == asked
+
+
+@pytest.mark.parametrize(
+    ("may_have_run", "has_kept", "expected"),
+    [
+        pytest.param(False, False, GiveUp("no endpoint", 503, 0.3), id="nothing has run"),
+        pytest.param(True, False, GiveUp("no endpoint", 502, None), id="may have run"),
+        pytest.param(True, True, KEPT, id="an endpoint has answered"),
+    ],
+)
+def test_no_endpoint_is_left(may_have_run, has_kept, expected):
+    found = retry_policy.without_endpoint(may_have_run=may_have_run, has_kept=has_kept)
+    assert found == expected
+
+
+@pytest.mark.parametrize(
+    ("may_have_run", "begun", "waited", "expected"),
+    [
+        pytest.param(False, False, False, GiveUp("c", 503, 0.4), id="nothing has run"),
+        pytest.param(True, False, False, GiveUp("c", 502, None), id="may have run"),
+        pytest.param(True, True, False, Next.WAIT_FOR_GROUP, id="begun: wait"),
+        pytest.param(True, True, True, CutAnswer("no group to go on in"), id="waited in vain"),
+    ],
+)
+def test_no_group_can_take_it(may_have_run, begun, waited, expected):
+    found = retry_policy.without_group("c", may_have_run=may_have_run, begun=begun, waited=waited)
+    assert found == expected
+
+
+@pytest.mark.parametrize(
+    ("failure", "heard", "counts"),
+    [
+        pytest.param(NO, False, False, id="not sent"),
+        pytest.param(NO, True, False, id="not sent, endpoint answers others"),
+        pytest.param(DECLINED, False, True, id="declined"),
+        pytest.param(MAYBE, True, True, id="may have run, heard since"),
+        pytest.param(MAYBE, False, False, id="silent since before: did not begin"),
+    ],
+)
+def test_failed_attempt_counts_towards_the_routes(failure, heard, counts):
+    assert retry_policy.counts_as_sent(failure, heard_since_sent=heard) is counts
+
+
+@pytest.mark.parametrize(
+    ("on", "sends", "late", "expected"),
+    [
+        pytest.param(REPEATABLE, 0, False, True, id="first of two"),
+        pytest.param(REPEATABLE, 1, False, False, id="second of two"),
+        pytest.param(ONCE, 0, False, False, id="not repeatable"),
+        pytest.param(REPEATABLE, 0, True, False, id="late"),
+    ],
+)
+def test_plain_request_could_go_elsewhere(on, sends, late, expected):
+    assert retry_policy.may_try_elsewhere(on, sends, late=late) is expected
+
+
+@pytest.mark.parametrize(
+    ("left", "elsewhere", "seconds"),
+    [
+        pytest.param(3.0, True, 0.4, id="0.8 of the target of 0.5 s"),
+        pytest.param(0.2, True, 0.2, id="less is left"),
+        pytest.param(3.0, False, 3.0, id="no other endpoint"),
+    ],
+)
+def test_plain_attempt_gets_seconds(left, elsewhere, seconds):
+    assert retry_policy.attempt_seconds(REPEATABLE, left, elsewhere=elsewhere) == seconds
+
+
+@pytest.mark.parametrize(
+    ("on", "sends", "expected"),
+    [
+        pytest.param(RESUMABLE, 0, True, id="first of two"),
+        pytest.param(RESUMABLE, 1, False, id="second of two"),
+        pytest.param(STREAM, 0, False, id="not resumable"),
+    ],
+)
+def test_stream_may_leave_a_silent_group(on, sends, expected):
+    assert retry_policy.may_leave_group(on, sends) is expected
+
+
+def test_decisions_end_the_request_with_what_they_say():
+    error = GiveUp("c", 503, 0.4).error()
+    assert type(error) is RefusalError
+    assert (error.status, error.cause, error.retry_after) == (503, "c", 0.4)
+    cut = CutAnswer("c").error()
+    assert type(cut) is CutError
+    assert cut.cause == "c"
