--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/requests/route_split.py
@@ -0,0 +1,38 @@
+"""Which service of a route gets a request, where a route is split over several.
+
+Owns: nothing; the choice is a pure function of the route and of a number that rises with each
+request. Relies on: :mod:`..store.serving` for routes and services.
+"""
+
+from ..store.serving import Route
+from ..store.serving import Service
+from ..store.serving import ServingConfiguration
+from ..store.serving import Split
+
+# the fractional parts of its multiples are spread evenly over 0 to 1: a property of the golden
+# ratio, so that few requests already keep close to the weights
+GOLDEN_RATIO_PART = 0.6180339887
+
+
+def split_for(route: Route, number: int) -> Split:
+    """Return the part of a route's traffic that a request belongs to.
+
+    :param number: of the request, counted by this daemon; consecutive numbers are spread over
+        the parts by their weights.
+    """
+    if len(route.splits) == 1:
+        return route.splits[0]
+    total = sum(split.weight for split in route.splits)
+    point = (number * GOLDEN_RATIO_PART) % 1.0 * total
+    for split in route.splits:
+        point -= split.weight
+        if point < 0:
+            return split
+    # rounding, or no part has a weight
+    return route.splits[-1]
+
+
+def service_for(configuration: ServingConfiguration, route: Route, number: int) -> Service:
+    """Return the service that a request goes to; one that nobody has described is plain."""
+    name = split_for(route, number).service
+    return configuration.services.get(name) or Service(name)
