--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -1,7 +1,8 @@
-"""Noticing that a group has fallen silent, from the streams that this daemon has in it.
+"""Who is suspected: the streams that are watched, and what daemons tell each other of them.
 
-A group makes its events for all of its streams in step, so silence on all of them at once
-is evidence long before any one stream's pause would be.
+Owns: the running attempts of this daemon's streams, when each endpoint was heard, and the
+suspicions, each with its end. Relies on: :mod:`.silence` for the rule, and :mod:`.datagrams`
+for what other daemons say.
 """
 
 import asyncio
@@ -14,24 +15,34 @@
 from .. import events
 from ..settings import StreamSettings
 from ..store.roster import Endpoint
+from . import silence
 from .datagrams import LoadReport
 from .datagrams import Message
 from .datagrams import PeerChannel
 from .datagrams import Suspicion
 
+# between two looks at the streams; chosen, not measured
 LOOK_SECONDS = 0.02
-# weight of the newest gap in the mean
+# looks that a pause of this daemon makes it miss before it trusts no silence; chosen, not
+# measured
+LATE_LOOKS = 3
+# weight of the newest gap in the mean; chosen, not measured
 GAP_WEIGHT = 0.3
-# for which it is remembered when an endpoint was heard
+# for which it is remembered when an endpoint was heard; chosen, not measured
 REMEMBER_SECONDS = 60.0
+# for which a suspicion is not told again; chosen, not measured
+TELL_AGAIN_SECONDS = 0.2
 
 
 @dataclasses.dataclass(eq=False)
 class StreamAttempt:
-    """One request at one group's leader.
+    """One request at one group's leader; times are seconds on the gateway's clock.
 
-    :param movable: whether it could go on elsewhere now.
+    :param movable: returns whether it could go on elsewhere now.
     :param leave: makes it leave the group.
+    :param last_at: when the last event came; 0 if none has come.
+    :param gap: the usual seconds between two events.
+    :param left: whether it was made to leave.
     """
 
     leader: Endpoint
@@ -42,20 +53,15 @@
     gap: float = 0.0
     left: bool = False
 
-    @property
-    def writing(self) -> bool:
-        """Whether events have come."""
-        return self.last_at > 0
-
     def event(self, now: float) -> None:
-        """Take in that an event came."""
+        """Note that an event came."""
         if self.last_at:
             self.gap += GAP_WEIGHT * (now - self.last_at - self.gap)
         self.last_at = now
 
 
 class FailureDetector(mode.Service):
-    """Watches the runs of all groups, and says which groups are suspected."""
+    """Watches this daemon's streams in all groups, and says which groups are suspected."""
 
     def __init__(
         self, settings: StreamSettings, peers: PeerChannel, clock: t.Callable[[], float]
@@ -64,7 +70,7 @@
         self._settings = settings
         self._peers = peers
         self._clock = clock
-        self._runs: dict[str, set[StreamAttempt]] = collections.defaultdict(set)
+        self._attempts: dict[str, set[StreamAttempt]] = collections.defaultdict(set)
         self._heard: dict[str, float] = {}
         self._others: dict[str, float] = {}
         self._suspected: dict[str, float] = {}
@@ -77,20 +83,20 @@
         """Call a function for each suspicion, own or heard."""
         self._listeners.append(listener)
 
-    def begin(self, run: StreamAttempt) -> None:
-        """Watch a run."""
-        self._runs[run.leader.id].add(run)
+    def begin(self, attempt: StreamAttempt) -> None:
+        """Watch an attempt."""
+        self._attempts[attempt.leader.id].add(attempt)
 
-    def end(self, run: StreamAttempt) -> None:
-        """Watch a run no longer."""
-        runs = self._runs.get(run.leader.id)
-        if runs:
-            runs.discard(run)
-            if not runs:
-                del self._runs[run.leader.id]
+    def end(self, attempt: StreamAttempt) -> None:
+        """Watch an attempt no longer."""
+        attempts = self._attempts.get(attempt.leader.id)
+        if attempts:
+            attempts.discard(attempt)
+            if not attempts:
+                del self._attempts[attempt.leader.id]
 
     def heard(self, endpoint_id: str, now: float) -> None:
-        """Take in that an endpoint answered something."""
+        """Note that an endpoint answered something; that ends any suspicion of it."""
         self._heard[endpoint_id] = now
         self._suspected.pop(endpoint_id, None)
         self._told.pop(endpoint_id, None)
@@ -102,25 +108,30 @@
         return [key for key, at in self._heard.items() if now - at <= seconds]
 
     def heard_since(self, endpoint_id: str, moment: float) -> bool:
-        """Tell whether any daemon heard an endpoint after a moment."""
+        """Return whether any daemon heard an endpoint after a moment."""
         never = float("-inf")
         own, others = self._heard.get(endpoint_id, never), self._others.get(endpoint_id, never)
         return max(own, others) >= moment
 
     def suspected(self, endpoint_id: str) -> bool:
-        """Tell whether a leader's group is suspected, by this daemon or by another."""
+        """Return whether a leader's group is suspected, by this daemon or by another."""
         until = self._suspected.get(endpoint_id)
         return until is not None and self._clock() < until
 
     def suspected_here(self, endpoint_id: str) -> bool:
-        """Tell whether this daemon itself suspects a leader's group."""
+        """Return whether this daemon itself suspects a leader's group."""
         return self._told.get(endpoint_id, 0.0) + self._settings.suspicion > self._clock()
 
     def suspect(self, leader: Endpoint, cause: str, fault: str = "") -> None:
-        """Suspect a leader's group, and tell the others."""
+        """Suspect a leader's group, and tell the others.
+
+        :param cause: as it stands in the log line.
+        :param fault: the member that is at fault, if it is known.
+        """
         now = self._clock()
         self._suspected[leader.id] = now + self._settings.suspicion
-        if leader.membership is None or now - self._told.get(leader.id, 0.0) < 0.2:
+        told_lately = now - self._told.get(leader.id, 0.0) < TELL_AGAIN_SECONDS
+        if leader.membership is None or told_lately:
             return
         self._told[leader.id] = now
         suspicion = Suspicion(leader.id, leader.membership.group, fault)
@@ -143,8 +154,8 @@
         if isinstance(message, LoadReport):
             self._others.update(dict.fromkeys(message.heard, now))
         elif isinstance(message, Suspicion):
-            # a daemon that is cut off suspects everybody; what is heard here counts more
-            if now - self._heard.get(message.leader, 0.0) > self._settings.least_silence:
+            heard_at = self._heard.get(message.leader, 0.0)
+            if silence.is_believed(now, heard_at, self._settings):
                 self._suspected[message.leader] = now + self._settings.suspicion
             self._notify(message)
 
@@ -153,36 +164,27 @@
         while not self.should_stop:
             await asyncio.sleep(LOOK_SECONDS)
             now = self._clock()
-            late = now - self._looked_at > 3 * LOOK_SECONDS
+            late = now - self._looked_at > LATE_LOOKS * LOOK_SECONDS
             self._looked_at = now
             if not late:
                 # after a pause of this daemon the answers may lie unread
-                for leader_id in list(self._runs):
+                for leader_id in list(self._attempts):
                     self._look(leader_id, now)
 
     def _look(self, leader_id: str, now: float) -> None:
-        runs = self._runs[leader_id]
-        heard = self._heard.get(leader_id, 0.0)
-        writing = [one for one in runs if one.writing]
-        silent = self._limit(writing, self.suspected(leader_id))
-        if writing:
-            since = max(heard, max(one.last_at for one in writing))
-            overdue = now - since > silent
-        else:
-            first = min(one.started_at for one in runs)
-            overdue = now - max(heard, first) > self._settings.first_event
-        if not overdue:
+        attempts = self._attempts[leader_id]
+        verdict = silence.judge(
+            now,
+            self._heard.get(leader_id, 0.0),
+            attempts,
+            self._settings,
+            suspected=self.suspected(leader_id),
+        )
+        if not verdict.silent:
             return
-        leader = next(iter(runs)).leader
-        self.suspect(leader, "silence")
-        for one in list(runs):
-            waited = now - max(one.started_at, one.last_at)
-            if not one.left and waited > self._settings.suspected and one.movable():
-                one.left = True
-                one.leave()
-
-    def _limit(self, writing: t.Sequence[StreamAttempt], suspected: bool) -> float:
-        settings = self._settings
-        gap = max((one.gap for one in writing), default=0.0)
-        limit = min(max(settings.gaps * gap, settings.least_silence), settings.most_silence)
-        return max(settings.suspected, 1.5 * gap) if suspected else limit
+        self.suspect(next(iter(attempts)).leader, silence.CAUSE)
+        for attempt in list(attempts):
+            waited = silence.has_waited(now, attempt, self._settings)
+            if not attempt.left and waited and attempt.movable():
+                attempt.left = True
+                attempt.leave()
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -1,4 +1,8 @@
-"""How many requests each endpoint has, from this daemon and, as far as heard, from others."""
+"""How many requests each endpoint has, from this daemon and, as far as heard, from others.
+
+Owns: this daemon's requests under way, and the newest report of each other daemon. Relies on:
+:mod:`.load_reporter` for the reports, and :mod:`.datagrams` for the interval between them.
+"""
 
 import collections
 import contextlib
@@ -6,11 +10,22 @@
 
 from .datagrams import SHORTEST_INTERVAL_SECONDS
 
-# a report of another daemon counts no longer than this, in seconds, or than so many intervals
+# a report of another daemon counts no longer than this, in seconds, or than so many intervals,
+# whichever is longer, so that two lost datagrams make nobody forget it; chosen, not measured
 REPORT_SECONDS = 1.0
 REPORT_INTERVALS = 3.0
 
 
+class Report(t.NamedTuple):
+    """What another daemon had under way.
+
+    :param at: when the report came, on the gateway's clock.
+    """
+
+    at: float
+    counts: t.Mapping[str, int]
+
+
 class LoadTable:
     """Requests under way by endpoint.
 
@@ -20,7 +35,7 @@
     def __init__(self, clock: t.Callable[[], float], interval: t.Callable[[], float]) -> None:
         self._clock = clock
         self._interval = interval
-        self._others: dict[str, tuple[float, t.Mapping[str, int]]] = {}
+        self._others: dict[str, Report] = {}
         self._sum: collections.Counter[str] = collections.Counter()
         self.own: collections.Counter[str] = collections.Counter()
 
@@ -29,22 +44,24 @@
         return self.own[endpoint_id] + self._sum[endpoint_id]
 
     def report(self, daemon: str, counts: t.Mapping[str, int]) -> None:
-        """Take in what another daemon has under way."""
+        """Replace what another daemon has under way."""
         # only what one daemon reports is added up, so that a report's cost does not grow with
         # the number of daemons
-        self._take_back(daemon)
-        self._others[daemon] = (self._clock(), counts)
+        self._subtract(daemon)
+        self._others[daemon] = Report(self._clock(), counts)
         self._sum.update(counts)
 
     def refresh(self) -> None:
         """Forget the reports that are too old."""
         begin = self._clock() - self._lasting()
-        for daemon in [key for key, (at, _) in self._others.items() if at < begin]:
-            self._take_back(daemon)
+        for daemon in [name for name, report in self._others.items() if report.at < begin]:
+            self._subtract(daemon)
 
-    def _take_back(self, daemon: str) -> None:
-        _, counts = self._others.pop(daemon, (0.0, {}))
-        for endpoint_id, count in counts.items():
+    def _subtract(self, daemon: str) -> None:
+        report = self._others.pop(daemon, None)
+        if report is None:
+            return
+        for endpoint_id, count in report.counts.items():
             self._sum[endpoint_id] -= count
             if not self._sum[endpoint_id]:
                 del self._sum[endpoint_id]
@@ -54,7 +71,7 @@
 
     @property
     def uncertainty(self) -> float:
-        """How much less than at the shortest interval is known of what others have under way."""
+        """How stale the others' counts may be, compared with the shortest interval's."""
         return self._interval() / SHORTEST_INTERVAL_SECONDS
 
     @contextlib.contextmanager
