--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -35,7 +35,7 @@
 from .requests.endpoint_selector import EndpointSelector
 from .requests.frontend import Frontend
 from .requests.plain import PlainForwarder
-from .requests.request import RetryBudgets
+from .requests.retry_budget import RetryBudgets
 from .requests.streams import StreamForwarder
 from .settings import GatewaySettings
 from .store.registration import Registration
@@ -163,21 +163,11 @@
         settings, clock = self._settings, self._clock
         self._client = endpoint_client.session()
         calls = EndpointClient(self._client, self._codec, settings.connect_timeout)
-        selector = EndpointSelector(
-            settings, self.view, self.load_table, self._detector, self._ended, clock
-        )
+        selector = EndpointSelector(self.view, self.load_table, self._detector, self._ended, clock)
         retry_budgets = RetryBudgets(settings.retry, clock, self._sharing)
-        parts = (
-            self._codec,
-            calls,
-            selector,
-            self.load_table,
-            retry_budgets,
-            self._detector,
-            clock,
-        )
+        parts = (calls, selector, self.load_table, retry_budgets, self._detector, clock)
         plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
-        return Frontend(settings, self.view, self._codec, plain, streams, retry_budgets, clock)
+        return Frontend(settings, self.view, self._codec, plain, streams, clock)
 
     def _sharing(self) -> int:
         """Return how many daemons share what all may spend."""
