--- a/packages/gateway/src/thorncleat_gateway/groups/ended.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -1,10 +1,14 @@
 """Groups that the controller is ending: no daemon sends them requests.
 
-A group that is ended never serves again, so the controller's word on it is kept until the
+A group that is ended never serves again, so what the controller says of it is kept until the
 list shows the same. Without it each daemon would try a dead leader anew whenever its own
 suspicion had run out, and all at once, since that leader has the least load.
+
+Owns: until when each group that is being ended is left alone, and when the others were told.
+Relies on: the controller's repeating itself (:meth:`.GroupEnding.tell`); datagrams are lost.
 """
 
+import dataclasses
 import typing as t
 
 from ..peers.datagrams import GroupEnded
@@ -12,40 +16,59 @@
 from ..peers.datagrams import PeerChannel
 from ..store.roster import GroupId
 
-# after the controller's last word; if it was wrong, or another controls by now, the group is
-# used again
+# after the controller's last message, in seconds; if it was wrong, or another controls by now,
+# the group is used again. Measured with this figure in commit ac66124
 KEEP_SECONDS = 3.0
-# between two words, since datagrams are lost
+# between two messages on a group, in seconds; measured with this figure in commit ac66124
 REPEAT_SECONDS = 0.5
 
 
+@dataclasses.dataclass
+class _Ended:
+    """What is kept of a group that is being ended.
+
+    :param until: when it may be used again.
+    :param told_at: when this daemon last told the others.
+    """
+
+    until: float
+    told_at: float = float("-inf")
+
+
 class EndedGroups:
-    """Tells the others, and knows what was told."""
+    """Tells the other daemons, and remembers what they told."""
 
     def __init__(self, peers: PeerChannel, clock: t.Callable[[], float]) -> None:
         self._peers = peers
         self._clock = clock
-        self._told_at: dict[GroupId, float] = {}
-        self._until: dict[GroupId, float] = {}
+        self._groups: dict[GroupId, _Ended] = {}
         peers.on_message(self._message)
 
     def __contains__(self, group: GroupId) -> bool:
-        return self._until.get(group, 0.0) > self._clock()
+        kept = self._groups.get(group)
+        return kept is not None and kept.until > self._clock()
 
     def tell(self, group: GroupId) -> None:
-        """Say that this daemon, the controller, is ending a group."""
+        """Tell the other daemons that this one, the controller, is ending a group."""
         now = self._clock()
-        self._note(group)
-        if now - self._told_at.get(group, float("-inf")) >= REPEAT_SECONDS:
-            self._told_at[group] = now
+        kept = self._keep(group)
+        if now - kept.told_at >= REPEAT_SECONDS:
+            kept.told_at = now
             self._peers.tell_all(GroupEnded(group))
 
     def _message(self, sender: str, message: Message) -> None:
         if isinstance(message, GroupEnded):
-            self._note(message.group)
+            self._keep(message.group)
+
+    def _keep(self, group: GroupId) -> _Ended:
+        until = self._clock() + KEEP_SECONDS
+        kept = self._groups.get(group)
+        if kept is None:
+            self._forget_expired()
+            kept = self._groups[group] = _Ended(until)
+        kept.until = until
+        return kept
 
-    def _note(self, group: GroupId) -> None:
+    def _forget_expired(self) -> None:
         now = self._clock()
-        self._until = {key: until for key, until in self._until.items() if until > now}
-        self._told_at = {key: at for key, at in self._told_at.items() if key in self._until}
-        self._until[group] = now + KEEP_SECONDS
+        self._groups = {group: kept for group, kept in self._groups.items() if kept.until > now}
