--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -13,6 +13,7 @@
 from .groups.ended import EndedGroups
 from .groups.orders import Orders
 from .groups.records import GroupRecords
+from .groups.term import TermFactory
 from .metrics import Metrics
 from .peers.datagrams import LoadReport
 from .peers.datagrams import Message
@@ -89,17 +90,18 @@
             lambda one: self.detector.heard(one, clock()),
         )
         self.ended = EndedGroups(self.peers, clock)
-        self.controller = Controller(
-            settings,
+        terms = TermFactory(
+            settings.control,
             self.view,
-            self.election,
             self._orders,
             GroupRecords(records, self.view, self.election),
             self.detector,
             self.peers,
             self.ended,
             clock,
-            lambda: self._quiet,
+        )
+        self.controller = Controller(
+            self.view, self.election, self.detector, terms, clock, lambda: self._quiet
         )
         self._client: aiohttp.ClientSession | None = None
         self._codec = codec
--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -1,38 +1,48 @@
 """Ending groups: making sure that a group answers no more before its members are free.
 
 Only leaders are ordered to leave. A group counts as ended when its leader has left, its process
-has ended, or it is neither listed nor heard by any daemon.
+has ended, or it is dead (:mod:`.leader_liveness`). Which groups are ended, and why, is decided in
+:mod:`.group_health`.
+
+Owns: which groups are being ended.
+Relies on: the group's record for its leader, and on endpoints that refuse an order to leave a
+group that they are not in.
 """
 
 import asyncio
+import enum
 import typing as t
 
 from .. import events
 from ..exceptions import EndpointError
 from ..exceptions import EndpointGoneError
-from ..peers.datagrams import PeerChannel
-from ..peers.datagrams import Probe
-from ..peers.failure_detector import FailureDetector
 from ..ports import Close
 from ..ports import Leave
-from ..ports import Outcome
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
 from ..store.roster import GroupState
-from ..store.view import StoreView
 from .ended import EndedGroups
-from .lost_endpoints import Start
+from .group_health import EndReason
+from .jobs import Start
+from .leader_liveness import LeaderLiveness
+from .orders import ACCEPTED
+from .orders import ASK_SECONDS
+from .orders import LOOK_SECONDS
 from .orders import Orders
 from .records import GroupRecords
 
-ASK_SECONDS = 0.25
-LOOK_SECONDS = 0.02
-# for a draining group's requests to end
+# for the requests of a draining group to end, in seconds; chosen, not measured
 CLOSE_SECONDS = 6.0
-# how old the list may be for an endpoint that is missing from it to count as unlisted
-LIST_AGE_SECONDS = 2.0
-# before a question in which an answer to any daemon still counts as one to it
-HEARD_BEFORE_SECONDS = 1.0
+
+
+class Detached(enum.Enum):
+    """How a group came to answer no more; logged as ``how`` of event 7207."""
+
+    NO_RECORD = "no record"
+    LEFT = "left"
+    ELSEWHERE = "in no such group"
+    PROCESS_ENDED = "process ended"
+    DEAD = "neither listed nor heard"
 
 
 class GroupEnding:
@@ -43,21 +53,17 @@
 
     def __init__(
         self,
-        view: StoreView,
         orders: Orders,
-        groups: GroupRecords,
+        records: GroupRecords,
         ended: EndedGroups,
-        detector: FailureDetector,
-        peers: PeerChannel,
+        liveness: LeaderLiveness,
         clock: t.Callable[[], float],
         start: Start,
     ) -> None:
-        self._view = view
         self._orders = orders
-        self._groups = groups
+        self._records = records
         self._ended = ended
-        self._detector = detector
-        self._peers = peers
+        self._liveness = liveness
         self._clock = clock
         self._start = start
         self._under_way: set[GroupId] = set()
@@ -70,33 +76,37 @@
         for group in self._under_way:
             self._ended.tell(group)
 
-    def end(
-        self, group: GroupId, cause: str, members: t.Sequence[Endpoint], *, graceful: bool = False
-    ) -> None:
+    def end(self, group: GroupId, reason: EndReason, members: t.Sequence[Endpoint]) -> None:
         """Begin to end a group.
 
-        :param graceful: let the requests end that it has.
+        :param members: those that are known, for the log.
         """
         self._under_way.add(group)
         self._ended.tell(group)
         events.GROUP_ENDED.log(
-            group=group.name, cause=cause, members=[one.id for one in members], graceful=graceful
+            group=group.name,
+            cause=reason.value,
+            members=[member.id for member in members],
+            graceful=reason.graceful,
         )
-        self._start(self._detach(group, graceful))
+        self._start(self._detach(group, reason.graceful))
 
     async def _detach(self, group: GroupId, graceful: bool) -> None:
-        """Make sure that a group answers no more, and set its members free."""
+        """Make sure that a group answers no more, and set its members free.
+
+        :param graceful: let the requests end that it has.
+        """
         begun = self._clock()
         try:
-            how = "no record"
-            leader = self._groups.leader(group)
+            how = Detached.NO_RECORD
+            leader = self._records.leader(group)
             if leader is not None:
                 if graceful:
                     await self._drain(leader, group)
-                how = await self._detach_from(leader, group)
-            self._groups.end(group)
+                how = await self._detach_leader(leader, group)
+            self._records.end(group)
             seconds = round(self._clock() - begun, 3)
-            events.GROUP_DETACHED.log(group=group.name, how=how, seconds=seconds)
+            events.GROUP_DETACHED.log(group=group.name, how=how.value, seconds=seconds)
         finally:
             self._under_way.discard(group)
 
@@ -106,6 +116,7 @@
         try:
             await self._orders.give(leader, Close(group))
         except EndpointError:
+            # the order to leave that follows finds out what has become of it
             return
         while self._clock() < until:
             member = self._orders.listed(leader)
@@ -113,37 +124,18 @@
                 return
             await asyncio.sleep(LOOK_SECONDS)
 
-    async def _detach_from(self, leader: Endpoint, group: GroupId) -> str:
-        """Make a leader leave, or wait until it surely is no more."""
+    async def _detach_leader(self, leader: Endpoint, group: GroupId) -> Detached:
+        """Make a leader leave, or wait until it is dead."""
         while True:
             try:
                 outcome = await self._orders.give(leader, Leave(group))
-                if outcome is Outcome.BEGUN or outcome is Outcome.DONE:
-                    return "left"
+                if outcome in ACCEPTED:
+                    return Detached.LEFT
                 if not await self._orders.is_in(leader, group):
-                    return "in no such group"
+                    return Detached.ELSEWHERE
             except EndpointGoneError:
-                return "process ended"
+                return Detached.PROCESS_ENDED
             except EndpointError:
-                if await self._surely_dead(leader):
-                    return "neither listed nor heard"
-            await asyncio.sleep(ASK_SECONDS)
-
-    async def _surely_dead(self, leader: Endpoint) -> bool:
-        """Wait while a leader is silent; False as soon as it answers again."""
-        while True:
-            unlisted_endpoints = leader.id not in self._view.roster.endpoints
-            if unlisted_endpoints and self._view.age() < LIST_AGE_SECONDS:
-                asked_at = self._clock()
-                self._peers.tell_all(Probe(leader.id))
-                answers = await self._orders.answers(leader)
-                await asyncio.sleep(2 * ASK_SECONDS)
-                if answers:
-                    return False
-                unlisted_endpoints = leader.id not in self._view.roster.endpoints
-                since = asked_at - HEARD_BEFORE_SECONDS
-                if unlisted_endpoints and not self._detector.heard_since(leader.id, since):
-                    return True
-            elif await self._orders.answers(leader):
-                return False
+                if await self._liveness.wait_dead(leader):
+                    return Detached.DEAD
             await asyncio.sleep(ASK_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -1,28 +1,39 @@
-"""Which endpoints of a fabric domain form which groups, and what their hosts hold in reserve.
+"""The rules for which endpoints of a fabric domain form which groups, and what spares load.
 
-Pure decisions. The layout says how many groups of each model a domain should carry; the plan
-compares it with what stands there and names the next steps.
+Pure. The layout says how many groups of each model a domain should carry; compared with what
+stands there, that gives the groups to form and the models to load now. A group takes seconds
+if its hosts hold the model, and a load from the weight store takes many times as long; so hosts
+that hold the model are what all rules here save.
+
+Owns: no state.
+Relies on: :mod:`.planner` for the views of the domains.
 """
 
 import collections
 import dataclasses
+import enum
 import typing as t
 
 from ..store.roster import Endpoint
 from ..store.serving import EngineModel
 
-# part of a domain's endpoints that is kept free where it carries several models
+# part of a domain's endpoints that is kept free where it carries several models; chosen, not
+# measured
 SPARE_SHARE = 0.2
-# domains for each model from which on each domain carries one model
+# domains for each model from which on each domain carries one model; chosen, not measured. That
+# rule itself was measured in commit a6f5669
 DOMAINS_PER_MODEL = 2
-# part of a domain's hosts that hold a model, for the domain to go on carrying it
-STAYS = 0.5
+# part of a domain's hosts that hold a model, for the domain to go on carrying it; chosen, not
+# measured
+KEEP_MODEL_SHARE = 0.5
 
 Layout = dict[str, collections.Counter[str]]
+# higher for a model that lacks more groups over all domains
+Scarcity = t.Callable[[EngineModel], float]
 
 
 @dataclasses.dataclass(frozen=True)
-class Form:
+class GroupPlan:
     """A group to be formed.
 
     :param members: the leader first.
@@ -35,11 +46,11 @@
     @property
     def cold(self) -> list[Endpoint]:
         """The members whose hosts have to load the model from the weight store."""
-        return [one for one in self.members if self.model.name not in one.staged]
+        return [member for member in self.members if self.model.name not in member.staged]
 
 
 @dataclasses.dataclass(frozen=True)
-class Stage:
+class LoadPlan:
     """A model to be loaded onto the host of a spare endpoint."""
 
     endpoint: Endpoint
@@ -55,7 +66,7 @@
     :param free: endpoints that may join a group.
     :param weak: endpoints that may, but will probably end soon; they never lead.
     :param holding: hosts by the model that they hold.
-    :param staging: model that is being staged, by endpoint id.
+    :param staging: model that is being loaded onto the host, by endpoint id.
     """
 
     name: str
@@ -68,21 +79,31 @@
     staging: t.Mapping[str, str] = dataclasses.field(default_factory=dict)
 
 
+class _Cost(enum.IntEnum):
+    """What it costs to use an endpoint for a model, the least first."""
+
+    ENGINE_HAS_MODEL = 0
+    HOST_HAS_MODEL = 1
+    HOST_LOADS_MODEL = 2
+    HOST_EMPTY = 3
+    HOST_HAS_OTHERS = 4
+    HOST_LOADS_OTHER = 5
+
+
 def layout(views: t.Sequence[DomainView], models: t.Sequence[EngineModel]) -> Layout:
     """Return how many groups of each model each domain should carry.
 
     Where there are domains enough, each carries one model: then every free endpoint there is
     a spare that holds what the next loss needs.
     """
-    useful = [one for one in models if one.share > 0]
+    useful = [model for model in models if model.share > 0]
     # a domain that has lost most of its endpoints must not change what the others carry
-    largest = max((one.size for one in views), default=0)
-    roomy = all(one.size <= largest for one in useful)
+    largest = max((view.size for view in views), default=0)
+    roomy = all(model.size <= largest for model in useful)
     if useful and roomy and len(views) >= DOMAINS_PER_MODEL * len(useful):
-        chosen = _dedicated(views, useful)
         return {
             view.name: collections.Counter({model.name: view.size // model.size})
-            for view, model in chosen
+            for view, model in _dedicated(views, useful)
         }
     return _mixed(views, useful)
 
@@ -95,29 +116,31 @@
     A domain keeps the model that most of its hosts hold; the others are spread over the
     failure domains.
     """
-    total = sum(one.size for one in views)
-    shares = sum(one.share for one in models)
-    short = {one.name: total * one.share / shares for one in models}
-    zones: collections.Counter[tuple[str, str]] = collections.Counter()
+    total = sum(view.size for view in views)
+    shares = sum(model.share for model in models)
+    # endpoints that a model still lacks for its share
+    lacking = {model.name: total * model.share / shares for model in models}
+    spread: collections.Counter[tuple[str, str]] = collections.Counter()
     chosen: list[tuple[DomainView, EngineModel]] = []
-    left = sorted(views, key=lambda one: (-max(one.holding.values(), default=0), one.name))
+    left = sorted(views, key=lambda view: (-max(view.holding.values(), default=0), view.name))
 
     def give(view: DomainView, model: EngineModel) -> None:
         chosen.append((view, model))
-        short[model.name] -= view.size
-        zones[model.name, view.failure_domain] += 1
+        lacking[model.name] -= view.size
+        spread[model.name, view.failure_domain] += 1
         left.remove(view)
 
     for view in list(left):
         for model in models:
-            held = view.holding[model.name] >= STAYS * view.size
-            if held and short[model.name] >= view.size / 2:
+            keeps = view.holding[model.name] >= KEEP_MODEL_SHARE * view.size
+            if keeps and lacking[model.name] >= view.size / 2:
                 give(view, model)
                 break
     while left:
-        model = max(models, key=lambda one: (short[one.name], one.name))
+        model = max(models, key=lambda model: (lacking[model.name], model.name))
         name = model.name
-        give(min(left, key=lambda one: (zones[name, one.failure_domain], one.name)), model)
+        view = min(left, key=lambda view: (spread[name, view.failure_domain], view.name))
+        give(view, model)
     return chosen
 
 
@@ -127,14 +150,16 @@
     Each step goes to the model that has the fewest endpoints for its share over all domains.
     """
     given: collections.Counter[str] = collections.Counter()
+
+    def served(model: EngineModel) -> tuple[float, str]:
+        return (given[model.name] + model.size) / model.share, model.name
+
     result: Layout = {}
-    for view in sorted(views, key=lambda one: one.name):
+    for view in sorted(views, key=lambda view: view.name):
         counts: collections.Counter[str] = collections.Counter()
         room = view.size - int(view.size * SPARE_SHARE)
-        while fitting := [one for one in models if one.size <= room]:
-            model = min(
-                fitting, key=lambda one: ((given[one.name] + one.size) / one.share, one.name)
-            )
+        while fitting := [model for model in models if model.size <= room]:
+            model = min(fitting, key=served)
             counts[model.name] += 1
             given[model.name] += model.size
             room -= model.size
@@ -142,89 +167,98 @@
     return result
 
 
-def _members(model: EngineModel, view: DomainView, free: t.Sequence[Endpoint]) -> list[Endpoint]:
+def _cost(endpoint: Endpoint, model: str, staging: t.Mapping[str, str]) -> _Cost:
+    """Return what it costs to use an endpoint for a model.
+
+    :param staging: model that is being loaded onto the host, by endpoint id.
+    """
+    if model in endpoint.staged:
+        return _Cost.ENGINE_HAS_MODEL if model in endpoint.models else _Cost.HOST_HAS_MODEL
+    if endpoint.id in staging:
+        loads_it = staging[endpoint.id] == model
+        return _Cost.HOST_LOADS_MODEL if loads_it else _Cost.HOST_LOADS_OTHER
+    return _Cost.HOST_HAS_OTHERS if endpoint.staged else _Cost.HOST_EMPTY
+
+
+def _members(model: EngineModel, view: DomainView) -> list[Endpoint]:
     """Return members for a group, those with the model on their host first.
 
     Weak ones come before those that would have to load it, and never lead.
     """
-
-    def cost(one: Endpoint) -> tuple[int, str]:
-        if model.name in one.staged:
-            rank = 0 if model.name in one.models else 1
-        elif one.id in view.staging:
-            rank = 2 if view.staging[one.id] == model.name else 5
-        else:
-            rank = 4 if one.staged else 3
-        return rank, one.id
-
-    sound = sorted(free, key=cost)
-    warm = [one for one in sound if model.name in one.staged]
-    cold = [one for one in sound if model.name not in one.staged]
-    weak = [one for one in view.weak if model.name in one.staged] if warm else []
+    name = model.name
+    free = sorted(view.free, key=lambda free: (_cost(free, name, view.staging), free.id))
+    warm = [endpoint for endpoint in free if name in endpoint.staged]
+    cold = [endpoint for endpoint in free if name not in endpoint.staged]
+    weak = [endpoint for endpoint in view.weak if name in endpoint.staged] if warm else []
     return [*warm, *weak, *cold][: model.size]
 
 
-def forms(
+def groups_to_form(
     view: DomainView,
-    wanted: collections.Counter[str],
+    target: collections.Counter[str],
     models: t.Sequence[EngineModel],
-    scarcity: t.Callable[[EngineModel], float],
-) -> list[Form]:
+    scarcity: Scarcity,
+) -> list[GroupPlan]:
     """Return the groups to form now in a domain.
 
     A group whose members all hold the model on their hosts comes first, since it stands in
     seconds; among equals the model that is scarcest.
 
-    :param wanted: groups by model that the layout gives this domain.
-    :param scarcity: higher for a model that lacks more groups over all domains.
+    :param target: groups by model that the layout gives this domain.
     """
     rest = dataclasses.replace(view, free=list(view.free), weak=list(view.weak))
-    missing = wanted - view.standing
-    result: list[Form] = []
+    missing = target - view.standing
+    result: list[GroupPlan] = []
     while True:
-        options: list[tuple[int, float, str, Form]] = []
+        options: list[GroupPlan] = []
         for model in models:
-            members = _members(model, rest, rest.free)
-            if missing[model.name] <= 0 or len(members) < model.size:
-                continue
-            form = Form(view.name, model, tuple(members))
-            options.append((len(form.cold), -scarcity(model), model.name, form))
+            members = _members(model, rest)
+            if missing[model.name] > 0 and len(members) == model.size:
+                options.append(GroupPlan(view.name, model, tuple(members)))
         if not options:
             return result
-        chosen = min(options, key=lambda one: one[:3])[3]
+        chosen = min(
+            options, key=lambda plan: (len(plan.cold), -scarcity(plan.model), plan.model.name)
+        )
         result.append(chosen)
         missing[chosen.model.name] -= 1
-        used = {one.id for one in chosen.members}
-        rest.free = [one for one in rest.free if one.id not in used]
-        rest.weak = [one for one in rest.weak if one.id not in used]
+        used = {member.id for member in chosen.members}
+        rest.free = [endpoint for endpoint in rest.free if endpoint.id not in used]
+        rest.weak = [endpoint for endpoint in rest.weak if endpoint.id not in used]
 
 
-def stages(
+def models_to_load(
     view: DomainView,
-    wanted: collections.Counter[str],
+    target: collections.Counter[str],
     models: t.Sequence[EngineModel],
-    model_loader: t.Sequence[Endpoint],
-) -> list[Stage]:
+    spares: t.Sequence[Endpoint],
+) -> list[LoadPlan]:
     """Return what the hosts of spare endpoints should load: the model that lacks a spare most.
 
     A host that holds a model which this domain carries is left alone.
 
-    :param model_loader: free endpoints that no group of the plan takes.
+    :param target: groups by model that the layout gives this domain.
+    :param spares: free endpoints that no group of the plan takes.
     """
-    used = [one for one in models if wanted[one.name] > 0]
-    names = {one.name for one in used}
+    carried = [model for model in models if target[model.name] > 0]
+    names = {model.name for model in carried}
+    # the larger a model's groups are, the likelier it is to lose a member
+    risk = {model.name: model.size * target[model.name] for model in carried}
     holding: collections.Counter[str] = collections.Counter()
-    for one in model_loader:
-        holding.update(names.intersection(one.staged))
-        if one.id in view.staging:
-            holding[view.staging[one.id]] += 1
-    result: list[Stage] = []
-    for one in model_loader:
-        if names.intersection(one.staged) or one.id in view.staging or not used:
+    for endpoint in spares:
+        holding.update(names.intersection(endpoint.staged))
+        if endpoint.id in view.staging:
+            holding[view.staging[endpoint.id]] += 1
+
+    def covered(model: EngineModel) -> tuple[float, str]:
+        return (holding[model.name] + 1) / risk[model.name], model.name
+
+    result: list[LoadPlan] = []
+    for endpoint in spares:
+        held = names.intersection(endpoint.staged)
+        if held or endpoint.id in view.staging or not carried:
             continue
-        # the larger a model's groups are, the likelier it is to lose a member
-        risk = {m.name: m.size * wanted[m.name] for m in used}
-        model = min(used, key=lambda m: ((holding[m.name] + 1) / risk[m.name], m.name))
+        model = min(carried, key=covered)
         holding[model.name] += 1
-        result.append(Stage(one, model))
+        result.append(LoadPlan(endpoint, model))
     return result
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
@@ -0,0 +1,70 @@
+"""Which groups are being formed, of whom, and who is left alone for a while after a failure.
+
+Owns: the numbers of the groups of one term, their members while they are formed, and the pauses.
+Relies on: the term's rising with each controller; an epoch is never given twice, and a later
+controller's epochs are higher.
+"""
+
+import typing as t
+
+from ..store.roster import GroupId
+from .formation import GroupPlan
+
+# formations that one term can number; chosen, not measured
+EPOCHS_PER_TERM = 100_000
+# in which no group is formed in a domain after a failure there, in seconds; chosen, not measured
+PAUSE_SECONDS = 0.3
+# in which an endpoint that did not join a group is not asked again, in seconds; chosen, not
+# measured
+REFUSED_SECONDS = 2.0
+
+
+class FormingState:
+    """What is being formed, in one term.
+
+    :param term: of this controller; begins its epochs.
+    """
+
+    def __init__(self, term: int, clock: t.Callable[[], float]) -> None:
+        self._term = term
+        self._clock = clock
+        self._formed = 0
+        self._busy: set[str] = set()
+        self._paused: dict[str, float] = {}
+        self._refused: dict[str, float] = {}
+        self.under_way: dict[GroupId, GroupPlan] = {}
+
+    def __contains__(self, group: GroupId) -> bool:
+        return group in self.under_way
+
+    def is_available(self, endpoint_id: str) -> bool:
+        """Returns whether an endpoint may be ordered into a group now."""
+        refused = self._refused.get(endpoint_id, 0.0) > self._clock()
+        return not refused and endpoint_id not in self._busy
+
+    def is_paused(self, domain: str) -> bool:
+        """Returns whether a domain is left alone after a failure."""
+        return self._clock() < self._paused.get(domain, 0.0)
+
+    def pause(self, domain: str) -> None:
+        """Leave a domain alone for a while."""
+        self._paused[domain] = self._clock() + PAUSE_SECONDS
+
+    def refuse(self, endpoint_id: str) -> None:
+        """Leave an endpoint alone that did not join a group."""
+        self._refused[endpoint_id] = self._clock() + REFUSED_SECONDS
+
+    def begin(self, plan: GroupPlan) -> GroupId:
+        """Number a new group, and keep its members from being used twice."""
+        self._formed += 1
+        epoch = self._term * EPOCHS_PER_TERM + self._formed
+        group = GroupId(epoch, f"g{epoch}")
+        self.under_way[group] = plan
+        self._busy.update(member.id for member in plan.members)
+        return group
+
+    def finish(self, group: GroupId) -> None:
+        """Set the members of a group free that is no longer being formed."""
+        plan = self.under_way.pop(group, None)
+        if plan is not None:
+            self._busy.difference_update(member.id for member in plan.members)
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -0,0 +1,111 @@
+"""Looking at the groups that exist: which stand, which are ended, which are asked.
+
+The rule itself is pure and stands in :mod:`.group_health`; here its inputs are gathered.
+
+Owns: since when this term has known each group, and when it last examined a suspected one.
+Relies on: the list, where members say which groups there are, and the groups' records.
+"""
+
+import dataclasses
+import typing as t
+
+from ..store.roster import Endpoint
+from ..store.roster import Group
+from ..store.roster import GroupId
+from ..store.serving import Engine
+from ..store.serving import EngineModel
+from ..store.view import StoreView
+from . import group_health
+from .group_health import GroupHealth
+from .term import Term
+
+# between two examinations of a suspected group, in seconds; chosen, not measured
+EXAMINE_AGAIN_SECONDS = 0.3
+
+
+@dataclasses.dataclass(frozen=True)
+class StandingGroup:
+    """A group that serves, or may soon."""
+
+    domain: str
+    model: str
+
+
+class GroupInspector:
+    """Judges the groups in one term."""
+
+    def __init__(self, view: StoreView, term: Term, clock: t.Callable[[], float]) -> None:
+        self._view = view
+        self._term = term
+        self._clock = clock
+        self._first_seen: dict[GroupId, float] = {}
+        self._examined: dict[GroupId, float] = {}
+
+    def inspect(self, service: str, engine: Engine) -> list[StandingGroup]:
+        """Return the groups of a service that stand, and begin to end the others.
+
+        Groups that are being formed or ended are left out.
+        """
+        standing = []
+        for group in self._view.roster.groups.values():
+            first = next(iter(group.members.values()))
+            if first.service != service or not self._is_settled(group.id):
+                continue
+            model = engine.model(group.model)
+            if model is not None and self._stands(group, model):
+                standing.append(StandingGroup(first.fabric_domain, model.name))
+        self._end_unlisted(service)
+        return standing
+
+    def _is_settled(self, group: GroupId) -> bool:
+        """Returns whether a group is neither being formed nor being ended, nor over."""
+        if group in self._term.forming_state or group in self._term.ending:
+            return False
+        return self._term.records.may_answer(group)
+
+    def _stands(self, group: Group, model: EngineModel) -> bool:
+        reason = group_health.end_reason(self._health(group, model))
+        if reason is not None:
+            self._term.ending.end(group.id, reason, list(group.members.values()))
+        return reason is None
+
+    def _health(self, group: Group, model: EngineModel) -> GroupHealth:
+        leader, members = group.leader, group.members
+        missing = (rank for rank in range(model.size) if rank not in members)
+        return GroupHealth(
+            age=self._age(group.id),
+            leader_state=group.state,
+            leader_draining=leader is not None and leader.draining,
+            member_lost=any(member.id in self._term.lost for member in members.values()),
+            member_missing=any(not self._term.unlisted.holds(group.id, rank) for rank in missing),
+            list_settled=self._view.settled,
+        )
+
+    def _age(self, group: GroupId) -> float:
+        """Return for how many seconds this term has known a group that it isn't forming."""
+        now = self._clock()
+        return now - self._first_seen.setdefault(group, now)
+
+    def _end_unlisted(self, service: str) -> None:
+        """End groups of which no member is listed any more."""
+        for group in self._term.records.groups:
+            leader = self._term.records.leader(group)
+            if leader is None or leader.service != service or group in self._view.roster.groups:
+                continue
+            if not self._is_settled(group):
+                continue
+            reason = group_health.end_reason_unlisted(self._age(group))
+            if reason is not None:
+                self._term.ending.end(group, reason, [])
+
+    def examine(self, group_id: GroupId) -> None:
+        """Ask the members of a group that some daemon suspects, but not too often."""
+        now = self._clock()
+        group = self._view.roster.groups.get(group_id)
+        if group is None or now - self._examined.get(group_id, 0.0) < EXAMINE_AGAIN_SECONDS:
+            return
+        if group_id in self._term.ending or not self._term.records.may_answer(group_id):
+            return
+        self._examined[group_id] = now
+        members: list[Endpoint] = list(group.members.values())
+        self._term.jobs.start(self._term.lost.examine(members))
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -0,0 +1,164 @@
+"""The steps by which a group is formed: its members join, get ready, and its leader opens it.
+
+Each step waits for one thing, and says only whether it came. What follows stands in
+:mod:`.forming`.
+
+Owns: no state.
+Relies on: reports of the endpoints themselves; the list lags behind them.
+"""
+
+import asyncio
+import typing as t
+
+from ..exceptions import EndpointError
+from ..exceptions import EndpointGoneError
+from ..ports import Join
+from ..ports import Open
+from ..settings import ControlSettings
+from ..store.roster import Endpoint
+from ..store.roster import GroupId
+from ..store.view import StoreView
+from . import join_rules
+from .formation import GroupPlan
+from .join_rules import JoinAnswer
+from .join_rules import Place
+from .lost_endpoints import LostCause
+from .lost_endpoints import LostEndpoints
+from .orders import ACCEPTED
+from .orders import ASK_SECONDS
+from .orders import LOOK_SECONDS
+from .orders import Orders
+from .records import GroupRecords
+
+# orders to join that one endpoint is given; chosen, not measured
+JOIN_TRIES = 6
+# orders to open that one leader is given; chosen, not measured
+OPEN_TRIES = 5
+# between two rounds of questions to members that are not ready, in seconds; chosen, not measured
+ASK_MEMBERS_SECONDS = 2 * ASK_SECONDS
+# times its usual duration that a load from the host may take; chosen, not measured
+WARM_PATIENCE = 2
+# times its usual duration that a load from the weight store may take; chosen, not measured
+LOAD_PATIENCE = 3
+# for the list to show that a group answers, in seconds; chosen, not measured
+LISTED_SECONDS = 2.0
+
+
+def ready_limit(plan: GroupPlan, form_timeout: float) -> float:
+    """Return for how many seconds the members of a group may take to get ready.
+
+    :param form_timeout: seconds beside what loading the model takes.
+    """
+    limit = form_timeout + WARM_PATIENCE * plan.model.warm
+    return limit + LOAD_PATIENCE * plan.model.load if plan.cold else limit
+
+
+class GroupSteps:
+    """Takes a group's members through the steps."""
+
+    def __init__(
+        self,
+        settings: ControlSettings,
+        view: StoreView,
+        orders: Orders,
+        records: GroupRecords,
+        lost: LostEndpoints,
+        clock: t.Callable[[], float],
+    ) -> None:
+        self._settings = settings
+        self._view = view
+        self._orders = orders
+        self._records = records
+        self._lost = lost
+        self._clock = clock
+
+    async def join(self, endpoint: Endpoint, order: Join) -> bool:
+        """Order one endpoint into a group, unless its former group may still answer.
+
+        :returns: whether it is in the group.
+        """
+        for _ in range(JOIN_TRIES):
+            try:
+                answer = await self._try_join(endpoint, order)
+            except EndpointGoneError:
+                self._lost.lose(endpoint, LostCause.PROCESS_ENDED)
+                return False
+            except EndpointError:
+                if not await self._orders.answers(endpoint):
+                    self._lost.lose(endpoint, LostCause.SILENT)
+                    return False
+                continue
+            if answer is not JoinAnswer.STATE_CHANGED:
+                return answer is JoinAnswer.JOINED
+        return False
+
+    async def _try_join(self, endpoint: Endpoint, order: Join) -> JoinAnswer:
+        report = await self._orders.ask(endpoint)
+        match join_rules.place(report.membership, order.group, self._records.may_answer):
+            case Place.JOINED:
+                return JoinAnswer.JOINED
+            case Place.TAKEN:
+                return JoinAnswer.REFUSED
+        # holds only for the state that the report showed
+        outcome = await self._orders.give(endpoint, order, report.order_count)
+        return join_rules.join_answer(outcome)
+
+    async def wait_ready(self, group: GroupId, plan: GroupPlan) -> bool:
+        """Wait until each member was seen ready under the group's name and epoch.
+
+        :returns: whether all were in time.
+        """
+        begun = asked_at = self._clock()
+        limit = ready_limit(plan, self._settings.form_timeout)
+        while self._clock() - begun < limit:
+            missing = self._missing(group, plan.members)
+            if not missing:
+                return True
+            if any(member.id in self._lost for member in plan.members):
+                return False
+            if self._clock() - asked_at > ASK_MEMBERS_SECONDS:
+                asked_at = self._clock()
+                if not await self._all_joining(missing, group):
+                    return False
+            await asyncio.sleep(LOOK_SECONDS)
+        return False
+
+    def _missing(self, group: GroupId, members: t.Sequence[Endpoint]) -> list[Endpoint]:
+        return [member for member in members if not self._orders.seen_ready(member, group)]
+
+    async def _all_joining(self, members: t.Sequence[Endpoint], group: GroupId) -> bool:
+        for member in members:
+            if not await self._orders.answers(member):
+                self._lost.lose(member, LostCause.SILENT_WHILE_JOINING)
+                return False
+            if not await self._orders.is_in(member, group):
+                return False
+        return True
+
+    async def open(self, leader: Endpoint, group: GroupId) -> bool:
+        """Order a leader to answer requests.
+
+        :returns: whether it took the order.
+        """
+        for _ in range(OPEN_TRIES):
+            try:
+                if await self._orders.give(leader, Open(group)) in ACCEPTED:
+                    return True
+                if not await self._orders.is_in(leader, group):
+                    return False
+            except EndpointGoneError:
+                return False
+            except EndpointError:
+                # no answer; the order is repeated, and means the same if it was carried out
+                pass
+            await asyncio.sleep(LOOK_SECONDS)
+        return False
+
+    async def wait_listed(self, leader: Endpoint) -> None:
+        """Wait until the list shows that a leader answers, or that it is gone."""
+        until = self._clock() + LISTED_SECONDS
+        while self._clock() < until:
+            listed = self._view.roster.endpoints.get(leader.id)
+            if listed is None or listed.leads:
+                return
+            await asyncio.sleep(LOOK_SECONDS)
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/groups/jobs.py
@@ -0,0 +1,52 @@
+"""The coroutines that a controller's term runs in the background.
+
+Owns: their tasks, until they end or the term does.
+Relies on: the event loop; a job that fails is logged and ends, and the next plan starts what is
+still needed.
+"""
+
+import asyncio
+import typing as t
+
+from thorncleat_core.exceptions import LeaseError
+from thorncleat_core.exceptions import ThorncleatError
+
+from .. import events
+
+Work = t.Coroutine[t.Any, t.Any, None]
+# runs a coroutine beside the others of a term
+Start = t.Callable[[Work], None]
+
+
+class Jobs:
+    """Starts coroutines and cancels those that still run.
+
+    :param wake: has the controller plan anew; called when a job has ended.
+    """
+
+    def __init__(self, wake: t.Callable[[], None]) -> None:
+        self._wake = wake
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def start(self, work: Work) -> None:
+        """Run a coroutine beside the others."""
+        task = asyncio.get_running_loop().create_task(self._guarded(work))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def cancel(self) -> None:
+        """Cancel all that still run."""
+        for task in self._tasks:
+            task.cancel()
+
+    async def _guarded(self, work: Work) -> None:
+        try:
+            await work
+        except LeaseError:
+            # expected at the end of a term: the next controller takes over
+            pass
+        except ThorncleatError as error:
+            events.TASK_FAILED.log(task="orders", reason=str(error))
+        except Exception as error:
+            events.TASK_FAILED.log(task="orders", reason=repr(error))
+        self._wake()
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/groups/join_rules.py
@@ -0,0 +1,56 @@
+"""The rules for ordering an endpoint to join a group: is it free, and did it take the order.
+
+Pure. The order names the number of orders that the engine had begun at the report by which it was
+judged, so it is refused by an engine whose state has changed since, and then the engine is judged
+anew.
+
+Owns: no state.
+Relies on: :meth:`.GroupRecords.may_answer` for whether the endpoint's former group is over.
+"""
+
+import enum
+import typing as t
+
+from ..ports import Outcome
+from ..store.roster import GroupId
+from ..store.roster import Membership
+from .orders import ACCEPTED
+
+
+class Place(enum.Enum):
+    """Where an endpoint stands that is to join a group."""
+
+    FREE = enum.auto()
+    JOINED = enum.auto()
+    TAKEN = enum.auto()
+
+
+class JoinAnswer(enum.Enum):
+    """What an answer to an order to join means."""
+
+    JOINED = enum.auto()
+    REFUSED = enum.auto()
+    STATE_CHANGED = enum.auto()
+
+
+def place(
+    member: Membership | None, group: GroupId, may_answer: t.Callable[[GroupId], bool]
+) -> Place:
+    """Return where an endpoint stands, from its own report.
+
+    :param member: its place as it reports it.
+    :param group: the group that it is to join.
+    :param may_answer: returns whether a former group may still answer requests.
+    """
+    if member is None:
+        return Place.FREE
+    if member.group == group:
+        return Place.JOINED
+    return Place.TAKEN if may_answer(member.group) else Place.FREE
+
+
+def join_answer(outcome: Outcome) -> JoinAnswer:
+    """Return what an endpoint's answer to an order to join means."""
+    if outcome in ACCEPTED:
+        return JoinAnswer.JOINED
+    return JoinAnswer.STATE_CHANGED if outcome is Outcome.CONFLICT else JoinAnswer.REFUSED
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -1,15 +1,30 @@
-"""Endpoints that did not answer the controller: no group is formed with them until they do."""
+"""Endpoints that did not answer the controller: no group is formed with them until they do.
+
+Owns: the ids of the listed endpoints that do not answer.
+Relies on: whoever gives orders or asks endpoints, to name those that are silent.
+"""
 
 import asyncio
+import enum
 import typing as t
 
 from .. import events
 from ..store.roster import Endpoint
 from ..store.view import StoreView
+from .jobs import Start
 from .orders import Orders
 
+# between two questions to a lost endpoint, in seconds; chosen, not measured
 ASK_AGAIN_SECONDS = 1.0
-Start = t.Callable[[t.Coroutine[t.Any, t.Any, None]], None]
+
+
+class LostCause(enum.Enum):
+    """How an endpoint was lost; logged as ``cause`` of event 7208."""
+
+    PROCESS_ENDED = "process ended"
+    SILENT = "silent"
+    SILENT_WHILE_JOINING = "silent while joining"
+    SILENT_UNDER_SUSPICION = "silent under suspicion"
 
 
 class LostEndpoints:
@@ -35,26 +50,26 @@
         """Forget those that are no longer listed."""
         self._ids.intersection_update(self._view.roster.endpoints)
 
-    def lose(self, one: Endpoint, cause: str) -> None:
-        """Take in that an endpoint does not answer."""
-        if one.id in self._ids:
+    def lose(self, endpoint: Endpoint, cause: LostCause) -> None:
+        """Use an endpoint no more until it answers."""
+        if endpoint.id in self._ids:
             return
-        self._ids.add(one.id)
-        events.ENDPOINT_LOST.log(endpoint=one.id, cause=cause)
+        self._ids.add(endpoint.id)
+        events.ENDPOINT_LOST.log(endpoint=endpoint.id, cause=cause.value)
         self._wake()
-        self._start(self._await_return(one))
+        self._start(self._await_return(endpoint))
 
-    async def _await_return(self, one: Endpoint) -> None:
+    async def _await_return(self, endpoint: Endpoint) -> None:
         """Use an endpoint again when it answers."""
-        while one.id in self._view.roster.endpoints:
+        while endpoint.id in self._view.roster.endpoints:
             await asyncio.sleep(ASK_AGAIN_SECONDS)
-            if await self._orders.answers(one):
+            if await self._orders.answers(endpoint):
                 break
-        self._ids.discard(one.id)
+        self._ids.discard(endpoint.id)
 
     async def examine(self, members: t.Sequence[Endpoint]) -> None:
-        """Ask the members of a group that is suspected."""
-        answers = await asyncio.gather(*(self._orders.answers(one) for one in members))
-        for one, answered in zip(members, answers, strict=True):
+        """Ask the members of a group that is suspected; lose those that don't answer."""
+        answers = await asyncio.gather(*(self._orders.answers(member) for member in members))
+        for member, answered in zip(members, answers, strict=True):
             if not answered:
-                self.lose(one, "silent under suspicion")
+                self.lose(member, LostCause.SILENT_UNDER_SUSPICION)
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -1,5 +1,12 @@
-"""Loading models onto the hosts of spare endpoints, within the weight store's rate."""
+"""Loading models onto the hosts of spare endpoints, within the weight store's rate.
 
+Which host loads what is decided in :mod:`.formation`, how many may begin in :mod:`.load_rate`.
+
+Owns: the loads under way, by endpoint.
+Relies on: the list, where an endpoint shows which models lie on its host.
+"""
+
+import dataclasses
 import typing as t
 
 from .. import events
@@ -10,16 +17,28 @@
 from ..store.serving import Engine
 from ..store.serving import EngineModel
 from ..store.view import StoreView
-from .formation import Stage
+from .formation import LoadPlan
+from .jobs import Start
+from .load_rate import LoadRate
+from .lost_endpoints import LostCause
 from .lost_endpoints import LostEndpoints
-from .lost_endpoints import Start
 from .orders import Orders
 
+# orders that one endpoint is given for a load; chosen, not measured
 LOAD_TRIES = 6
-# times its usual duration after which a load counts as failed
+# times its usual duration after which a load counts as failed; chosen, not measured
 LOAD_PATIENCE = 3.0
-# part of the weight store's rate that is used
-LOAD_RATE_PART = 0.9
+
+
+@dataclasses.dataclass(frozen=True)
+class _Loading:
+    """A load under way.
+
+    :param until: when it counts as failed.
+    """
+
+    model: str
+    until: float
 
 
 class ModelLoader:
@@ -41,52 +60,45 @@
         self._lost = lost
         self._clock = clock
         self._start = start
-        # the model and until when it may take, by endpoint
-        self._staging: dict[str, tuple[str, float]] = {}
-        self._tokens = 0.0
-        self._filled_at = clock()
+        self._loading: dict[str, _Loading] = {}
+        self._rate = LoadRate(clock())
 
     def staging(self) -> dict[str, str]:
-        """Return the model that is being loaded, by endpoint."""
+        """Return the model that is being loaded, by endpoint id."""
         now = self._clock()
-        self._staging = {
-            key: one
-            for key, one in self._staging.items()
-            if one[1] > now and not self._has(key, one[0])
+        self._loading = {
+            endpoint_id: load
+            for endpoint_id, load in self._loading.items()
+            if load.until > now and not self._has(endpoint_id, load.model)
         }
-        return {key: model for key, (model, _) in self._staging.items()}
+        return {endpoint_id: load.model for endpoint_id, load in self._loading.items()}
 
     def _has(self, endpoint_id: str, model: str) -> bool:
         listed = self._view.roster.endpoints.get(endpoint_id)
         return listed is not None and model in listed.staged
 
     def may_load(self, engine: Engine) -> bool:
-        """Take a load out of the weight store's rate; tell whether it may begin."""
-        now = self._clock()
-        rate = engine.loads_per_second * LOAD_RATE_PART
-        most = 2 * rate + engine.loads_at_once / 2
-        self._tokens = min(most, self._tokens + (now - self._filled_at) * rate)
-        self._filled_at = now
-        if self._tokens < 1:
-            return False
-        self._tokens -= 1
-        return True
-
-    def stage(self, stage: Stage) -> None:
-        """Load a model onto a host."""
-        one, model = stage.endpoint, stage.model
-        self._staging[one.id] = (model.name, self._clock() + LOAD_PATIENCE * model.load)
-        events.ENDPOINT_STAGED.log(endpoint=one.id, model=model.name, domain=one.fabric_domain)
-        self._start(self._load(one, model))
-
-    async def _load(self, one: Endpoint, model: EngineModel) -> None:
+        """Count a load against the weight store's rate; returns whether it may begin."""
+        return self._rate.take(engine, self._clock())
+
+    def load(self, plan: LoadPlan) -> None:
+        """Begin to load a model onto a host."""
+        endpoint, model = plan.endpoint, plan.model
+        until = self._clock() + LOAD_PATIENCE * model.load
+        self._loading[endpoint.id] = _Loading(model.name, until)
+        events.ENDPOINT_STAGED.log(
+            endpoint=endpoint.id, model=model.name, domain=endpoint.fabric_domain
+        )
+        self._start(self._order(endpoint, model))
+
+    async def _order(self, endpoint: Endpoint, model: EngineModel) -> None:
         for _ in range(LOAD_TRIES):
             try:
-                await self._orders.give(one, Load(model.name))
+                await self._orders.give(endpoint, Load(model.name))
             except EndpointGoneError:
-                self._lost.lose(one, "process ended")
+                self._lost.lose(endpoint, LostCause.PROCESS_ENDED)
             except EndpointError:
-                if await self._orders.answers(one):
+                if await self._orders.answers(endpoint):
                     continue
-                self._lost.lose(one, "silent")
+                self._lost.lose(endpoint, LostCause.SILENT)
             return
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -1,4 +1,14 @@
-"""Giving one engine orders, and keeping what it said last."""
+"""Giving an endpoint orders, and keeping what it reported last.
+
+An order is safe to give only while nobody else can have become controller. Three conditions
+together see to that: this daemon's lease still runs (checked here, right before each order); a
+join names the number of orders that the engine had begun when it was seen free
+(:mod:`.join_rules`); and a group is recorded before its first order, under the condition that the
+controller's record is unchanged (:mod:`.records`).
+
+Owns: the last report of each endpoint that was asked in this term.
+Relies on: the lease (:class:`.Election`), which ends here before it ends in the store.
+"""
 
 import asyncio
 import typing as t
@@ -20,15 +30,23 @@
 from ..store.roster import Membership
 from ..store.view import StoreView
 
+# how often a silent endpoint is asked before it counts as not answering; chosen, not measured
 PROBES = 2
-STANDING = (GroupState.READY, GroupState.OPEN)
+# between two questions to an endpoint that is waited for, in seconds; chosen, not measured
+ASK_SECONDS = 0.25
+# between two looks at what is already known here, in seconds; chosen, not measured
+LOOK_SECONDS = 0.02
+# states in which a member has loaded the model
+READY_STATES = (GroupState.READY, GroupState.OPEN)
+# outcomes by which the endpoint carries an order out, or had done so before
+ACCEPTED = (Outcome.DONE, Outcome.BEGUN)
 
 
 class Orders:
     """Sends orders only while this daemon is the controller.
 
-    :param leads: whether it surely is, asked right before each order.
-    :param heard: told of each endpoint that answers.
+    :param leads: returns whether it is, asked right before each order.
+    :param heard: called with the id of each endpoint that answers.
     """
 
     def __init__(
@@ -51,21 +69,24 @@
         self._reports.clear()
 
     def listed(self, endpoint: Endpoint) -> Membership | None:
-        """Return an engine's place in a group, as listed."""
+        """Return an endpoint's place in a group, as listed."""
         return self._view.roster.endpoints.get(endpoint.id, endpoint).membership
 
     def seen_ready(self, endpoint: Endpoint, group: GroupId) -> bool:
-        """Tell whether an engine was listed or reported ready in a group."""
+        """Returns whether an endpoint was listed or reported ready in a group."""
         report = self._reports.get(endpoint.id)
         places = (self.listed(endpoint), report.membership if report else None)
         return any(
-            one is not None and one.group == group and one.state in STANDING for one in places
+            place is not None and place.group == group and place.state in READY_STATES
+            for place in places
         )
 
     async def give(self, endpoint: Endpoint, order: Order, expected: int | None = None) -> Outcome:
         """Give an order once.
 
+        :param expected: orders that the engine must have begun before; None for any number.
         :raises LeaseError: if this daemon may no longer be the controller.
+        :raises EndpointError: if there is no answer; the order may be carried out all the same.
         """
         if not self._leads():
             raise LeaseError(f"{type(order).__name__} for {endpoint.id!r}: the lease is over")
@@ -86,25 +107,32 @@
         return outcome
 
     async def ask(self, endpoint: Endpoint) -> EngineReport:
-        """Ask an engine how it stands."""
+        """Ask an endpoint for its report.
+
+        :raises EndpointError: if there is no answer.
+        """
         report = await self._engines.report(endpoint, self._settings.probe_timeout)
         self._heard(endpoint.id)
         self._reports[endpoint.id] = report
         return report
 
     async def is_in(self, endpoint: Endpoint, group: GroupId) -> bool:
-        """Ask an engine whether it is in a group."""
+        """Ask an endpoint whether it is in a group.
+
+        :raises EndpointError: if there is no answer.
+        """
         member = (await self.ask(endpoint)).membership
         return member is not None and member.group == group
 
     async def answers(self, endpoint: Endpoint) -> bool:
-        """Tell whether an engine answers, asked more than once."""
+        """Returns whether an endpoint answers, asked :data:`PROBES` times at most."""
         for _ in range(PROBES):
             try:
                 await self.ask(endpoint)
             except EndpointGoneError:
                 return False
             except EndpointError:
+                # no answer in time; it is asked again
                 await asyncio.sleep(0)
                 continue
             return True
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -1,9 +1,12 @@
 """A record in the store for each group that was begun and may still answer.
 
 It is written before any member is ordered to join, under the condition that the writer is
-still the controller, and it is removed only once the group's leader surely answers no more.
-So whoever controls the groups next knows the leader of each group, listed or not, and knows
-that members of a group without a record are free.
+still the controller, and it is removed only once the group's leader answers no more. So whoever
+controls the groups next knows the leader of each group, listed or not, and knows that members of
+a group without a record are free.
+
+Owns: the groups that have ended in this term, until their records are removed.
+Relies on: the store's conditional writes, and the view for what it holds.
 """
 
 import dataclasses
@@ -18,10 +21,10 @@
 from ..store.view import StoreView
 from .election import CONTROLLER
 from .election import Election
-from .formation import Form
+from .formation import GroupPlan
 
 GROUPS = "thorncleat/groups/"
-# keys that one write may remove beside what it writes
+# keys that one write may remove beside what it writes; chosen, not measured
 REMOVED_AT_ONCE = 24
 
 
@@ -36,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Leader:
-    """What is kept of a group."""
+    """What is kept of a group's leader."""
 
     id: str
     service: str
@@ -61,7 +64,7 @@
         self._ended: set[GroupId] = set()
 
     def begin_term(self) -> None:
-        """Forget what an earlier term of this daemon wanted removed."""
+        """Forget the groups that an earlier term of this daemon ended."""
         self._ended.clear()
 
     @property
@@ -70,7 +73,7 @@
         return [_group(key) for key in self._view.records if key.startswith(GROUPS)]
 
     def may_answer(self, group: GroupId) -> bool:
-        """Tell whether a group has a record and was not ended in this term."""
+        """Returns whether a group has a record and was not ended in this term."""
         return group not in self._ended and _key(group) in self._view.records
 
     def leader(self, group: GroupId) -> Endpoint | None:
@@ -83,20 +86,21 @@
         place = Membership(group, 0, GroupState.OPEN)
         return listed or Endpoint(kept.id, kept.service, kept.address, "", membership=place)
 
-    async def begin(self, group: GroupId, form: Form) -> bool:
+    async def begin(self, group: GroupId, plan: GroupPlan) -> bool:
         """Write a group's record, and remove those of groups that have ended.
 
+        :returns: False if this daemon is no longer the controller.
         :raises StoreError: if it is not known to be written.
         """
-        first = form.members[0]
+        first = plan.members[0]
         kept = _Leader(first.id, first.service, first.address)
-        gone = [one for one in self._ended if _key(one) in self._view.records]
+        gone = [ended for ended in self._ended if _key(ended) in self._view.records]
         return await self._records.commit(
             {_key(group): kept.encode()},
-            [_key(one) for one in gone[:REMOVED_AT_ONCE]],
+            [_key(ended) for ended in gone[:REMOVED_AT_ONCE]],
             {CONTROLLER: self._election.term},
         )
 
     def end(self, group: GroupId) -> None:
-        """Take in that a group's leader surely answers no more."""
+        """Count a group as ended; its leader answers no more."""
         self._ended.add(group)
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -0,0 +1,100 @@
+"""A controller's term and its parts, which live no longer than it.
+
+A daemon that becomes controller again begins anew, so that a job of an earlier term that is
+still being cancelled can't write into the next one.
+
+Owns: the parts of one term.
+Relies on: :class:`.Election` for the term's number.
+"""
+
+import dataclasses
+import typing as t
+
+from ..peers.datagrams import PeerChannel
+from ..peers.failure_detector import FailureDetector
+from ..settings import ControlSettings
+from ..store.view import StoreView
+from .ended import EndedGroups
+from .ending import GroupEnding
+from .forming import GroupForming
+from .forming_state import FormingState
+from .group_steps import GroupSteps
+from .jobs import Jobs
+from .leader_liveness import LeaderLiveness
+from .lost_endpoints import LostEndpoints
+from .model_loader import ModelLoader
+from .orders import Orders
+from .records import GroupRecords
+from .unlisted_endpoints import UnlistedEndpoints
+
+
+@dataclasses.dataclass(frozen=True)
+class Term:
+    """The parts of one term.
+
+    :param number: the store's revision at which the controller's record was created.
+    """
+
+    number: int
+    jobs: Jobs
+    orders: Orders
+    records: GroupRecords
+    lost: LostEndpoints
+    unlisted: UnlistedEndpoints
+    ending: GroupEnding
+    forming_state: FormingState
+    steps: GroupSteps
+    forming: GroupForming
+    loader: ModelLoader
+
+
+class TermFactory:
+    """Builds and wires the parts of each term; the one place that does."""
+
+    def __init__(
+        self,
+        settings: ControlSettings,
+        view: StoreView,
+        orders: Orders,
+        records: GroupRecords,
+        detector: FailureDetector,
+        peers: PeerChannel,
+        ended: EndedGroups,
+        clock: t.Callable[[], float],
+    ) -> None:
+        self._settings = settings
+        self._view = view
+        self._orders = orders
+        self._records = records
+        self._detector = detector
+        self._peers = peers
+        self._ended = ended
+        self._clock = clock
+
+    def begin(self, number: int, wake: t.Callable[[], None]) -> Term:
+        """Forget what earlier terms reported, and build the parts of a new one.
+
+        :param wake: has the controller plan anew.
+        """
+        view, orders, records, clock = self._view, self._orders, self._records, self._clock
+        orders.forget()
+        records.begin_term()
+        jobs = Jobs(wake)
+        lost = LostEndpoints(view, orders, jobs.start, wake)
+        liveness = LeaderLiveness(view, orders, self._detector, self._peers, clock)
+        ending = GroupEnding(orders, records, self._ended, liveness, clock, jobs.start)
+        state = FormingState(number, clock)
+        steps = GroupSteps(self._settings, view, orders, records, lost, clock)
+        return Term(
+            number=number,
+            jobs=jobs,
+            orders=orders,
+            records=records,
+            lost=lost,
+            unlisted=UnlistedEndpoints(view, orders, clock, jobs.start),
+            ending=ending,
+            forming_state=state,
+            steps=steps,
+            forming=GroupForming(state, records, steps, ending, clock, jobs.start),
+            loader=ModelLoader(view, orders, lost, clock, jobs.start),
+        )
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -2,6 +2,9 @@
 
 They may be leaving, or only be cut off from the store. A group with such a member goes on
 serving; one may also help out in a new group, but it never leads.
+
+Owns: the unlisted endpoints that answer, with their last reports.
+Relies on: the roster's memory of endpoints that were unlisted lately.
 """
 
 import asyncio
@@ -11,17 +14,25 @@
 from ..exceptions import EndpointError
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
+from ..store.roster import Membership
 from ..store.view import StoreView
+from .jobs import Start
 from .orders import Orders
 
+# between two questions to an unlisted endpoint, in seconds; chosen, not measured
 ASK_SECONDS = 1.0
+# for which an unlisted endpoint is asked at most, in seconds; chosen, not measured
 LONGEST_SECONDS = 30.0
-# in which an endpoint that has just vanished counts as answering
+# in which an endpoint that was just unlisted counts as answering, in seconds; chosen, not measured
 BENEFIT_SECONDS = 0.4
 
 
+def _is_place(member: Membership | None, group: GroupId, rank: int) -> bool:
+    return member is not None and member.group == group and member.rank == rank
+
+
 class UnlistedEndpoints:
-    """Asks endpoints that have vanished from the list whether they are still there.
+    """Asks endpoints that are no longer listed whether they are still there.
 
     :param start: runs a coroutine beside the others of the controller.
     """
@@ -31,7 +42,7 @@
         view: StoreView,
         orders: Orders,
         clock: t.Callable[[], float],
-        start: t.Callable[[t.Coroutine[t.Any, t.Any, None]], None],
+        start: Start,
     ) -> None:
         self._view = view
         self._orders = orders
@@ -44,46 +55,47 @@
         """Return those of a service that answered when they were last asked."""
         listed = self._view.roster.endpoints
         return [
-            one
-            for one in self._answering.values()
-            if one.service == service and one.id not in listed
+            endpoint
+            for endpoint in self._answering.values()
+            if endpoint.service == service and endpoint.id not in listed
         ]
 
     def holds(self, group: GroupId, rank: int) -> bool:
-        """Tell whether a member that isn't listed may still be in its place."""
-        for one in self._answering.values():
-            member = one.membership
-            if member is not None and member.group == group and member.rank == rank:
-                return True
+        """Returns whether a member that isn't listed may still be in its place."""
+        if any(_is_place(known.membership, group, rank) for known in self._answering.values()):
+            return True
         begin = self._clock() - BENEFIT_SECONDS
-        for gone in self._view.roster.gone.values():
-            member = gone.endpoint.membership
-            lately = gone.at >= begin and member is not None
-            if lately and member and member.group == group and member.rank == rank:
-                return True
-        return False
+        return any(
+            gone.at >= begin and _is_place(gone.endpoint.membership, group, rank)
+            for gone in self._view.roster.gone.values()
+        )
 
     def look(self) -> None:
-        """Begin to ask those that have vanished lately."""
+        """Begin to ask those that were unlisted lately."""
         begin = self._clock() - BENEFIT_SECONDS
-        for name, gone in self._view.roster.gone.items():
-            if gone.at >= begin and gone.endpoint.fabric_domain and name not in self._watched:
-                self._watched.add(name)
+        for endpoint_id, gone in self._view.roster.gone.items():
+            lately = gone.at >= begin
+            if lately and gone.endpoint.fabric_domain and endpoint_id not in self._watched:
+                self._watched.add(endpoint_id)
                 self._start(self._watch(gone.endpoint))
 
-    async def _watch(self, one: Endpoint) -> None:
+    async def _watch(self, endpoint: Endpoint) -> None:
         until = self._clock() + LONGEST_SECONDS
         try:
-            while one.id not in self._view.roster.endpoints and self._clock() < until:
-                if not await self._orders.answers(one):
+            while endpoint.id not in self._view.roster.endpoints and self._clock() < until:
+                if not await self._orders.answers(endpoint):
                     return
-                report = await self._orders.ask(one)
-                self._answering[one.id] = dataclasses.replace(
-                    one, membership=report.membership, staged=report.staged, models=report.models
+                report = await self._orders.ask(endpoint)
+                self._answering[endpoint.id] = dataclasses.replace(
+                    endpoint,
+                    membership=report.membership,
+                    staged=report.staged,
+                    models=report.models,
                 )
                 await asyncio.sleep(ASK_SECONDS)
         except EndpointError:
+            # silent at the second question: it counts as not answering
             return
         finally:
-            self._answering.pop(one.id, None)
-            self._watched.discard(one.id)
+            self._answering.pop(endpoint.id, None)
+            self._watched.discard(endpoint.id)
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -20,6 +20,7 @@
 from thorncleat_gateway.groups.ended import EndedGroups
 from thorncleat_gateway.groups.orders import Orders
 from thorncleat_gateway.groups.records import GroupRecords
+from thorncleat_gateway.groups.term import TermFactory
 from thorncleat_gateway.peers.datagrams import Probe
 from thorncleat_gateway.peers.failure_detector import FailureDetector
 from thorncleat_gateway.ports import Changes
@@ -425,17 +426,20 @@
             lambda: self.election.leads,
             lambda one: self.detector.heard(one, world.now()),
         )
-        self.controller = Controller(
-            settings,
+        self.records = GroupRecords(client, self.view, self.election)
+        self.ended = EndedGroups(self.peers, world.now)
+        terms = TermFactory(
+            settings.control,
             self.view,
-            self.election,
             self.orders,
-            GroupRecords(client, self.view, self.election),
+            self.records,
             self.detector,
             self.peers,
-            EndedGroups(self.peers, world.now),
+            self.ended,
             world.now,
-            lambda: False,
+        )
+        self.controller = Controller(
+            self.view, self.election, self.detector, terms, world.now, lambda: False
         )
 
     async def thawed(self) -> None:
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -134,7 +134,7 @@
     known = 0
     for _ in range(30):
         await world.pass_time(0.1)
-        known += all(group in one.controller._ended for one in others)
+        known += all(group in one.ended for one in others)
     await world.stop()
     return known
 
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -3,8 +3,8 @@
 import pytest
 
 from thorncleat_gateway.groups.election import CONTROLLER
-from thorncleat_gateway.groups.formation import Form
-from thorncleat_gateway.groups.forming import EPOCHS_PER_TERM
+from thorncleat_gateway.groups.formation import GroupPlan
+from thorncleat_gateway.groups.forming_state import EPOCHS_PER_TERM
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.store.roster import GroupId
@@ -212,7 +212,7 @@
 
     node.orders.ask = ask_and_be_late
     order = Join(GroupId(10**9, "g"), "large", (free.id,))
-    joined = await node.controller._forming.join(free.entry(), order)
+    joined = await node.controller.term.steps.join(free.entry(), order)
     await world.stop()
     return joined, free.group == opened.group
 
@@ -234,7 +234,7 @@
     assert node.election.leads
     members = tuple(one.entry() for one in world.workers.values())[:2]
     group = GroupId(10**9, "g")
-    written = await node.controller._groups.begin(group, Form("d0", MODELS[1], members))
+    written = await node.records.begin(group, GroupPlan("d0", MODELS[1], members))
     await world.stop()
     return written, [key for key in world.store.items if key.endswith("/g")]
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -129,7 +129,7 @@
     def test_hosts_that_hold_the_model_come_first(self):
         warm = [endpoint(f"w{n}", staged=("large",)) for n in range(4)]
         view = DomainView("d0", 8, free=[endpoint("a0"), *warm])
-        (form,) = formation.forms(view, collections.Counter(large=1), [LARGE], lambda _: 0)
+        (form,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
         assert set(form.members) == set(warm)
         assert form.cold == []
 
@@ -137,26 +137,28 @@
         warm = [endpoint(f"w{n}", staged=("large",)) for n in range(3)]
         weak = endpoint("a0", staged=("large",), draining=True)
         view = DomainView("d0", 8, free=[*warm, endpoint("x")], weak=[weak])
-        (form,) = formation.forms(view, collections.Counter(large=1), [LARGE], lambda _: 0)
+        (form,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
         assert form.members[-1] == weak
 
     def test_no_group_of_weak_members_alone(self):
         weak = [endpoint(f"a{n}", staged=("small",)) for n in range(2)]
         view = DomainView("d0", 8, weak=weak)
-        assert formation.forms(view, collections.Counter(small=1), [SMALL], lambda _: 0) == []
+        assert (
+            formation.groups_to_form(view, collections.Counter(small=1), [SMALL], lambda _: 0) == []
+        )
 
     def test_scarcer_model_first(self):
         free = [endpoint(f"w{n}", staged=("large", "small")) for n in range(4)]
         view = DomainView("d0", 8, free=free)
         wanted = collections.Counter(large=1, small=2)
-        made = formation.forms(view, wanted, [LARGE, SMALL], lambda one: one.size)
+        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda one: one.size)
         assert [one.model.name for one in made] == ["large"]
 
     def test_no_endpoint_is_used_twice(self):
         free = [endpoint(f"w{n}") for n in range(9)]
         view = DomainView("d0", 9, free=free)
         wanted = collections.Counter(large=1, small=5)
-        made = formation.forms(view, wanted, [LARGE, SMALL], lambda _: 0)
+        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda _: 0)
         used = [one.id for form in made for one in form.members]
         assert len(used) == len(set(used))
 
@@ -164,7 +166,7 @@
 class TestStages:
     def test_empty_spares_load_what_the_domain_carries(self):
         model_loader = [endpoint("a"), endpoint("b", staged=("large",)), endpoint("c", ("small",))]
-        made = formation.stages(
+        made = formation.models_to_load(
             DomainView("d0", 8), collections.Counter(large=2), [LARGE, SMALL], model_loader
         )
         assert [(one.endpoint.id, one.model.name) for one in made] == [
@@ -175,7 +177,7 @@
     def test_a_host_that_is_loading_is_left_alone(self):
         view = DomainView("d0", 8, staging={"a": "large"})
         wanted = collections.Counter(large=2)
-        assert formation.stages(view, wanted, [LARGE], [endpoint("a")]) == []
+        assert formation.models_to_load(view, wanted, [LARGE], [endpoint("a")]) == []
 
 
 class TestRetryAllowance:
