--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -3,6 +3,10 @@
 The controller's term is the store's revision at which its record was created. It rises with
 each controller, so what it numbers with it rises too, and nothing has to be counted in the
 store.
+
+Owns: this daemon's lease, and until when it may act as controller.
+Relies on: the store's leases; a steady clock here that drifts by :data:`MAX_DRIFT` at most from
+the store's.
 """
 
 import asyncio
@@ -21,17 +25,59 @@
 from ..store.view import StoreView
 
 CONTROLLER = "thorncleat/controller"
+# after a failed call to the store, in seconds; chosen, not measured
 RETRY_SECONDS = 0.3
-# how much later each further candidate tries to become controller
+# between two looks at whether there is a controller, in seconds; chosen, not measured
+LOOK_SECONDS = 0.05
+# how much later each further candidate tries to become controller, in seconds; chosen, not
+# measured
 TURN_SECONDS = 0.15
-# how much faster one machine's clock may run than another's
+# times that a lease is renewed before it could run out; chosen, not measured
+RENEWALS_PER_LEASE = 4
+# how much faster one instance's clock may run than another's, as a part; chosen, not measured
 MAX_DRIFT = 0.01
 
 
+def lease_deadline(sent_at: float, lease: float, margin: float) -> float:
+    """Return the moment on this daemon's clock at which it stops acting as controller.
+
+    The store counts the lease from a moment after the call was sent, on a clock that may run
+    faster, so this daemon stops before anybody else can become controller.
+
+    :param sent_at: when the call was sent that granted or renewed the lease.
+    :param lease: the lease's time to live, in seconds.
+    :param margin: seconds before its end.
+    """
+    return sent_at + (lease - margin) * (1 - MAX_DRIFT)
+
+
+def candidate_place(candidate: str, others: t.Iterable[str], version: int) -> int:
+    """Return a daemon's place among those that may become controller; 0 is the first.
+
+    The order differs from one version of the list to the next, so that it isn't always the same
+    daemon that tries first.
+
+    :param others: all daemons that are known, with or without the candidate.
+    """
+    names = {*others, candidate}
+    return rendezvous.ranked(f"controller/{version}", names).index(candidate)
+
+
+def may_campaign(absent_for: float, place: int) -> bool:
+    """Returns whether a candidate tries to become controller now.
+
+    They take turns, since each attempt costs a write and only one can succeed.
+
+    :param absent_for: seconds for which there has been no controller.
+    :param place: the candidate's place.
+    """
+    return absent_for >= TURN_SECONDS * place
+
+
 class Election(mode.Service):
     """Tries to become controller whenever there is none, and keeps the lease.
 
-    :param stopping: whether this daemon should give the control away.
+    :param daemons: returns the ids of the daemons that are known.
     """
 
     def __init__(
@@ -50,18 +96,20 @@
         self._daemons = daemons
         self._lease = 0
         self._deadline = float("-inf")
+        # None while there is a controller
         self._absent_since: float | None = None
         self.term = 0
+        # set by a daemon that stops, to give the control away
         self.stopping = False
 
     @property
     def leads(self) -> bool:
-        """Whether this daemon surely is the controller now."""
+        """Whether this daemon is the controller now."""
         return self._clock() < self._deadline
 
     @property
     def left(self) -> float:
-        """Seconds for which this daemon surely is the controller."""
+        """Seconds for which this daemon may act as controller, unless the lease is renewed."""
         return max(0.0, self._deadline - self._clock())
 
     @mode.Service.task
@@ -70,8 +118,9 @@
             try:
                 await self._turn()
             except StoreError:
+                # the store is away; the next turn tries again
                 await asyncio.sleep(RETRY_SECONDS)
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(LOOK_SECONDS)
 
     async def _turn(self) -> None:
         if not self._view.loaded or self.stopping:
@@ -82,14 +131,9 @@
         now = self._clock()
         if self._absent_since is None:
             self._absent_since = now
-        if now - self._absent_since < TURN_SECONDS * self._place():
-            return
-        await self._campaign()
-
-    def _place(self) -> int:
-        names = {*self._daemons(), self._settings.id}
-        order = rendezvous.ranked(f"controller/{self._view.version}", names)
-        return order.index(self._settings.id)
+        place = candidate_place(self._settings.id, self._daemons(), self._view.version)
+        if may_campaign(now - self._absent_since, place):
+            await self._campaign()
 
     async def _campaign(self) -> None:
         control = self._settings.control
@@ -122,7 +166,7 @@
     async def _keep(self) -> None:
         control = self._settings.control
         while not self.should_stop:
-            await asyncio.sleep(control.lease / 4)
+            await asyncio.sleep(control.lease / RENEWALS_PER_LEASE)
             if self.stopping:
                 await self._records.end(self._lease)
                 return
@@ -132,19 +176,21 @@
             except LeaseGoneError:
                 return
             except StoreError:
-                # it may have lapsed; the record tells
-                if not self.leads and await self._lapsed():
+                # the lease may be over; once it could be, the record says whether it is
+                if not self.leads and await self._is_over():
                     return
                 continue
             self._extend(sent_at)
 
-    async def _lapsed(self) -> bool:
+    async def _is_over(self) -> bool:
+        """Returns whether the store shows that this term is over."""
         try:
             found = await self._records.find(CONTROLLER)
         except StoreError:
+            # not known; it is asked again after the next renewal that fails
             return False
         return found is None or found.created != self.term
 
     def _extend(self, sent_at: float) -> None:
         control = self._settings.control
-        self._deadline = sent_at + (control.lease - control.margin) * (1 - MAX_DRIFT)
+        self._deadline = lease_deadline(sent_at, control.lease, control.margin)
--- /dev/null
+++ b/tests/test_election.py
@@ -0,0 +1,54 @@
+"""Who controls, and until when: the election's rules as tables."""
+
+import pytest
+
+from thorncleat_gateway.groups import election
+from thorncleat_gateway.groups.election import TURN_SECONDS
+
+DAEMONS = [f"edge-{number}" for number in range(8)]
+
+
+@pytest.mark.parametrize(
+    ("sent_at", "lease", "margin", "deadline"),
+    [
+        pytest.param(0.0, 2.0, 0.0, 1.98, id="a faster clock at the store shortens it by 1 %"),
+        pytest.param(0.0, 2.0, 0.3, 1.683, id="the margin comes off before"),
+        pytest.param(50.0, 2.0, 0.3, 51.683, id="it counts from when the call was sent"),
+    ],
+)
+def test_deadline(sent_at, lease, margin, deadline):
+    assert election.lease_deadline(sent_at, lease, margin) == pytest.approx(deadline)
+
+
+@pytest.mark.parametrize(
+    ("absent_for", "place", "may"),
+    [
+        pytest.param(0.0, 0, True, id="the first tries at once"),
+        pytest.param(0.0, 1, False, id="the second waits"),
+        pytest.param(TURN_SECONDS, 1, True, id="for one turn"),
+        pytest.param(TURN_SECONDS, 2, False, id="the third waits longer"),
+        pytest.param(2 * TURN_SECONDS, 2, True, id="for two turns"),
+    ],
+)
+def test_turns(absent_for, place, may):
+    assert election.may_campaign(absent_for, place) is may
+
+
+def test_each_candidate_has_a_place_of_its_own():
+    places = [election.candidate_place(name, DAEMONS, 7) for name in DAEMONS]
+    assert sorted(places) == list(range(len(DAEMONS)))
+
+
+def test_candidate_that_is_not_registered_yet_has_a_place():
+    places = [election.candidate_place(name, DAEMONS[:-1], 7) for name in DAEMONS[-1:]]
+    assert places[0] in range(len(DAEMONS))
+
+
+def test_first_candidate_changes_with_the_version():
+    firsts = {
+        name
+        for version in range(20)
+        for name in DAEMONS
+        if election.candidate_place(name, DAEMONS, version) == 0
+    }
+    assert len(firsts) > 1
