--- /dev/null
+++ b/tests/test_domain_sizes.py
@@ -0,0 +1,82 @@
+"""How large a fabric domain counts, and whether the list is whole: the rules as tables."""
+
+import pytest
+
+from thorncleat_gateway.groups.domain_sizes import REMEMBER_SIZE_SECONDS
+from thorncleat_gateway.groups.domain_sizes import DomainSizes
+from thorncleat_gateway.groups.list_growth import GROWING_SECONDS
+from thorncleat_gateway.groups.list_growth import ListGrowth
+from thorncleat_gateway.store.roster import Endpoint
+
+LATER = REMEMBER_SIZE_SECONDS + 0.1
+
+
+class Clock:
+    def __init__(self):
+        self.now = 100.0
+
+    def __call__(self):
+        return self.now
+
+
+@pytest.fixture
+def clock():
+    return Clock()
+
+
+def endpoints(count, domain="d0", service="narrator"):
+    return [
+        Endpoint(f"{domain}-{number}", service, "", "a", fabric_domain=domain)
+        for number in range(count)
+    ]
+
+
+@pytest.mark.parametrize(
+    ("counts", "size"),
+    [
+        pytest.param([(0.0, 8)], 8, id="as listed"),
+        pytest.param([(0.0, 8), (1.0, 9)], 9, id="grows at once"),
+        pytest.param([(0.0, 8), (1.0, 3)], 8, id="keeps its size after a loss"),
+        pytest.param([(0.0, 8), (LATER, 3)], 3, id="is smaller after a time"),
+        pytest.param([(0.0, 8), (10.0, 8), (10.0, 3)], 8, id="counted from when it was last whole"),
+        pytest.param([(0.0, 8), (1.0, 0)], 8, id="is remembered without endpoints"),
+        pytest.param([(0.0, 8), (LATER, 0)], None, id="is forgotten without endpoints"),
+    ],
+)
+def test_size(clock, counts, size):
+    sizes = DomainSizes(clock)
+    for seconds, count in counts:
+        clock.now += seconds
+        sizes.observe(endpoints(count))
+    present = {"d0"} if counts[-1][1] else set()
+    found = [known.size for known in sizes.of_service("narrator", present)]
+    assert found == ([] if size is None else [size])
+
+
+def test_each_service_has_its_domains(clock):
+    sizes = DomainSizes(clock)
+    sizes.observe([*endpoints(3, "d0"), *endpoints(2, "d1", "desk"), *endpoints(1, "")])
+    assert [known.domain for known in sizes.of_service("narrator", ())] == ["d0"]
+    assert [known.domain for known in sizes.of_service("desk", ())] == ["d1"]
+
+
+@pytest.mark.parametrize(
+    ("listed", "growing"),
+    [
+        pytest.param([(0.1, 4)], True, id="endpoints are new"),
+        pytest.param([(0.1, 4), (GROWING_SECONDS + 0.1, 4)], False, id="none was added for long"),
+        pytest.param(
+            [(0.1, 4), (GROWING_SECONDS + 0.1, 5)], True, id="added after it seemed whole"
+        ),
+        pytest.param(
+            [(0.1, 4), (0.9, 3), (0.2, 4)], False, id="one that comes back does not count"
+        ),
+        pytest.param([(GROWING_SECONDS + 0.1, 0)], False, id="an empty list does not grow"),
+    ],
+)
+def test_list_growth(clock, listed, growing):
+    growth = ListGrowth(clock)
+    for seconds, count in listed:
+        clock.now += seconds
+        found = growth.is_growing(count)
+    assert found is growing
--- /dev/null
+++ b/tests/test_join_rules.py
@@ -0,0 +1,48 @@
+"""May an endpoint be ordered into a group, and what its answer means: the rules as tables."""
+
+import pytest
+
+from thorncleat_gateway.groups import join_rules
+from thorncleat_gateway.groups.join_rules import JoinAnswer
+from thorncleat_gateway.groups.join_rules import Place
+from thorncleat_gateway.ports import Outcome
+from thorncleat_gateway.store.roster import GroupId
+from thorncleat_gateway.store.roster import GroupState
+from thorncleat_gateway.store.roster import Membership
+
+NEW, FORMER = GroupId(2, "g2"), GroupId(1, "g1")
+
+
+@pytest.mark.parametrize(
+    ("group", "may_answer", "place"),
+    [
+        pytest.param(None, set(), Place.FREE, id="in no group"),
+        pytest.param(NEW, {NEW}, Place.JOINED, id="in this group"),
+        pytest.param(FORMER, {FORMER}, Place.TAKEN, id="in a group that may answer"),
+        pytest.param(FORMER, set(), Place.FREE, id="in a group that is over"),
+    ],
+)
+@pytest.mark.parametrize("state", list(GroupState))
+def test_place(group, may_answer, place, state):
+    member = Membership(group, 1, state) if group else None
+    assert join_rules.place(member, NEW, may_answer.__contains__) is place
+
+
+@pytest.mark.parametrize(
+    ("outcome", "answer"),
+    [
+        (Outcome.BEGUN, JoinAnswer.JOINED),
+        (Outcome.DONE, JoinAnswer.JOINED),
+        (Outcome.CONFLICT, JoinAnswer.STATE_CHANGED),
+        (Outcome.STALE, JoinAnswer.REFUSED),
+        (Outcome.INVALID, JoinAnswer.REFUSED),
+    ],
+    ids=lambda value: value.name.lower(),
+)
+def test_answer(outcome, answer):
+    assert join_rules.join_answer(outcome) is answer
+
+
+def test_every_outcome_has_a_meaning():
+    for outcome in Outcome:
+        assert join_rules.join_answer(outcome) in JoinAnswer
--- /dev/null
+++ b/tests/test_leader_liveness.py
@@ -0,0 +1,32 @@
+"""Is a leader that never left dead: the rule's specification as tables."""
+
+import pytest
+
+from thorncleat_gateway.groups import leader_liveness
+from thorncleat_gateway.groups.leader_liveness import LIST_AGE_SECONDS
+
+
+@pytest.mark.parametrize(
+    ("listed", "list_age", "unlisted"),
+    [
+        pytest.param(False, 0.1, True, id="a recent list lacks it"),
+        pytest.param(True, 0.1, False, id="listed"),
+        pytest.param(False, LIST_AGE_SECONDS, False, id="an old list proves nothing"),
+        pytest.param(False, float("inf"), False, id="nor does one that was never read"),
+    ],
+)
+def test_unlisted(listed, list_age, unlisted):
+    assert leader_liveness.is_unlisted(listed, list_age) is unlisted
+
+
+@pytest.mark.parametrize(
+    ("listed", "answered", "heard", "dead"),
+    [
+        pytest.param(False, False, False, True, id="no sign of life"),
+        pytest.param(True, False, False, False, id="listed again"),
+        pytest.param(False, True, False, False, id="answered the controller"),
+        pytest.param(False, False, True, False, id="answered another daemon"),
+    ],
+)
+def test_dead(listed, answered, heard, dead):
+    assert leader_liveness.is_dead(listed=listed, answered=answered, heard=heard) is dead
