--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -18,6 +18,7 @@
 from .groups.ended import EndedGroups
 from .groups.orders import Orders
 from .groups.records import GroupRecords
+from .groups.term import TermFactory
 from .listeners import Listeners
 from .metrics import Metrics
 from .peers.datagrams import PeerChannel
@@ -87,17 +88,18 @@
             self.view, self._peers, self._reporter, self._orders.answers
         )
         self._ended = EndedGroups(self._peers, clock)
-        self._controller = Controller(
-            settings,
+        terms = TermFactory(
+            settings.control,
             self.view,
-            self._election,
             self._orders,
             GroupRecords(records, self.view, self._election),
             self._detector,
             self._peers,
             self._ended,
             clock,
-            lambda: self._quiet,
+        )
+        self._controller = Controller(
+            self.view, self._election, self._detector, terms, clock, lambda: self._quiet
         )
         self._client: aiohttp.ClientSession | None = None
         self._codec = codec
