--- a/packages/standins/src/thorncleat_standins/__main__.py
+++ b/packages/standins/src/thorncleat_standins/__main__.py
@@ -33,11 +33,11 @@
 
         run(start)
 
-    def service(self, delay: float = 0.0) -> None:
+    def service(self) -> None:
         """Start a plain service."""
 
         async def start() -> list[Served]:
-            return [await service.serve(service.Service(service.Behaviour(delay=delay)))]
+            return [await service.serve(service.Service())]
 
         run(start)
 
--- a/packages/standins/src/thorncleat_standins/engine.py
+++ b/packages/standins/src/thorncleat_standins/engine.py
@@ -5,7 +5,6 @@
 """
 
 import asyncio
-import collections
 import dataclasses
 import hashlib
 import heapq
@@ -19,8 +18,8 @@
 
 from .process import Served
 
-BLOCK_TOKENS = 16
-CACHE_BLOCKS = 4096
+# requests that one batch step advances; chosen, not measured
+BATCH_REQUESTS = 512
 
 
 @dataclasses.dataclass
@@ -28,11 +27,7 @@
     """How the engine performs and misbehaves.
 
     :param token_seconds: time of one batch step.
-    :param prefill_seconds: time for each prompt token that is not cached.
     :param load_seconds: time to load a model.
-    :param max_running: requests in one batch.
-    :param check_fences: refuse orders of an older epoch.
-    :param frozen: accept connections and answer nothing.
     :param truncate_after: end each answer cleanly after so many tokens; 0 for never.
     :param stall_after: go silent after so many tokens; 0 for never.
     :param foreign_identity: answer with another request's identity.
@@ -41,11 +36,7 @@
     """
 
     token_seconds: float = 0.01
-    prefill_seconds: float = 0.0
     load_seconds: float = 0.05
-    max_running: int = 512
-    check_fences: bool = True
-    frozen: bool = False
     truncate_after: int = 0
     stall_after: int = 0
     foreign_identity: bool = False
@@ -87,29 +78,6 @@
     return " ".join(texts).split()
 
 
-class PrefixCache:
-    """Blocks of prompt prefixes that were seen, least recently used go first."""
-
-    def __init__(self, capacity: int = CACHE_BLOCKS) -> None:
-        self._blocks: collections.OrderedDict[bytes, None] = collections.OrderedDict()
-        self._capacity = capacity
-
-    def admit(self, prompt: list[str]) -> int:
-        """Return how many tokens of a prompt are cached, then cache all its blocks."""
-        cached, hit = 0, True
-        identity = b""
-        for start in range(0, len(prompt) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
-            block = " ".join(prompt[start : start + BLOCK_TOKENS])
-            identity = hashlib.blake2b(identity + block.encode(), digest_size=8).digest()
-            hit = hit and identity in self._blocks
-            cached += BLOCK_TOKENS if hit else 0
-            self._blocks[identity] = None
-            self._blocks.move_to_end(identity)
-        while len(self._blocks) > self._capacity:
-            self._blocks.popitem(last=False)
-        return cached
-
-
 class Engine:
     """The engine of one instance.
 
@@ -121,11 +89,7 @@
         self.boot = uuid.uuid4().hex
         self.behaviour = behaviour or Behaviour()
         self.assignment = Assignment()
-        self.orders: list[Assignment] = []
-        self.cache = PrefixCache()
         self._ready_at = 0.0
-        self._thawed = asyncio.Event()
-        self._thawed.set()
         self._running: dict[str, Job] = {}
         self._waiting: list[tuple[int, int, Job]] = []
         self._sequence = itertools.count()
@@ -149,10 +113,6 @@
     def change(self, **changes: t.Any) -> None:
         """Change how the engine behaves from now on."""
         self.behaviour = dataclasses.replace(self.behaviour, **changes)
-        if self.behaviour.frozen:
-            self._thawed.clear()
-        else:
-            self._thawed.set()
 
     async def _stop(self, app: web.Application) -> None:
         if self._stepper:
@@ -162,28 +122,22 @@
         self.change(**(await request.json()))
         return web.json_response(dataclasses.asdict(self.behaviour))
 
-    async def _freeze(self) -> None:
-        await self._thawed.wait()
-
     async def _order(self, request: web.Request) -> web.Response:
-        await self._freeze()
         order = Assignment(**(await request.json()))
         stale = (order.epoch, order.generation) < (
             self.assignment.epoch,
             self.assignment.generation,
         )
-        if self.behaviour.check_fences and stale:
+        if stale:
             body = {"epoch": self.assignment.epoch}
             return web.json_response(body, status=409)
         loaded = (self.assignment.model, self.assignment.version, self.assignment.rank)
         if loaded != (order.model, order.version, order.rank):
             self._ready_at = time.monotonic() + self.behaviour.load_seconds
         self.assignment = order
-        self.orders.append(order)
         return web.json_response({"instance": self.instance})
 
     async def _state(self, request: web.Request) -> web.Response:
-        await self._freeze()
         body = {
             "instance": self.instance,
             "boot": self.boot,
@@ -207,7 +161,7 @@
 
     async def _step(self) -> None:
         while self._running or self._waiting:
-            while self._waiting and len(self._running) < self.behaviour.max_running:
+            while self._waiting and len(self._running) < BATCH_REQUESTS:
                 job = heapq.heappop(self._waiting)[2]
                 self._running[job.id] = job
             await asyncio.sleep(self.behaviour.token_seconds)
@@ -236,14 +190,11 @@
         heapq.heapify(self._waiting)
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
-        await self._freeze()
         body = await request.json()
         if self.assignment.rank != 0 or body.get("model") != self.assignment.model:
             message = {"error": {"message": f"not serving {body.get('model')!r}"}}
             return web.json_response(message, status=404)
         prompt = _prompt_tokens(body)
-        cached = self.cache.admit(prompt)
-        await asyncio.sleep((len(prompt) - cached) * self.behaviour.prefill_seconds)
         identity = request.headers.get("X-Request-Id", uuid.uuid4().hex)
         wanted = int(body.get("max_tokens") or 16)
         first = int(body.get("resume_from") or 0)
@@ -251,7 +202,7 @@
         self._start(job, int(body.get("priority") or 0))
         if self.behaviour.foreign_identity:
             identity = "another-request"
-        answer = Answer(f"chatcmpl-{identity}", body, prompt, cached)
+        answer = Answer(f"chatcmpl-{identity}", body, prompt)
         try:
             if body.get("stream"):
                 return await self._stream(request, job, answer)
@@ -276,7 +227,6 @@
 
     async def _stream(self, request: web.Request, job: Job, answer: "Answer") -> web.StreamResponse:
         headers = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
-        headers["X-Cached-Tokens"] = str(answer.cached)
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
         try:
@@ -302,10 +252,7 @@
 class Answer:
     """Formats an answer in the OpenAI form."""
 
-    def __init__(
-        self, identity: str, body: dict[str, t.Any], prompt: list[str], cached: int
-    ) -> None:
-        self.cached = cached
+    def __init__(self, identity: str, body: dict[str, t.Any], prompt: list[str]) -> None:
         self._head = {"id": identity, "created": int(time.time()), "model": body["model"]}
         self._prompt_tokens = len(prompt)
 
--- a/packages/standins/src/thorncleat_standins/service.py
+++ b/packages/standins/src/thorncleat_standins/service.py
@@ -1,6 +1,5 @@
 """A plain service whose calls may not be repeated, with a ledger of what ran."""
 
-import asyncio
 import collections
 import dataclasses
 import typing as t
@@ -14,12 +13,10 @@
 class Behaviour:
     """How the service misbehaves.
 
-    :param delay: seconds that each call takes.
     :param break_before: break the connection before running, for so many calls.
     :param break_after: run, then break the connection, for so many calls.
     """
 
-    delay: float = 0.0
     break_before: int = 0
     break_after: int = 0
 
@@ -59,7 +56,6 @@
         call = request.headers.get("X-Call", f"{request.method} {request.path}")
         self.ledger[call] += 1
         run = self.ledger[call]
-        await asyncio.sleep(self.behaviour.delay)
         if self.behaviour.break_after > 0:
             self.behaviour.break_after -= 1
             self._break(request)
--- a/packages/standins/src/thorncleat_standins/store.py
+++ b/packages/standins/src/thorncleat_standins/store.py
@@ -5,7 +5,6 @@
 
 import asyncio
 import base64
-import collections
 import dataclasses
 import hashlib
 import json
@@ -120,7 +119,6 @@
     ) -> None:
         self.store = kv.Store(clock)
         self.faults = Faults()
-        self.calls: collections.Counter[str] = collections.Counter()
         self.instances: list[dict[str, t.Any]] = []
         self._write_rate = Rate(writes, clock)
         self._read_rate = Rate(reads, clock)
@@ -139,7 +137,6 @@
                 web.get("/platform/instances", self._list),
                 web.put("/platform/instances", self._set_list),
                 web.post("/faults", self._set_faults),
-                web.get("/calls", self._show_calls),
             ]
         )
         app.on_shutdown.append(self._end_watches)
@@ -149,14 +146,10 @@
         self.faults.down = True
         self.store.wake_watchers()
 
-    async def _admit(self, request: web.Request, kind: str, purpose: str) -> None:
-        self.calls[kind] += 1
-        self.calls[f"{kind}:{purpose}"] += 1
+    async def _admit(self, request: web.Request, rate: Rate) -> None:
         if self.faults.down or request.headers.get("X-Daemon") in self.faults.refuse_from:
             raise web.HTTPServiceUnavailable(text='{"message": "down"}')
-        rate = self._write_rate if kind == "write" else self._read_rate
         if not rate.take():
-            self.calls["refused"] += 1
             body = {"code": RESOURCE_EXHAUSTED, "message": "too many requests"}
             raise web.HTTPTooManyRequests(text=json.dumps(body))
         if self.faults.delay:
@@ -174,7 +167,7 @@
 
     async def _range(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, "read", request.headers.get("X-Purpose", "other"))
+        await self._admit(request, self._read_rate)
         found = self.store.get(_bytes(raw["key"]), _bytes(raw.get("range_end")))
         limit = int(raw.get("limit", 0)) or len(found)
         body = {
@@ -186,7 +179,7 @@
 
     async def _txn(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, "write", request.headers.get("X-Purpose", "other"))
+        await self._admit(request, self._write_rate)
         operations = [_operation(one) for one in raw.get("success", [])]
         for operation in operations:
             if isinstance(operation, kv.Put) and len(operation.value) > MAX_VALUE:
@@ -200,27 +193,27 @@
 
     async def _grant(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, "write", "lease")
+        await self._admit(request, self._write_rate)
         lease = self.store.grant(float(raw["TTL"]))
         self._lose(request)
         return web.json_response({"ID": str(lease.id), "TTL": str(lease.ttl)})
 
     async def _keepalive(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, "write", "lease")
+        await self._admit(request, self._write_rate)
         lease = self.store.renew(int(raw["ID"]))
         result = {"ID": raw["ID"], "TTL": str(lease.ttl if lease else 0)}
         return web.json_response({"result": result})
 
     async def _revoke(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, "write", "lease")
+        await self._admit(request, self._write_rate)
         self.store.revoke(int(raw["ID"]))
         return web.json_response({"header": self._header()})
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         raw = (await request.json())["create_request"]
-        await self._admit(request, "read", "watch")
+        await self._admit(request, self._read_rate)
         key, end = _bytes(raw["key"]), _bytes(raw.get("range_end"))
         revision = int(raw.get("start_revision", 0)) or self.store.revision + 1
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
@@ -245,7 +238,6 @@
         await response.write(line.encode() + b"\n")
 
     async def _list(self, request: web.Request) -> web.Response:
-        self.calls["list"] += 1
         filters = dict(request.query)
         rows = [
             row
@@ -256,7 +248,6 @@
         tag = f'"{hashlib.sha256(text.encode()).hexdigest()[:16]}"'
         if request.headers.get("If-None-Match") == tag:
             return web.Response(status=304, headers={"ETag": tag})
-        self.calls["list_sent"] += 1
         return web.json_response(text=text, headers={"ETag": tag})
 
     async def _set_list(self, request: web.Request) -> web.Response:
@@ -269,9 +260,6 @@
         self.store.wake_watchers()
         return web.json_response(dataclasses.asdict(self.faults))
 
-    async def _show_calls(self, request: web.Request) -> web.Response:
-        return web.json_response(self.calls)
-
 
 async def serve(host: str = "127.0.0.1", port: int = 0, writes: float = 100) -> Served:
     """Start a store on a port; 0 takes a free one."""
