--- /dev/null
+++ b/bench/soaks/__init__.py
@@ -0,0 +1,1 @@
+"""Soaks: randomised runs of real processes with faults, which end with a verdict."""
--- a/bench/soak.py
+++ b/bench/soaks/daemon.py
@@ -27,7 +27,7 @@
 from thorncleat_standins.traffic import log_faults
 from thorncleat_standins.traffic import stream_fault
 
-from .capacity import group_intent
+from ..capacity import group_intent
 
 KEY = "soak-key"
 BROKEN_FENCE = "THORNCLEAT_TEST_BROKEN_FENCE"
--- a/bench/gateway_soak.py
+++ b/bench/soaks/gateway.py
@@ -17,13 +17,13 @@
 import aiohttp
 import fire
 
-from .soak_callers import Caller
-from .soak_checks import Kind
-from .soak_proxy import Mode
-from .soak_site import REVOKE_SECONDS
-from .soak_site import Daemon
-from .soak_site import SoakSite
-from .soak_site import SoakWorker
+from .gateway_callers import Caller
+from .gateway_checks import Kind
+from .gateway_site import REVOKE_SECONDS
+from .gateway_site import Daemon
+from .gateway_site import SoakSite
+from .gateway_site import SoakWorker
+from .proxy import Mode
 
 CALLERS_PER_DAEMON = 4
 TROUBLES_AT_ONCE = 2
--- a/bench/soak_callers.py
+++ b/bench/soaks/gateway_callers.py
@@ -5,12 +5,12 @@
 
 import aiohttp
 
-from .soak_checks import Kind
-from .soak_checks import Told
-from .soak_site import HOST
-from .soak_site import PATHS
-from .soak_site import Daemon
-from .soak_site import SoakSite
+from .gateway_checks import Kind
+from .gateway_checks import Told
+from .gateway_site import HOST
+from .gateway_site import PATHS
+from .gateway_site import Daemon
+from .gateway_site import SoakSite
 
 DEADLINE_SECONDS = 4.0
 PAUSE_SECONDS = 0.05
--- a/bench/soak_site.py
+++ b/bench/soaks/gateway_site.py
@@ -20,13 +20,13 @@
 from thorncleat_standins.platform_worker import PlatformWorker
 from thorncleat_standins.platform_worker import Run
 
-from .soak_checks import Checks
-from .soak_checks import Kind
-from .soak_checks import Told
-from .soak_proxy import Proxy
+from .gateway_checks import Checks
+from .gateway_checks import Kind
+from .gateway_checks import Told
+from .proxy import Proxy
 
 PORTS = (10_000, 32_000)
-ROOT = pathlib.Path(__file__).resolve().parent.parent
+ROOT = pathlib.Path(__file__).resolve().parents[2]
 HOST = "soak.example"
 STREAM_EVENTS = 20
 STALL_SECONDS = 1.0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,13 +4,13 @@
 import dataclasses
 
 import pytest
-from bench import gateway_soak
-from bench.soak_checks import Checks
-from bench.soak_checks import Kind
-from bench.soak_checks import Told
-from bench.soak_checks import expected
-from bench.soak_proxy import Mode
-from bench.soak_proxy import Proxy
+from bench.soaks import gateway as gateway_soak
+from bench.soaks.gateway_checks import Checks
+from bench.soaks.gateway_checks import Kind
+from bench.soaks.gateway_checks import Told
+from bench.soaks.gateway_checks import expected
+from bench.soaks.proxy import Mode
+from bench.soaks.proxy import Proxy
 
 from thorncleat_standins.platform_worker import Run
 
