--- a/bench/servers.py
+++ b/bench/servers.py
@@ -11,8 +11,8 @@
 import fire
 from aiohttp import web
 
-from thorncleat_standins.process import Served
-from thorncleat_standins.process import run
+from thorncleat_standins.served import Served
+from thorncleat_standins.served import run
 
 
 class _Bare(asyncio.Protocol):
--- a/packages/standins/src/thorncleat_standins/__main__.py
+++ b/packages/standins/src/thorncleat_standins/__main__.py
@@ -5,8 +5,8 @@
 from . import engine
 from . import service
 from . import store
-from .process import Served
-from .process import run
+from .served import Served
+from .served import run
 
 
 class Commands:
--- a/packages/standins/src/thorncleat_standins/engine.py
+++ b/packages/standins/src/thorncleat_standins/engine.py
@@ -16,7 +16,7 @@
 
 from aiohttp import web
 
-from .process import Served
+from .served import Served
 
 # requests that one batch step advances; chosen, not measured
 BATCH_REQUESTS = 512
--- a/packages/standins/src/thorncleat_standins/service.py
+++ b/packages/standins/src/thorncleat_standins/service.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from .process import Served
+from .served import Served
 
 
 @dataclasses.dataclass
--- a/packages/standins/src/thorncleat_standins/store.py
+++ b/packages/standins/src/thorncleat_standins/store.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 from . import kv
-from .process import Served
+from .served import Served
 
 MAX_VALUE = 1_000_000
 RESOURCE_EXHAUSTED = 8
