--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -9,7 +9,7 @@
 from thorncleat_gateway.exceptions import LeaseGoneError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.groups.election import Election
-from thorncleat_gateway.groups.formation import Form
+from thorncleat_gateway.groups.formation import GroupPlan
 from thorncleat_gateway.groups.records import GroupRecords
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.store.registration import Registration
@@ -270,7 +270,9 @@
             election.term = 40
             kept = GroupRecords(records, mirror, election)
             kept.end(old)
-            assert await kept.begin(GROUP, Form("d1", EngineModel("large", 2), (MEMBER, LONER)))
+            assert await kept.begin(
+                GROUP, GroupPlan("d1", EngineModel("large", 2), (MEMBER, LONER))
+            )
         assert records.calls == snapshot
         assert records.calls[0][1]["thorncleat/groups/41/narrator-0"] == {"hex": GROUP_RECORD.hex()}
 
