--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -1,4 +1,8 @@
-"""Errors of the gateway's layers; each adapter turns those of its library into these."""
+"""Errors of the gateway's layers; each adapter turns those of its library into these.
+
+Owns: nothing.
+Relies on: the base class that all parts of the product share.
+"""
 
 import enum
 
--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -1,8 +1,8 @@
 """Who is suspected: the streams that are watched, and what daemons tell each other of them.
 
 Owns: the running attempts of this daemon's streams, when each endpoint was heard, and the
-suspicions, each with its end. Relies on: :mod:`.silence` for the rule, and :mod:`.datagrams`
-for what other daemons say.
+suspicions, each with its end.
+Relies on: :mod:`.silence` for the rule, and :mod:`.datagrams` for what other daemons say.
 """
 
 import asyncio
@@ -122,11 +122,10 @@
         """Return whether this daemon itself suspects a leader's group."""
         return self._told.get(endpoint_id, 0.0) + self._settings.suspicion > self._clock()
 
-    def suspect(self, leader: Endpoint, cause: str, fault: str = "") -> None:
+    def suspect(self, leader: Endpoint, cause: str) -> None:
         """Suspect a leader's group, and tell the others.
 
         :param cause: as it stands in the log line.
-        :param fault: the member that is at fault, if it is known.
         """
         now = self._clock()
         self._suspected[leader.id] = now + self._settings.suspicion
@@ -134,12 +133,12 @@
         if leader.membership is None or told_lately:
             return
         self._told[leader.id] = now
-        suspicion = Suspicion(leader.id, leader.membership.group, fault)
+        suspicion = Suspicion(leader.id, leader.membership.group)
         events.GROUP_SUSPECTED.log(
             leader=leader.id,
             group=suspicion.group.name,
             cause=cause,
-            fault=fault,
+            fault=suspicion.fault,
             heard_ago=round(now - self._heard[leader.id], 3) if leader.id in self._heard else None,
         )
         self._peers.tell_all(suspicion)
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -1,7 +1,8 @@
 """How many requests each endpoint has, from this daemon and, as far as heard, from others.
 
-Owns: this daemon's requests under way, and the newest report of each other daemon. Relies on:
-:mod:`.load_reporter` for the reports, and :mod:`.datagrams` for the interval between them.
+Owns: this daemon's requests under way, and the newest report of each other daemon.
+Relies on: :mod:`.load_reporter` for the reports, and :mod:`.datagrams` for the interval between
+them.
 """
 
 import collections
--- a/packages/gateway/src/thorncleat_gateway/peers/silence.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/silence.py
@@ -3,8 +3,9 @@
 A group makes its events for all of its streams in step, so silence on all of them at once
 is evidence long before any one stream's pause would be.
 
-Owns: nothing; every rule is a pure function of times, in seconds. Relies on:
-:class:`~..settings.StreamSettings` for the bounds, and on a clock that never goes back.
+Owns: nothing; every rule is a pure function of times, in seconds.
+Relies on: :class:`~..settings.StreamSettings` for the bounds, and on a clock that never goes
+back.
 """
 
 import enum
--- a/packages/gateway/src/thorncleat_gateway/requests/admission.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/admission.py
@@ -1,7 +1,8 @@
 """Whether this daemon is ready, and whether it lets a caller's request in.
 
-Owns: nothing; every rule is a pure function. Relies on: :mod:`..store.serving` for routes, keys
-and limits, and on the age of the configuration as :mod:`..store.view` proves it.
+Owns: nothing; every rule is a pure function.
+Relies on: :mod:`..store.serving` for routes, keys and limits, and on the age of the
+configuration as :mod:`..store.view` proves it.
 """
 
 import dataclasses
--- a/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
@@ -1,6 +1,7 @@
 """The caller's side of an answer: the head, the bytes, the end, or a broken connection.
 
-Owns: one answer, as far as it was sent. Relies on: aiohttp's server.
+Owns: one answer, as far as it was sent.
+Relies on: aiohttp's server.
 """
 
 import typing as t
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -1,7 +1,8 @@
 """One attempt at an endpoint, with what is known of its fate when it fails.
 
-Owns: the connections to endpoints, one for each attempt. Relies on: aiohttp as its client
-library, and on the platform's adapter (:class:`~..ports.HeaderCodec`) for the names of headers.
+Owns: the connections to endpoints, one for each attempt.
+Relies on: aiohttp as its client library, and on the platform's adapter
+(:class:`~..ports.HeaderCodec`) for the names of headers.
 """
 
 import asyncio
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -1,8 +1,9 @@
 """Which endpoint gets a request: of those that can take it, the one with the least weight.
 
-Owns: how often each endpoint failed lately, and which are avoided for a while. Relies on:
-:mod:`.group_leaders` and the roster for those there are, :mod:`..peers.load_table` for the
-requests that they have, and :mod:`..peers.failure_detector` for those that are suspected.
+Owns: how often each endpoint failed lately, and which are avoided for a while.
+Relies on: :mod:`.group_leaders` and the roster for those there are, :mod:`..peers.load_table`
+for the requests that they have, and :mod:`..peers.failure_detector` for those that are
+suspected.
 """
 
 import random
@@ -58,9 +59,9 @@
         self._avoid: dict[str, float] = {}
         self._failures: dict[str, float] = {}
 
-    def avoid(self, endpoint_id: str, seconds: float = AVOID_SECONDS) -> None:
+    def avoid(self, endpoint_id: str) -> None:
         """Prefer others for some time."""
-        self._avoid[endpoint_id] = self._clock() + seconds
+        self._avoid[endpoint_id] = self._clock() + AVOID_SECONDS
 
     def answered(self, endpoint_id: str, *, well: bool) -> None:
         """Note how an attempt at an endpoint ended."""
--- a/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
@@ -1,7 +1,8 @@
 """What plain and streamed requests have in common: the parts that an attempt needs.
 
-Owns: nothing of its own. Relies on: the selector, the load table, the failure detector and the
-retry budgets, which are shared by all requests of this daemon.
+Owns: nothing of its own.
+Relies on: the selector, the load table, the failure detector and the retry budgets, which are
+shared by all requests of this daemon.
 """
 
 import typing as t
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -1,8 +1,8 @@
 """The callers' side: each request is let in or refused, forwarded, and logged when it ends.
 
-Owns: the counts of requests, and whether this daemon is stopping. Relies on: :mod:`.admission`
-for who is let in, :mod:`.route_split` for the service, the forwarders for the answer, and the
-store's view for the configuration and its age.
+Owns: the counts of requests, and whether this daemon is stopping.
+Relies on: :mod:`.admission` for who is let in, :mod:`.route_split` for the service, the
+forwarders for the answer, and the store's view for the configuration and its age.
 """
 
 import asyncio
@@ -63,17 +63,11 @@
         self.requests = 0
         self.running = 0
 
-    def not_ready(self) -> NotReady | None:
-        """Return why this daemon should get no requests, or None if it should."""
-        return admission.why_not_ready(
-            stopping=self.stopping, loaded=self._view.loaded, fresh=self._fresh()
-        )
-
     async def readiness(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer whether this daemon is ready."""
         if not self._codec.is_readiness(request.method, request.path):
             return web.Response(status=404)
-        reason = self.not_ready()
+        reason = self._not_ready()
         if reason is not None:
             return web.Response(status=503, text=reason.value)
         return web.Response(status=200, text="ready")
@@ -99,6 +93,12 @@
         finally:
             self.running -= 1
 
+    def _not_ready(self) -> NotReady | None:
+        """Return why this daemon should get no requests, or None if it should."""
+        return admission.why_not_ready(
+            stopping=self.stopping, loaded=self._view.loaded, fresh=self._fresh()
+        )
+
     def _fresh(self) -> bool:
         return admission.is_fresh(self._view.age(), self._settings.revoke_within)
 
--- a/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -1,8 +1,8 @@
 """Which endpoints lead the groups of each service and model.
 
-Owns: a table of leaders, made anew whenever the store's view has changed. Relies on:
-:mod:`..store.view` for endpoints and configuration, and :mod:`..groups.ended` for the groups
-that are being ended.
+Owns: a table of leaders, made anew whenever the store's view has changed.
+Relies on: :mod:`..store.view` for endpoints and configuration, and :mod:`..groups.ended` for
+the groups that are being ended.
 """
 
 from ..groups.ended import EndedGroups
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -1,7 +1,8 @@
 """Requests to plain services: the whole answer, or a refusal that says whether it ran.
 
-Owns: nothing beside the request at hand. Relies on: :mod:`.retry_policy` for what follows a
-failed attempt, and on :mod:`.endpoint_selector` for the endpoint.
+Owns: nothing beside the request at hand.
+Relies on: :mod:`.retry_policy` for what follows a failed attempt, and on
+:mod:`.endpoint_selector` for the endpoint.
 """
 
 import dataclasses
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -1,7 +1,8 @@
 """A caller's request while it is served: what it asks for, and what it has used up so far.
 
-Owns: the state of one request. Relies on: :mod:`.retry_policy` for what that state means after
-a failed attempt, and :class:`~..ports.ForwardMeta` for what endpoints are told.
+Owns: the state of one request.
+Relies on: :mod:`.retry_policy` for what that state means after a failed attempt, and
+:class:`~..ports.ForwardMeta` for what endpoints are told.
 """
 
 import dataclasses
@@ -32,7 +33,7 @@
     :param deadline_at: when the caller gives it up.
     :param tried: endpoints that failed it.
     :param sends: attempts that count towards the route's.
-    :param unsent: attempts that don't, since they surely did not run.
+    :param unsent: attempts that don't, since they cannot have run.
     :param may_have_run: whether any attempt may have run.
     :param longest_pause: between two events of the answer, in seconds.
     :param endpoint_id: the endpoint of the newest attempt of a streamed request.
--- a/packages/gateway/src/thorncleat_gateway/requests/request_log.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request_log.py
@@ -1,6 +1,7 @@
 """The log lines of a request's way, one function for each.
 
-Owns: nothing. Relies on: :mod:`..events` for the numbers and names of the lines.
+Owns: nothing.
+Relies on: :mod:`..events` for the numbers and names of the lines.
 """
 
 from .. import events
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
@@ -1,7 +1,8 @@
 """When a caller whose request has not run is told to come back, in seconds, for each case.
 
-Owns: nothing. Relies on: callers that honour ``Retry-After`` with its fractions, up to a third
-of the time that they have left (PROTOCOL.md).
+Owns: nothing.
+Relies on: callers that honour ``Retry-After`` with its fractions, up to a third of the time
+that they have left (PROTOCOL.md).
 """
 
 # the daemon is stopping: another one can take the request at once; chosen, not measured
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
@@ -3,8 +3,8 @@
 Each daemon has its part of the fixed allowance and the ratio of its own requests. The parts
 add up to the whole budget whatever the daemons know of each other's counts.
 
-Owns: this daemon's requests and retries within the window, for each service. Relies on: the
-number of daemons that share a budget, which must not be too low.
+Owns: this daemon's requests and retries within the window, for each service.
+Relies on: the number of daemons that share a budget, which must not be too low.
 """
 
 import collections
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -1,9 +1,10 @@
 """What happens to a request after a failed attempt: send it again, give it up, or cut it.
 
-Owns: nothing; every rule is a pure function of the failure, of what the request has used up and
-of its route. The retry budget comes in as a function, since taking a token is a part of the
-rule: one is taken only where everything else allows another attempt.
+The retry budget comes in as a function, since taking a token is a part of the rule: it is asked
+only where everything else allows another attempt.
 
+Owns: nothing; every rule is a pure function of the failure, of what the request has used up and
+of its route.
 Relies on: :class:`~..exceptions.AttemptError` for what is known of a failed attempt, and
 :mod:`.retry_after` for the times to come back.
 """
@@ -19,7 +20,7 @@
 from ..store.serving import Route
 from . import retry_after
 
-# attempts, in all, while nothing of them counts towards the route's; chosen, not measured
+# attempts that do not count towards the route's, after which none is left; chosen, not measured
 UNSENT_TRIES = 4
 # part of the route's target after which a repeatable request that has attempts left goes to
 # another endpoint; chosen, not measured
@@ -37,7 +38,7 @@
     """What a request has used up, its newest failed attempt included.
 
     :param sends: attempts that count towards the route's.
-    :param unsent: attempts that don't, since they surely did not run.
+    :param unsent: attempts that don't, since they cannot have run.
     :param may_have_run: whether any attempt may have run.
     :param late: whether its time is over.
     """
@@ -211,6 +212,6 @@
     """Return whether a failed attempt at a group counts towards the route's attempts.
 
     One of which nothing was sent doesn't, nor does one that may have run at a group that nobody
-    has heard since: the group was silent before, so the attempt surely did not begin to run.
+    has heard since: the group was silent before, so the attempt cannot have begun to run.
     """
     return failure.sent and (failure.ran is not Ran.MAYBE or heard_since_sent)
--- a/packages/gateway/src/thorncleat_gateway/requests/route_split.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/route_split.py
@@ -1,7 +1,8 @@
 """Which service of a route gets a request, where a route is split over several.
 
 Owns: nothing; the choice is a pure function of the route and of a number that rises with each
-request. Relies on: :mod:`..store.serving` for routes and services.
+request.
+Relies on: :mod:`..store.serving` for routes and services.
 """
 
 from ..store.serving import Route
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -1,8 +1,9 @@
 """Streamed requests: events are passed on as they come, and go on elsewhere if a group fails.
 
-Owns: nothing beside the request at hand. Relies on: :mod:`.retry_policy` for what follows a
-failed attempt, :mod:`..peers.failure_detector` to leave a silent group, and
-:mod:`.endpoint_selector` for the group.
+Owns: nothing beside the request at hand.
+Relies on: :mod:`.retry_policy` for what follows a failed attempt,
+:mod:`..peers.failure_detector` to leave a silent group, and :mod:`.endpoint_selector` for the
+group.
 """
 
 import asyncio
