--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -117,7 +117,7 @@
 
     def _weight(self, endpoint: Endpoint) -> float:
         failing = FAILURE_WEIGHT * self._failures.get(endpoint.id, 0.0)
-        weak = WEAK_WEIGHT if self._leaders.is_weak(endpoint.id) else 0.0
+        weak = WEAK_WEIGHT if endpoint.id in self._leaders.weak else 0.0
         # daemons that know equally little of each other must not all choose the same
         spread = random.random() * SPREAD * self._load_table.uncertainty
         return self._load_table.of(endpoint.id) + failing + weak + spread
--- a/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -14,14 +14,17 @@
 
 
 class GroupLeaders:
-    """The leaders of all groups that are open."""
+    """The leaders of all groups that are open.
+
+    :param weak: ids of the leaders with a member that is draining or not listed.
+    """
 
     def __init__(self, view: StoreView, ended: EndedGroups) -> None:
         self._view = view
         self._ended = ended
         self._version = -1
         self._leaders: dict[tuple[str, str], list[Endpoint]] = {}
-        self._weak: set[str] = set()
+        self.weak: set[str] = set()
 
     def of(self, service: str, model: str) -> list[Endpoint]:
         """Return the leaders of the groups of a model, but for those that are being ended."""
@@ -34,32 +37,31 @@
             if leader.membership and leader.membership.group not in self._ended
         ]
 
-    def is_weak(self, leader_id: str) -> bool:
-        """Return whether a member of a leader's group is draining or not listed."""
-        return leader_id in self._weak
-
     def _rebuild(self) -> None:
         self._version = self._view.version
         self._leaders = {}
-        self._weak = set()
+        self.weak = set()
         configuration, roster = self._view.configuration, self._view.roster
         if configuration is None:
             return
         for endpoint in roster.endpoints.values():
+            # a look at every endpoint for each change of the store: keep it short for the most
+            if not endpoint.leads:
+                continue
             model = _led_model(configuration, endpoint)
             if model is None:
                 continue
             self._leaders.setdefault((endpoint.service, model.name), []).append(endpoint)
             if _is_weak(roster, endpoint, model):
-                self._weak.add(endpoint.id)
+                self.weak.add(endpoint.id)
 
 
-def _led_model(configuration: ServingConfiguration, endpoint: Endpoint) -> EngineModel | None:
-    """Return the model of the group that an endpoint leads, or None if it takes no requests."""
-    if not endpoint.leads or not endpoint.models or endpoint.draining:
+def _led_model(configuration: ServingConfiguration, leader: Endpoint) -> EngineModel | None:
+    """Return the model of a leader's group, or None if it takes no requests."""
+    if not leader.models or leader.draining:
         return None
-    service = configuration.services.get(endpoint.service)
-    return service.engine.model(endpoint.models[0]) if service and service.engine else None
+    service = configuration.services.get(leader.service)
+    return service.engine.model(leader.models[0]) if service and service.engine else None
 
 
 def _is_weak(roster: Roster, leader: Endpoint, model: EngineModel) -> bool:
