--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -99,11 +99,11 @@
             first_start=True,
         )
         await self.gateway.start()
-        await self.until(lambda: sum(one.leads for one in self.workers) == domains)
+        await self.until(lambda: sum(worker.leads for worker in self.workers) == domains)
         await self.until(lambda: self._listed_leaders() == domains)
 
     def _listed_leaders(self) -> int:
-        return sum(one.leads for one in self.gateway.view.roster.endpoints.values())
+        return sum(endpoint.leads for endpoint in self.gateway.view.roster.endpoints.values())
 
     async def add(self, name: str, service: str, domain: str = "") -> PlatformWorker:
         worker = PlatformWorker(self.store, name, service, domain)
@@ -142,8 +142,8 @@
 
     async def stop(self) -> None:
         await self.gateway.stop()
-        for one in self._adapters:
-            await one.close()
+        for adapter in self._adapters:
+            await adapter.close()
         for worker in self.workers:
             await worker.stop()
         await self.store.stop()
@@ -167,7 +167,7 @@
         )
 
     def runs(self, service: str):
-        return [run for one in self.workers if one.service == service for run in one.runs]
+        return [run for worker in self.workers if worker.service == service for run in worker.runs]
 
 
 @contextlib.asynccontextmanager
@@ -181,7 +181,7 @@
 
 
 def events(*numbers):
-    return b"".join(b"id: %d\ndata: event %d\n\n" % (one, one) for one in numbers)
+    return b"".join(b"id: %d\ndata: event %d\n\n" % (number, number) for number in numbers)
 
 
 async def test_stream_is_served_from_a_group(tmp_path):
@@ -225,8 +225,8 @@
 
 async def test_stream_goes_on_in_another_group_when_its_connection_is_cut(tmp_path):
     async with site(tmp_path) as made:
-        for one in made.workers:
-            one.cut_after = 2
+        for worker in made.workers:
+            worker.cut_after = 2
         status, _, body = await made.chat()
         assert status == 200
         assert body.startswith(events(1, 2, 3, 4))
@@ -237,24 +237,24 @@
 
 async def test_stream_goes_on_in_another_group_when_its_own_is_silent(tmp_path):
     async with site(tmp_path) as made:
-        for one in made.workers:
-            one.silent_after = 3
+        for worker in made.workers:
+            worker.silent_after = 3
         _, _, body = await made.chat()
         assert body == events(1, 2, 3, 4, 5)
 
 
 async def test_stream_that_cannot_be_completed_is_cut(tmp_path):
     async with site(tmp_path, domains=1) as made:
-        for one in made.workers:
-            one.cut_after = 2
+        for worker in made.workers:
+            worker.cut_after = 2
         with pytest.raises(aiohttp.ClientPayloadError):
             await made.chat(**{"X-Thorncleat-Deadline-Ms": "400"})
 
 
 async def test_answer_without_a_length_that_is_reset_is_not_whole(tmp_path):
     async with site(tmp_path) as made:
-        for one in made.workers:
-            one.reset_body = True
+        for worker in made.workers:
+            worker.reset_body = True
         status, headers, _ = await made.call("POST", "/status/x")
         assert status == 502
         assert "X-Thorncleat-Response-Stamp" not in headers
@@ -332,8 +332,8 @@
 
 async def test_planned_stop_finishes_what_runs(tmp_path):
     async with site(tmp_path) as made:
-        for one in made.workers:
-            one.events = 40
+        for worker in made.workers:
+            worker.events = 40
         running = asyncio.create_task(made.chat())
         await made.until(lambda: made.runs("narrator"))
         drained = asyncio.create_task(made.gateway.drain())
@@ -351,8 +351,8 @@
 async def test_planned_stop_ends_though_requests_keep_coming(tmp_path, monkeypatch):
     monkeypatch.setattr(planned_stop, "LEAVE_SECONDS", 0.2)
     async with site(tmp_path) as made:
-        for one in made.workers:
-            one.events = 20
+        for worker in made.workers:
+            worker.events = 20
         drained = asyncio.create_task(made.gateway.drain())
         answers = []
 
@@ -377,8 +377,8 @@
 
 async def test_caller_that_leaves_ends_the_run(tmp_path):
     async with site(tmp_path) as made:
-        for one in made.workers:
-            one.events = 500
+        for worker in made.workers:
+            worker.events = 500
         running = asyncio.create_task(made.chat())
         await made.until(lambda: made.gateway.load_table.own)
         running.cancel()
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -40,9 +40,9 @@
         load_table.refresh()
         newest[daemon] = (now[0], content)
         expected = collections.Counter()
-        for at, one in newest.values():
+        for at, reported in newest.values():
             if at >= now[0] - REPORT_SECONDS:
-                expected.update(one)
+                expected.update(reported)
         assert {name: load_table.of(name) for name in "abc"} == {
             name: expected[name] for name in "abc"
         }
