--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -28,7 +28,7 @@
 # after a failed call to the store, in seconds; chosen, not measured
 RETRY_SECONDS = 0.3
 # between two looks at whether there is a controller, in seconds; chosen, not measured
-LOOK_SECONDS = 0.05
+CHECK_SECONDS = 0.05
 # how much later each further candidate tries to become controller, in seconds; chosen, not
 # measured
 TURN_SECONDS = 0.15
@@ -120,7 +120,7 @@
             except StoreError:
                 # the store is away; the next turn tries again
                 await asyncio.sleep(RETRY_SECONDS)
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_SECONDS)
 
     async def _turn(self) -> None:
         if not self._view.loaded or self.stopping:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -39,7 +39,7 @@
 # times its usual duration that a load from the host may take; chosen, not measured
 WARM_PATIENCE = 2
 # times its usual duration that a load from the weight store may take; chosen, not measured
-LOAD_PATIENCE = 3
+COLD_PATIENCE = 3
 # for the list to show that a group answers, in seconds; chosen, not measured
 LISTED_SECONDS = 2.0
 
@@ -50,7 +50,7 @@
     :param form_timeout: seconds beside what loading the model takes.
     """
     limit = form_timeout + WARM_PATIENCE * plan.model.warm
-    return limit + LOAD_PATIENCE * plan.model.load if plan.cold else limit
+    return limit + COLD_PATIENCE * plan.model.load if plan.cold else limit
 
 
 class GroupSteps:
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -20,9 +20,9 @@
 from .orders import Orders
 
 # between two questions to an unlisted endpoint, in seconds; chosen, not measured
-ASK_SECONDS = 1.0
+WATCH_AGAIN_SECONDS = 1.0
 # for which an unlisted endpoint is asked at most, in seconds; chosen, not measured
-LONGEST_SECONDS = 30.0
+WATCH_SECONDS = 30.0
 # in which an endpoint that was just unlisted counts as answering, in seconds; chosen, not measured
 BENEFIT_SECONDS = 0.4
 
@@ -80,7 +80,7 @@
                 self._start(self._watch(gone.endpoint))
 
     async def _watch(self, endpoint: Endpoint) -> None:
-        until = self._clock() + LONGEST_SECONDS
+        until = self._clock() + WATCH_SECONDS
         try:
             while endpoint.id not in self._view.roster.endpoints and self._clock() < until:
                 if not await self._orders.answers(endpoint):
@@ -92,7 +92,7 @@
                     staged=report.staged,
                     models=report.models,
                 )
-                await asyncio.sleep(ASK_SECONDS)
+                await asyncio.sleep(WATCH_AGAIN_SECONDS)
         except EndpointError:
             # silent at the second question: it counts as not answering
             return
