--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -170,8 +170,8 @@
         if not self.alive or self.state is not GroupState.OPEN or self.members[0] != self.id:
             self.broken_since = None
             return
-        members = [self.world.workers.get(one) for one in self.members]
-        whole = all(one and one.alive and one.group == self.group for one in members)
+        members = [self.world.workers.get(name) for name in self.members]
+        whole = all(member and member.alive and member.group == self.group for member in members)
         if whole:
             self.broken_since = None
         elif self.broken_since is None:
--- a/tests/group_store.py
+++ b/tests/group_store.py
@@ -88,7 +88,7 @@
         await self._call()
         if since < store.forgotten:
             raise HistoryGoneError("forgotten")
-        return Changes(store.revision, [one for rev, _, one in store.history if rev > since])
+        return Changes(store.revision, [change for rev, _, change in store.history if rev > since])
 
     async def create(self, key: str, value: bytes, lease: int) -> int | None:
         await self._call()
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -78,14 +78,14 @@
         self.peers = WorldPeers(world, self)
         self.detector = FailureDetector(StreamSettings(), self.peers, world.now)
         self.election = Election(
-            settings, client, self.view, world.now, lambda: [one.name for one in world.nodes]
+            settings, client, self.view, world.now, lambda: [node.name for node in world.nodes]
         )
         self.orders = Orders(
             settings.control,
             WorldEngines(world, self),
             self.view,
             lambda: self.election.leads,
-            lambda one: self.detector.heard(one, world.now()),
+            lambda endpoint_id: self.detector.heard(endpoint_id, world.now()),
         )
         self.records = GroupRecords(client, self.view, self.election)
         self.ended = EndedGroups(self.peers, world.now)
@@ -238,11 +238,11 @@
         former = worker.former
         if former is None or former == order.group:
             return
-        for one in self.workers.values():
-            answers = one.state in (GroupState.OPEN, GroupState.CLOSING)
-            leads = one.group == former and one.members and one.members[0] == one.id
-            if one.alive and leads and answers:
-                text = f"TWO: {worker.id} joins {order.group} while {one.id} leads {former}"
+        for other in self.workers.values():
+            answers = other.state in (GroupState.OPEN, GroupState.CLOSING)
+            leads = other.group == former and other.members and other.members[0] == other.id
+            if other.alive and leads and answers:
+                text = f"TWO: {worker.id} joins {order.group} while {other.id} leads {former}"
                 self.broken.append(text)
 
     def check_distinct(self, order: Join) -> None:
@@ -261,12 +261,16 @@
     def standing(self) -> collections.Counter:
         """Count the groups that could answer, by model."""
         counts: collections.Counter = collections.Counter()
-        for one in self.workers.values():
-            if not one.alive or one.state is not GroupState.OPEN or one.members[0] != one.id:
+        for leader in self.workers.values():
+            if (
+                not leader.alive
+                or leader.state is not GroupState.OPEN
+                or leader.members[0] != leader.id
+            ):
                 continue
-            members = [self.workers[name] for name in one.members]
-            if all(other.alive and other.group == one.group for other in members):
-                counts[one.model] += 1
+            members = [self.workers[name] for name in leader.members]
+            if all(other.alive and other.group == leader.group for other in members):
+                counts[leader.model] += 1
         return counts
 
     async def pass_time(self, seconds: float) -> None:
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -65,13 +65,13 @@
         )
 
     def list(self, *endpoints):
-        for one in endpoints:
-            self.view.roster.put(one)
+        for endpoint in endpoints:
+            self.view.roster.put(endpoint)
         self.view.version += 1
 
     def chosen(self):
         found = {self.selector.leader("narrator", ENGINE, "m", ()) for _ in range(20)}
-        return {one.id if one else None for one in found}
+        return {leader.id if leader else None for leader in found}
 
 
 @pytest.fixture
@@ -91,8 +91,8 @@
 
 
 def test_last_group_gets_none_either(daemon):
-    for one in (FIRST, SECOND):
-        daemon.peers.receive("controller", GroupEnded(one.membership.group))
+    for ended in (FIRST, SECOND):
+        daemon.peers.receive("controller", GroupEnded(ended.membership.group))
     assert daemon.chosen() == {None}
     assert daemon.selector.known("narrator", "m") == (0, 0)
     assert not daemon.selector.others("narrator", "m", ())
@@ -127,14 +127,14 @@
     world = World(seed=2, domains=1)
     await world.start()
     await world.pass_time(20.0)
-    lost = next(one for one in world.workers.values() if one.state is GroupState.OPEN)
+    lost = next(worker for worker in world.workers.values() if worker.state is GroupState.OPEN)
     group = lost.group
     world.kill(lost, dark=True)
-    others = [one for one in world.nodes if not one.election.leads]
+    others = [node for node in world.nodes if not node.election.leads]
     known = 0
     for _ in range(30):
         await world.pass_time(0.1)
-        known += all(group in one.ended for one in others)
+        known += all(group in node.ended for node in others)
     await world.stop()
     return known
 
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -44,7 +44,9 @@
     world = World(seed=2, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    large = next(one for one in world.workers.values() if one.model == "large" and one.members)
+    large = next(
+        worker for worker in world.workers.values() if worker.model == "large" and worker.members
+    )
     world.kill(world.workers[large.members[rank]], dark=dark)
     begun = world.now()
     while world.standing()["large"] < 1 and world.now() - begun < 30:
@@ -83,7 +85,9 @@
     # those that drain have gone by then
     await world.pass_time(6.0)
     for domain in ("d0", "d1"):
-        alive = [one for one in world.workers.values() if one.alive and one.domain == domain]
+        alive = [
+            worker for worker in world.workers.values() if worker.alive and worker.domain == domain
+        ]
         for _ in range(8 - len(alive)):
             world.add_worker(domain)
     await world.pass_time(45.0)
@@ -93,9 +97,9 @@
 
 
 def _strike(world: World, rng) -> None:
-    alive = [one for one in world.workers.values() if one.alive]
+    alive = [worker for worker in world.workers.values() if worker.alive]
     node = rng.choice(world.nodes)
-    leading = [one for one in world.nodes if one.election.leads] or [node]
+    leading = [other for other in world.nodes if other.election.leads] or [node]
     match rng.randrange(9):
         case 0 | 1:
             if len(alive) > 10:
@@ -116,7 +120,7 @@
         case 7:
             world.add_worker(rng.choice(["d0", "d1"]))
         case 8:
-            ready = [one for one in alive if not one.draining]
+            ready = [worker for worker in alive if not worker.draining]
             if len(ready) > 12:
                 world.drain(rng.choice(ready))
 
@@ -130,7 +134,7 @@
 
 
 def _leading(world: World):
-    return next(one for one in world.nodes if one.election.leads)
+    return next(node for node in world.nodes if node.election.leads)
 
 
 async def _entries_lapse_in_an_outage(lost: int):
@@ -142,7 +146,7 @@
     world.store.down = True
     await world.pass_time(4.0)
     world.lapse_all()
-    for worker in [one for one in world.workers.values() if one.members][:lost]:
+    for worker in [worker for worker in world.workers.values() if worker.members][:lost]:
         worker.alive, worker.dark = False, True
     await world.pass_time(LAPSE_OUTAGE)
     world.store.down = False
@@ -176,14 +180,16 @@
     await world.start()
     await world.pass_time(CALM_SECONDS)
     first = _leading(world)
-    before = max(one.group.epoch for one in world.workers.values() if one.group)
+    before = max(worker.group.epoch for worker in world.workers.values() if worker.group)
     await first.stop()
     world.nodes.remove(first)
     await world.pass_time(4.0)
-    large = next(one for one in world.workers.values() if one.model == "large" and one.members)
+    large = next(
+        worker for worker in world.workers.values() if worker.model == "large" and worker.members
+    )
     world.kill(world.workers[large.members[1]], dark=False)
     await world.pass_time(6.0)
-    after = max(one.group.epoch for one in world.workers.values() if one.group)
+    after = max(worker.group.epoch for worker in world.workers.values() if worker.group)
     await world.stop()
     return before, after
 
@@ -199,8 +205,8 @@
     await world.start()
     await world.pass_time(CALM_SECONDS)
     node = _leading(world)
-    free = next(one for one in world.workers.values() if one.group is None)
-    opened = next(one for one in world.workers.values() if one.state is GroupState.OPEN)
+    free = next(worker for worker in world.workers.values() if worker.group is None)
+    opened = next(worker for worker in world.workers.values() if worker.state is GroupState.OPEN)
     ask = node.orders.ask
 
     async def ask_and_be_late(endpoint):
@@ -232,7 +238,7 @@
     created = world.store.revision + 1
     world.store.put(CONTROLLER, RecordChanged(CONTROLLER, b"another", created, created))
     assert node.election.leads
-    members = tuple(one.entry() for one in world.workers.values())[:2]
+    members = tuple(worker.entry() for worker in world.workers.values())[:2]
     group = GroupId(10**9, "g")
     written = await node.records.begin(group, GroupPlan("d0", MODELS[1], members))
     await world.stop()
