--- a/packages/core/src/thorncleat_core/daemon/settings.py
+++ b/packages/core/src/thorncleat_core/daemon/settings.py
@@ -33,7 +33,11 @@
 
 
 class Identity(_Strict):
-    """Who and where this daemon is."""
+    """Who and where this daemon is.
+
+    :param failure_domain: read by nothing; required since the first settings files.
+    :param region: likewise.
+    """
 
     id: str = pydantic.Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")
     failure_domain: str = pydantic.Field(min_length=1)
@@ -58,7 +62,11 @@
 
     @pydantic.model_validator(mode="after")
     def _no_duplicates(self) -> t.Self:
-        used = [one for one in (self.callers, self.operators, self.peers) if one[-2:] != ":0"]
+        used = [
+            address
+            for address in (self.callers, self.operators, self.peers)
+            if address[-2:] != ":0"
+        ]
         for address in used:
             if used.count(address) > 1:
                 raise ValueError(f"address {address!r} is used twice")
