--- a/bench/soaks/gateway_callers.py
+++ b/bench/soaks/gateway_callers.py
@@ -7,9 +7,9 @@
 
 from .gateway_checks import Kind
 from .gateway_checks import Told
+from .gateway_daemons import Daemon
 from .gateway_site import HOST
 from .gateway_site import PATHS
-from .gateway_site import Daemon
 from .gateway_site import SoakSite
 
 DEADLINE_SECONDS = 4.0
--- /dev/null
+++ b/bench/soaks/gateway_troubles.py
@@ -0,0 +1,232 @@
+"""The troubles that the gateway's soak draws from, and the state that they act on.
+
+Owns: nothing; each trouble undoes what it did.
+Relies on: signals to processes that :mod:`bench.soaks.gateway_site` started, and on the proxies
+before the store and the workers.
+"""
+
+import asyncio
+import dataclasses
+import signal
+import typing as t
+
+from thorncleat_core.daemon.registry import Registry
+
+from .gateway_callers import Caller
+from .gateway_daemons import Daemon
+from .gateway_site import REVOKE_SECONDS
+from .gateway_site import SoakSite
+from .gateway_workers import SoakWorker
+from .harness import Soak
+from .proxy import Mode
+
+TROUBLES_AT_ONCE = 2
+# after the last trouble, before a planned stop is watched; chosen, not measured
+QUIET_SECONDS = 3.0
+# for the interpreter and the first lines of the program, on a busy machine; chosen, not measured
+START_SECONDS = 2.0
+# for a caller to note the end of its answer; chosen, not measured
+NOTE_SECONDS = 0.1
+HARMFUL = (Mode.DELAY, Mode.SILENCE, Mode.LOSE_ANSWERS, Mode.LOSE_REQUESTS, Mode.RESET)
+Trouble = t.Callable[["GatewaySoak"], t.Awaitable[None]]
+troubles: Registry[Trouble] = Registry("trouble")
+
+
+@dataclasses.dataclass(kw_only=True)
+class GatewaySoak(Soak):
+    """One seed, played with gateways.
+
+    :param slots: as many as troubles may run at once.
+    """
+
+    site: SoakSite
+    callers: list[Caller]
+    slots: asyncio.Semaphore = dataclasses.field(
+        default_factory=lambda: asyncio.Semaphore(TROUBLES_AT_ONCE)
+    )
+
+    def daemon(self) -> Daemon:
+        """Return one of the daemons."""
+        return self.draw.choice(self.site.daemons)
+
+    def worker(self) -> SoakWorker:
+        """Return one of the workers that live and take work."""
+        workers = self.site.workers.values()
+        return self.draw.choice([worker for worker in workers if worker.takes_work])
+
+
+@troubles.register("kill")
+async def kill(soak: GatewaySoak) -> None:
+    """Kill a daemon, and start it again after a while."""
+    daemon = soak.daemon()
+    await daemon.end(signal.SIGKILL)
+    await soak.pause(0, 3)
+    await soak.site.start_daemon(daemon)
+
+
+@troubles.register("kill_many")
+async def kill_many(soak: GatewaySoak) -> None:
+    """Kill several daemons at once."""
+    most = len(soak.site.daemons)
+    chosen = soak.draw.sample(soak.site.daemons, soak.draw.randint(2, most))
+    await asyncio.gather(*(daemon.end(signal.SIGKILL) for daemon in chosen))
+    await soak.pause(0, 2)
+    await asyncio.gather(*(soak.site.start_daemon(daemon) for daemon in chosen))
+
+
+@troubles.register("stop")
+async def stop(soak: GatewaySoak) -> None:
+    """Stop a daemon as planned, and start it again."""
+    daemon = soak.daemon()
+    await daemon.end(signal.SIGTERM)
+    await soak.site.start_daemon(daemon)
+
+
+@troubles.register("freeze")
+async def freeze(soak: GatewaySoak) -> None:
+    """Let a daemon stand still."""
+    daemon = soak.daemon()
+    daemon.send(signal.SIGSTOP)
+    await soak.pause(0.3, 6)
+    daemon.send(signal.SIGCONT)
+
+
+@troubles.register("reload")
+async def reload(soak: GatewaySoak) -> None:
+    """Let every daemon read its settings again."""
+    now = asyncio.get_running_loop().time()
+    for daemon in soak.site.daemons:
+        # until its first lines have run, a program can do nothing about it (tests/test_run.py)
+        if now - daemon.started_at > START_SECONDS:
+            daemon.send(signal.SIGHUP)
+
+
+@troubles.register("cut_from_store")
+async def cut_from_store(soak: GatewaySoak) -> None:
+    """Disturb the connections between one daemon and the store."""
+    proxy = soak.daemon().proxy
+    proxy.mode = soak.draw.choice(HARMFUL)
+    if proxy.mode is Mode.RESET:
+        proxy.reset()
+    await soak.pause(0.3, 6)
+    proxy.mode = Mode.PASS
+
+
+@troubles.register("store_away")
+async def store_away(soak: GatewaySoak) -> None:
+    """Let the store refuse every call for a while."""
+    soak.site.store.refuse = True
+    await soak.pause(0.3, 6)
+    soak.site.store.refuse = False
+
+
+@troubles.register("store_loses_answers")
+async def store_loses_answers(soak: GatewaySoak) -> None:
+    """Let the store carry out some writes without answering."""
+    soak.site.store.lose_answers += soak.draw.randint(1, 3)
+
+
+@troubles.register("store_forgets")
+async def store_forgets(soak: GatewaySoak) -> None:
+    """Let the store drop its history, which ends all watches."""
+    soak.site.store.forget()
+
+
+@troubles.register("cut_worker")
+async def cut_worker(soak: GatewaySoak) -> None:
+    """Disturb the connections to one worker."""
+    proxy = soak.worker().proxy
+    assert proxy is not None
+    proxy.mode = soak.draw.choice(HARMFUL)
+    if proxy.mode is Mode.RESET:
+        proxy.reset()
+    await soak.pause(0.2, 4)
+    proxy.mode = Mode.PASS
+
+
+@troubles.register("crash_worker")
+async def crash_worker(soak: GatewaySoak) -> None:
+    """Let a worker end without a word, and add another."""
+    worker = soak.worker()
+    await worker.crash()
+    await soak.pause(0, 3)
+    await soak.site.add_worker(worker.service, worker.domain)
+
+
+@troubles.register("drain_worker")
+async def drain_worker(soak: GatewaySoak) -> None:
+    """Let a worker drain and then end, and add another."""
+    worker = soak.worker()
+    worker.draining = True
+    worker.publish()
+    await soak.site.add_worker(worker.service, worker.domain)
+    await soak.pause(2.5, 5)
+    if worker.alive:
+        await worker.crash()
+
+
+@troubles.register("take_key_away")
+async def take_key_away(soak: GatewaySoak) -> None:
+    """Replace the key that is valid; the old one must stop working."""
+    site = soak.site
+    old = site.keys[0]
+    site.keys = [f"key-{site.version}"]
+    site.former_keys.append(old)
+    site.configure()
+    now = asyncio.get_running_loop().time()
+    site.checks.revoked(old, now + REVOKE_SECONDS)
+    await soak.pause(0.1, 1)
+
+
+@troubles.register("take_key_away_unseen")
+async def take_key_away_unseen(soak: GatewaySoak) -> None:
+    """Take a key away while no daemon can read the store."""
+    for daemon in soak.site.daemons:
+        daemon.proxy.mode = Mode.SILENCE
+    await soak.pause(0, 0.5)
+    await take_key_away(soak)
+    await soak.pause(REVOKE_SECONDS, 2 * REVOKE_SECONDS)
+    for daemon in soak.site.daemons:
+        daemon.proxy.mode = Mode.PASS
+
+
+@troubles.register("configure")
+async def configure(soak: GatewaySoak) -> None:
+    """Write the configuration several times in a row."""
+    for _ in range(soak.draw.randint(1, 5)):
+        soak.site.configure()
+        await soak.pause(0.05, 0.4)
+
+
+@troubles.register("watched_stop")
+async def watched_stop(soak: GatewaySoak) -> None:
+    """Stop a daemon with nothing else going on: no request may be cut."""
+    for _ in range(TROUBLES_AT_ONCE - 1):
+        await soak.slots.acquire()
+    try:
+        await asyncio.sleep(QUIET_SECONDS)
+        daemon = soak.daemon()
+        if daemon.runs:
+            await _stop_and_look(soak, daemon)
+            await soak.site.start_daemon(daemon)
+    finally:
+        for _ in range(TROUBLES_AT_ONCE - 1):
+            soak.slots.release()
+
+
+async def _stop_and_look(soak: GatewaySoak, daemon: Daemon) -> None:
+    """Stop a daemon, and see that what it was answering is answered whole."""
+    all_running = [caller.running for caller in soak.callers]
+    running = [told for told in all_running if told and told.daemon == daemon.name]
+    checks = soak.site.checks
+    if not await daemon.end(signal.SIGTERM):
+        checks.faults.append(f"LOST {daemon.name} did not stop within its grace")
+    await asyncio.sleep(NOTE_SECONDS)
+    for told in running:
+        if not told.whole:
+            checks.faults.append(
+                f"LOST {told.id} was cut by a planned stop of {daemon.name}: "
+                f"status {told.status}, {told.ended_at - told.sent_at:.3f} s, "
+                f"{len(checks.runs(told.id))} runs"
+            )
+    soak.counts["requests through a planned stop"] += len(running)
--- a/packages/standins/src/thorncleat_standins/launch.py
+++ b/packages/standins/src/thorncleat_standins/launch.py
@@ -1,59 +1,30 @@
-"""Starting stand-ins and daemons as plain processes, for quickstart, tests and benchmarks.
+"""A cluster of stand-ins and daemons as plain processes, for quickstart, tests and benchmarks.
 
-This is a tool of the workbench: no part of the product starts a process.
+Owns: the processes that it started, their settings and logs in one directory, and the list of
+instances that the stand-in store shows to the daemons.
+Relies on: free loopback ports. No part of the product starts a process.
 """
 
 import asyncio
-import contextlib
 import dataclasses
 import hashlib
 import json
-import os
 import pathlib
 import secrets
-import signal
-import sys
 import typing as t
 
 import aiohttp
 import zmq
 
-START_SECONDS = 20.0
-STOP_SECONDS = 10.0
-Json = dict[str, t.Any]
-
-
-class LaunchError(Exception):
-    """A process did not start."""
-
-
-@dataclasses.dataclass
-class Process:
-    """A process that was started here, and the line it printed."""
+from .processes import LaunchError
+from .processes import Process
+from .processes import spawn
 
-    name: str
-    process: asyncio.subprocess.Process
-    said: Json
-
-    @property
-    def pid(self) -> int:
-        """Its process id."""
-        return self.process.pid
-
-    def send(self, number: signal.Signals) -> None:
-        """Send it a signal, if it still runs."""
-        if self.process.returncode is None:
-            self.process.send_signal(number)
-
-    async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """End it and return its exit code."""
-        self.send(signal.SIGCONT)
-        self.send(number)
-        try:
-            return await asyncio.wait_for(self.process.wait(), STOP_SECONDS)
-        except TimeoutError:
-            self.send(signal.SIGKILL)
-            return await self.process.wait()
+Json = dict[str, t.Any]
+# between two looks at what is waited for
+LOOK_SECONDS = 0.05
+# for daemons that start, meet and form groups; chosen, not measured
+WAIT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -215,39 +186,20 @@
         return path
 
     async def spawn(self, name: str, module: str, *arguments: str) -> Process:
-        """Start a Python module as a process and wait for the line it prints.
+        """Start a Python module as a process of the cluster.
 
-        :raises LaunchError: if it ends or says nothing in time.
+        :raises LaunchError: if it does not start.
         """
-        with (self.directory / f"{name}.log").open("ab") as log:
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                module,
-                *arguments,
-                stdout=asyncio.subprocess.PIPE,
-                stderr=log,
-                env={**os.environ, "PYTHONUNBUFFERED": "1"},
-            )
-        assert process.stdout is not None
-        try:
-            line = await asyncio.wait_for(process.stdout.readline(), START_SECONDS)
-            said = json.loads(line)
-        except (TimeoutError, ValueError) as error:
-            with contextlib.suppress(ProcessLookupError):
-                process.kill()
-            tail = (self.directory / f"{name}.log").read_text(errors="replace")[-2000:]
-            raise LaunchError(f"{name!r} did not start: {tail}") from error
-        started = Process(name, process, said)
-        self.processes[name] = started
-        return started
+        process = await spawn(self.directory, name, module, *arguments)
+        self.processes[name] = process
+        return process
 
     async def stop(self) -> None:
         """End all processes that were started, daemons first."""
-        order = sorted(self.processes.values(), key=lambda one: not one.name.startswith("daemon"))
-        daemons = [one for one in order if one.name.startswith("daemon")]
-        await asyncio.gather(*(one.stop() for one in daemons))
-        await asyncio.gather(*(one.stop() for one in order if one not in daemons))
+        daemons = [self.processes[name] for name in self.daemons]
+        others = [process for process in self.processes.values() if process not in daemons]
+        await asyncio.gather(*(daemon.stop() for daemon in daemons))
+        await asyncio.gather(*(process.stop() for process in others))
 
     # the platform's list
 
@@ -318,7 +270,7 @@
         return int(done["revision"])
 
     async def wait_for(
-        self, what: str, condition: t.Callable[[], t.Awaitable[bool]], seconds: float = 30.0
+        self, what: str, condition: t.Callable[[], t.Awaitable[bool]], seconds: float = WAIT_SECONDS
     ) -> None:
         """Wait until a condition holds.
 
@@ -329,7 +281,7 @@
         while loop.time() < end:
             if await condition():
                 return
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(LOOK_SECONDS)
         raise LaunchError(f"waited {seconds} s in vain for {what}")
 
     async def wait_loaded(self) -> None:
@@ -350,10 +302,10 @@
 
         async def opened() -> bool:
             for name in self.daemons:
-                if self.processes[name].process.returncode is not None:
+                if not self.processes[name].running:
                     continue
                 _, answer = await self.operate(name, "GET", "/groups")
-                if sum(one["state"] == "open" for one in answer["groups"]) < groups:
+                if sum(group["state"] == "open" for group in answer["groups"]) < groups:
                     return False
             return True
 
--- a/packages/standins/src/thorncleat_standins/quickstart.py
+++ b/packages/standins/src/thorncleat_standins/quickstart.py
@@ -13,8 +13,8 @@
 import fire
 
 from .launch import Cluster
-from .launch import LaunchError
 from .launch import Site
+from .processes import LaunchError
 
 CALLER_KEY = "quickstart-caller-key"
 INTENT = """// What the night shift needs: one group of four instances.
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -2,9 +2,11 @@
 
 import asyncio
 import dataclasses
+import random
 
 import pytest
 from bench.soaks import gateway as gateway_soak
+from bench.soaks import harness
 from bench.soaks.gateway_checks import Checks
 from bench.soaks.gateway_checks import Kind
 from bench.soaks.gateway_checks import Told
@@ -22,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", [1, *REGRESSIONS])
 async def test_real_processes_keep_the_promises_under_faults(tmp_path, seed):
-    kinds = sorted(gateway_soak.troubles)
+    kinds = gateway_soak.troubles.names
     played = await gateway_soak.run(tmp_path, seed, SOAK_MINUTES, 3, kinds)
     assert played.site.checks.faults == []
     assert played.site.checks.counts["stream 200"] > 0
@@ -34,10 +36,32 @@
     assert played.site.checks.faults == []
 
 
+class TestVerdict:
+    def _play(self, faults_of_seeds, tmp_path):
+        async def play_seed(directory, seed):
+            assert directory == tmp_path / f"seed-{seed}"
+            faults = faults_of_seeds[seed]
+            return harness.Soak(draw=random.Random(seed), end=0.0, kinds=[], faults=faults)
+
+        with pytest.raises(SystemExit) as ended:
+            harness.play(play_seed, faults_of_seeds, str(tmp_path))
+        return ended.value.code
+
+    def test_seeds_without_faults_pass(self, tmp_path, capsys):
+        assert self._play({1: [], 2: []}, tmp_path) == 0
+        assert "verdict, seed 2: passed, 0 faults" in capsys.readouterr().out
+
+    def test_fault_of_one_seed_fails_the_run_and_the_next_is_played(self, tmp_path, capsys):
+        assert self._play({1: ["TWICE r1"], 2: []}, tmp_path) == 1
+        shown = capsys.readouterr().out
+        assert "FAULT TWICE r1\nverdict, seed 1: FAILED, 1 faults" in shown
+        assert "verdict, seed 2: passed, 0 faults" in shown
+
+
 def told(kind=Kind.ONCE, **fields):
-    one = Told("r1", kind, 10.0, "key", b"body", 200, whole=True, signed=True, echoed="r1")
-    one.body = expected(one, EVENTS)
-    return dataclasses.replace(one, **fields)
+    made = Told("r1", kind, 10.0, "key", b"body", 200, whole=True, signed=True, echoed="r1")
+    made.body = expected(made, EVENTS)
+    return dataclasses.replace(made, **fields)
 
 
 def run(worker="w1"):
