--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -34,8 +34,8 @@
 from thorncleat_core.daemon.permits import PermitRequest
 from thorncleat_core.daemon.settings import PeerKeys
 from thorncleat_daemon.peers import ZmqPeers
-from thorncleat_standins.launch import Cluster
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Cluster
+from thorncleat_standins.cluster import Site
 
 from .report import cpu_seconds
 from .report import private_bytes
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -12,8 +12,8 @@
 
 import fire
 
-from thorncleat_standins.launch import Cluster
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Cluster
+from thorncleat_standins.cluster import Site
 
 from .capacity import Slope
 from .capacity import fit
--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -19,8 +19,8 @@
 import fire
 
 from thorncleat_core.daemon import keys
-from thorncleat_standins.launch import Cluster
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Cluster
+from thorncleat_standins.cluster import Site
 from thorncleat_standins.processes import LaunchError
 from thorncleat_standins.traffic import RepeatingCaller
 from thorncleat_standins.traffic import ledger_faults
--- a/bench/soaks/daemon_troubles.py
+++ b/bench/soaks/daemon_troubles.py
@@ -1,7 +1,7 @@
 """The troubles that the daemon's soak draws from, and the state that they act on.
 
 Owns: nothing; each trouble undoes what it did.
-Relies on: processes ended and started by :class:`thorncleat_standins.launch.Cluster`, and the
+Relies on: processes ended and started by :class:`thorncleat_standins.cluster.Cluster`, and the
 stand-ins' switchboards.
 """
 
@@ -11,7 +11,7 @@
 
 from thorncleat_core.daemon import keys
 from thorncleat_core.daemon.registry import Registry
-from thorncleat_standins.launch import Cluster
+from thorncleat_standins.cluster import Cluster
 
 from .harness import Soak
 
--- a/packages/standins/src/thorncleat_standins/quickstart.py
+++ b/packages/standins/src/thorncleat_standins/quickstart.py
@@ -12,8 +12,8 @@
 import aiohttp
 import fire
 
-from .launch import Cluster
-from .launch import Site
+from .cluster import Cluster
+from .cluster import Site
 from .processes import LaunchError
 
 CALLER_KEY = "quickstart-caller-key"
--- a/packages/standins/src/thorncleat_standins/traffic.py
+++ b/packages/standins/src/thorncleat_standins/traffic.py
@@ -9,8 +9,8 @@
 
 import aiohttp
 
+from .cluster import Cluster
 from .engine import token_text
-from .launch import Cluster
 
 ACKNOWLEDGE = "/v1/services/telemetry/alarms/7/ack"
 CHAT = "/v1/chat/completions"
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -7,8 +7,8 @@
 
 import aiohttp
 
-from thorncleat_standins.launch import Cluster
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Cluster
+from thorncleat_standins.cluster import Site
 
 from .makers import CALLER_KEY
 from .makers import digest
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -19,8 +19,8 @@
 from thorncleat_core.daemon.settings import PeerKeys
 from thorncleat_daemon.exceptions import PeerError
 from thorncleat_daemon.peers import ZmqPeers
-from thorncleat_standins.launch import Cluster
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Cluster
+from thorncleat_standins.cluster import Site
 
 
 def _pair() -> tuple[str, str]:
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Site
 from thorncleat_standins.traffic import RepeatingCaller
 from thorncleat_standins.traffic import ledger_faults
 from thorncleat_standins.traffic import log_faults
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Site
 
 from .lab import Lab
 from .lab import completion
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -7,7 +7,7 @@
 import aiohttp
 import pytest
 
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Site
 
 from .lab import Lab
 from .lab import completion
