--- a/packages/core/src/thorncleat_core/codec.py
+++ b/packages/core/src/thorncleat_core/codec.py
@@ -1,4 +1,11 @@
-"""Encoding of what goes into the store and between daemons: MessagePack with a version."""
+"""Encoding of what goes into the store and between daemons: MessagePack with a version.
+
+A data class is written as a map of its fields, so the names of fields are a part of the format:
+a field is renamed or removed only together with the version.
+
+Owns: a cache of validators, one for each class that was decoded.
+Relies on: msgpack for the bytes, pydantic for the forms of data classes.
+"""
 
 import dataclasses
 import enum
@@ -12,6 +19,7 @@
 
 from .exceptions import DecodeError
 
+# of the envelope; another one is refused
 VERSION = 1
 Data = t.TypeVar("Data")
 
--- a/packages/core/src/thorncleat_core/distributions.py
+++ b/packages/core/src/thorncleat_core/distributions.py
@@ -1,12 +1,19 @@
-"""Distributions of durations, shown in the Prometheus text format."""
+"""Distributions of durations, shown in the Prometheus text format.
+
+Owns: a histogram for each kind of duration and target.
+Relies on: hdrhistogram, and on whoever measures to bound the number of targets.
+"""
 
 import typing as t
 
 from hdrh.histogram import HdrHistogram
 from prometheus_client.core import GaugeMetricFamily
 
+# microseconds; longer durations, of more than ten minutes, count as these; chosen, not measured
 MAX_MICROSECONDS = 600_000_000
+# significant decimal digits that are kept; chosen, not measured
 PRECISION = 2
+# in percent
 QUANTILES = (50.0, 95.0, 99.0)
 
 
--- a/packages/core/src/thorncleat_core/exceptions.py
+++ b/packages/core/src/thorncleat_core/exceptions.py
@@ -1,4 +1,8 @@
-"""All errors of the core, below one base class."""
+"""All errors of the core, below one base class.
+
+Owns: nothing.
+Relies on: nothing; the packages derive the errors of their own layers from these.
+"""
 
 import dataclasses
 
@@ -61,4 +65,4 @@
 
 
 class LeaseError(ThorncleatError):
-    """An act needs a lease that is not surely held any more."""
+    """An act needs a lease that may be over."""
--- a/packages/core/src/thorncleat_core/jsonc.py
+++ b/packages/core/src/thorncleat_core/jsonc.py
@@ -2,6 +2,9 @@
 
 Parsing is the ``json-five`` library's, whose grammar is a superset (trailing commas and
 single quotes pass too); this module adds duplicate keys and the line of each key.
+
+Owns: nothing beyond one document.
+Relies on: json-five for the grammar, pydantic for what a document may hold.
 """
 
 import dataclasses
@@ -20,7 +23,9 @@
 Path = tuple[str | int, ...]
 Model = t.TypeVar("Model", bound=pydantic.BaseModel)
 
+# settings and intents are far smaller; chosen, not measured
 MAX_DOCUMENT_BYTES = 1_000_000
+# keys whose values are not repeated in messages
 SECRET_KEYS = frozenset({"secret", "key_digest", "key_digests"})
 
 
--- a/packages/core/src/thorncleat_core/log_events.py
+++ b/packages/core/src/thorncleat_core/log_events.py
@@ -1,6 +1,9 @@
 """Numbered log events, their catalogue, and the form in which they are written.
 
 Each program lists its events in a module of its own; the numbers are unique across programs.
+
+Owns: the observers, which see each event whether its line is written or not.
+Relies on: python-json-logger for the form of a line, and on a program's handler to write it.
 """
 
 import dataclasses
--- a/packages/core/src/thorncleat_core/rendezvous.py
+++ b/packages/core/src/thorncleat_core/rendezvous.py
@@ -1,6 +1,9 @@
 """Rendezvous hashing: every daemon ranks the same candidates the same way.
 
 A candidate that comes or goes moves only the keys that it wins.
+
+Owns: nothing.
+Relies on: xxhash; daemons of two builds must rank alike, so the hash is a part of the protocol.
 """
 
 import typing as t
@@ -15,7 +18,9 @@
 
 def ranked(key: str, candidates: t.Iterable[str]) -> list[str]:
     """Return all candidates, the preferred one first."""
-    return sorted(candidates, key=lambda one: (score(key, one), one), reverse=True)
+    return sorted(
+        candidates, key=lambda candidate: (score(key, candidate), candidate), reverse=True
+    )
 
 
 def place(key: str, mine: str, candidates: t.Iterable[str], limit: int) -> int | None:
@@ -26,8 +31,8 @@
     """
     own = (score(key, mine), mine)
     before = 0
-    for one in candidates:
-        if one != mine and (score(key, one), one) > own:
+    for candidate in candidates:
+        if candidate != mine and (score(key, candidate), candidate) > own:
             before += 1
             if before >= limit:
                 return None
--- a/packages/gateway/src/thorncleat_gateway/events.py
+++ b/packages/gateway/src/thorncleat_gateway/events.py
@@ -1,4 +1,12 @@
-"""Numbered log events of the gateway; they stand in the daemon's catalogue."""
+"""Numbered log events of the gateway, listed in docs/LOGS-GATEWAY.md.
+
+The thousands and hundreds tell the part: 70 the process, 71 the store's view, 72 the control of
+groups, 73 requests and suspicions, 74 datagrams. Numbers, names and fields stay as they are:
+whoever is on call searches for them.
+
+Owns: the catalogue.
+Relies on: :mod:`thorncleat_core.log_events`.
+"""
 
 import logging
 
--- a/packages/gateway/src/thorncleat_gateway/logs.py
+++ b/packages/gateway/src/thorncleat_gateway/logs.py
@@ -1,4 +1,8 @@
-"""Logging as JSON lines on standard output: bounded, and never waiting for a reader."""
+"""Logging as JSON lines on standard output: bounded, and never waiting for a reader.
+
+Owns: the rest of a line that the reader had no room for, and how many lines were left out.
+Relies on: :mod:`thorncleat_core.log_events` for the form of a line.
+"""
 
 import logging
 import os
@@ -10,7 +14,9 @@
 
 from . import events
 
+# written on average; chosen, not measured
 LINES_PER_SECOND = 200
+# written at once after a quiet time, three seconds' worth; chosen, not measured
 BURST_LINES = 600
 
 
@@ -48,7 +54,7 @@
         self._flush(self.format(record).encode() + b"\n")
 
     def _flush(self, line: bytes) -> bool:
-        """Write what is left and a line; tell whether all was written."""
+        """Write what is left and a line; return whether all was written."""
         data = self._rest + line
         try:
             written = os.write(self._descriptor, data) if data else 0
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -2,6 +2,9 @@
 
 Whatever is decided is an event (:mod:`.events`); each is counted here, whether its log line is
 written or left out.
+
+Owns: the registry of this daemon's series.
+Relies on: :func:`thorncleat_core.log_events.observe` to be shown each event.
 """
 
 import re
@@ -18,7 +21,8 @@
 
 from . import events
 
-# targets whose durations are kept apart; later ones are counted together
+# targets whose durations are kept apart, later ones are counted together; a histogram takes some
+# kilobytes, and configurations may have hundreds of routes; chosen, not measured
 MOST_TARGETS = 64
 OTHERS = "others"
 # a cause's varying part: numbers, names and reprs
