--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -71,6 +71,7 @@
     """
     connector = aiohttp.TCPConnector(limit=0, force_close=True, happy_eyeballs_delay=None)
     made = functools.partial(_Connection, loop=asyncio.get_running_loop())
+    # the library has no public way to choose the class of connections
     connector._factory = t.cast(functools.partial[ResponseHandler], made)
     return aiohttp.ClientSession(
         connector=connector,
