--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -29,7 +29,10 @@
 
 
 class _LostError(aiohttp.ClientError):
-    """A connection was lost after something may have been sent."""
+    """A connection was lost after something may have been sent.
+
+    The name stands in the cause of a failed attempt, in log lines and answers: keep it.
+    """
 
 
 async def _never_again(
