--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/ports/__init__.py
@@ -0,0 +1,26 @@
+"""The ports: what the gateway needs from the platform, for adapters and stand-ins to provide."""
+
+from .engines import Close as Close
+from .engines import EngineReport as EngineReport
+from .engines import Engines as Engines
+from .engines import Join as Join
+from .engines import Leave as Leave
+from .engines import Load as Load
+from .engines import Open as Open
+from .engines import Order as Order
+from .engines import Outcome as Outcome
+from .headers import AnswerMeta as AnswerMeta
+from .headers import ForwardMeta as ForwardMeta
+from .headers import HeaderCodec as HeaderCodec
+from .headers import Headers as Headers
+from .headers import RequestMeta as RequestMeta
+from .store_changes import WAITED_PART as WAITED_PART
+from .store_changes import Change as Change
+from .store_changes import ChangeFeed as ChangeFeed
+from .store_changes import Changes as Changes
+from .store_changes import ConfigurationChanged as ConfigurationChanged
+from .store_changes import EndpointGone as EndpointGone
+from .store_changes import EndpointListed as EndpointListed
+from .store_changes import RecordChanged as RecordChanged
+from .store_changes import RecordStore as RecordStore
+from .store_changes import proven_part as proven_part
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/ports/engines.py
@@ -0,0 +1,92 @@
+"""Reports from engines and orders to them."""
+
+import dataclasses
+import enum
+import typing as t
+
+from ..store.roster import Endpoint
+from ..store.roster import GroupId
+from ..store.roster import Membership
+
+
+@dataclasses.dataclass(frozen=True)
+class Join:
+    """Become a member of a group.
+
+    :param members: endpoint ids, the leader first.
+    """
+
+    group: GroupId
+    model: str
+    members: tuple[str, ...]
+
+
+@dataclasses.dataclass(frozen=True)
+class Open:
+    """Let a group's leader answer requests."""
+
+    group: GroupId
+
+
+@dataclasses.dataclass(frozen=True)
+class Close:
+    """Let a group's leader take no new requests, and finish those that it has."""
+
+    group: GroupId
+
+
+@dataclasses.dataclass(frozen=True)
+class Leave:
+    """Leave a group at once."""
+
+    group: GroupId
+
+
+@dataclasses.dataclass(frozen=True)
+class Load:
+    """Load a model onto the host."""
+
+    model: str
+
+
+Order = Join | Open | Close | Leave | Load
+
+
+class Outcome(enum.Enum):
+    """How an endpoint answered an order."""
+
+    DONE = "done"
+    BEGUN = "begun"
+    CONFLICT = "conflict"
+    STALE = "stale"
+    INVALID = "invalid"
+
+
+@dataclasses.dataclass(frozen=True)
+class EngineReport:
+    """What an engine says of itself when asked."""
+
+    membership: Membership | None
+    models: tuple[str, ...]
+    staged: tuple[str, ...]
+    order_count: int
+
+
+class Engines(t.Protocol):
+    """Reports from engines and orders to them.
+
+    Every method raises :class:`EndpointSilentError` and :class:`EndpointGoneError`.
+    """
+
+    async def report(self, endpoint: Endpoint, timeout: float) -> EngineReport:
+        """Ask an engine how it stands."""
+        ...
+
+    async def order(
+        self, endpoint: Endpoint, order: Order, expected: int | None, timeout: float
+    ) -> Outcome:
+        """Give an order.
+
+        :param expected: orders that the engine must have begun before; None for any number.
+        """
+        ...
