--- a/packages/gateway/src/thorncleat_gateway/ports/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/__init__.py
@@ -1,4 +1,8 @@
-"""The ports: what the gateway needs from the platform, for adapters and stand-ins to provide."""
+"""The ports: what the gateway needs from the platform, for adapters and stand-ins to provide.
+
+Owns: nothing.
+Relies on: the gateway's own data classes only, so that adapters need nothing else of it.
+"""
 
 from .engines import Close as Close
 from .engines import EngineReport as EngineReport
--- a/packages/gateway/src/thorncleat_gateway/ports/engines.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/engines.py
@@ -1,4 +1,9 @@
-"""Reports from engines and orders to them."""
+"""Reports from engines and orders to them.
+
+Owns: nothing.
+Relies on: engines counting the orders that they have begun, so that an order can be refused by
+one that has begun another since its report.
+"""
 
 import dataclasses
 import enum
@@ -53,7 +58,12 @@
 
 
 class Outcome(enum.Enum):
-    """How an endpoint answered an order."""
+    """How an endpoint answered an order.
+
+    Done: it is so already. Begun: it will be. Conflict: the order doesn't fit the engine's state,
+    or it has begun another one. Stale: the order's epoch is older than one it has seen. Invalid:
+    it knows no such order.
+    """
 
     DONE = "done"
     BEGUN = "begun"
@@ -64,7 +74,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineReport:
-    """What an engine says of itself when asked."""
+    """What an engine says of itself when asked.
+
+    :param models: those that it has loaded.
+    :param staged: those that lie on its host.
+    :param order_count: orders that it has begun since its start.
+    """
 
     membership: Membership | None
     models: tuple[str, ...]
@@ -79,7 +94,10 @@
     """
 
     async def report(self, endpoint: Endpoint, timeout: float) -> EngineReport:
-        """Ask an engine how it stands."""
+        """Ask an engine how it stands.
+
+        :param timeout: seconds.
+        """
         ...
 
     async def order(
@@ -88,5 +106,6 @@
         """Give an order.
 
         :param expected: orders that the engine must have begun before; None for any number.
+        :param timeout: seconds for the answer.
         """
         ...
--- a/packages/gateway/src/thorncleat_gateway/ports/headers.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/headers.py
@@ -1,4 +1,8 @@
-"""What the headers of callers and endpoints say."""
+"""What the headers of callers and endpoints say.
+
+Owns: nothing.
+Relies on: mappings of headers that don't regard the case of names.
+"""
 
 import dataclasses
 import typing as t
@@ -10,7 +14,10 @@
 class RequestMeta:
     """What a caller's headers say.
 
+    :param id: of this try of the caller's, or an empty string.
+    :param key: of its workspace, or None.
     :param deadline: seconds that the caller waits, or None.
+    :param last_event_id: of a stream's event that the caller has got, or None.
     """
 
     id: str
@@ -25,6 +32,8 @@
     """What the gateway says to an endpoint beside the caller's own headers.
 
     :param remaining: seconds left of the caller's deadline.
+    :param priority: 0 is the most urgent.
+    :param last_event_id: after which a stream is to go on, or None.
     """
 
     remaining: float
@@ -38,8 +47,10 @@
 class AnswerMeta:
     """What an endpoint's headers say.
 
+    :param request_id: of the request that it answers, if it says so.
     :param signed: whether the answer carries the endpoint's signature.
     :param not_run: whether the endpoint says that it did not run the request.
+    :param encoded: whether the body is compressed or encoded otherwise.
     """
 
     request_id: str | None
@@ -68,5 +79,5 @@
         ...
 
     def is_readiness(self, method: str, path: str) -> bool:
-        """Tell whether a request asks whether this daemon is ready."""
+        """Return whether a request asks whether this daemon is ready."""
         ...
--- a/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
@@ -1,4 +1,8 @@
-"""What the platform's store says, and the records that the gateway keeps there."""
+"""What the platform's store says, and the records that the gateway keeps there.
+
+Owns: nothing.
+Relies on: the store having one order of all changes, counted by its revision.
+"""
 
 import dataclasses
 import typing as t
@@ -50,6 +54,7 @@
     """One of the gateway's own records.
 
     :param value: None if it is gone.
+    :param revision: the store's revision at its last change.
     :param created: the store's revision at which its present life began.
     """
 
@@ -68,7 +73,7 @@
 
     :param revision: where to continue.
     :param proven: seconds after the call was sent, before it if negative, up to which there
-        surely was no other change.
+        was no other change.
     """
 
     revision: int
@@ -98,12 +103,15 @@
 class RecordStore(t.Protocol):
     """The gateway's own records in the platform's store, under leases.
 
-    Every method raises :class:`StoreUnavailableError` if the call was surely not carried
-    out and :class:`StoreOutcomeUnknownError` if that is not known.
+    Every method raises :class:`StoreUnavailableError` if the call was not carried out, and
+    :class:`StoreOutcomeUnknownError` if it may have been, or may still be.
     """
 
     async def create(self, key: str, value: bytes, lease: int) -> int | None:
-        """Write a record that must not be there; return its revision, or None if it is."""
+        """Write a record that must not be there.
+
+        :returns: the store's revision with it, or None if the record is there.
+        """
         ...
 
     async def put(self, key: str, value: bytes, lease: int) -> None:
@@ -116,18 +124,22 @@
         removals: t.Sequence[str],
         unchanged: t.Mapping[str, int],
     ) -> bool:
-        """Write and remove records without a lease; False if a condition does not hold.
+        """Write and remove records without a lease, all or none.
 
-        :param unchanged: the revision of the newest write of records that must not change.
+        :param unchanged: the revision of the last change of records that must not have changed.
+        :returns: whether that held; nothing is done otherwise.
         """
         ...
 
     async def find(self, key: str) -> RecordChanged | None:
-        """Return a record."""
+        """Return a record, or None if it is not there."""
         ...
 
     async def grant(self, ttl: float) -> int:
-        """Return a new lease; ``ttl`` in seconds."""
+        """Return a new lease.
+
+        :param ttl: seconds for which it lasts unless it is renewed.
+        """
         ...
 
     async def renew(self, lease: int) -> None:
