--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -49,7 +49,7 @@
         standing = []
         for group in self._view.roster.groups.values():
             first = next(iter(group.members.values()))
-            if first.service != service or not self._is_settled(group.id):
+            if first.service != service or not self._is_to_judge(group.id):
                 continue
             model = engine.model(group.model)
             if model is not None and self._stands(group, model):
@@ -57,7 +57,7 @@
         self._end_unlisted(service)
         return standing
 
-    def _is_settled(self, group: GroupId) -> bool:
+    def _is_to_judge(self, group: GroupId) -> bool:
         """Returns whether a group is neither being formed nor being ended, nor over."""
         if group in self._term.forming_state or group in self._term.ending:
             return False
@@ -92,7 +92,7 @@
             leader = self._term.records.leader(group)
             if leader is None or leader.service != service or group in self._view.roster.groups:
                 continue
-            if not self._is_settled(group):
+            if not self._is_to_judge(group):
                 continue
             reason = group_health.end_reason_unlisted(self._age(group))
             if reason is not None:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -84,6 +84,7 @@
                 self._lost.lose(endpoint, LostCause.PROCESS_ENDED)
                 return False
             except EndpointError:
+                # the order or the question before it got no answer; another try tells which
                 if not await self._orders.answers(endpoint):
                     self._lost.lose(endpoint, LostCause.SILENT)
                     return False
--- a/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
@@ -40,7 +40,10 @@
         self._filled_at = now
 
     def take(self, engine: Engine, now: float) -> bool:
-        """Begin a load, if one may begin now; returns whether it may."""
+        """Use up one load, if there is one; returns whether there was.
+
+        :param now: in seconds, on the clock of ``__init__``.
+        """
         added = (now - self._filled_at) * loads_per_second(engine)
         self._saved = min(most_saved(engine), self._saved + added)
         self._filled_at = now
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -98,6 +98,7 @@
             except EndpointGoneError:
                 self._lost.lose(endpoint, LostCause.PROCESS_ENDED)
             except EndpointError:
+                # the order got no answer; it is repeated if the endpoint lives
                 if await self._orders.answers(endpoint):
                     continue
                 self._lost.lose(endpoint, LostCause.SILENT)
--- a/packages/gateway/src/thorncleat_gateway/groups/term.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -43,7 +43,6 @@
     unlisted: UnlistedEndpoints
     ending: GroupEnding
     forming_state: FormingState
-    steps: GroupSteps
     forming: GroupForming
     loader: ModelLoader
 
@@ -94,7 +93,6 @@
             unlisted=UnlistedEndpoints(view, orders, clock, jobs.start),
             ending=ending,
             forming_state=state,
-            steps=steps,
             forming=GroupForming(state, records, steps, ending, clock, jobs.start),
             loader=ModelLoader(view, orders, lost, clock, jobs.start),
         )
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -5,8 +5,11 @@
 from thorncleat_gateway.groups.election import CONTROLLER
 from thorncleat_gateway.groups.formation import GroupPlan
 from thorncleat_gateway.groups.forming_state import EPOCHS_PER_TERM
+from thorncleat_gateway.groups.group_steps import GroupSteps
+from thorncleat_gateway.groups.list_growth import GROWING_SECONDS
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import RecordChanged
+from thorncleat_gateway.settings import ControlSettings
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
 
@@ -40,6 +43,30 @@
     assert world.opened == 4
 
 
+async def _start_while_the_list_grows():
+    """Return how many orders to join were taken while it grew, and what stands soon after."""
+    world = World(seed=1, domains=1)
+    world.quiet = True
+    await world.start()
+    for _ in range(4):
+        await world.pass_time(GROWING_SECONDS - 0.3)
+        world.add_worker("d1")
+        world.add_worker("d1")
+    joined = sum(worker.order_count for worker in world.workers.values())
+    await world.pass_time(10.0)
+    standing = world.standing()
+    await world.stop()
+    return world, joined, standing
+
+
+def test_first_layout_waits_until_the_list_is_whole():
+    world, joined, standing = virtual_time.run(_start_while_the_list_grows())
+    assert world.broken == []
+    assert joined == 0
+    # hosts load as they join: before the first request loads are not counted
+    assert standing == {"large": 2, "small": 2}
+
+
 async def _lose_member(dark: bool, rank: int):
     world = World(seed=2, domains=1)
     await world.start()
@@ -218,7 +245,9 @@
 
     node.orders.ask = ask_and_be_late
     order = Join(GroupId(10**9, "g"), "large", (free.id,))
-    joined = await node.controller.term.steps.join(free.entry(), order)
+    lost = node.controller.term.lost
+    steps = GroupSteps(ControlSettings(), node.view, node.orders, node.records, lost, world.now)
+    joined = await steps.join(free.entry(), order)
     await world.stop()
     return joined, free.group == opened.group
 
