--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -1,8 +1,9 @@
 """Which endpoint gets a request: of those that can take it, the one with the least weight.
 
-Owns: how often each endpoint failed lately, and which are avoided for a while. Relies on:
-:mod:`.group_leaders` and the roster for those there are, :mod:`..peers.load_table` for the
-requests that they have, and :mod:`..peers.failure_detector` for those that are suspected.
+Owns: how often each endpoint failed lately, and which are avoided for a while.
+Relies on: :mod:`.group_leaders` and the roster for those there are, :mod:`..peers.load_table`
+for the requests that they have, and :mod:`..peers.failure_detector` for those that are
+suspected.
 """
 
 import random
@@ -58,9 +59,9 @@
         self._avoid: dict[str, float] = {}
         self._failures: dict[str, float] = {}
 
-    def avoid(self, endpoint_id: str, seconds: float = AVOID_SECONDS) -> None:
+    def avoid(self, endpoint_id: str) -> None:
         """Prefer others for some time."""
-        self._avoid[endpoint_id] = self._clock() + seconds
+        self._avoid[endpoint_id] = self._clock() + AVOID_SECONDS
 
     def answered(self, endpoint_id: str, *, well: bool) -> None:
         """Note how an attempt at an endpoint ended."""
@@ -116,7 +117,7 @@
 
     def _weight(self, endpoint: Endpoint) -> float:
         failing = FAILURE_WEIGHT * self._failures.get(endpoint.id, 0.0)
-        weak = WEAK_WEIGHT if self._leaders.is_weak(endpoint.id) else 0.0
+        weak = WEAK_WEIGHT if endpoint.id in self._leaders.weak else 0.0
         # daemons that know equally little of each other must not all choose the same
         spread = random.random() * SPREAD * self._load_table.uncertainty
         return self._load_table.of(endpoint.id) + failing + weak + spread
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -87,8 +87,8 @@
 
 
 def test_last_group_gets_none_either(daemon):
-    for ended in (FIRST, SECOND):
-        daemon.peers.receive("controller", GroupEnded(ended.membership.group))
+    for leader in (FIRST, SECOND):
+        daemon.peers.receive("controller", GroupEnded(leader.membership.group))
     assert daemon.chosen() == {None}
     assert daemon.selector.known("narrator", "m") == (0, 0)
     assert not daemon.selector.others("narrator", "m", ())
--- a/tests/world.py
+++ b/tests/world.py
@@ -22,7 +22,7 @@
 from thorncleat_core.daemon.leases import LeaseTerms
 from thorncleat_core.daemon.settings import Control
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_daemon.domains import Services
+from thorncleat_daemon.domain_state import KeeperServices
 from thorncleat_daemon.exceptions import EndpointError
 from thorncleat_daemon.exceptions import PeerError
 from thorncleat_daemon.exceptions import StaleOrderError
@@ -36,6 +36,7 @@
 from thorncleat_daemon.ports import Order
 from thorncleat_daemon.ports import SameLife
 from thorncleat_daemon.ports import Stored
+from thorncleat_daemon.shard_map import ShardMap
 from thorncleat_standins import kv
 
 from .makers import change
@@ -245,7 +246,7 @@
         self.store = FakeStore(world, name)
         self.peers = FakePeers(world, name)
         self.gossip = Gossip(name, self.peers, FakeList(world), 1.0, 1.0)
-        services = Services(
+        services = KeeperServices(
             name,
             self.store,
             Keyspace("test"),
@@ -260,11 +261,12 @@
             1.0,
             self.clock,
         )
-        self.holder = ShardHolder(services, 1, spawns=False)
+        shards = ShardMap(name, self.gossip, 1)
+        self.holder = ShardHolder(services, shards, spawns=False)
         self.permits = PermitKeeper(
             name,
             self.gossip,
-            self.holder,
+            shards,
             self.peers,
             world.control.permit,
             8,
