--- a/packages/standins/src/thorncleat_standins/engine.py
+++ b/packages/standins/src/thorncleat_standins/engine.py
@@ -1,25 +1,29 @@
-"""A model engine of one instance: batches continuously, streams, takes fenced orders.
+"""A model engine of one instance: streams answers and takes fenced orders.
 
 The engine answers callers also while other members of its group are gone, which a real one
 could not: the worst case for the daemon, which has to close the group itself.
+
+Owns: the order that it follows, and how it misbehaves.
+Relies on: its switchboard ``/behaviour`` being used by tests and benchmarks alone.
 """
 
 import asyncio
 import dataclasses
-import hashlib
-import heapq
-import itertools
-import json
 import time
 import typing as t
 import uuid
 
 from aiohttp import web
 
+from .batch import Batch
+from .batch import Job
+from .completions import Answer
+from .completions import prompt_tokens
+from .completions import token_text
 from .served import Served
 
-# requests that one batch step advances; chosen, not measured
-BATCH_REQUESTS = 512
+# for a stream that fell silent: longer than any caller waits
+SILENCE_SECONDS = 3600.0
 
 
 @dataclasses.dataclass
@@ -56,28 +60,6 @@
     version: str = ""
 
 
-@dataclasses.dataclass
-class Job:
-    """A request in the engine."""
-
-    id: str
-    prompt: list[str]
-    wanted: int
-    sent: int
-    out: "asyncio.Queue[int | None]"
-
-
-def token_text(prompt: list[str], index: int) -> str:
-    """Return the token at an index of the answer; any replica gives the same one."""
-    seed = hashlib.blake2b(" ".join(prompt).encode() + index.to_bytes(4, "big"), digest_size=3)
-    return f"{seed.hexdigest()} "
-
-
-def _prompt_tokens(body: dict[str, t.Any]) -> list[str]:
-    texts = [str(message.get("content", "")) for message in body.get("messages", [])]
-    return " ".join(texts).split()
-
-
 class Engine:
     """The engine of one instance.
 
@@ -90,11 +72,7 @@
         self.behaviour = behaviour or Behaviour()
         self.assignment = Assignment()
         self._ready_at = 0.0
-        self._running: dict[str, Job] = {}
-        self._waiting: list[tuple[int, int, Job]] = []
-        self._sequence = itertools.count()
-        self._alone: set[asyncio.Task[None]] = set()
-        self._stepper: asyncio.Task[None] | None = None
+        self._batch = Batch(self.behaviour.token_seconds)
 
     def application(self) -> web.Application:
         """Return the HTTP application."""
@@ -113,10 +91,10 @@
     def change(self, **changes: t.Any) -> None:
         """Change how the engine behaves from now on."""
         self.behaviour = dataclasses.replace(self.behaviour, **changes)
+        self._batch.token_seconds = self.behaviour.token_seconds
 
     async def _stop(self, app: web.Application) -> None:
-        if self._stepper:
-            self._stepper.cancel()
+        self._batch.stop()
 
     async def _behave(self, request: web.Request) -> web.Response:
         self.change(**(await request.json()))
@@ -142,64 +120,26 @@
             "instance": self.instance,
             "boot": self.boot,
             "ready": time.monotonic() >= self._ready_at,
-            "running": len(self._running),
-            "waiting": len(self._waiting),
+            "running": self._batch.running,
+            "waiting": self._batch.waiting,
             **dataclasses.asdict(self.assignment),
         }
         return web.json_response(body)
 
-    async def _step_alone(self, job: Job) -> None:
-        loop = asyncio.get_running_loop()
-        due = loop.time()
-        while job.id in self._running and job.sent < job.wanted:
-            due += self.behaviour.token_seconds
-            await asyncio.sleep(due - loop.time())
-            job.out.put_nowait(job.sent)
-            job.sent += 1
-        self._running.pop(job.id, None)
-        job.out.put_nowait(None)
-
-    async def _step(self) -> None:
-        while self._running or self._waiting:
-            while self._waiting and len(self._running) < BATCH_REQUESTS:
-                job = heapq.heappop(self._waiting)[2]
-                self._running[job.id] = job
-            await asyncio.sleep(self.behaviour.token_seconds)
-            for job in list(self._running.values()):
-                if job.sent >= job.wanted:
-                    job.out.put_nowait(None)
-                    del self._running[job.id]
-                else:
-                    job.out.put_nowait(job.sent)
-                    job.sent += 1
-
-    def _start(self, job: Job, priority: int) -> None:
-        if self.behaviour.spread:
-            self._running[job.id] = job
-            task = asyncio.create_task(self._step_alone(job))
-            self._alone.add(task)
-            task.add_done_callback(self._alone.discard)
-            return
-        heapq.heappush(self._waiting, (-priority, next(self._sequence), job))
-        if self._stepper is None or self._stepper.done():
-            self._stepper = asyncio.create_task(self._step())
-
-    def _cancel(self, job: Job) -> None:
-        self._running.pop(job.id, None)
-        self._waiting = [entry for entry in self._waiting if entry[2] is not job]
-        heapq.heapify(self._waiting)
-
     async def _chat(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
         if self.assignment.rank != 0 or body.get("model") != self.assignment.model:
             message = {"error": {"message": f"not serving {body.get('model')!r}"}}
             return web.json_response(message, status=404)
-        prompt = _prompt_tokens(body)
+        prompt = prompt_tokens(body)
         identity = request.headers.get("X-Request-Id", uuid.uuid4().hex)
         wanted = int(body.get("max_tokens") or 16)
         first = int(body.get("resume_from") or 0)
         job = Job(uuid.uuid4().hex, prompt, wanted, first, asyncio.Queue())
-        self._start(job, int(body.get("priority") or 0))
+        if self.behaviour.spread:
+            self._batch.start_alone(job)
+        else:
+            self._batch.start(job, int(body.get("priority") or 0))
         if self.behaviour.foreign_identity:
             identity = "another-request"
         answer = Answer(f"chatcmpl-{identity}", body, prompt)
@@ -208,7 +148,7 @@
                 return await self._stream(request, job, answer)
             return await self._whole(job, answer)
         finally:
-            self._cancel(job)
+            self._batch.cancel(job)
 
     async def _tokens(self, job: Job) -> t.AsyncIterator[int]:
         count = 0
@@ -216,7 +156,7 @@
             yield index
             count += 1
             if self.behaviour.stall_after and count >= self.behaviour.stall_after:
-                await asyncio.sleep(3600)
+                await asyncio.sleep(SILENCE_SECONDS)
             if self.behaviour.truncate_after and count >= self.behaviour.truncate_after:
                 raise EOFError
 
@@ -225,7 +165,7 @@
             return f"{time.monotonic():014.6f} "
         return token_text(job.prompt, index)
 
-    async def _stream(self, request: web.Request, job: Job, answer: "Answer") -> web.StreamResponse:
+    async def _stream(self, request: web.Request, job: Job, answer: Answer) -> web.StreamResponse:
         headers = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
@@ -238,7 +178,7 @@
             pass
         return response
 
-    async def _whole(self, job: Job, answer: "Answer") -> web.Response:
+    async def _whole(self, job: Job, answer: Answer) -> web.Response:
         texts: list[str] = []
         finish = "stop"
         try:
@@ -249,32 +189,6 @@
         return web.json_response(answer.whole("".join(texts), len(texts), finish or None))
 
 
-class Answer:
-    """Formats an answer in the OpenAI form."""
-
-    def __init__(self, identity: str, body: dict[str, t.Any], prompt: list[str]) -> None:
-        self._head = {"id": identity, "created": int(time.time()), "model": body["model"]}
-        self._prompt_tokens = len(prompt)
-
-    def chunk(self, text: str, finished: bool = False) -> bytes:
-        """Return one server-sent event."""
-        delta = {} if finished else {"content": text}
-        choice = {"index": 0, "delta": delta, "finish_reason": "stop" if finished else None}
-        body = {**self._head, "object": "chat.completion.chunk", "choices": [choice]}
-        return b"data: " + json.dumps(body, separators=(",", ":")).encode() + b"\n\n"
-
-    def whole(self, text: str, count: int, finish: str | None) -> dict[str, t.Any]:
-        """Return a whole answer."""
-        message = {"role": "assistant", "content": text}
-        choice = {"index": 0, "message": message, "finish_reason": finish}
-        usage = {
-            "prompt_tokens": self._prompt_tokens,
-            "completion_tokens": count,
-            "total_tokens": self._prompt_tokens + count,
-        }
-        return {**self._head, "object": "chat.completion", "choices": [choice], "usage": usage}
-
-
 async def serve(engine: Engine, host: str = "127.0.0.1", port: int = 0) -> Served:
     """Start an engine on a port; 0 takes a free one."""
     return await Served.start(engine.application(), host, port)
--- a/packages/standins/src/thorncleat_standins/traffic.py
+++ b/packages/standins/src/thorncleat_standins/traffic.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from .cluster import Cluster
-from .engine import token_text
+from .completions import token_text
 
 ACKNOWLEDGE = "/v1/services/telemetry/alarms/7/ack"
 CHAT = "/v1/chat/completions"
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -150,6 +150,6 @@
 
 def expected(text: str, tokens: int) -> str:
     """Return what any engine answers to a text."""
-    from thorncleat_standins.engine import token_text
+    from thorncleat_standins.completions import token_text
 
     return "".join(token_text(text.split(), index) for index in range(tokens))
