--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,11 +1,15 @@
-"""Daemon processor time for each relayed token and request, beside two baselines."""
+"""Daemon processor time for each relayed token and request, beside two baselines.
+
+Owns: a cluster of one daemon before engines, and the loads put on it.
+Relies on: an otherwise quiet machine, and :mod:`bench.load` and :mod:`bench.servers` as processes
+of their own.
+"""
 
 import asyncio
 import dataclasses
 import hashlib
 import json
 import pathlib
-import statistics
 import sys
 import tempfile
 import typing as t
@@ -15,18 +19,23 @@
 from thorncleat_standins.cluster import Cluster
 from thorncleat_standins.cluster import Site
 
-from .capacity import Slope
-from .capacity import fit
-from .capacity import group_intent
-from .capacity import keep
+from .idle_daemons import group_intent
 from .report import cpu_seconds
 from .report import target
+from .slopes import Slope
+from .slopes import fit
+from .slopes import keep
 
+COMMAND = "bin/bench relay --record"
 KEY = "caller-key"
 GROUPS = 4
+# wanted at most: of the cost of the bare copy of bytes; chosen, not measured
 FLOOR_FACTOR = 1.2
+# wanted at most, for 95 of 100 tokens (docs/DESIGN.md)
 ADDED_MS = 2.0
+# a second and daemon: 28 million at the peak for 980 daemons (docs/CAPACITY.md)
 PLANNED_TOKENS = 28_600
+# open streams, and requests of one token at once, at which the slopes are measured
 STREAMS = [80, 160, 320]
 CONCURRENT = [2, 4, 8]
 
@@ -72,10 +81,10 @@
     cluster: Cluster, name: str, pid: int, address: str, streams: int, seconds: float
 ) -> Run:
     many, cpu = await _load(cluster, pid, address, streams=streams, seconds=seconds)
-    one, cpu_one = await _load(
+    single, cpu_for_single = await _load(
         cluster, pid, address, streams=16, seconds=seconds / 3, tokens=1, warm=0.5
     )
-    return Run(name, many, cpu, one, cpu_one)
+    return Run(name, many, cpu, single, cpu_for_single)
 
 
 def _change() -> dict[str, t.Any]:
@@ -151,9 +160,12 @@
             fits["request_us"].append(_fit(singles, "requests", seconds))
     finally:
         await cluster.stop()
+    units = {
+        "token_us": ("us for each token, 30 ms between", STREAMS),
+        "request_us": ("us for each request of one token", CONCURRENT),
+    }
     return [
-        _slope("token_us", "us for each token, 30 ms between", fits["token_us"], STREAMS),
-        _slope("request_us", "us for each request of one token", fits["request_us"], CONCURRENT),
+        Slope.of(name, unit, sizes, fits[name], COMMAND) for name, (unit, sizes) in units.items()
     ]
 
 
@@ -165,14 +177,6 @@
     return fit(rates, costs)
 
 
-def _slope(name: str, unit: str, fits: list[tuple[float, float]], sizes: list[int]) -> Slope:
-    each = [one for _, one in fits]
-    base = statistics.median(one for one, _ in fits)
-    spread = max(each) - min(each)
-    command = "bin/bench relay --record"
-    return Slope(name, unit, base, statistics.median(each), spread, sizes, command)
-
-
 def _show(runs: list[Run]) -> None:
     print(f"{'server':12}{'us/token':>10}{'us/request':>12}{'tokens/s of a core':>20}", end="")
     print(f"{'p50 ms':>8}{'p95 ms':>8}{'p99 ms':>8}{'errors':>8}")
@@ -199,8 +203,10 @@
         with tempfile.TemporaryDirectory(prefix="thorncleat-bench-") as name:
             slopes = asyncio.run(_slopes(pathlib.Path(name), 3, seconds))
         keep(slopes)
-        for one in slopes:
-            print(f"{one.name}: {one.each:.1f}, spread {one.spread:.1f}, base {one.base:.0f}")
+        for slope in slopes:
+            print(
+                f"{slope.name}: {slope.each:.1f}, spread {slope.spread:.1f}, base {slope.base:.0f}"
+            )
         return
     with tempfile.TemporaryDirectory(prefix="thorncleat-bench-") as name:
         runs = asyncio.run(_run(pathlib.Path(name), streams, seconds))
--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -27,7 +27,7 @@
 from thorncleat_standins.traffic import log_faults
 from thorncleat_standins.traffic import stream_fault
 
-from ..capacity import group_intent
+from ..idle_daemons import group_intent
 from .daemon_troubles import DaemonSoak
 from .daemon_troubles import troubles
 from .harness import play
