--- a/bench/days.py
+++ b/bench/days.py
@@ -2,6 +2,10 @@
 
 Each day carries a few kinds of trouble in one of their variants, early, in the middle and
 late, so that all together play every kind that may come. The traffic is the site's own.
+The bench's ``hunt`` mixes the kinds that a site's file lists; these days play the others too.
+
+Owns: the kinds and their variants, and the days on which a rule was broken once.
+Relies on: the form of a site's file, of which it takes the quiet day as text.
 """
 
 import pathlib
@@ -11,8 +15,12 @@
 import fire
 
 DAY = "[[day]]"
+# chosen, not measured
 TROUBLES_A_DAY = 3
+# of a day's traffic, within which troubles begin; chosen, not measured
 FIRST_SECOND, LAST_SECOND = 2.0, 24.0
+# between the last moment a trouble may begin and the next one's first; chosen, not measured
+APART_SECONDS = 2.0
 # kind, and what else its entry says, as the bench's page on kinds lists them
 TROUBLES = (
     'kind = "after_ack_kill", how = "kill"',
@@ -86,13 +94,13 @@
 
 def _quiet(site: pathlib.Path) -> str:
     days = site.read_text(encoding="utf-8").split(DAY)[1:]
-    return next(one for one in days if 'slot = "quiet"' in one)
+    return next(day for day in days if 'slot = "quiet"' in day)
 
 
 def _with(day: str, name: str, troubles: list[str]) -> str:
     def entries(planned: bool) -> str:
-        chosen = [one for one in troubles if (_kind(one) in PLANNED) == planned]
-        return "[\n" + "".join(f"  {{ {one} }},\n" for one in chosen) + "]"
+        chosen = [entry for entry in troubles if (_kind(entry) in PLANNED) == planned]
+        return "[\n" + "".join(f"  {{ {entry} }},\n" for entry in chosen) + "]"
 
     day = re.sub(r"plan = \[.*?\n\]", lambda _: f"plan = {entries(True)}", day, flags=re.DOTALL)
     day = re.sub(
@@ -113,8 +121,8 @@
     """
     draw = random.Random(seed)
     contracts = pathlib.Path(site).read_text(encoding="utf-8").partition("contracts = ")[2]
-    in_force = contracts.partition("]")[0]
-    known = [one for one in TROUBLES if f'"{NEEDED.get(_kind(one), "base")}"' in in_force]
+    listed = contracts.partition("]")[0]
+    known = [entry for entry in TROUBLES if f'"{NEEDED.get(_kind(entry), "base")}"' in listed]
     order = draw.sample(known, len(known))
     target = pathlib.Path(directory)
     target.mkdir(parents=True, exist_ok=True)
@@ -123,10 +131,10 @@
         (target / f"{name}.toml").write_text(_with(quiet, name, list(troubles)), encoding="utf-8")
     span = (LAST_SECOND - FIRST_SECOND) / TROUBLES_A_DAY
     for number, begin in enumerate(range(0, len(order), TROUBLES_A_DAY)):
-        chosen = [
-            f"at = {FIRST_SECOND + place * span + draw.uniform(0, span - 2):.2f}, {entry}"
-            for place, entry in enumerate(order[begin : begin + TROUBLES_A_DAY])
-        ]
+        chosen = []
+        for place, entry in enumerate(order[begin : begin + TROUBLES_A_DAY]):
+            at = FIRST_SECOND + place * span + draw.uniform(0, span - APART_SECONDS)
+            chosen.append(f"at = {at:.2f}, {entry}")
         name = f"own-{seed}-{number:02}"
         (target / f"{name}.toml").write_text(_with(quiet, name, chosen), encoding="utf-8")
 
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -3,6 +3,10 @@
 Deterministic: time is counted. Queues, shares and credits are those of the daemons; several
 daemons see a part of the traffic each and renew their credits twice a second. Baseline:
 first come, first served from one queue over all daemons.
+
+Owns: a clock of its own, and stand-ins of the daemons around their queues, shares and credits.
+Relies on: :class:`~thorncleat_daemon.dispatch.Dispatcher` asking for credits as it is done here;
+what the dispatcher itself does is not played.
 """
 
 import collections
@@ -26,21 +30,33 @@
 from thorncleat_core.daemon.queues import Waiting
 from thorncleat_daemon.dispatch import Ledger
 from thorncleat_daemon.dispatch import Slot
+from thorncleat_daemon.permits import NUDGE_SECONDS
 
 from .report import quantile
 from .report import target
 
+# the load and the fleet that serves it; chosen, not measured
 DAEMONS = 4
-CAPACITY = 8000
+CAPACITY_TOKENS = 8000
 TOKEN_SECONDS = 0.02
 PREFILL_SECONDS = 0.3
-PROMPT = 60
-RENEW_SECONDS = 0.5
-NUDGE_SECONDS = 0.05
+PROMPT_TOKENS = 60
+MEAN_TOKENS = 100
+WORKSPACES = 10
 RTT_SECONDS = 0.003
 QUEUE_TOKENS = 4000
-DEADLINE = 30.0
+DEADLINE_SECONDS = 30.0
+PERMIT_SECONDS = 2.0
+# a daemon renews a permit four times in its validity (thorncleat_daemon.permits)
+RENEW_SECONDS = PERMIT_SECONDS / 4
 HEAVY = "w0"
+# of a workspace's share: what the heavy one asks for in a rush, and all others always
+RUSH_SHARES = 10.0
+CALM_SHARES = 0.5
+# wanted: others' p95 of first token in a rush, as a multiple of their own; tokens served, as a
+# part of first come, first served; chosen, not measured
+WANTED_RATIO = 1.2
+WANTED_USE = 0.95
 GROUP = Group("g-0", "g", "m", "v", 1, ("i0",))
 
 
@@ -56,7 +72,7 @@
     @property
     def cost(self) -> int:
         """Tokens that it is charged with."""
-        return self.tokens + PROMPT
+        return self.tokens + PROMPT_TOKENS
 
     @property
     def seconds(self) -> float:
@@ -76,23 +92,28 @@
 
     def others(self) -> list[float]:
         """Return the times to first token of all but the heavy workspace."""
-        return [one for name, times in self.first_token.items() if name != HEAVY for one in times]
+        return [
+            seconds
+            for name, times in self.first_token.items()
+            if name != HEAVY
+            for seconds in times
+        ]
 
 
 def load(seconds: float, heavy: float, draw: random.Random) -> list[Request]:
     """Return the requests of ten workspaces; the first asks ``heavy`` times its share."""
-    mean_cost = 100 + PROMPT
-    mean_seconds = PREFILL_SECONDS + 100 * TOKEN_SECONDS
-    share = CAPACITY / mean_cost / mean_seconds / 10
+    mean_cost = MEAN_TOKENS + PROMPT_TOKENS
+    mean_seconds = PREFILL_SECONDS + MEAN_TOKENS * TOKEN_SECONDS
+    share = CAPACITY_TOKENS / mean_cost / mean_seconds / WORKSPACES
     made = []
-    for number in range(10):
-        rate = share * (heavy if number == 0 else 0.5)
+    for number in range(WORKSPACES):
+        rate = share * (heavy if number == 0 else CALM_SHARES)
         at = draw.expovariate(rate) if rate else seconds
         while at < seconds:
             tokens = draw.randint(40, 160)
             made.append(Request(at, f"w{number}", tokens, draw.randrange(DAEMONS)))
             at += draw.expovariate(rate)
-    return sorted(made, key=lambda one: one.at)
+    return sorted(made, key=lambda request: request.at)
 
 
 class _Clocked:
@@ -132,7 +153,7 @@
         self._pump(now)
 
     def _pump(self, now: float) -> None:
-        while self._queue and self._used + self._queue[0].cost <= CAPACITY:
+        while self._queue and self._used + self._queue[0].cost <= CAPACITY_TOKENS:
             request = self._queue.popleft()
             self._used += request.cost
             self.outcome.first_token[request.workspace].append(now - request.at + PREFILL_SECONDS)
@@ -167,7 +188,7 @@
     def __init__(self) -> None:
         self.outcome = Outcome()
         self._clock = _Clocked()
-        self._desk = PermitDesk(2.0, CAPACITY)
+        self._desk = PermitDesk(PERMIT_SECONDS, CAPACITY_TOKENS)
         self._daemons = [_Daemon(f"d{number}") for number in range(DAEMONS)]
         self._seen = Confirmations(1e9)
         report = InstanceReport("i0", "b", True, 1, GROUP.id, GROUP.generation, 0)
@@ -192,7 +213,7 @@
         request = PermitRequest(GROUP.id, daemon.ledger.requests(GROUP.id), daemon.demand())
         self._desk.valid_for(daemon.name, request, GROUP, self._seen, now)
         grant = self._desk.grant(GROUP.id, daemon.name, {}, now)
-        permit = Permit(GROUP.id, 1, 1, 2.0, False, "", grant.credits, grant.spare)
+        permit = Permit(GROUP.id, 1, 1, PERMIT_SECONDS, False, "", grant.credits, grant.spare)
         self._clock.at(now + RTT_SECONDS, lambda at: self._renewed(daemon, permit, now, at))
 
     def _renewed(self, daemon: _Daemon, permit: Permit, asked_at: float, now: float) -> None:
@@ -201,7 +222,7 @@
 
     def _arrive(self, request: Request, now: float) -> None:
         daemon = self._daemons[request.daemon]
-        waiting = Waiting(request, request.workspace, request.cost, 0, now + DEADLINE)
+        waiting = Waiting(request, request.workspace, request.cost, 0, now + DEADLINE_SECONDS)
         if daemon.queue.refuse(waiting, now) is not None:
             self.outcome.refused[request.workspace] += 1
             return
@@ -239,7 +260,7 @@
     def _start(self, daemon: _Daemon, request: Request, now: float) -> None:
         slot = Slot(GROUP.id, 1, "", request.workspace, request.cost)
         daemon.ledger.add(slot)
-        used = sum(one.ledger.tokens(GROUP.id).total() for one in self._daemons)
+        used = sum(other.ledger.tokens(GROUP.id).total() for other in self._daemons)
         self.most_used = max(self.most_used, used)
         self.outcome.first_token[request.workspace].append(now - request.at + PREFILL_SECONDS)
         self.outcome.served_tokens += request.tokens
@@ -260,7 +281,7 @@
     print(f"{'tokens served':>15}{'heavy refused':>15}{'most in flight':>16}")
     for seed in range(seeds):
         calm = load(seconds, 0.0, random.Random(seed))
-        rush = load(seconds, 10.0, random.Random(seed))
+        rush = load(seconds, RUSH_SHARES, random.Random(seed))
         first = FirstCome().run(rush, seconds)
         before = FirstCome().run(calm, seconds)
         ours = Shared()
@@ -276,8 +297,8 @@
         ratio = quantile(ours_rush.others(), 0.95) / quantile(ours_calm.others(), 0.95)
         worst_ratio = max(worst_ratio, ratio)
         worst_use = min(worst_use, ours_rush.served_tokens / first.served_tokens)
-    target("fairness-others-p95-ratio", worst_ratio, 1.2)
-    target("fairness-utilisation", worst_use, 0.95, at_least=True)
+    target("fairness-others-p95-ratio", worst_ratio, WANTED_RATIO)
+    target("fairness-utilisation", worst_use, WANTED_USE, at_least=True)
 
 
 if __name__ == "__main__":
--- a/bench/load.py
+++ b/bench/load.py
@@ -2,6 +2,9 @@
 
 It prints one JSON line: tokens, requests, and quantiles of the time from the engine's
 stamp in a token to its arrival here.
+
+Owns: the connections of its streams.
+Relies on: engines on the same machine, whose clock the stamps are of.
 """
 
 import asyncio
@@ -14,7 +17,10 @@
 from .report import quantile
 
 _MARK = b'"content":"'
+# characters of a stamp, as engines write it
 _STAMP = 14
+# requests of fewer tokens are sent again and again; longer ones outlast the load
+_REPEATED_TOKENS = 100
 
 
 def _request(address: str, key: str, tokens: int) -> bytes:
@@ -84,12 +90,12 @@
     counts = _Counts()
     addresses = address.split(",")
     loop = asyncio.get_running_loop()
-    repeat = tokens < 100
+    repeat = tokens < _REPEATED_TOKENS
     transports = []
     for number in range(streams):
-        one = addresses[number % len(addresses)]
-        host, _, port = one.rpartition(":")
-        request = _request(one, key, tokens)
+        chosen = addresses[number % len(addresses)]
+        host, _, port = chosen.rpartition(":")
+        request = _request(chosen, key, tokens)
         made = await loop.create_connection(
             functools.partial(_Stream, counts, request, repeat), host, int(port)
         )
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,8 @@
-"""What all benchmarks share: processor time of a process, and the closing lines."""
+"""What all benchmarks share: processor time and memory of a process, and the closing lines.
+
+Owns: nothing.
+Relies on: Linux's ``/proc``.
+"""
 
 import os
 import pathlib
--- a/bench/servers.py
+++ b/bench/servers.py
@@ -2,6 +2,9 @@
 
 ``plain`` is the plainest handler with the HTTP library, ``bare`` copies bytes between two
 sockets: the floor for one read and one write a token.
+
+Owns: the connections that it passes on.
+Relies on: nothing of the product.
 """
 
 import asyncio
--- a/bench/soaks/gateway_callers.py
+++ b/bench/soaks/gateway_callers.py
@@ -1,4 +1,8 @@
-"""The callers of a soak: each keeps its connections, and notes what it was told."""
+"""The callers of the gateway's soak: each keeps its connections, and notes what it was told.
+
+Owns: the answer that each caller waits for.
+Relies on: the site for keys that are valid and keys that were taken away.
+"""
 
 import asyncio
 import random
@@ -12,9 +16,11 @@
 from .gateway_site import PATHS
 from .gateway_site import SoakSite
 
+# of each request; chosen, not measured
 DEADLINE_SECONDS = 4.0
+# on average, after an answer that is not 200; chosen, not measured
 PAUSE_SECONDS = 0.05
-# part of the calls that are made with a key that was taken away
+# part of the calls that are made with a key that was taken away; chosen, not measured
 FORMER_KEYS = 0.1
 KINDS = (Kind.STREAM, Kind.ONCE, Kind.REPEATABLE)
 
--- a/bench/soaks/gateway_checks.py
+++ b/bench/soaks/gateway_checks.py
@@ -1,4 +1,10 @@
-"""What a soak checks: the promises of the users' pages, from what callers and endpoints see."""
+"""What the gateway's soak checks: the promises of the users' pages.
+
+Nothing of the gateway itself is looked at, only what callers and endpoints see.
+
+Owns: what ran where, what callers were told, and each promise found broken.
+Relies on: the site telling it of each run and each answer, both on the loop's clock.
+"""
 
 import collections
 import dataclasses
@@ -6,6 +12,7 @@
 
 from thorncleat_standins.platform_worker import Run
 
+# statuses that promise that the request did not run
 REFUSALS = (408, 421, 429, 503)
 
 
@@ -60,14 +67,17 @@
         return list(self._runs[request_id])
 
     def revoked(self, key: str, fails_from: float) -> None:
-        """Take in from when on a key must not work."""
+        """Note from when on a key must not work.
+
+        :param fails_from: on the loop's clock.
+        """
         self._revoked[key] = fails_from
 
     def ran(self, run: Run, kind: Kind, sent_at: float, key: str) -> None:
         """Check a run that begins."""
         self._runs[run.id].append(run)
         if kind is Kind.ONCE and len(self._runs[run.id]) > 1:
-            workers = [one.worker for one in self._runs[run.id]]
+            workers = [known.worker for known in self._runs[run.id]]
             self.faults.append(f"TWICE {run.id} ran at {workers}")
         if run.id in self._refused and kind is Kind.ONCE:
             self.faults.append(f"REFUSED {run.id} ran at {run.worker} after its refusal")
@@ -98,4 +108,6 @@
     if told.kind is not Kind.STREAM:
         return b"answer to " + told.sent
     name = told.id.encode()
-    return b"".join(b"id: %d\ndata: %s %d\n\n" % (one, name, one) for one in range(1, events + 1))
+    return b"".join(
+        b"id: %d\ndata: %s %d\n\n" % (number, name, number) for number in range(1, events + 1)
+    )
--- a/bench/soaks/proxy.py
+++ b/bench/soaks/proxy.py
@@ -1,4 +1,8 @@
-"""A loopback proxy that delays, silences, cuts one way or resets what passes through it."""
+"""A loopback proxy that delays, silences, cuts one way or resets what passes through it.
+
+Owns: its connections and their mode.
+Relies on: nothing.
+"""
 
 import asyncio
 import contextlib
@@ -7,6 +11,9 @@
 import struct
 
 CHUNK_BYTES = 65_536
+# by default; chosen, not measured
+DELAY_SECONDS = 0.2
+# SO_LINGER on, 0 s: closing then resets the connection
 RESET = struct.pack("ii", 1, 0)
 
 
@@ -35,7 +42,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self._mode = Mode.PASS
         self._mode_changed = asyncio.Event()
-        self.delay = 0.2
+        self.delay = DELAY_SECONDS
         self.address = ""
 
     @property
