--- a/packages/gateway/src/thorncleat_gateway/requests/admission.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/admission.py
@@ -8,11 +8,11 @@
 import dataclasses
 import enum
 
-from ..exceptions import RefusalError
 from ..store.serving import Route
 from ..store.serving import ServingConfiguration
 from ..store.serving import Workspace
 from . import retry_after
+from .refusal import Refusal
 
 # part of the deployment's bound for taking a key away, for which the configuration counts as
 # new enough for keys; the rest covers requests under way; chosen, not measured
@@ -27,23 +27,6 @@
     CONFIGURATION_TOO_OLD = "configuration too old"
 
 
-@dataclasses.dataclass(frozen=True)
-class Refusal:
-    """Why a request is not let in; the cause stands in the log line and in the answer.
-
-    :param status: HTTP status.
-    :param retry_after: seconds after which coming back helps; None if it doesn't.
-    """
-
-    status: int
-    cause: str
-    retry_after: float | None = None
-
-    def error(self) -> RefusalError:
-        """Return the error that ends the request with this answer."""
-        return RefusalError(self.status, self.cause, retry_after=self.retry_after)
-
-
 STOPPING = Refusal(503, "stopping", retry_after.STOPPING_SECONDS)
 NO_CONFIGURATION = Refusal(503, "no configuration yet", retry_after.CONFIGURATION_SECONDS)
 NO_ROUTE = Refusal(404, "no route")
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -21,9 +21,9 @@
 from . import request_log
 from .admission import Admitted
 from .admission import NotReady
-from .admission import Refusal
 from .caller_response import CallerResponse
 from .plain import PlainForwarder
+from .refusal import Refusal
 from .request import Request
 from .route_split import service_for
 from .streams import StreamForwarder
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -16,8 +16,8 @@
 from . import retry_policy
 from .endpoint_client import within
 from .forwarder import Forwarder
+from .refusal import Refusal
 from .request import Request
-from .retry_policy import GiveUp
 from .retry_policy import Next
 from .retry_policy import PlainDecision
 
@@ -89,10 +89,10 @@
 
     @staticmethod
     def _end(
-        decision: t.Literal[Next.RETURN_KEPT_ANSWER] | GiveUp, kept: PlainAnswer | None
+        decision: t.Literal[Next.RETURN_KEPT_ANSWER] | Refusal, kept: PlainAnswer | None
     ) -> PlainAnswer:
         """Return the answer that was kept, or raise the refusal."""
-        if isinstance(decision, GiveUp):
+        if isinstance(decision, Refusal):
             raise decision.error()
         assert kept is not None
         return kept
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -16,9 +16,9 @@
 from ..exceptions import AttemptError
 from ..exceptions import CutError
 from ..exceptions import Ran
-from ..exceptions import RefusalError
 from ..store.serving import Route
 from . import retry_after
+from .refusal import Refusal
 
 # attempts that do not count towards the route's, after which none is left; chosen, not measured
 UNSENT_TRIES = 4
@@ -58,24 +58,6 @@
     WAIT_FOR_GROUP = "wait for group"
 
 
-@dataclasses.dataclass(frozen=True)
-class GiveUp:
-    """End a request of whose answer the caller has nothing yet.
-
-    :param status: 502 if it may have run, which promises nothing; else 503, the promise that
-        it has not run.
-    :param retry_after: seconds after which coming back helps; None if nothing is promised.
-    """
-
-    cause: str
-    status: int
-    retry_after: float | None
-
-    def error(self) -> RefusalError:
-        """Return the error that ends the request so."""
-        return RefusalError(self.status, self.cause, retry_after=self.retry_after)
-
-
 @dataclasses.dataclass(frozen=True)
 class CutAnswer:
     """Break the connection of a caller who has got a part of the answer."""
@@ -87,16 +69,16 @@
         return CutError(self.cause)
 
 
-StreamDecision = t.Literal[Next.SEND_AGAIN] | GiveUp | CutAnswer
-PlainDecision = t.Literal[Next.SEND_AGAIN, Next.RETURN_KEPT_ANSWER] | GiveUp
+StreamDecision = t.Literal[Next.SEND_AGAIN] | Refusal | CutAnswer
+PlainDecision = t.Literal[Next.SEND_AGAIN, Next.RETURN_KEPT_ANSWER] | Refusal
 
 
-def give_up(cause: str, seconds: float | None, *, may_have_run: bool) -> GiveUp:
+def give_up(cause: str, seconds: float | None, *, may_have_run: bool) -> Refusal:
     """Return the final answer; whether it promises anything depends on what may have run.
 
     :param seconds: after which coming back helps if nothing has run.
     """
-    return GiveUp(cause, 502, None) if may_have_run else GiveUp(cause, 503, seconds)
+    return Refusal(502, cause) if may_have_run else Refusal(503, cause, seconds)
 
 
 def within_attempts(route: Route, sends: int, unsent: int) -> bool:
@@ -155,7 +137,7 @@
 
 def without_endpoint(
     *, may_have_run: bool, has_kept: bool
-) -> t.Literal[Next.RETURN_KEPT_ANSWER] | GiveUp:
+) -> t.Literal[Next.RETURN_KEPT_ANSWER] | Refusal:
     """Decide how a request to a plain service ends if there is no endpoint that it has not tried.
 
     :param has_kept: whether an endpoint has answered with a failure status.
@@ -167,7 +149,7 @@
 
 def without_group(
     cause: str, *, may_have_run: bool, begun: bool, waited: bool
-) -> t.Literal[Next.WAIT_FOR_GROUP] | GiveUp | CutAnswer:
+) -> t.Literal[Next.WAIT_FOR_GROUP] | Refusal | CutAnswer:
     """Decide how a streamed request goes on while no group can take it.
 
     :param cause: of the refusal if nothing has begun.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,7 +6,7 @@
 from thorncleat_gateway.requests import admission
 from thorncleat_gateway.requests.admission import Admitted
 from thorncleat_gateway.requests.admission import NotReady
-from thorncleat_gateway.requests.admission import Refusal
+from thorncleat_gateway.requests.refusal import Refusal
 from thorncleat_gateway.store.serving import Route
 from thorncleat_gateway.store.serving import RouteKind
 from thorncleat_gateway.store.serving import ServingConfiguration
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -7,10 +7,10 @@
 from thorncleat_gateway.exceptions import Ran
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.requests import retry_policy
+from thorncleat_gateway.requests.refusal import Refusal
 from thorncleat_gateway.requests.retry_policy import UNSENT_TRIES
 from thorncleat_gateway.requests.retry_policy import AttemptsUsed
 from thorncleat_gateway.requests.retry_policy import CutAnswer
-from thorncleat_gateway.requests.retry_policy import GiveUp
 from thorncleat_gateway.requests.retry_policy import Next
 from thorncleat_gateway.store.serving import Route
 from thorncleat_gateway.store.serving import RouteKind
@@ -64,7 +64,7 @@
         STREAM,
         False,
         1,
-        GiveUp("answer cut: X", 502, None),
+        Refusal(502, "answer cut: X", None),
         False,
     ),
     (
@@ -84,7 +84,7 @@
         STREAM,
         False,
         1,
-        GiveUp("declined with 503", 503, 0.4),
+        Refusal(503, "declined with 503", 0.4),
         False,
     ),
     (
@@ -94,7 +94,7 @@
         STREAM,
         False,
         1,
-        GiveUp("no connection: X", 503, 0.4),
+        Refusal(503, "no connection: X", 0.4),
         False,
     ),
     (
@@ -104,7 +104,7 @@
         STREAM,
         False,
         0,
-        GiveUp("declined with 503", 503, 0.4),
+        Refusal(503, "declined with 503", 0.4),
         True,
     ),
     (
@@ -114,7 +114,7 @@
         RESUMABLE,
         False,
         0,
-        GiveUp("declined with 503", 502, None),
+        Refusal(502, "declined with 503", None),
         True,
     ),
     (
@@ -134,7 +134,7 @@
         STREAM,
         False,
         1,
-        GiveUp("out of time", 503, 0.4),
+        Refusal(503, "out of time", 0.4),
         False,
     ),
     (
@@ -144,7 +144,7 @@
         RESUMABLE,
         False,
         1,
-        GiveUp("out of time", 502, None),
+        Refusal(502, "out of time", None),
         False,
     ),
     (
@@ -184,7 +184,7 @@
         ONCE,
         False,
         1,
-        GiveUp("answer cut: X", 502, None),
+        Refusal(502, "answer cut: X", None),
         False,
     ),
     (
@@ -194,7 +194,7 @@
         ONCE,
         False,
         1,
-        GiveUp("declined with 503", 503, 0.3),
+        Refusal(503, "declined with 503", 0.3),
         False,
     ),
     (
@@ -204,7 +204,7 @@
         ONCE,
         False,
         1,
-        GiveUp("no connection: X", 503, 0.3),
+        Refusal(503, "no connection: X", 0.3),
         False,
     ),
     (
@@ -214,7 +214,7 @@
         ONCE,
         False,
         0,
-        GiveUp("declined with 503", 503, 0.3),
+        Refusal(503, "declined with 503", 0.3),
         True,
     ),
     (
@@ -224,7 +224,7 @@
         REPEATABLE,
         False,
         0,
-        GiveUp("answer cut: X", 502, None),
+        Refusal(502, "answer cut: X", None),
         True,
     ),
     ("kept answer, budget spent", MAYBE, used(ran=True), REPEATABLE, True, 0, KEPT, True),
@@ -236,7 +236,7 @@
         ONCE,
         False,
         1,
-        GiveUp("out of time", 503, 0.3),
+        Refusal(503, "out of time", 0.3),
         False,
     ),
     (
@@ -246,7 +246,7 @@
         ONCE,
         False,
         1,
-        GiveUp("out of time", 502, None),
+        Refusal(502, "out of time", None),
         False,
     ),
     (
@@ -256,7 +256,7 @@
         REPEATABLE,
         True,
         1,
-        GiveUp("out of time", 502, None),
+        Refusal(502, "out of time", None),
         False,
     ),
 ]
@@ -276,8 +276,8 @@
 @pytest.mark.parametrize(
     ("may_have_run", "has_kept", "expected"),
     [
-        pytest.param(False, False, GiveUp("no endpoint", 503, 0.3), id="nothing has run"),
-        pytest.param(True, False, GiveUp("no endpoint", 502, None), id="may have run"),
+        pytest.param(False, False, Refusal(503, "no endpoint", 0.3), id="nothing has run"),
+        pytest.param(True, False, Refusal(502, "no endpoint", None), id="may have run"),
         pytest.param(True, True, KEPT, id="an endpoint has answered"),
     ],
 )
@@ -289,8 +289,8 @@
 @pytest.mark.parametrize(
     ("may_have_run", "begun", "waited", "expected"),
     [
-        pytest.param(False, False, False, GiveUp("c", 503, 0.4), id="nothing has run"),
-        pytest.param(True, False, False, GiveUp("c", 502, None), id="may have run"),
+        pytest.param(False, False, False, Refusal(503, "c", 0.4), id="nothing has run"),
+        pytest.param(True, False, False, Refusal(502, "c", None), id="may have run"),
         pytest.param(True, True, False, Next.WAIT_FOR_GROUP, id="begun: wait"),
         pytest.param(True, True, True, CutAnswer("no group to go on in"), id="waited in vain"),
     ],
@@ -352,7 +352,7 @@
 
 
 def test_decisions_end_the_request_with_what_they_say():
-    error = GiveUp("c", 503, 0.4).error()
+    error = Refusal(503, "c", 0.4).error()
     assert type(error) is RefusalError
     assert (error.status, error.cause, error.retry_after) == (503, "c", 0.4)
     cut = CutAnswer("c").error()
