--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -8,7 +8,7 @@
 import typing as t
 
 
-class RetryBudget:
+class RetryThrottle:
     """Allows retries as a part of successes, so that a failing fleet isn't loaded further.
 
     :param part: retries for each success.
--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -8,7 +8,7 @@
 import asyncio
 import typing as t
 
-from thorncleat_core.daemon.retries import RetryBudget
+from thorncleat_core.daemon.retries import RetryThrottle
 
 from . import clock
 from . import events
@@ -57,7 +57,7 @@
         self._dispatcher = dispatcher
         self._permits = permits
         self._metrics = metrics
-        self._retries = RetryBudget()
+        self._retries = RetryThrottle()
         self._running: dict[str, set[asyncio.Task[t.Any]]] = {}
         permits.on_closed(self._cut)
 
--- a/packages/daemon/src/thorncleat_daemon/group_records.py
+++ b/packages/daemon/src/thorncleat_daemon/group_publisher.py
@@ -13,7 +13,7 @@
 from .gossip import Gossip
 
 
-class GroupRecords:
+class GroupPublisher:
     """Publishes the groups of one domain under one epoch.
 
     :param config: the current configuration; a group that was placed anew beats its past.
--- a/packages/daemon/src/thorncleat_daemon/open_groups.py
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -15,7 +15,7 @@
 from . import events
 from .domain_state import DomainState
 from .domain_state import KeeperServices
-from .group_records import GroupRecords
+from .group_publisher import GroupPublisher
 from .sightings import Sightings
 
 
@@ -33,7 +33,9 @@
         self._services = services
         self._desk = desk
         self._seen = seen
-        self._records = GroupRecords(state.domain, state.epoch, services.gossip, services.config)
+        self._publisher = GroupPublisher(
+            state.domain, state.epoch, services.gossip, services.config
+        )
         self._open: set[str] = set()
         self._informing: set[asyncio.Task[None]] = set()
 
@@ -62,7 +64,7 @@
             if group_id in self._open:
                 self._close(group, [])
             if group_id not in new.groups:
-                self._records.publish_gone(group)
+                self._publisher.publish_gone(group)
         for group in new.groups.values():
             if old.groups.get(group.id) != group:
                 self._publish(group)
@@ -73,7 +75,7 @@
             self._publish(group)
 
     def _publish(self, group: Group) -> None:
-        self._records.publish(group, is_open=group.id in self._open)
+        self._publisher.publish(group, is_open=group.id in self._open)
 
     def _close(self, group: Group, missing: list[str]) -> None:
         self._open.discard(group.id)
--- a/packages/daemon/src/thorncleat_daemon/operator_access.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_access.py
@@ -1,4 +1,4 @@
-"""Which operator asks, and whether the operator may.
+"""Which operator asks, and whether the operator may do so.
 
 Owns: nothing; operators stand in the configuration, and in the settings until it names any.
 Relies on: keys being known by their digests alone.
@@ -19,14 +19,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Who:
+class ActingOperator:
     """An operator who was recognised."""
 
     name: str
     rights: str
 
 
-Handler = t.Callable[[web.Request, Who], t.Awaitable[web.Response]]
+Handler = t.Callable[[web.Request, ActingOperator], t.Awaitable[web.Response]]
 
 
 def problem(status: int, detail: str, **more: t.Any) -> web.Response:
@@ -59,25 +59,25 @@
         """Return a handler that answers operators who have a right, and refuses all others."""
 
         async def answer(request: web.Request) -> web.Response:
-            who = self._who(request)
-            if who is None:
+            operator = self._recognised(request)
+            if operator is None:
                 return problem(401, "an operator's key is wanted as a bearer")
-            if right == "change" and who.rights != "change":
-                events.OPERATOR_DENIED.log(operator=who.name, path=request.path)
-                return problem(403, f"operator {who.name!r} may read only")
-            return await handler(request, who)
+            if right == "change" and operator.rights != "change":
+                events.OPERATOR_DENIED.log(operator=operator.name, path=request.path)
+                return problem(403, f"operator {operator.name!r} may read only")
+            return await handler(request, operator)
 
         return answer
 
-    def _who(self, request: web.Request) -> Who | None:
+    def _recognised(self, request: web.Request) -> ActingOperator | None:
         key = keys.bearer(request.headers.get("Authorization"))
         if key is None:
             return None
         wanted = keys.digest(key)
         for operator in self._configuration().operators.values():
             if keys.same(operator.key_digest, wanted):
-                return Who(operator.name, operator.rights)
+                return ActingOperator(operator.name, operator.rights)
         for bootstrap in self._bootstrap:
             if keys.same(bootstrap.key_digest, wanted):
-                return Who(bootstrap.name, "change")
+                return ActingOperator(bootstrap.name, "change")
         return None
--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -29,7 +29,7 @@
 from .exceptions import StoreOutcomeUnknownError
 from .exceptions import StoreUnavailableError
 from .gossip import Gossip
-from .operator_access import Who
+from .operator_access import ActingOperator
 from .operator_access import problem
 from .ports import InstanceList
 
@@ -52,7 +52,7 @@
         self._instances = instances
         self._load_seconds = load_seconds
 
-    async def plan(self, request: web.Request, who: Who) -> web.Response:
+    async def plan(self, request: web.Request, operator: ActingOperator) -> web.Response:
         """Show what a change would do."""
         try:
             raw = await request.json()
@@ -67,7 +67,7 @@
             return problem(400, f"a document is wanted: {error!r}")
         if isinstance(plan, web.Response):
             return plan
-        events.PLAN_MADE.log(operator=who.name, plan=plan.digest, revision=plan.base_revision)
+        events.PLAN_MADE.log(operator=operator.name, plan=plan.digest, revision=plan.base_revision)
         return web.json_response(_plan_json(plan))
 
     async def _fresh(self, change: Change) -> Plan | web.Response:
@@ -94,7 +94,7 @@
         taken = {member for placed in placements.values() for member in placed.members}
         return dataclasses.replace(state, placements=placements), taken
 
-    async def confirm(self, request: web.Request, who: Who) -> web.Response:
+    async def confirm(self, request: web.Request, operator: ActingOperator) -> web.Response:
         """Carry a plan out, if it is still what would be planned now."""
         try:
             plan = codec.validated(Plan, (await request.json())["plan"])
@@ -103,21 +103,21 @@
         done = self._accepted_before(plan)
         if done is not None:
             return web.json_response({"revision": done, "repeated": True})
-        return await self._accept(plan, who)
+        return await self._accept(plan, operator)
 
     def _accepted_before(self, plan: Plan) -> int | None:
         entry = self._config.journal.entry(plan.base_revision + 1)
         return entry.revision if entry and entry.plan == plan.digest else None
 
-    async def _accept(self, plan: Plan, who: Who) -> web.Response:
+    async def _accept(self, plan: Plan, operator: ActingOperator) -> web.Response:
         try:
             fresh = await self._fresh(plan.change)
             if isinstance(fresh, web.Response):
                 return fresh
             plans.verify(plan, fresh)
-            revision = await self._config.accept(plan.entry(who.name))
+            revision = await self._config.accept(plan.entry(operator.name))
         except ConflictError as error:
-            return await self._conflict(plan, who, error)
+            return await self._conflict(plan, operator, error)
         except DocumentError as error:
             return problem(422, "the change contradicts itself", problems=_problems(error))
         except StoreUnavailableError as error:
@@ -125,15 +125,17 @@
         except StoreOutcomeUnknownError as error:
             text = f"{error}; confirm the same plan again to find out"
             return problem(504, text, accepted="unknown")
-        events.PLAN_CONFIRMED.log(operator=who.name, plan=plan.digest, revision=revision)
+        events.PLAN_CONFIRMED.log(operator=operator.name, plan=plan.digest, revision=revision)
         return web.json_response({"revision": revision, "repeated": False})
 
-    async def _conflict(self, plan: Plan, who: Who, error: ConflictError) -> web.Response:
+    async def _conflict(
+        self, plan: Plan, operator: ActingOperator, error: ConflictError
+    ) -> web.Response:
         done = self._accepted_before(plan)
         if done is not None:
             # this very plan was accepted meanwhile, at another daemon
             return web.json_response({"revision": done, "repeated": True})
-        events.PLAN_REFUSED.log(operator=who.name, plan=plan.digest, reason=str(error))
+        events.PLAN_REFUSED.log(operator=operator.name, plan=plan.digest, reason=str(error))
         try:
             fresh = await self._fresh(plan.change)
         except DocumentError as unusable:
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -25,8 +25,8 @@
 from .gossip import Gossip
 from .holder import ShardHolder
 from .metrics import Metrics
+from .operator_access import ActingOperator
 from .operator_access import OperatorAccess
-from .operator_access import Who
 from .operator_access import problem
 from .operator_plans import OperatorPlans
 from .peers import ZmqPeers
@@ -84,7 +84,7 @@
 
     # looking
 
-    async def _status(self, request: web.Request, who: Who) -> web.Response:
+    async def _status(self, request: web.Request, operator: ActingOperator) -> web.Response:
         parts = self._parts
         configuration = parts.config.current.configuration
         body = {
@@ -130,10 +130,10 @@
             )
         return rows
 
-    async def _groups(self, request: web.Request, who: Who) -> web.Response:
+    async def _groups(self, request: web.Request, operator: ActingOperator) -> web.Response:
         return web.json_response({"groups": self._group_rows()})
 
-    async def _explain(self, request: web.Request, who: Who) -> web.Response:
+    async def _explain(self, request: web.Request, operator: ActingOperator) -> web.Response:
         name = request.match_info["name"]
         for row in self._group_rows():
             if row["group"] == name:
@@ -174,7 +174,7 @@
             "stranded_seconds": sum(keeper.downtime.stranded_seconds for keeper in keepers),
         }
 
-    async def _burn(self, request: web.Request, who: Who) -> web.Response:
+    async def _burn(self, request: web.Request, operator: ActingOperator) -> web.Response:
         gathered = await self._gather("burn", None)
         merged = BurnCounts()
         down: collections.Counter[str] = collections.Counter()
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -14,7 +14,7 @@
 from thorncleat_core.daemon.configuration import Configuration
 from thorncleat_core.daemon.configuration import Service
 from thorncleat_core.daemon.retries import Ejection
-from thorncleat_core.daemon.retries import RetryBudget
+from thorncleat_core.daemon.retries import RetryThrottle
 
 from . import clock
 from .callers import Caller
@@ -46,7 +46,7 @@
         self._upstream = upstream
         self._claims = claims
         self._metrics = metrics
-        self._retries = RetryBudget()
+        self._retries = RetryThrottle()
         self._ejection = Ejection()
 
     async def answer(self, request: web.Request, caller: Caller, body: bytes) -> web.Response:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -23,7 +23,7 @@
 from thorncleat_core.daemon.journal import State
 from thorncleat_core.daemon.members import Members
 from thorncleat_core.daemon.retries import Ejection
-from thorncleat_core.daemon.retries import RetryBudget
+from thorncleat_core.daemon.retries import RetryThrottle
 from thorncleat_core.exceptions import ConflictError
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import LeaseError
@@ -189,7 +189,7 @@
 
 class TestRetries:
     def test_failing_fleet_isnt_loaded_further(self):
-        retries = RetryBudget(part=0.1, reserve=10)
+        retries = RetryThrottle(part=0.1, reserve=10)
         taken = sum(retries.take() for _ in range(1000))
         assert taken == 10
         for _ in range(100):
