--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -20,11 +20,6 @@
         self._reserve = reserve
         self._level = reserve
 
-    @property
-    def level(self) -> float:
-        """Retries that are left."""
-        return self._level
-
     def succeeded(self) -> None:
         """Count a success."""
         self._level = min(self._reserve, self._level + self._part)
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -81,7 +81,6 @@
         self._keys = keys
         self._gossip = gossip
         self._peers = peers
-        self._listeners: list[t.Callable[[State], None]] = []
         self._invariants = invariants or Invariants()
         self._highest = 0
         self._fetching: set[asyncio.Task[None]] = set()
@@ -95,10 +94,6 @@
         """The configuration that this daemon applies."""
         return self.journal.state
 
-    def listen(self, listener: t.Callable[[State], None]) -> None:
-        """Call a function with each new state."""
-        self._listeners.append(listener)
-
     async def accept(self, entry: Entry) -> int:
         """Make an entry durable and apply it; return its revision.
 
@@ -214,8 +209,6 @@
         )
         self._highest = max(self._highest, head.revision)
         events.CONFIG_IN_FORCE.log(revision=head.revision)
-        for listener in self._listeners:
-            listener(self.current)
         self._gossip.publish(Record(RECORD, (head.revision,), {"digest": head.digest}))
 
     def _on_record(self, record: Record, sender: str) -> None:
--- a/packages/daemon/src/thorncleat_daemon/gate.py
+++ b/packages/daemon/src/thorncleat_daemon/gate.py
@@ -28,11 +28,6 @@
         self._waiting: collections.deque[asyncio.Future[None]] = collections.deque()
         self._scheduled = False
 
-    @property
-    def waiting(self) -> int:
-        """How many wait."""
-        return len(self._waiting)
-
     async def enter(self) -> bool:
         """Wait for this request's turn; False if too many wait already."""
         if len(self._waiting) >= self._limit:
