--- a/packages/client/src/thorncleat_client/tables.py
+++ b/packages/client/src/thorncleat_client/tables.py
@@ -19,6 +19,7 @@
 
 
 def _seconds(value: float) -> str:
+    # minutes from ten minutes on
     return f"{value:.0f} s" if value < 600 else f"{value / 60:.0f} min"
 
 
--- a/packages/core/src/thorncleat_core/daemon/budget.py
+++ b/packages/core/src/thorncleat_core/daemon/budget.py
@@ -102,7 +102,7 @@
 class Backoff:
     """Growing, jittered waits after failures.
 
-    :param first: seconds of the first wait.
+    :param first: seconds of the first wait; the defaults are chosen, not measured.
     :param longest: seconds of the longest.
     """
 
--- a/packages/core/src/thorncleat_core/daemon/configuration.py
+++ b/packages/core/src/thorncleat_core/daemon/configuration.py
@@ -14,6 +14,8 @@
 from ..exceptions import Problem
 from . import keys
 
+# share of requests answered, where a workspace doesn't say; chosen, not measured
+DEFAULT_AVAILABILITY = 0.999
 # instances in a replica; bound of the house brief: 4 to 32 in one fabric domain
 MIN_GROUP_SIZE = 4
 # the same bound
@@ -45,7 +47,7 @@
     name: Name
     key_digests: list[KeyDigest] = pydantic.Field(min_length=1, max_length=16)
     share: float = pydantic.Field(default=1.0, gt=0, le=1000)
-    availability: float = pydantic.Field(default=0.999, gt=0, lt=1)
+    availability: float = pydantic.Field(default=DEFAULT_AVAILABILITY, gt=0, lt=1)
     first_token_seconds: float = pydantic.Field(default=1.3, gt=0, le=600)
 
 
--- a/packages/core/src/thorncleat_core/daemon/queues.py
+++ b/packages/core/src/thorncleat_core/daemon/queues.py
@@ -73,7 +73,7 @@
     """Requests that wait for room.
 
     :param limit: tokens that may wait for each workspace.
-    :param quantum: tokens that a workspace of weight 1 may send a round.
+    :param quantum: tokens that a workspace of weight 1 may send a round; chosen, not measured.
     """
 
     def __init__(self, limit: int, quantum: int = 512) -> None:
--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -1,4 +1,4 @@
-"""When a request may be sent again, and which endpoints are left out for a while.
+"""Whether a request may be sent again, and which endpoints are left out for a while.
 
 Owns: the retries left, and each endpoint's failures in a row.
 Relies on: callers that note each success and failure.
@@ -11,7 +11,7 @@
 class RetryThrottle:
     """Allows retries as a part of successes, so that a failing fleet isn't loaded further.
 
-    :param part: retries for each success.
+    :param part: retries for each success; the defaults are chosen, not measured.
     :param reserve: retries that may be saved up.
     """
 
@@ -32,6 +32,21 @@
         return True
 
 
+def may_send_again(
+    executed: str, *, repeatable: bool, attempt: int, most: int, seconds_left: float
+) -> bool:
+    """Return whether another attempt may follow one that failed; the throttle is asked after.
+
+    :param executed: whether the request ran: ``no``, ``yes`` or ``unknown``.
+    :param repeatable: whether it may run more than once.
+    :param attempt: the failed one's number, from 1.
+    :param most: attempts that a request may have.
+    :param seconds_left: to the request's deadline.
+    """
+    safe = repeatable or executed == "no"
+    return safe and attempt < most and seconds_left > 0
+
+
 @dataclasses.dataclass
 class _Record:
     failures: int = 0
@@ -42,7 +57,7 @@
 class Ejection:
     """Leaves out endpoints that fail in a row, but never more than a part of them.
 
-    :param threshold: failures in a row.
+    :param threshold: failures in a row; the defaults are chosen, not measured.
     :param seconds: first time out; it doubles while the endpoint goes on failing.
     :param most: part of the endpoints that may be out at once.
     """
--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -9,9 +9,11 @@
 import typing as t
 
 from thorncleat_core.daemon.retries import RetryThrottle
+from thorncleat_core.daemon.retries import may_send_again
 
 from . import clock
 from . import events
+from . import retry_after
 from .callers import Caller
 from .dispatch import Dispatcher
 from .dispatch import Slot
@@ -45,7 +47,7 @@
         "Group closed",
         f"group {slot.group!r} lost a member",
         executed="unknown",
-        retry_after=1.0,
+        retry_after=retry_after.GROUP_CLOSED,
         cause="group_closed",
     )
 
@@ -78,7 +80,7 @@
                 return answer
             except RequestError as error:
                 self._note_failure(slot, error, failed)
-                if attempt == MAX_ATTEMPTS or not self._may_retry(caller, error):
+                if not self._may_retry(caller, error, attempt):
                     raise
                 events.REQUEST_MOVED.log(request=caller.id, cause=error.cause)
             finally:
@@ -124,10 +126,14 @@
         if error.cause in RETRIED:
             self._dispatcher.ejection.failed(slot.group, clock.now())
 
-    def _may_retry(self, caller: Caller, error: RequestError) -> bool:
-        if error.cause not in RETRIED or caller.left() <= 0:
-            return False
-        if not caller.repeatable and error.executed != "no":
+    def _may_retry(self, caller: Caller, error: RequestError, attempt: int) -> bool:
+        if error.cause not in RETRIED or not may_send_again(
+            error.executed,
+            repeatable=caller.repeatable,
+            attempt=attempt,
+            most=MAX_ATTEMPTS,
+            seconds_left=caller.left(),
+        ):
             return False
         if not self._retries.take():
             return False
--- a/packages/daemon/src/thorncleat_daemon/callers.py
+++ b/packages/daemon/src/thorncleat_daemon/callers.py
@@ -27,6 +27,8 @@
 MAX_KEY = 200
 # longest deadline in seconds; chosen, not measured
 MAX_DEADLINE = 3600.0
+# for a call that is begun at the deadline: 0 would mean no limit; chosen, not measured
+MIN_CALL_SECONDS = 0.01
 
 
 @dataclasses.dataclass(frozen=True)
@@ -49,6 +51,10 @@
         """Return the seconds to the deadline."""
         return self.deadline - clock.now()
 
+    def timeout(self) -> float:
+        """Return the seconds for a call to an endpoint."""
+        return max(MIN_CALL_SECONDS, self.left())
+
 
 def _bad(detail: str) -> RequestError:
     return RequestError(400, "Bad request", detail, cause="bad_request")
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -26,6 +26,7 @@
 from . import background
 from . import clock
 from . import events
+from . import retry_after
 from .exceptions import PeerError
 from .exceptions import RequestError
 from .exceptions import StoreError
@@ -52,6 +53,10 @@
 CLEAN_SECONDS = 600.0
 # for the owner's answer, a write to the store included; chosen, not measured
 ASK_SECONDS = 3.0
+# between two turns of a shard's writer, and after it could not read the shard's claims;
+# chosen, not measured
+WRITER_PAUSE_SECONDS = 0.001
+RESTORE_PAUSE_SECONDS = 0.5
 
 
 @dataclasses.dataclass
@@ -116,7 +121,7 @@
             background.repeat(
                 f"claims {lease.shard}",
                 lambda: self._work(owned),
-                0.001,
+                WRITER_PAUSE_SECONDS,
                 lambda: self.should_stop or owned.lease.deadline == 0,
             )
         )
@@ -154,7 +159,7 @@
         try:
             rows = await self._store.read_under(prefix, Purpose.CLAIM)
         except StoreError:
-            await asyncio.sleep(0.5)
+            await asyncio.sleep(RESTORE_PAUSE_SECONDS)
             raise
         # by epoch and number: the hours come from clocks, which may have stepped back
         for row in sorted(rows, key=lambda row: row.key.rsplit("/", 1)[1]):
@@ -319,7 +324,11 @@
 
 def _no_owner(reason: str) -> RequestError:
     return RequestError(
-        503, "Claims unavailable", reason, retry_after=2.0, cause="claims_unavailable"
+        503,
+        "Claims unavailable",
+        reason,
+        retry_after=retry_after.CLAIMS_UNAVAILABLE,
+        cause="claims_unavailable",
     )
 
 
--- a/packages/daemon/src/thorncleat_daemon/completion.py
+++ b/packages/daemon/src/thorncleat_daemon/completion.py
@@ -10,6 +10,7 @@
 
 import pydantic
 
+from . import retry_after
 from .callers import Caller
 from .dispatch import Slot
 from .exceptions import RequestError
@@ -96,7 +97,13 @@
         return
     detail = f"the engine answered {status!r}: {text[:200]!r}"
     if status in REFUSED_BY_ENGINE:
-        raise RequestError(502, "Engine refused", detail, retry_after=1.0, cause="engine_refused")
+        raise RequestError(
+            502,
+            "Engine refused",
+            detail,
+            retry_after=retry_after.ENGINE_REFUSED,
+            cause="engine_refused",
+        )
     if 400 <= status < 500:
         raise RequestError(status, "Bad request", detail, cause="bad_request")
     raise RequestError(502, "Engine failed", detail, executed="unknown", cause="engine_failed")
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -125,7 +125,7 @@
             completion.body(caller.priority, 0, stream=False),
             engine_headers(caller),
             repeatable=caller.repeatable,
-            timeout=max(0.01, caller.left()),
+            timeout=caller.timeout(),
         ) as response:
             try:
                 text = await response.read()
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -43,6 +43,11 @@
 
 # daemons that watch the store; chosen, not measured
 WATCHERS = 3
+# peers asked for the configuration while the store is away; chosen, not measured
+PEERS_ASKED = 3
+# first wait after a watch broke, and between looks whether to watch; chosen, not measured
+WATCH_RETRY_SECONDS = 0.2
+WATCHER_LOOK_SECONDS = 1.0
 RECORD = "config"
 # revisions; chosen, not measured
 SNAPSHOT_EVERY = 64
@@ -190,16 +195,16 @@
     def _apply(self, entries: list[Entry]) -> bool:
         changed = [entry for entry in entries if self.journal.append(entry)]
         if changed:
-            self._in_force()
+            self._note_applied()
         return bool(changed)
 
     def _restore(self, state: State) -> bool:
         changed = self.journal.restore(state)
         if changed:
-            self._in_force()
+            self._note_applied()
         return changed
 
-    def _in_force(self) -> None:
+    def _note_applied(self) -> None:
         head = self.journal.head
         self._invariants.check(
             head.revision > self._highest,
@@ -279,7 +284,7 @@
         """Take the newest configuration that the peers know; one stale peer isn't enough."""
         answers = 0
         others = [name for name in self._gossip.members.alive if name != self._me]
-        for peer in random.sample(others, min(3, len(others))):
+        for peer in random.sample(others, min(PEERS_ASKED, len(others))):
             try:
                 await self.fetch_from(peer)
                 answers += 1
@@ -303,10 +308,10 @@
 
     @mode.Service.task
     async def _watch_task(self) -> None:
-        backoff = Backoff(0.2)
+        backoff = Backoff(WATCH_RETRY_SECONDS)
         while not self.should_stop:
             if not self.is_watcher:
-                await asyncio.sleep(1.0)
+                await asyncio.sleep(WATCHER_LOOK_SECONDS)
                 continue
             try:
                 await self._watch(backoff)
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -7,7 +7,6 @@
 import asyncio
 import collections
 import dataclasses
-import random
 import typing as t
 
 import mode
@@ -21,6 +20,7 @@
 from thorncleat_core.daemon.retries import Ejection
 
 from . import clock
+from . import retry_after
 from .exceptions import RequestError
 from .permits import PermitKeeper
 
@@ -30,8 +30,8 @@
 CHARACTERS_PER_TOKEN = 4
 # in which a new group comes up to full weight; chosen, not measured
 WARM_SECONDS = 5.0
-# part by which Retry-After is spread upwards; chosen, not measured
-RETRY_JITTER = 0.5
+# weight of a group that has just come up; chosen, not measured
+COLD_WARMTH = 0.2
 
 
 @dataclasses.dataclass
@@ -217,7 +217,11 @@
         for queue in self._queues.values():
             for waiting in queue.expired(now):
                 if not waiting.item.future.done():
-                    error = _overloaded(waiting.item.wish, 1.0, "deadline passed in the queue")
+                    error = _overloaded(
+                        waiting.item.wish,
+                        retry_after.EXPIRED_IN_QUEUE,
+                        "deadline passed in the queue",
+                    )
                     waiting.item.future.set_exception(error)
 
     def _pump_all(self) -> None:
@@ -266,16 +270,15 @@
     def _candidate(self, group: str, generation: int, now: float) -> routing.Candidate:
         since = self._since.setdefault((group, generation), now)
         # the first group ever seen is as warm as any other
-        warmth = min(1.0, 0.2 + (now - since) / WARM_SECONDS)
+        warmth = min(1.0, COLD_WARMTH + (now - since) / WARM_SECONDS)
         return routing.Candidate(group, self._ledger.tokens(group).total(), warmth=warmth)
 
 
 def _overloaded(wish: Wish, seconds: float, reason: str = "no room in time") -> RequestError:
-    spread = seconds * random.uniform(1, 1 + RETRY_JITTER)
     return RequestError(
         503,
         "No room",
         f"{reason} for model {wish.intent.model!r}",
-        retry_after=spread,
+        retry_after=retry_after.spread(seconds),
         cause="overload",
     )
--- a/packages/daemon/src/thorncleat_daemon/entry.py
+++ b/packages/daemon/src/thorncleat_daemon/entry.py
@@ -4,7 +4,6 @@
 Relies on: the balancer asking ``/readyz`` before it sends requests.
 """
 
-import random
 import time
 import typing as t
 
@@ -15,6 +14,7 @@
 from . import callers
 from . import events
 from . import problems
+from . import retry_after
 from .callers import Caller
 from .completion import PATH
 from .completions import Completions
@@ -161,6 +161,6 @@
         503,
         "No room",
         "too many requests came at once",
-        retry_after=random.uniform(1.0, 3.0),
+        retry_after=retry_after.rush(),
         cause="overload",
     )
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -32,6 +32,8 @@
 
 # between looks at a shard that another daemon holds; chosen, not measured
 LOOK_SECONDS = 2.0
+# part by which they vary; chosen, not measured
+LOOK_JITTER = 0.2
 # between two shards given away; chosen, not measured
 BALANCE_SECONDS = 5.0
 # shards beyond an even part that a daemon keeps; chosen, not measured
@@ -152,7 +154,9 @@
         now = self._clock()
         for shard in range(self.shards.count):
             if shard not in self._held and now >= self._look_at.get(shard, 0.0):
-                self._look_at[shard] = now + LOOK_SECONDS * random.uniform(0.8, 1.2)
+                self._look_at[shard] = now + LOOK_SECONDS * random.uniform(
+                    1 - LOOK_JITTER, 1 + LOOK_JITTER
+                )
                 await self._try_shard(shard)
         self._keepers.keep()
         await self._balance()
--- a/packages/daemon/src/thorncleat_daemon/once.py
+++ b/packages/daemon/src/thorncleat_daemon/once.py
@@ -13,6 +13,7 @@
 from thorncleat_core.daemon.claims import Reply
 from thorncleat_core.daemon.claims import request_digest
 
+from . import retry_after
 from .callers import Caller
 from .callers import require_key
 from .claims import ClaimClient
@@ -54,7 +55,7 @@
             "Running",
             "the request with this key is running",
             executed="unknown",
-            retry_after=1.0,
+            retry_after=retry_after.KEY_RUNNING,
             cause="repeat",
         )
     if reply.answer is ClaimAnswer.DONE:
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -16,6 +16,7 @@
 from thorncleat_core import jsonc
 from thorncleat_core.daemon.burn import BurnCounts
 from thorncleat_core.daemon.burn import Subject
+from thorncleat_core.daemon.configuration import DEFAULT_AVAILABILITY
 from thorncleat_core.daemon.settings import BootstrapOperator
 
 from .config import ConfigKeeper
@@ -196,7 +197,7 @@
 
     def _objective(self, subject: Subject) -> float:
         workspace = self._parts.config.current.configuration.workspaces.get(subject.workspace)
-        return workspace.availability if workspace else 0.999
+        return workspace.availability if workspace else DEFAULT_AVAILABILITY
 
     async def _gather(self, kind: str, body: t.Any) -> dict[str, t.Any]:
         """Ask all daemons and return the answers of those that gave one."""
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -32,6 +32,8 @@
 NUDGE_SECONDS = 0.05
 # after which a model that nobody asks for needs no permits; chosen, not measured
 IDLE_SECONDS = 300.0
+# times that a permit is asked for again in its life; chosen, not measured
+RENEWALS = 4
 
 
 class Usage(t.Protocol):
@@ -126,7 +128,7 @@
 
     @mode.Service.task
     async def _renew_task(self) -> None:
-        seconds = self._seconds / 4
+        seconds = self._seconds / RENEWALS
         await background.repeat("permits", self.renew, seconds, lambda: self.should_stop)
 
     async def renew(self) -> None:
@@ -174,7 +176,7 @@
         asked_at = self._clock()
         body = [self._request(group) for group in groups]
         try:
-            answer = await self._peers.ask(peer, "permit", body, self._seconds / 4)
+            answer = await self._peers.ask(peer, "permit", body, self._seconds / RENEWALS)
             permits = [codec.validated(Permit, raw) for raw in answer]
         except (PeerError, DecodeError, TypeError):
             return set()
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -15,6 +15,7 @@
 from thorncleat_core.daemon.configuration import Service
 from thorncleat_core.daemon.retries import Ejection
 from thorncleat_core.daemon.retries import RetryThrottle
+from thorncleat_core.daemon.retries import may_send_again
 
 from . import clock
 from .callers import Caller
@@ -95,9 +96,14 @@
                 return answered
             except RequestError as error:
                 self._ejection.failed(endpoint, clock.now())
-                safe = call.repeatable or error.executed == "no"
-                last = attempt == min(len(order), MAX_ATTEMPTS)
-                if not safe or last or caller.left() <= 0 or not self._retries.take():
+                may = may_send_again(
+                    error.executed,
+                    repeatable=call.repeatable,
+                    attempt=attempt,
+                    most=min(len(order), MAX_ATTEMPTS),
+                    seconds_left=caller.left(),
+                )
+                if not may or not self._retries.take():
                     raise
                 self._metrics.retries.labels(error.cause).inc()
         raise RequestError(503, "No endpoint", f"service {service.name!r} has none to use")
@@ -110,7 +116,7 @@
             call.body,
             call.headers,
             repeatable=call.repeatable,
-            timeout=max(0.01, caller.left()),
+            timeout=caller.timeout(),
         ) as response:
             try:
                 body = await response.read()
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -131,7 +131,7 @@
         """Copy one engine's answer to the caller, from where the caller's copy ends."""
         url = engine_url(slot)
         body = completion.body(flow.caller.priority, flow.pieces.events)
-        left = max(0.01, flow.caller.left())
+        left = flow.caller.timeout()
         async with self._upstream.stream(url, body, engine_headers(flow.caller), left) as response:
             if response.status != 200:
                 check_status(response.status, await response.read())
--- a/packages/daemon/src/thorncleat_daemon/upstream.py
+++ b/packages/daemon/src/thorncleat_daemon/upstream.py
@@ -11,6 +11,7 @@
 
 from thorncleat_core.single_send import never_again
 
+from . import retry_after
 from .exceptions import RequestError
 
 # until a connection to an endpoint stands; chosen, not measured
@@ -124,7 +125,11 @@
     """Return the error of a call that did not reach its endpoint."""
     detail = f"no connection to the endpoint: {type(error).__name__}"
     return RequestError(
-        502, "Endpoint unreachable", detail, retry_after=1.0, cause="endpoint_unreachable"
+        502,
+        "Endpoint unreachable",
+        detail,
+        retry_after=retry_after.ENDPOINT_UNREACHABLE,
+        cause="endpoint_unreachable",
     )
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -24,6 +24,7 @@
 from thorncleat_core.daemon.members import Members
 from thorncleat_core.daemon.retries import Ejection
 from thorncleat_core.daemon.retries import RetryThrottle
+from thorncleat_core.daemon.retries import may_send_again
 from thorncleat_core.exceptions import ConflictError
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import LeaseError
@@ -196,6 +197,26 @@
             retries.succeeded()
         assert sum(retries.take() for _ in range(1000)) in (9, 10)
 
+    @pytest.mark.parametrize(
+        ("executed", "repeatable", "attempt", "left", "again"),
+        [
+            ("no", False, 1, 5.0, True),
+            ("no", True, 1, 5.0, True),
+            ("unknown", True, 1, 5.0, True),
+            ("yes", True, 1, 5.0, True),
+            ("unknown", False, 1, 5.0, False),  # it may have run, and may run only once
+            ("yes", False, 1, 5.0, False),
+            ("no", True, 2, 5.0, True),
+            ("no", True, 3, 5.0, False),  # the last of three attempts
+            ("no", True, 1, 0.0, False),  # no time left
+        ],
+    )
+    def test_what_is_sent_again(self, executed, repeatable, attempt, left, again):
+        found = may_send_again(
+            executed, repeatable=repeatable, attempt=attempt, most=3, seconds_left=left
+        )
+        assert found is again
+
     def test_never_more_than_half_are_out(self):
         ejection = Ejection(threshold=1)
         for name in "abcd":
