--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -8,6 +8,8 @@
 import asyncio
 import contextlib
 import functools
+import socket
+import struct
 import typing as t
 
 import aiohttp
@@ -28,6 +30,10 @@
 UNSIGNED_STATUS = 400
 
 
+# value of SO_LINGER: on, for no time
+DROP_UNSENT = struct.pack("ii", 1, 0)
+
+
 class _LostError(aiohttp.ClientError):
     """A connection was lost after something may have been sent.
 
@@ -52,10 +58,12 @@
 
 
 class _Connection(ResponseHandler):
-    """A connection that distinguishes a reset from the end of an answer without a length.
+    """A connection of one attempt, which treats both ends that the client library does not.
 
-    Such an answer ends with its connection, and the client library takes any end of the
-    connection for the end of the answer.
+    An answer without a length ends with its connection; the library takes a reset for such an
+    end, here it fails the answer. And a connection that is closed before its answer is whole goes
+    on sending what its buffers hold; here the rest of an attempt that was given up is dropped, so
+    that it doesn't reach the endpoint after the caller has left.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -65,6 +73,16 @@
             payload.set_exception(aiohttp.ClientPayloadError(repr(exc)))
         super().connection_lost(exc)
 
+    def close(self) -> None:
+        """Close the connection; with a reset if the answer is not whole."""
+        transport = self.transport
+        answered = self._payload is not None and self._payload.is_eof()
+        if transport is not None and not answered:
+            connected = transport.get_extra_info("socket")
+            connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, DROP_UNSENT)
+            transport.abort()
+        super().close()
+
 
 def session() -> aiohttp.ClientSession:
     """Return a session in which each call has a connection of its own.
