--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -358,3 +358,11 @@
     cut = CutAnswer("c").error()
     assert type(cut) is CutError
     assert cut.cause == "c"
+
+
+def test_stream_that_has_begun_is_not_cut_for_a_decline():
+    """The group that it left has run it; the full one that declined has not."""
+    decision = retry_policy.after_stream_failure(
+        DECLINED, used(2, ran=True), RESUMABLE, Budget(1).take, begun=True
+    )
+    assert not isinstance(decision, CutAnswer)
