--- a/packages/gateway/src/thorncleat_gateway/groups/forming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming.py
@@ -12,6 +12,7 @@
 """
 
 import asyncio
+import enum
 import typing as t
 
 from .. import events
@@ -27,6 +28,14 @@
 from .records import GroupRecords
 
 
+class FailedStep(enum.Enum):
+    """The step at which a group could not be formed; logged as ``step`` of event 7205."""
+
+    RECORD = "record"
+    JOIN = "join"
+    OPEN = "open"
+
+
 class GroupForming:
     """Forms groups.
 
@@ -71,7 +80,9 @@
                 await self._open(group, plan, begun)
                 return
             seconds = round(self._clock() - begun, 3)
-            events.GROUP_FAILED.log(group=group.name, step="join", joined=joined, seconds=seconds)
+            events.GROUP_FAILED.log(
+                group=group.name, step=FailedStep.JOIN.value, joined=joined, seconds=seconds
+            )
             self._state.pause(plan.domain)
             self._ending.end(group, EndReason.NOT_FORMED, plan.members)
         finally:
@@ -86,7 +97,7 @@
             written, cause = False, str(error)
         if not written:
             self._state.pause(plan.domain)
-            events.GROUP_FAILED.log(group=group.name, step="record", cause=cause)
+            events.GROUP_FAILED.log(group=group.name, step=FailedStep.RECORD.value, cause=cause)
         return written
 
     async def _join(self, group: GroupId, plan: GroupPlan) -> list[bool]:
@@ -102,7 +113,7 @@
         """Open the group; it counts as being formed until the list shows that it answers."""
         leader = plan.members[0]
         if not await self._steps.open(leader, group):
-            events.GROUP_FAILED.log(group=group.name, step="open")
+            events.GROUP_FAILED.log(group=group.name, step=FailedStep.OPEN.value)
             self._ending.end(group, EndReason.NOT_OPENED, plan.members)
             return
         events.GROUP_OPENED.log(
