--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,13 +1,9 @@
-"""Routes, layouts, budgets and event streams: the gateway's pure decisions."""
-
-import collections
+"""Routes, budgets and event streams: the gateway's pure decisions."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thorncleat_gateway.groups import formation
-from thorncleat_gateway.groups.formation import DomainView
 from thorncleat_gateway.requests.event_stream import EventSplitter
 from thorncleat_gateway.requests.retry_budget import RetryBudget
 from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
@@ -16,16 +12,12 @@
 from thorncleat_gateway.store.roster import GroupState
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.roster import Roster
-from thorncleat_gateway.store.serving import EngineModel
 from thorncleat_gateway.store.serving import Route
 from thorncleat_gateway.store.serving import RouteKind
 from thorncleat_gateway.store.serving import ServingConfiguration
 from thorncleat_gateway.store.serving import Split
 from thorncleat_gateway.store.serving import Workspace
 
-LARGE = EngineModel("large", 4, share=0.67)
-SMALL = EngineModel("small", 2, share=0.33)
-
 
 def route(name, prefix, host="Shop.example"):
     return Route(
@@ -67,119 +59,6 @@
     return Endpoint(name, "service", name, "zone", staged=staged, models=models, **more)
 
 
-def views(*sizes, zones="abc"):
-    return [
-        DomainView(f"d{number}", size, zones[number % len(zones)])
-        for number, size in enumerate(sizes)
-    ]
-
-
-def total(layout):
-    return sum(layout.values(), collections.Counter())
-
-
-class TestLayout:
-    def test_domains_carry_one_model_each_where_there_are_enough(self):
-        found = formation.layout(views(8, 8, 8, 8, 8, 8), [LARGE, SMALL])
-        assert all(len(counts) == 1 for counts in found.values())
-        assert total(found) == {"large": 8, "small": 8}
-
-    def test_a_model_is_spread_over_failure_domains(self):
-        made = views(8, 8, 8, 8, 8, 8)
-        found = formation.layout(made, [LARGE, SMALL])
-        zones = {one.failure_domain for one in made if "small" in found[one.name]}
-        assert len(zones) == 2
-
-    def test_domains_keep_the_model_that_their_hosts_hold(self):
-        made = views(8, 8, 8, 8, 8, 8)
-        for one in made[:2]:
-            one.holding["small"] = 8
-        for one in made[2:]:
-            one.holding["large"] = 7
-        found = formation.layout(made, [LARGE, SMALL])
-        assert [one for one in found if "small" in found[one]] == ["d0", "d1"]
-
-    def test_a_domain_that_is_almost_gone_changes_nothing_for_the_others(self):
-        made = views(1, 8, 8, 8, 8, 8)
-        for one in made[1:4]:
-            one.holding["large"] = 8
-        for one in made[4:]:
-            one.holding["small"] = 8
-        found = formation.layout(made, [LARGE, SMALL])
-        assert [set(found[one.name]) for one in made[1:]] == [{"large"}] * 3 + [{"small"}] * 2
-
-    def test_few_domains_carry_several_models_and_keep_spares(self):
-        found = formation.layout(views(8, 8), [LARGE, SMALL])
-        assert total(found) == {"large": 2, "small": 2}
-
-    @given(
-        sizes=st.lists(st.integers(0, 24), min_size=1, max_size=12),
-        large=st.integers(1, 8),
-        small=st.integers(1, 8),
-    )
-    def test_no_domain_is_asked_for_more_than_it_has(self, sizes, large, small):
-        models = [EngineModel("large", large, share=0.6), EngineModel("small", small, share=0.4)]
-        found = formation.layout(views(*sizes), models)
-        for view in views(*sizes):
-            counts = found[view.name]
-            assert sum(counts[one.name] * one.size for one in models) <= view.size
-
-
-class TestForms:
-    def test_hosts_that_hold_the_model_come_first(self):
-        warm = [endpoint(f"w{n}", staged=("large",)) for n in range(4)]
-        view = DomainView("d0", 8, free=[endpoint("a0"), *warm])
-        (form,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
-        assert set(form.members) == set(warm)
-        assert form.cold == []
-
-    def test_weak_members_help_out_but_never_lead(self):
-        warm = [endpoint(f"w{n}", staged=("large",)) for n in range(3)]
-        weak = endpoint("a0", staged=("large",), draining=True)
-        view = DomainView("d0", 8, free=[*warm, endpoint("x")], weak=[weak])
-        (form,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
-        assert form.members[-1] == weak
-
-    def test_no_group_of_weak_members_alone(self):
-        weak = [endpoint(f"a{n}", staged=("small",)) for n in range(2)]
-        view = DomainView("d0", 8, weak=weak)
-        assert (
-            formation.groups_to_form(view, collections.Counter(small=1), [SMALL], lambda _: 0) == []
-        )
-
-    def test_scarcer_model_first(self):
-        free = [endpoint(f"w{n}", staged=("large", "small")) for n in range(4)]
-        view = DomainView("d0", 8, free=free)
-        wanted = collections.Counter(large=1, small=2)
-        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda one: one.size)
-        assert [one.model.name for one in made] == ["large"]
-
-    def test_no_endpoint_is_used_twice(self):
-        free = [endpoint(f"w{n}") for n in range(9)]
-        view = DomainView("d0", 9, free=free)
-        wanted = collections.Counter(large=1, small=5)
-        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda _: 0)
-        used = [one.id for form in made for one in form.members]
-        assert len(used) == len(set(used))
-
-
-class TestStages:
-    def test_empty_spares_load_what_the_domain_carries(self):
-        model_loader = [endpoint("a"), endpoint("b", staged=("large",)), endpoint("c", ("small",))]
-        made = formation.models_to_load(
-            DomainView("d0", 8), collections.Counter(large=2), [LARGE, SMALL], model_loader
-        )
-        assert [(one.endpoint.id, one.model.name) for one in made] == [
-            ("a", "large"),
-            ("c", "large"),
-        ]
-
-    def test_a_host_that_is_loading_is_left_alone(self):
-        view = DomainView("d0", 8, staging={"a": "large"})
-        wanted = collections.Counter(large=2)
-        assert formation.models_to_load(view, wanted, [LARGE], [endpoint("a")]) == []
-
-
 class TestRetryAllowance:
     @given(
         daemons=st.integers(1, 20),
