--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -43,9 +43,9 @@
     ],
 )
 def test_members_cost(cheaper, dearer):
-    one = EngineModel("big", 1)
+    model = EngineModel("big", 1)
     view = DomainView("d0", 8, free=[dearer, cheaper], staging=STAGING)
-    (plan,) = formation.groups_to_form(view, collections.Counter(big=1), [one], lambda _: 0)
+    (plan,) = formation.groups_to_form(view, collections.Counter(big=1), [model], lambda _: 0)
     assert plan.members == (cheaper,)
 
 
@@ -121,9 +121,9 @@
     assert " ".join(f"{plan.endpoint.id}:{plan.model.name}" for plan in plans) == loads
 
 
-def views(*sizes, zones="abc"):
+def views(*sizes, failure_domains="abc"):
     return [
-        DomainView(f"d{number}", size, zones[number % len(zones)])
+        DomainView(f"d{number}", size, failure_domains[number % len(failure_domains)])
         for number, size in enumerate(sizes)
     ]
 
@@ -141,26 +141,26 @@
     def test_a_model_is_spread_over_failure_domains(self):
         made = views(8, 8, 8, 8, 8, 8)
         found = formation.layout(made, [LARGE, SMALL])
-        zones = {one.failure_domain for one in made if "small" in found[one.name]}
-        assert len(zones) == 2
+        failure_domains = {view.failure_domain for view in made if "small" in found[view.name]}
+        assert len(failure_domains) == 2
 
     def test_domains_keep_the_model_that_their_hosts_hold(self):
         made = views(8, 8, 8, 8, 8, 8)
-        for one in made[:2]:
-            one.holding["small"] = 8
-        for one in made[2:]:
-            one.holding["large"] = 7
+        for view in made[:2]:
+            view.holding["small"] = 8
+        for view in made[2:]:
+            view.holding["large"] = 7
         found = formation.layout(made, [LARGE, SMALL])
-        assert [one for one in found if "small" in found[one]] == ["d0", "d1"]
+        assert [name for name in found if "small" in found[name]] == ["d0", "d1"]
 
     def test_a_domain_that_is_almost_gone_changes_nothing_for_the_others(self):
         made = views(1, 8, 8, 8, 8, 8)
-        for one in made[1:4]:
-            one.holding["large"] = 8
-        for one in made[4:]:
-            one.holding["small"] = 8
+        for view in made[1:4]:
+            view.holding["large"] = 8
+        for view in made[4:]:
+            view.holding["small"] = 8
         found = formation.layout(made, [LARGE, SMALL])
-        assert [set(found[one.name]) for one in made[1:]] == [{"large"}] * 3 + [{"small"}] * 2
+        assert [set(found[view.name]) for view in made[1:]] == [{"large"}] * 3 + [{"small"}] * 2
 
     def test_few_domains_carry_several_models_and_keep_spares(self):
         found = formation.layout(views(8, 8), [LARGE, SMALL])
@@ -176,23 +176,23 @@
         found = formation.layout(views(*sizes), models)
         for view in views(*sizes):
             counts = found[view.name]
-            assert sum(counts[one.name] * one.size for one in models) <= view.size
+            assert sum(counts[model.name] * model.size for model in models) <= view.size
 
 
-class TestForms:
+class TestGroupsToForm:
     def test_hosts_that_hold_the_model_come_first(self):
         warm = [endpoint(f"w{n}", staged=("large",)) for n in range(4)]
         view = DomainView("d0", 8, free=[endpoint("a0"), *warm])
-        (form,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
-        assert set(form.members) == set(warm)
-        assert form.cold == []
+        (plan,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
+        assert set(plan.members) == set(warm)
+        assert plan.cold == []
 
     def test_weak_members_help_out_but_never_lead(self):
         warm = [endpoint(f"w{n}", staged=("large",)) for n in range(3)]
         weak = endpoint("a0", staged=("large",), draining=True)
         view = DomainView("d0", 8, free=[*warm, endpoint("x")], weak=[weak])
-        (form,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
-        assert form.members[-1] == weak
+        (plan,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
+        assert plan.members[-1] == weak
 
     def test_no_group_of_weak_members_alone(self):
         weak = [endpoint(f"a{n}", staged=("small",)) for n in range(2)]
@@ -205,25 +205,25 @@
         free = [endpoint(f"w{n}", staged=("large", "small")) for n in range(4)]
         view = DomainView("d0", 8, free=free)
         wanted = collections.Counter(large=1, small=2)
-        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda one: one.size)
-        assert [one.model.name for one in made] == ["large"]
+        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda model: model.size)
+        assert [plan.model.name for plan in made] == ["large"]
 
     def test_no_endpoint_is_used_twice(self):
         free = [endpoint(f"w{n}") for n in range(9)]
         view = DomainView("d0", 9, free=free)
         wanted = collections.Counter(large=1, small=5)
         made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda _: 0)
-        used = [one.id for form in made for one in form.members]
+        used = [member.id for plan in made for member in plan.members]
         assert len(used) == len(set(used))
 
 
-class TestStages:
+class TestModelsToLoad:
     def test_empty_spares_load_what_the_domain_carries(self):
-        model_loader = [endpoint("a"), endpoint("b", staged=("large",)), endpoint("c", ("small",))]
+        spares = [endpoint("a"), endpoint("b", staged=("large",)), endpoint("c", ("small",))]
         made = formation.models_to_load(
-            DomainView("d0", 8), collections.Counter(large=2), [LARGE, SMALL], model_loader
+            DomainView("d0", 8), collections.Counter(large=2), [LARGE, SMALL], spares
         )
-        assert [(one.endpoint.id, one.model.name) for one in made] == [
+        assert [(plan.endpoint.id, plan.model.name) for plan in made] == [
             ("a", "large"),
             ("c", "large"),
         ]
