--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
@@ -0,0 +1,154 @@
+"""What the platform's store says, and the records that the gateway keeps there.
+
+Owns: nothing.
+Relies on: the store having one order of all changes, counted by its revision.
+"""
+
+import dataclasses
+import typing as t
+
+from ..store.roster import Endpoint
+from ..store.serving import ServingConfiguration
+
+# part of a wait without a change that had passed at the other side when it answered, however
+# quick its clock is; chosen, not measured (4d4bdb4)
+WAITED_PART = 0.8
+
+
+def proven_part(wait: float, took: float, *, changed: bool) -> float:
+    """Return the seconds after a call for changes was sent that its answer proves.
+
+    An answer that came before the end of the wait, or that brings changes, proves no more than
+    the moment at which the call was sent.
+
+    :param wait: seconds that the other side was asked to wait for a change.
+    :param took: seconds from sending the call to its answer.
+    :param changed: whether the answer brought changes.
+    """
+    return WAITED_PART * wait if took >= wait and not changed else 0.0
+
+
+@dataclasses.dataclass(frozen=True)
+class ConfigurationChanged:
+    """A configuration is the newest one."""
+
+    configuration: ServingConfiguration
+
+
+@dataclasses.dataclass(frozen=True)
+class EndpointListed:
+    """An endpoint's entry is new or has changed."""
+
+    endpoint: Endpoint
+
+
+@dataclasses.dataclass(frozen=True)
+class EndpointGone:
+    """An endpoint is no longer listed."""
+
+    endpoint_id: str
+
+
+@dataclasses.dataclass(frozen=True)
+class RecordChanged:
+    """One of the gateway's own records.
+
+    :param value: None if it is gone.
+    :param revision: the store's revision at its last change.
+    :param created: the store's revision at which its present life began.
+    """
+
+    key: str
+    value: bytes | None
+    revision: int
+    created: int = 0
+
+
+Change = ConfigurationChanged | EndpointListed | EndpointGone | RecordChanged
+
+
+@dataclasses.dataclass(frozen=True)
+class Changes:
+    """Changes in the store's order.
+
+    :param revision: where to continue.
+    :param proven: seconds after the call was sent, before it if negative, up to which there
+        was no other change.
+    """
+
+    revision: int
+    changes: t.Sequence[Change]
+    proven: float = 0.0
+
+
+class ChangeFeed(t.Protocol):
+    """What the platform's store says of configuration, endpoints and the gateway's records.
+
+    Every method raises :class:`StoreUnavailableError` if there is no answer.
+    """
+
+    async def snapshot(self) -> Changes:
+        """Return everything there is."""
+        ...
+
+    async def changes(self, since: int, wait: float) -> Changes:
+        """Return what has changed since a revision, as soon as something has.
+
+        :param wait: seconds after which it returns without a change.
+        :raises HistoryGoneError: if all has to be read again.
+        """
+        ...
+
+
+class RecordStore(t.Protocol):
+    """The gateway's own records in the platform's store, under leases.
+
+    Every method raises :class:`StoreUnavailableError` if the call was not carried out, and
+    :class:`StoreOutcomeUnknownError` if it may have been, or may still be.
+    """
+
+    async def create(self, key: str, value: bytes, lease: int) -> int | None:
+        """Write a record that must not be there.
+
+        :returns: the store's revision with it, or None if the record is there.
+        """
+        ...
+
+    async def put(self, key: str, value: bytes, lease: int) -> None:
+        """Write a record, whether it is there or not."""
+        ...
+
+    async def commit(
+        self,
+        puts: t.Mapping[str, bytes],
+        removals: t.Sequence[str],
+        unchanged: t.Mapping[str, int],
+    ) -> bool:
+        """Write and remove records without a lease, all or none.
+
+        :param unchanged: the revision of the last change of records that must not have changed.
+        :returns: whether that held; nothing is done otherwise.
+        """
+        ...
+
+    async def find(self, key: str) -> RecordChanged | None:
+        """Return a record, or None if it is not there."""
+        ...
+
+    async def grant(self, ttl: float) -> int:
+        """Return a new lease.
+
+        :param ttl: seconds for which it lasts unless it is renewed.
+        """
+        ...
+
+    async def renew(self, lease: int) -> None:
+        """Renew a lease.
+
+        :raises LeaseGoneError: if it is over.
+        """
+        ...
+
+    async def end(self, lease: int) -> None:
+        """End a lease."""
+        ...
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -29,7 +29,10 @@
 
 
 class _LostError(aiohttp.ClientError):
-    """A connection was lost after something may have been sent."""
+    """A connection was lost after something may have been sent.
+
+    The name stands in the cause of a failed attempt, in log lines and answers: keep it.
+    """
 
 
 async def _never_again(
@@ -71,6 +74,7 @@
     """
     connector = aiohttp.TCPConnector(limit=0, force_close=True, happy_eyeballs_delay=None)
     made = functools.partial(_Connection, loop=asyncio.get_running_loop())
+    # the library has no public way to choose the class of connections
     connector._factory = t.cast(functools.partial[ResponseHandler], made)
     return aiohttp.ClientSession(
         connector=connector,
