--- a/packages/gateway/src/thorncleat_gateway/store/roster.py
+++ b/packages/gateway/src/thorncleat_gateway/store/roster.py
@@ -54,7 +54,10 @@
         an :class:`EngineReport` can tell the condition for an order. Unused, kept for
         :mod:`.change_codec`.
     :param fabric_domain: of the instances that one group may span.
+    :param models: those that it has loaded.
     :param staged: models that lie on its host.
+    :param slots: requests that it runs at once; unused, since those of a group count, and kept
+        for :mod:`.change_codec`.
     """
 
     id: str
