--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -8,7 +8,7 @@
 import typing as t
 
 
-class RetryBudget:
+class RetryThrottle:
     """Allows retries as a part of successes, so that a failing fleet isn't loaded further.
 
     :param part: retries for each success.
@@ -20,11 +20,6 @@
         self._reserve = reserve
         self._level = reserve
 
-    @property
-    def level(self) -> float:
-        """Retries that are left."""
-        return self._level
-
     def succeeded(self) -> None:
         """Count a success."""
         self._level = min(self._reserve, self._level + self._part)
