--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -125,7 +125,7 @@
         if name.startswith("daemon-"):
             await cluster.start_daemon(name)
         elif name[0] == "d":
-            await cluster.start_engine(name, f"fabric-{name[1]}", f"fd-{name[1]}")
+            await cluster.start_engine(name)
     try:
         await cluster.wait_loaded()
         await cluster.wait_open(GROUPS)
--- a/bench/soaks/daemon_troubles.py
+++ b/bench/soaks/daemon_troubles.py
@@ -67,8 +67,7 @@
     name = soak.pick("d0-" if soak.draw.random() < 0.5 else "d1-")
     await soak.cluster.processes[name].stop(signal.SIGKILL)
     await soak.pause(0, 4)
-    domain = name[1]
-    await soak.cluster.start_engine(name, f"fabric-{domain}", f"fd-{domain}")
+    await soak.cluster.start_engine(name)
 
 
 @troubles.register("freeze_an_engine")
--- a/packages/standins/src/thorncleat_standins/__main__.py
+++ b/packages/standins/src/thorncleat_standins/__main__.py
@@ -1,4 +1,8 @@
-"""Runs a stand-in as a process: ``python -m thorncleat_standins store|engine|service``."""
+"""Runs a stand-in as a process: ``python -m thorncleat_standins store|engine|service``.
+
+Owns: nothing beyond the stand-ins that it serves.
+Relies on: SIGTERM or SIGINT to end.
+"""
 
 import fire
 
@@ -12,7 +16,7 @@
 class Commands:
     """The stand-ins that can be started; each prints one JSON line with its addresses."""
 
-    def store(self, port: int = 0, writes: float = 100) -> None:
+    def store(self, port: int = 0, writes: float = store.WRITES_A_SECOND) -> None:
         """Start the platform's store and list of instances."""
 
         async def start() -> list[Served]:
@@ -29,7 +33,7 @@
         async def start() -> list[Served]:
             behaviour = engine.Behaviour(token_seconds=token_seconds, load_seconds=load_seconds)
             made = [engine.Engine(str(name), behaviour) for name in names]
-            return [await engine.serve(one) for one in made]
+            return [await engine.serve(instance) for instance in made]
 
         run(start)
 
--- a/packages/standins/src/thorncleat_standins/cluster.py
+++ b/packages/standins/src/thorncleat_standins/cluster.py
@@ -8,6 +8,7 @@
 import asyncio
 import dataclasses
 import hashlib
+import itertools
 import json
 import pathlib
 import secrets
@@ -25,6 +26,12 @@
 LOOK_SECONDS = 0.05
 # for daemons that start, meet and form groups; chosen, not measured
 WAIT_SECONDS = 30.0
+# of each instance (docs/DEVELOPERS.md: 80,000 on 10,000 instances)
+ACCELERATORS = 8
+# where a cluster sets none: few shards, quick loads and looks at the list, for short runs;
+# chosen, not measured
+CONTROL = {"shards": 4, "load": 1.0}
+LIST_SECONDS = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
@@ -38,7 +45,6 @@
     daemons: int = 3
     domains: int = 1
     instances: int = 4
-    accelerators: int = 8
     token_seconds: float = 0.02
     load_seconds: float = 0.2
 
@@ -65,12 +71,12 @@
         self.operator_key = secrets.token_urlsafe(18)
         self.processes: dict[str, Process] = {}
         self.instances: dict[str, str] = {}
-        self._control = {"shards": 4, "load": 1.0, **(control or {})}
+        self._control = {**CONTROL, **(control or {})}
         self._requests = requests or {}
         self._listen = listen or {}
         public, secret = zmq.curve_keypair()
         self._peer_keys = {"public": public.decode(), "secret": secret.decode()}
-        self._listed: list[Json] = []
+        self._listed: dict[str, Json] = {}
         directory.mkdir(parents=True, exist_ok=True)
 
     # addresses
@@ -85,6 +91,11 @@
         """Address of the plain service."""
         return str(self.processes["service"].said["addresses"][0])
 
+    @property
+    def daemons(self) -> list[str]:
+        """Names of the daemons that were started."""
+        return sorted(name for name in self.processes if name.startswith("daemon-"))
+
     def callers(self, daemon: str) -> str:
         """URL of a daemon's callers' side."""
         return f"http://{self.processes[daemon].said['callers']}"
@@ -93,11 +104,6 @@
         """URL of a daemon's operators' side."""
         return f"http://{self.processes[daemon].said['operators']}"
 
-    @property
-    def daemons(self) -> list[str]:
-        """Names of the daemons that were started."""
-        return sorted(name for name in self.processes if name.startswith("daemon-"))
-
     # starting and stopping
 
     async def start(self, *, shared_engines: bool = False) -> None:
@@ -108,57 +114,65 @@
         """
         await self.spawn("store", "thorncleat_standins", "store")
         await self.spawn("service", "thorncleat_standins", "service")
+        domains = [
+            [f"d{domain}-i{number}" for number in range(self.site.instances)]
+            for domain in range(self.site.domains)
+        ]
         if shared_engines:
-            await asyncio.gather(*map(self._start_domain, range(self.site.domains)))
+            await asyncio.gather(
+                *(
+                    self._start_engines(f"domain-{domain}", names)
+                    for domain, names in enumerate(domains)
+                )
+            )
         else:
-            await self._start_engines()
-        names = [f"daemon-{number}" for number in range(self.site.daemons)]
-        await asyncio.gather(*(self.start_daemon(name) for name in names))
-
-    async def _start_domain(self, domain: int) -> None:
-        names = [f"d{domain}-i{number}" for number in range(self.site.instances)]
-        process = await self._spawn_engine(f"domain-{domain}", ",".join(names))
-        for name, address in zip(names, process.said["addresses"], strict=True):
-            self.instances[name] = address
-            fabric, failure = f"fabric-{domain}", f"fd-{domain}"
-            self._list(name, "endpoint", address, fabric, failure, self.site.accelerators)
-        await self.publish_list()
-
-    async def _start_engines(self) -> None:
+            names = itertools.chain.from_iterable(domains)
+            await asyncio.gather(*(self.start_engine(name) for name in names))
         await asyncio.gather(
-            *(
-                self._start_engine(domain, number)
-                for domain in range(self.site.domains)
-                for number in range(self.site.instances)
-            )
+            *(self.start_daemon(f"daemon-{number}") for number in range(self.site.daemons))
         )
 
-    async def _start_engine(self, domain: int, number: int) -> None:
-        await self.start_engine(f"d{domain}-i{number}", f"fabric-{domain}", f"fd-{domain}")
+    async def start_engine(self, name: str) -> None:
+        """Start an engine and list its instance.
 
-    async def start_engine(self, name: str, fabric: str, failure: str) -> None:
-        """Start an engine as the instance of that name and list it."""
-        process = await self._spawn_engine(name, name)
-        address = process.said["addresses"][0]
-        self.instances[name] = address
-        self._list(name, "endpoint", address, fabric, failure, self.site.accelerators)
-        await self.publish_list()
+        :param name: ``d0-i2`` for instance 2 of fabric domain 0.
+        """
+        await self._start_engines(name, [name])
 
-    async def _spawn_engine(self, name: str, instances: str) -> Process:
-        return await self.spawn(
-            name,
+    async def _start_engines(self, process_name: str, instances: list[str]) -> None:
+        process = await self.spawn(
+            process_name,
             "thorncleat_standins",
             "engine",
-            instances,
+            ",".join(instances),
             f"--token_seconds={self.site.token_seconds}",
             f"--load_seconds={self.site.load_seconds}",
         )
+        for name, address in zip(instances, process.said["addresses"], strict=True):
+            self.instances[name] = address
+            domain = name.partition("-")[0].removeprefix("d")
+            self._list(
+                name,
+                kind="endpoint",
+                address=address,
+                fabric_domain=f"fabric-{domain}",
+                failure_domain=f"fd-{domain}",
+                accelerators=ACCELERATORS,
+            )
+        await self.publish_list()
 
     async def start_daemon(self, name: str) -> None:
         """Start a daemon and list it."""
         path = self.write_settings(name)
         process = await self.spawn(name, "thorncleat_daemon", "run", str(path))
-        self._list(name, "entry", process.said["peers"], "", "fd-0", 0)
+        self._list(
+            name,
+            kind="entry",
+            address=process.said["peers"],
+            fabric_domain="",
+            failure_domain="fd-0",
+            accelerators=0,
+        )
         await self.publish_list()
 
     def write_settings(self, name: str) -> pathlib.Path:
@@ -175,7 +189,7 @@
             },
             "peer_keys": {**self._peer_keys, "accepted": [self._peer_keys["public"]]},
             "store": {"endpoints": [self.store]},
-            "platform": {"endpoints": [self.store], "poll": 0.3},
+            "platform": {"endpoints": [self.store], "poll": LIST_SECONDS},
             "operators": [{"name": "first", "key_digest": digest}],
             "control": self._control,
             "requests": self._requests,
@@ -203,30 +217,16 @@
 
     # the platform's list
 
-    def _list(
-        self, name: str, kind: str, address: str, fabric: str, failure: str, accelerators: int
-    ) -> None:
-        self.unlist(name)
-        self._listed.append(
-            {
-                "id": name,
-                "kind": kind,
-                "address": address,
-                "fabric_domain": fabric,
-                "failure_domain": failure,
-                "region": "here",
-                "accelerators": accelerators,
-                "state": "live",
-            }
-        )
-
-    def unlist(self, name: str) -> None:
-        """Take an instance off the list; published by :meth:`publish_list`."""
-        self._listed = [row for row in self._listed if row["id"] != name]
+    def _list(self, name: str, **row: t.Any) -> None:
+        """List an instance; published by :meth:`publish_list`."""
+        # at the end also when it was listed before
+        self._listed.pop(name, None)
+        self._listed[name] = {"id": name, "region": "here", "state": "live", **row}
 
     async def publish_list(self) -> None:
         """Put the list before the daemons."""
-        await self.control_call("PUT", self.store, "/platform/instances", instances=self._listed)
+        rows = list(self._listed.values())
+        await self.control_call("PUT", self.store, "/platform/instances", instances=rows)
 
     async def control_call(self, method: str, address: str, path: str, **body: t.Any) -> Json:
         """Call a stand-in's switchboard."""
--- a/packages/standins/src/thorncleat_standins/kv.py
+++ b/packages/standins/src/thorncleat_standins/kv.py
@@ -1,4 +1,8 @@
-"""The state of the stand-in store: a revisioned map with leases, compare and watch events."""
+"""The state of the stand-in store: a revisioned map with leases, conditions and watch events.
+
+Owns: records, leases and the whole history; nothing is compacted.
+Relies on: an injected clock, which tests steer.
+"""
 
 import asyncio
 import dataclasses
@@ -90,11 +94,7 @@
     def get(self, key: bytes, end: bytes = b"") -> list[Record]:
         """Return the records of a key, or of the range up to ``end``, sorted."""
         self.expire()
-        if not end:
-            found = self._records.get(key)
-            return [found] if found else []
-        keys = sorted(one for one in self._records if key <= one < end)
-        return [self._records[one] for one in keys]
+        return self._find(key, end)
 
     def transact(self, compares: t.Iterable[Compare], operations: t.Iterable[Operation]) -> bool:
         """Apply all operations at one revision if every comparison holds."""
@@ -132,7 +132,7 @@
     def expire(self) -> None:
         """End the leases whose time is over."""
         now = self._clock()
-        for lease in [one for one in self._leases.values() if one.deadline <= now]:
+        for lease in [lease for lease in self._leases.values() if lease.deadline <= now]:
             self.revoke(lease.id)
 
     def events_since(self, revision: int, key: bytes, end: bytes) -> list[Event]:
@@ -192,14 +192,13 @@
         self._history.append(Event(put.key, self.revision, record))
 
     def _delete(self, delete: Delete) -> None:
-        for record in self.get_silently(delete.key, delete.end):
+        for record in self._find(delete.key, delete.end):
             del self._records[record.key]
             if record.lease in self._leases:
                 self._leases[record.lease].keys.discard(record.key)
             self._history.append(Event(record.key, self.revision, None))
 
-    def get_silently(self, key: bytes, end: bytes) -> list[Record]:
-        """Return records without ending leases first."""
+    def _find(self, key: bytes, end: bytes) -> list[Record]:
         if not end:
             return [self._records[key]] if key in self._records else []
-        return [self._records[one] for one in sorted(self._records) if key <= one < end]
+        return [self._records[found] for found in sorted(self._records) if key <= found < end]
--- a/packages/standins/src/thorncleat_standins/platform_store.py
+++ b/packages/standins/src/thorncleat_standins/platform_store.py
@@ -1,6 +1,9 @@
 """A stand-in of the users' platform's store, by its published page.
 
 Items with revisions, conditions, leases, watches; faults are switched by attributes.
+
+Owns: items, leases and the history since it was last forgotten.
+Relies on: being asked often enough to end leases; it has no task of its own.
 """
 
 import asyncio
@@ -12,7 +15,14 @@
 from aiohttp import web
 
 Document = dict[str, t.Any]
-PAGE = 500
+# entries of one answer about a range; chosen, not measured
+PAGE_ENTRIES = 500
+# between two looks at leases while a watch waits; chosen, not measured
+LOOK_SECONDS = 0.2
+# for handlers to end; chosen, not measured
+SHUTDOWN_SECONDS = 0.1
+# ids of leases lie above; any number would do
+FIRST_LEASE = 1000
 
 
 class PlatformStore:
@@ -48,7 +58,7 @@
         }
         for (method, path), handler in routes.items():
             app.router.add_route(method, f"/thorncleat/{path}", self._guarded(path, handler))
-        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
+        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_SECONDS)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", 0)
         await site.start()
@@ -104,7 +114,7 @@
 
     def _expire(self) -> None:
         now = time.monotonic()
-        for lease in [one for one, (end, _) in self._leases.items() if end <= now]:
+        for lease in [lease for lease, (end, _) in self._leases.items() if end <= now]:
             self._drop(lease)
 
     def _drop(self, lease: int) -> None:
@@ -138,8 +148,12 @@
     async def _range(self, request: web.Request) -> web.Response:
         prefix, since = request.query["path_prefix"], request.query.get("since_rev", "")
         keys = [key for key in self.keys(prefix) if key >= since]
-        entries = [self._items[key] for key in keys[:PAGE]]
-        body = {"entries": entries, "has_more": len(keys) > PAGE, "timestamp": self.revision}
+        entries = [self._items[key] for key in keys[:PAGE_ENTRIES]]
+        body = {
+            "entries": entries,
+            "has_more": len(keys) > PAGE_ENTRIES,
+            "timestamp": self.revision,
+        }
         return web.json_response(body)
 
     async def _watch(self, request: web.Request) -> web.Response:
@@ -158,7 +172,7 @@
             if found or left <= 0:
                 return web.json_response({"events": found, "timestamp": self.revision})
             try:
-                await asyncio.wait_for(self._changed.wait(), min(left, 0.2))
+                await asyncio.wait_for(self._changed.wait(), min(left, LOOK_SECONDS))
             except TimeoutError:
                 self._expire()
 
@@ -179,7 +193,7 @@
 
     async def _lease(self, request: web.Request) -> web.Response:
         ttl = (await request.json())["ttl_ms"] / 1000
-        lease = 1000 + len(self.calls)
+        lease = FIRST_LEASE + len(self.calls)
         self._leases[lease] = (time.monotonic() + ttl, ttl)
         return web.json_response({"lease_id": lease, "ttl_ms": int(ttl * 1000)})
 
--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -2,6 +2,9 @@
 
 A worker lists itself in the store, follows orders about groups, and answers requests; how it
 misbehaves is switched by attributes.
+
+Owns: its group, the model that it holds, and the requests that it ran.
+Relies on: the stand-in store, into which it writes its entry by itself.
 """
 
 import asyncio
@@ -20,8 +23,16 @@
 EXPECT = "X-Thorncleat-Expect-Instance"
 NOT_RUN = "X-Thorncleat-Not-Executed"
 LAST_EVENT = "Last-Event-Id"
+# from an order about its group until it is carried out; chosen, not measured
 JOIN_SECONDS = 0.02
+# between the events of a stream; chosen, not measured
 EVENT_SECONDS = 0.02
+# of a stream that fell silent; chosen, not measured
+SILENCE_SECONDS = 30.0
+# between half an answer and its reset, so that the half is sent; chosen, not measured
+RESET_SECONDS = 0.05
+# for handlers to end; chosen, not measured
+SHUTDOWN_SECONDS = 0.1
 
 
 @dataclasses.dataclass
@@ -75,7 +86,7 @@
     async def start(self) -> None:
         """Listen on a free port of the loopback and enter the store."""
         server = web.Server(self._handle, access_log=None)
-        self._runner = web.ServerRunner(server, shutdown_timeout=0.1)
+        self._runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_SECONDS)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", 0)
         await site.start()
@@ -201,7 +212,7 @@
         first = int(request.headers.get(LAST_EVENT, "0"))
         for number in range(first + 1, self.events + 1):
             if self.silent_after is not None and number - first > self.silent_after:
-                await asyncio.sleep(30)
+                await asyncio.sleep(SILENCE_SECONDS)
             if self.cut_after is not None and first == 0 and number > self.cut_after:
                 assert request.transport is not None
                 request.transport.abort()
@@ -220,7 +231,7 @@
         await asyncio.sleep(EVENT_SECONDS)
 
     def began(self, run: Run) -> None:
-        """Take in that a request begins to run."""
+        """Note that a request begins to run."""
         self.runs.append(run)
 
     async def _reset(self, request: web.BaseRequest, headers: dict[str, str]) -> web.StreamResponse:
@@ -228,7 +239,7 @@
         assert transport is not None
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         transport.write(f"HTTP/1.1 200 OK\r\nConnection: close\r\n{head}\r\nhalf".encode())
-        await asyncio.sleep(0.05)
+        await asyncio.sleep(RESET_SECONDS)
         # closing then resets instead of ending in order
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
--- a/packages/standins/src/thorncleat_standins/quickstart.py
+++ b/packages/standins/src/thorncleat_standins/quickstart.py
@@ -1,4 +1,8 @@
-"""The main job from end to end, by plain processes: ``bin/quickstart``."""
+"""The main job from end to end, by plain processes: ``bin/quickstart``.
+
+Owns: the cluster that it starts and ends.
+Relies on: the operators' client being installed beside this interpreter.
+"""
 
 import asyncio
 import hashlib
--- a/packages/standins/src/thorncleat_standins/served.py
+++ b/packages/standins/src/thorncleat_standins/served.py
@@ -1,4 +1,8 @@
-"""Serving a stand-in on a free port, alone in a process or inside a test."""
+"""Serving a stand-in on a free port, alone in a process or inside a test.
+
+Owns: the listening socket of each application.
+Relies on: :mod:`thorncleat_standins.processes` reading the line that a process prints.
+"""
 
 import asyncio
 import contextlib
@@ -8,6 +12,9 @@
 
 from aiohttp import web
 
+# for handlers to end; chosen, not measured
+SHUTDOWN_SECONDS = 0.5
+
 
 class Served:
     """An HTTP application that is being served.
@@ -22,7 +29,7 @@
     @classmethod
     async def start(cls, app: web.Application, host: str = "127.0.0.1", port: int = 0) -> "Served":
         """Start serving; port 0 takes a free one."""
-        runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.5)
+        runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_SECONDS)
         await runner.setup()
         await web.TCPSite(runner, host, port).start()
         return cls(runner, f"{host}:{runner.addresses[0][1]}")
@@ -39,10 +46,10 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
     # the launcher reads this one line to learn the ports
-    print(json.dumps({"addresses": [one.address for one in served]}), flush=True)
+    print(json.dumps({"addresses": [application.address for application in served]}), flush=True)
     await stopped.wait()
-    for one in served:
-        await one.stop()
+    for application in served:
+        await application.stop()
 
 
 def run(start: t.Callable[[], t.Awaitable[list[Served]]]) -> None:
--- a/packages/standins/src/thorncleat_standins/service.py
+++ b/packages/standins/src/thorncleat_standins/service.py
@@ -1,4 +1,8 @@
-"""A plain service whose calls may not be repeated, with a ledger of what ran."""
+"""A plain service whose calls may not be repeated, with a ledger of what ran.
+
+Owns: the ledger: runs by the ``X-Call`` that a caller gave.
+Relies on: callers giving each call a name of its own.
+"""
 
 import collections
 import dataclasses
--- a/packages/standins/src/thorncleat_standins/store.py
+++ b/packages/standins/src/thorncleat_standins/store.py
@@ -1,6 +1,9 @@
 """The platform's key-value service, in the published JSON form of the etcd v3 interface.
 
 Beside it stand the platform's list of instances and a switchboard for faults.
+
+Owns: the list of instances, the faults at present, and the rates that are left.
+Relies on: :mod:`thorncleat_standins.kv` for records, leases and events.
 """
 
 import asyncio
@@ -16,8 +19,13 @@
 from . import kv
 from .served import Served
 
-MAX_VALUE = 1_000_000
+# of a value; chosen, not measured
+MAX_VALUE_BYTES = 1_000_000
+# code of gRPC
 RESOURCE_EXHAUSTED = 8
+# that are let through, of the whole fleet (docs/DEVELOPERS.md)
+WRITES_A_SECOND = 100.0
+READS_A_SECOND = 2000.0
 
 
 @dataclasses.dataclass
@@ -113,8 +121,8 @@
 
     def __init__(
         self,
-        writes: float = 100,
-        reads: float = 2000,
+        writes: float = WRITES_A_SECOND,
+        reads: float = READS_A_SECOND,
         clock: t.Callable[[], float] = time.monotonic,
     ) -> None:
         self.store = kv.Store(clock)
@@ -125,7 +133,7 @@
 
     def application(self) -> web.Application:
         """Return the HTTP application."""
-        app = web.Application(client_max_size=2 * MAX_VALUE)
+        app = web.Application(client_max_size=2 * MAX_VALUE_BYTES)
         app.add_routes(
             [
                 web.post("/v3/kv/range", self._range),
@@ -180,12 +188,13 @@
     async def _txn(self, request: web.Request) -> web.Response:
         raw = await request.json()
         await self._admit(request, self._write_rate)
-        operations = [_operation(one) for one in raw.get("success", [])]
+        operations = [_operation(operation) for operation in raw.get("success", [])]
         for operation in operations:
-            if isinstance(operation, kv.Put) and len(operation.value) > MAX_VALUE:
+            if isinstance(operation, kv.Put) and len(operation.value) > MAX_VALUE_BYTES:
                 raise web.HTTPBadRequest(text='{"message": "value too large"}')
         try:
-            done = self.store.transact([_compare(one) for one in raw["compare"]], operations)
+            compares = [_compare(compare) for compare in raw["compare"]]
+            done = self.store.transact(compares, operations)
         except kv.LeaseNotFoundError:
             raise web.HTTPNotFound(text='{"message": "requested lease not found"}') from None
         self._lose(request)
@@ -261,6 +270,6 @@
         return web.json_response(dataclasses.asdict(self.faults))
 
 
-async def serve(host: str = "127.0.0.1", port: int = 0, writes: float = 100) -> Served:
+async def serve(host: str = "127.0.0.1", port: int = 0, writes: float = WRITES_A_SECOND) -> Served:
     """Start a store on a port; 0 takes a free one."""
     return await Served.start(StoreServer(writes=writes).application(), host, port)
--- a/packages/standins/src/thorncleat_standins/traffic.py
+++ b/packages/standins/src/thorncleat_standins/traffic.py
@@ -1,5 +1,9 @@
 """Callers as they are under failure: they repeat at random daemons, and remember what they
-were told, so that it can be held against the service's own ledger."""
+were told, so that it can be held against the service's own ledger.
+
+Owns: what each caller was told of each call.
+Relies on: engines answering the same tokens for the same prompt, whichever they are.
+"""
 
 import asyncio
 import collections
@@ -14,8 +18,11 @@
 
 ACKNOWLEDGE = "/v1/services/telemetry/alarms/7/ack"
 CHAT = "/v1/chat/completions"
+# of a call; chosen, not measured
 ATTEMPTS = 6
+# with one answer; more than the deadline that callers send; chosen, not measured
 PATIENCE_SECONDS = 5.0
+DEADLINE_SECONDS = 3
 DONE_STATUS = 201
 
 
@@ -27,7 +34,10 @@
 
     def __init__(self, cluster: Cluster, key: str, draw: random.Random) -> None:
         self._cluster = cluster
-        self._headers = {"Authorization": f"Bearer {key}", "X-Request-Deadline": "3"}
+        self._headers = {
+            "Authorization": f"Bearer {key}",
+            "X-Request-Deadline": str(DEADLINE_SECONDS),
+        }
         self._draw = draw
         self.told: dict[str, list[str]] = collections.defaultdict(list)
 
