--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -1,4 +1,8 @@
-"""The program ``thorncleat``."""
+"""The program ``thorncleat``.
+
+Owns: nothing.
+Relies on: a daemon's operators' side for all but keys, checks and stories, which need none.
+"""
 
 import json
 import os
@@ -28,6 +32,7 @@
 
 URL_VARIABLE = "THORNCLEAT_URL"
 KEY_VARIABLE = "THORNCLEAT_KEY"
+# of randomness in a new key; chosen, not measured
 KEY_BYTES = 24
 Json = dict[str, t.Any]
 
@@ -165,7 +170,7 @@
                 print(f"{error}\nnow it would be:")
                 tables.plan(error.fresh)
             raise
-        self.show(done, lambda one: print(f"accepted as revision {one['revision']}"))
+        self.show(done, lambda accepted: print(f"accepted as revision {accepted['revision']}"))
 
     def status(self) -> None:
         """Show what a daemon knows of the system."""
--- a/packages/core/src/thorncleat_core/daemon/burn.py
+++ b/packages/core/src/thorncleat_core/daemon/burn.py
@@ -1,11 +1,17 @@
-"""Service-level burn: how fast each workspace's error budget is used up, and by what."""
+"""Service-level burn: how fast each workspace's error budget is used up, and by what.
+
+Owns: counts of good and bad requests of the last six hours.
+Relies on: clocks of the daemons that agree to about a minute.
+"""
 
 import collections
 import dataclasses
 import typing as t
 
+# length of a bucket; chosen, not measured
 BUCKET_SECONDS = 60
-# windows of the multi-window rule: a fast one and a slow one must both burn
+# windows of the multi-window rule: a fast one and a slow one must both burn, at the rate that
+# stands last; docs/OPERATORS.md names both alerts; chosen, not measured
 WINDOWS = {"5m": 300, "1h": 3600, "6h": 21_600}
 ALERTS = (("page", "5m", "1h", 14.4), ("ticket", "1h", "6h", 6.0))
 GOOD = "good"
@@ -54,7 +60,7 @@
         bucket = int(now // BUCKET_SECONDS)
         if bucket not in buckets:
             oldest = bucket - max(WINDOWS.values()) // BUCKET_SECONDS
-            for late in [one for one in buckets if one < oldest]:
+            for late in [known for known in buckets if known < oldest]:
                 del buckets[late]
         buckets.setdefault(bucket, collections.Counter())[cause] += 1
 
@@ -107,7 +113,7 @@
 
 def _row(subject: Subject, buckets: Buckets, objective: float, now: float) -> BurnRow:
     counts = {name: _within(buckets, seconds, now) for name, seconds in WINDOWS.items()}
-    rates = {name: _rate(one, objective) for name, one in counts.items()}
+    rates = {name: _rate(counted, objective) for name, counted in counts.items()}
     longest = counts["6h"]
     causes = {cause: number for cause, number in sorted(longest.items()) if cause != GOOD}
     alert = ""
--- a/packages/core/src/thorncleat_core/daemon/keys.py
+++ b/packages/core/src/thorncleat_core/daemon/keys.py
@@ -1,4 +1,8 @@
-"""Keys of callers and operators. Only digests are ever kept."""
+"""Keys of callers and operators. Only digests are ever kept.
+
+Owns: nothing.
+Relies on: keys being long and random, so that a plain digest keeps them.
+"""
 
 import hashlib
 import hmac
@@ -13,7 +17,7 @@
 
 
 def is_digest(text: str) -> bool:
-    """Tell whether a text has a digest's form."""
+    """Return whether a text has a digest's form."""
     return _DIGEST.fullmatch(text) is not None
 
 
--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -1,4 +1,8 @@
-"""When a request may be sent again, and which endpoints are left out for a while."""
+"""When a request may be sent again, and which endpoints are left out for a while.
+
+Owns: the retries left, and each endpoint's failures in a row.
+Relies on: callers that note each success and failure.
+"""
 
 import dataclasses
 import typing as t
@@ -48,6 +52,7 @@
     :param most: part of the endpoints that may be out at once.
     """
 
+    # of the time out, so 32 times the first; chosen, not measured
     MAX_DOUBLINGS = 5
 
     def __init__(self, threshold: int = 3, seconds: float = 1.0, most: float = 0.5) -> None:
@@ -72,11 +77,11 @@
 
     def usable(self, endpoints: t.Sequence[str], now: float) -> list[str]:
         """Return the endpoints that are not out; never fewer than the cap allows."""
-        out = [one for one in endpoints if self._until(one) > now]
+        out = [endpoint for endpoint in endpoints if self._until(endpoint) > now]
         allowed = int(len(endpoints) * self._most)
         # those that come back soonest are let in first when too many are out
         barred = set(sorted(out, key=self._until, reverse=True)[:allowed])
-        return [one for one in endpoints if one not in barred]
+        return [endpoint for endpoint in endpoints if endpoint not in barred]
 
     def _until(self, endpoint: str) -> float:
         record = self._records.get(endpoint)
--- a/packages/daemon/src/thorncleat_daemon/background.py
+++ b/packages/daemon/src/thorncleat_daemon/background.py
@@ -1,4 +1,8 @@
-"""Running a step again and again, whatever it raises."""
+"""Running a step again and again, whatever it raises.
+
+Owns: nothing.
+Relies on: steps that leave a state from which they can be run again.
+"""
 
 import asyncio
 import random
@@ -8,6 +12,7 @@
 
 from . import events
 
+# part by which an interval varies; chosen, not measured
 JITTER = 0.1
 
 
@@ -17,7 +22,7 @@
     seconds: float,
     should_stop: t.Callable[[], bool],
 ) -> None:
-    """Run a step at intervals until told to stop.
+    """Run a step at intervals until it should stop.
 
     A step that fails is logged and run again, so that one fault can't end the daemon's part
     in the control work without anybody's knowing.
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -1,4 +1,9 @@
-"""Owning claims for the shards held, and asking the owners of others."""
+"""Owning claims for the shards held, and asking the owners of others.
+
+Owns: the claims of the shards held here, and the batches on their way to the store.
+Relies on: the lease of each shard, checked before and after each write; core's
+:mod:`~thorncleat_core.daemon.claims` for the decisions.
+"""
 
 import asyncio
 import dataclasses
@@ -35,11 +40,17 @@
 from .ports import SameLife
 from .ports import Store
 from .ports import Write
+from .shard_map import ShardMap
 
+# seconds; claims are kept in the store by the hour, to be erased by the hour
 HOUR = 3600
+# claims in one write; chosen, not measured
 MAX_BATCH = 500
+# body of an answer that is kept for repeats; chosen, not measured
 MAX_OUTCOME_BYTES = 65_536
+# between two looks for expired hours; chosen, not measured
 CLEAN_SECONDS = 600.0
+# for the owner's answer, a write to the store included; chosen, not measured
 ASK_SECONDS = 3.0
 
 
@@ -91,7 +102,7 @@
         self._clock = clock.now
         self._store = store
         self._keys = keys
-        self._holder = holder
+        self._shards = holder.shards
         self._keep = keep
         self._owned: dict[int, _OwnedShard] = {}
         holder.on_change(self._acquired, self._lost)
@@ -116,9 +127,9 @@
             return
         if owned.task:
             owned.task.cancel()
-        for one in owned.pending:
-            if one.done and not one.done.done():
-                one.done.set_result(False)
+        for pending in owned.pending:
+            if pending.done and not pending.done.done():
+                pending.done.set_result(False)
 
     async def on_stop(self) -> None:
         """End the writers."""
@@ -133,10 +144,10 @@
         while owned.pending:
             batch = owned.pending[:MAX_BATCH]
             del owned.pending[:MAX_BATCH]
-            written = await self._write(owned, [one.claim for one in batch])
-            for one in batch:
-                if one.done and not one.done.done():
-                    one.done.set_result(written)
+            written = await self._write(owned, [pending.claim for pending in batch])
+            for pending in batch:
+                if pending.done and not pending.done.done():
+                    pending.done.set_result(written)
 
     async def _restore(self, owned: _OwnedShard) -> None:
         prefix = self._keys.claims(owned.lease.shard)
@@ -146,7 +157,7 @@
             await asyncio.sleep(0.5)
             raise
         # by epoch and number: the hours come from clocks, which may have stepped back
-        for row in sorted(rows, key=lambda one: one.key.rsplit("/", 1)[1]):
+        for row in sorted(rows, key=lambda row: row.key.rsplit("/", 1)[1]):
             owned.book.restore(claims.decode_batch(row.value))
             owned.hours.add(int(row.key.removeprefix(prefix).split("/")[0]))
         owned.book.expire(int(time.time()))
@@ -185,7 +196,7 @@
         return not self._fenced or lease.held(self._clock())
 
     def _owner(self, workspace: str, key: str) -> _OwnedShard | None:
-        owned = self._owned.get(self._holder.shard_of(claim_name(workspace, key)))
+        owned = self._owned.get(self._shards.shard_of(claim_name(workspace, key)))
         if owned is None or not owned.restored or not self._holds(owned.lease):
             return None
         return owned
@@ -242,7 +253,7 @@
         for owned in list(self._owned.values()):
             owned.book.expire(int(time.time()))
             owned.granted &= owned.book.ids
-            for hour in sorted(one for one in owned.hours if one < oldest):
+            for hour in sorted(hour for hour in owned.hours if hour < oldest):
                 prefix = f"{self._keys.claims(owned.lease.shard)}{hour:08d}/"
                 condition = SameLife(
                     self._keys.holder(owned.lease.shard), owned.lease.create_revision
@@ -259,8 +270,8 @@
 class ClaimClient:
     """Asks the owner of a claim and tells it how the request ended."""
 
-    def __init__(self, holder: ShardHolder, peers: Peers) -> None:
-        self._holder = holder
+    def __init__(self, shards: ShardMap, peers: Peers) -> None:
+        self._shards = shards
         self._peers = peers
 
     async def ask(self, workspace: str, key: str, request: str, attempt: str) -> Reply:
@@ -285,7 +296,7 @@
     async def tell(
         self, workspace: str, key: str, attempt: str, ran: str, outcome: Outcome | None
     ) -> None:
-        """Tell the owner how a request ended; if that fails the claim counts as unknown."""
+        """Report to the owner how a request ended; if that fails the claim counts as unknown."""
         body = {
             "workspace": workspace,
             "key": key,
@@ -299,8 +310,8 @@
             return
 
     async def _ask(self, kind: str, workspace: str, key: str, body: t.Any) -> t.Any:
-        shard = self._holder.shard_of(claim_name(workspace, key))
-        owner = self._holder.holder_of(shard)
+        shard = self._shards.shard_of(claim_name(workspace, key))
+        owner = self._shards.holder_of(shard)
         if owner is None:
             raise PeerError(f"shard {shard!r} has no holder")
         return await self._peers.ask(owner, kind, body, ASK_SECONDS)
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -1,4 +1,9 @@
-"""Answering ``POST /v1/chat/completions``: who may ask what, whole answers, and repeats."""
+"""Answering ``POST /v1/chat/completions``: who may ask what, whole answers, and repeats.
+
+Owns: nothing.
+Relies on: :mod:`.attempts` to try groups, :mod:`.streams` for streams, :mod:`.once` for
+requests that may run once.
+"""
 
 import json
 import typing as t
@@ -7,6 +12,7 @@
 from aiohttp import web
 
 from thorncleat_core.daemon import routing
+from thorncleat_core.daemon.burn import GOOD
 from thorncleat_core.daemon.configuration import Configuration
 from thorncleat_core.daemon.configuration import Intent
 
@@ -26,12 +32,11 @@
 from .dispatch import Wish
 from .dispatch import prompt_cost
 from .exceptions import RequestError
-from .metrics import GOOD
 from .metrics import Metrics
 from .once import Answered
 from .once import run_once
-from .relay import DONE
-from .relay import whole_answer_fault
+from .pieces import DONE
+from .pieces import whole_answer_fault
 from .streams import Streams
 from .upstream import Upstream
 from .upstream import answer_lost
@@ -40,7 +45,7 @@
 class Completions:
     """Serves completions.
 
-    :param configuration: the one in force.
+    :param configuration: returns the current configuration.
     """
 
     def __init__(
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -1,4 +1,8 @@
-"""Keeping the configuration: loading it, accepting changes, and passing them on."""
+"""Keeping the configuration: loading it, accepting changes, and passing them on.
+
+Owns: this daemon's journal and whether it was ever loaded.
+Relies on: the store's compare-and-swap on the head, which makes one chain of all changes.
+"""
 
 import asyncio
 import random
@@ -37,13 +41,21 @@
 from .ports import Unchanged
 from .ports import Write
 
+# daemons that watch the store; chosen, not measured
 WATCHERS = 3
 RECORD = "config"
+# revisions; chosen, not measured
 SNAPSHOT_EVERY = 64
+# between looks at the store; chosen, not measured
 POLL_SECONDS = 60.0
+# for finding out whether a write took effect; chosen, not measured
 READ_BACK_SECONDS = 5.0
+# entries sent to a peer before a snapshot is sent instead; chosen, not measured
 ENTRIES_AT_ONCE = 64
+# in which peers may bring what a watch announces; commit 8e5f038 (60 changes everywhere
+# within 0.067 s)
 WATCH_GRACE_SECONDS = 0.1
+# between tries to get what was announced; commit e484512 (30 of 30 daemons after 2 s)
 FOLLOW_SECONDS = 0.5
 
 
@@ -80,7 +92,7 @@
 
     @property
     def current(self) -> State:
-        """The configuration in force on this daemon."""
+        """The configuration that this daemon applies."""
         return self.journal.state
 
     def listen(self, listener: t.Callable[[State], None]) -> None:
@@ -88,10 +100,10 @@
         self._listeners.append(listener)
 
     async def accept(self, entry: Entry) -> int:
-        """Make an entry durable and put it in force; return its revision.
+        """Make an entry durable and apply it; return its revision.
 
         :raises ConflictError: if another entry came first.
-        :raises StoreUnavailableError: if it was surely not accepted.
+        :raises StoreUnavailableError: if it was not accepted.
         :raises StoreOutcomeUnknownError: if that can't be found out now.
         """
         head = await self._store.read(self._keys.head, Purpose.CONFIG)
@@ -124,7 +136,8 @@
             operations.append(Write(self._keys.snapshot, state.encode()))
             last = entry.revision - SNAPSHOT_EVERY
             operations += [
-                Erase(self._keys.entry(one)) for one in range(last - SNAPSHOT_EVERY + 1, last + 1)
+                Erase(self._keys.entry(revision))
+                for revision in range(last - SNAPSHOT_EVERY + 1, last + 1)
             ]
         return operations
 
@@ -212,9 +225,9 @@
             task.add_done_callback(self._fetching.discard)
 
     async def _fetch_quietly(self, peer: str) -> None:
-        for one in [peer, *self._gossip.some_peers(2)]:
+        for source in [peer, *self._gossip.some_peers(2)]:
             try:
-                await self.fetch_from(one)
+                await self.fetch_from(source)
                 return
             except (PeerError, DecodeError, JournalError) as error:
                 events.TASK_FAILED.log(task="journal", reason=str(error), expected=True)
@@ -228,7 +241,7 @@
         answer = await self._peers.ask(peer, "journal", self.journal.head.revision, 2.0)
         if answer.get("snapshot"):
             self._restore(State.decode(answer["snapshot"]))
-        self._apply([Entry.decode(one) for one in answer["entries"]])
+        self._apply([Entry.decode(raw) for raw in answer["entries"]])
 
     async def _on_journal(self, sender: str, body: t.Any) -> t.Any:
         entries = self.journal.since(int(body))
@@ -256,7 +269,7 @@
         await background.repeat("follow", self.follow, FOLLOW_SECONDS, lambda: self.should_stop)
 
     async def follow(self) -> None:
-        """Try again to get what was announced, for as long as it is not in force here.
+        """Try again to get what was announced, for as long as it is not applied here.
 
         Whoever announced it may not have been reachable, or not listed here yet.
         """
@@ -309,7 +322,7 @@
                 await asyncio.sleep(backoff.failed(random.random()))
 
     async def _is_news(self, head: Head) -> bool:
-        """Tell whether a head is newer, after a moment in which the peers may bring it."""
+        """Return whether a head is newer, after a moment in which the peers may bring it."""
         if head.revision > self.journal.head.revision:
             await asyncio.sleep(WATCH_GRACE_SECONDS)
         return head.revision > self.journal.head.revision
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -1,4 +1,8 @@
-"""Deciding when and where each request is sent: queue, credits, choice of group."""
+"""Deciding when and where each request is sent: queue, credits, choice of group.
+
+Owns: the queue of each intent, and what is outstanding in each group.
+Relies on: permits and their credits (:mod:`.permits`); each slot being given back once.
+"""
 
 import asyncio
 import collections
@@ -20,9 +24,13 @@
 from .exceptions import RequestError
 from .permits import PermitKeeper
 
+# between looks at what waits; chosen, not measured
 TICK_SECONDS = 0.05
+# of a prompt, for its estimated cost; chosen, not measured
 CHARACTERS_PER_TOKEN = 4
+# in which a new group comes up to full weight; chosen, not measured
 WARM_SECONDS = 5.0
+# part by which Retry-After is spread upwards; chosen, not measured
 RETRY_JITTER = 0.5
 
 
@@ -236,19 +244,19 @@
 
     def _with_room(self, usable: list[HeldPermit], workspace: str, cost: int) -> list[HeldPermit]:
         return [
-            one
-            for one in usable
-            if self._ledger.room(one, workspace) >= cost
+            held
+            for held in usable
+            if self._ledger.room(held, workspace) >= cost
             # a request larger than any credit must get through some time
-            or (not self._ledger.requests(one.permit.group) and one.permit.spare > 0)
+            or (not self._ledger.requests(held.permit.group) and held.permit.spare > 0)
         ]
 
     def _give(self, place: _Place, usable: list[HeldPermit], now: float) -> None:
         wish = place.wish
-        open_ones = self._with_room(usable, wish.workspace, wish.cost)
-        names = self.ejection.usable([one.permit.group for one in open_ones], now)
+        with_room = self._with_room(usable, wish.workspace, wish.cost)
+        names = self.ejection.usable([held.permit.group for held in with_room], now)
         preferred = [name for name in names if name not in wish.avoid] or names
-        by_name = {one.permit.group: one.permit for one in open_ones}
+        by_name = {held.permit.group: held.permit for held in with_room}
         candidates = [self._candidate(name, by_name[name].generation, now) for name in preferred]
         permit = by_name[self._choose(wish.prefix, wish.cost, candidates)]
         slot = Slot(permit.group, permit.generation, permit.leader, wish.workspace, wish.cost)
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -1,4 +1,8 @@
-"""What the groups of a domain have cost so far: downtime, and accelerators stranded by it."""
+"""What the groups of a domain have cost so far: downtime, and accelerators stranded by it.
+
+Owns: seconds of downtime since this daemon began to keep the domain.
+Relies on: being called once for each round of probes.
+"""
 
 import collections
 import typing as t
@@ -44,5 +48,7 @@
             if group.id in open_groups:
                 continue
             self._group_seconds[group.id] += elapsed
-            members = (listed.get(one) for one in group.members)
-            self._stranded += sum(one.accelerators for one in members if one) * elapsed
+            members = (listed.get(member) for member in group.members)
+            self._stranded += (
+                sum(instance.accelerators for instance in members if instance) * elapsed
+            )
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -1,4 +1,9 @@
-"""Keeping permits for the groups that this daemon uses."""
+"""Keeping permits for the groups that this daemon uses.
+
+Owns: the permits held, and the groups attached to for each model.
+Relies on: holders to answer within a quarter of a permit's life; this daemon's own clock for
+its end.
+"""
 
 import asyncio
 import collections
@@ -18,12 +23,14 @@
 from . import clock
 from .exceptions import PeerError
 from .gossip import Gossip
-from .holder import ShardHolder
 from .invariants import Invariant
 from .invariants import Invariants
 from .ports import Peers
+from .shard_map import ShardMap
 
+# least time between renewals out of turn; chosen, not measured
 NUDGE_SECONDS = 0.05
+# after which a model that nobody asks for needs no permits; chosen, not measured
 IDLE_SECONDS = 300.0
 
 
@@ -50,7 +57,7 @@
         self,
         me: str,
         gossip: Gossip,
-        holder: ShardHolder,
+        shards: ShardMap,
         peers: Peers,
         seconds: float,
         attach: int,
@@ -62,7 +69,7 @@
         self._clock = now
         self._invariants = invariants or Invariants()
         self._gossip = gossip
-        self._holder = holder
+        self._shards = shards
         self._peers = peers
         self._seconds = seconds
         self._attach = attach
@@ -93,7 +100,7 @@
         self._models[(intent, model)] = self._clock()
         now = self._clock()
         found = (self._permits.get(group) for group in self.groups(intent, model))
-        return [one for one in found if one and one.takes_work(now)]
+        return [permit for permit in found if permit and permit.takes_work(now)]
 
     def groups(self, intent: str, model: str) -> list[str]:
         """Return the groups of an intent that this daemon is attached to."""
@@ -104,7 +111,7 @@
 
     def _find_groups(self, intent: str, model: str) -> list[str]:
         known = {
-            record.key.removeprefix("group/"): self._holder.shard_of(str(record.body["domain"]))
+            record.key.removeprefix("group/"): self._shards.shard_of(str(record.body["domain"]))
             for record in self._gossip.directory.under(f"group/{intent}-")
             if record.body.get("model") == model and record.body.get("intent") == intent
         }
@@ -136,7 +143,7 @@
         for group in sorted(wanted | set(self._permits)):
             record = self._gossip.directory.get(f"group/{group}")
             if record:
-                by_shard[self._holder.shard_of(str(record.body["domain"]))].append(group)
+                by_shard[self._shards.shard_of(str(record.body["domain"]))].append(group)
         await asyncio.gather(*(self._ask(shard, names) for shard, names in by_shard.items()))
         self._drop_ended()
         self._check_disjoint()
@@ -154,8 +161,8 @@
 
     async def _ask(self, shard: int, groups: list[str]) -> None:
         """Ask the holder, and while it is silent those who would follow it."""
-        holder = self._holder.holder_of(shard)
-        others = [name for name in self._holder.candidates(shard) if name != holder]
+        holder = self._shards.holder_of(shard)
+        others = [name for name in self._shards.candidates(shard) if name != holder]
         left = groups
         for peer in [holder, *others] if holder else others:
             answered = await self._ask_one(peer, left)
@@ -168,7 +175,7 @@
         body = [self._request(group) for group in groups]
         try:
             answer = await self._peers.ask(peer, "permit", body, self._seconds / 4)
-            permits = [codec.validated(Permit, one) for one in answer]
+            permits = [codec.validated(Permit, raw) for raw in answer]
         except (PeerError, DecodeError, TypeError):
             return set()
         for permit in permits:
@@ -187,19 +194,19 @@
 
     def _drop_ended(self) -> None:
         now = self._clock()
-        for group, one in list(self._permits.items()):
-            if not one.usable(now):
+        for group, held_permit in list(self._permits.items()):
+            if not held_permit.usable(now):
                 self._announce_closed(group)
 
     def _check_disjoint(self) -> None:
         """Make sure that no instance is in two groups that this daemon may use now."""
         now = self._clock()
         seen: dict[str, str] = {}
-        for group, one in self._permits.items():
+        for group, held_permit in self._permits.items():
             record = self._gossip.directory.get(f"group/{group}")
-            if record is None or not one.usable(now):
+            if record is None or not held_permit.usable(now):
                 continue
-            if record.body.get("generation") != one.permit.generation:
+            if record.body.get("generation") != held_permit.permit.generation:
                 continue
             for member in record.body["members"]:
                 other = seen.setdefault(member, group)
--- a/packages/daemon/src/thorncleat_daemon/relay.py
+++ b/packages/daemon/src/thorncleat_daemon/pieces.py
@@ -2,6 +2,9 @@
 
 The events are not parsed: each must begin as the engine begins the events of this request,
 which costs one comparison, and anything else is looked at more closely.
+
+Owns: half an event that has come, and what was dropped.
+Relies on: engines that name the request in each event.
 """
 
 import collections
@@ -32,7 +35,7 @@
         self.dropped: collections.Counter[str] = collections.Counter()
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take in what arrived and return what may be passed on: whole, own events."""
+        """Check what arrived and return what may be passed on: whole, own events."""
         if (
             not self._rest
             and not self.done
@@ -67,7 +70,7 @@
         return b""
 
     def _is_own(self, event: bytes) -> bool:
-        return event.startswith(DATA) and any(one in event for one in self._identities)
+        return event.startswith(DATA) and any(identity in event for identity in self._identities)
 
     @property
     def finished(self) -> bool:
@@ -95,6 +98,8 @@
     choices = answer.get("choices")
     if not isinstance(choices, list) or not choices:
         return "no choices"
-    if any(not isinstance(one, dict) or one.get("finish_reason") is None for one in choices):
+    if any(
+        not isinstance(choice, dict) or choice.get("finish_reason") is None for choice in choices
+    ):
         return "truncated"
     return None
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -1,4 +1,8 @@
-"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through."""
+"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through.
+
+Owns: the retries left and the endpoints left out.
+Relies on: a service's own list of what may be repeated.
+"""
 
 import typing as t
 
@@ -6,6 +10,7 @@
 from aiohttp import web
 
 from thorncleat_core import rendezvous
+from thorncleat_core.daemon.burn import GOOD
 from thorncleat_core.daemon.configuration import Configuration
 from thorncleat_core.daemon.configuration import Service
 from thorncleat_core.daemon.retries import Ejection
@@ -15,7 +20,6 @@
 from .callers import Caller
 from .claims import ClaimClient
 from .exceptions import RequestError
-from .metrics import GOOD
 from .metrics import Metrics
 from .once import Answered
 from .once import run_once
@@ -23,6 +27,7 @@
 from .upstream import answer_lost
 from .upstream import end_to_end
 
+# endpoints that a call is tried at; chosen, not measured
 MAX_ATTEMPTS = 3
 DEFAULT_TYPE = "application/octet-stream"
 
--- a/packages/daemon/src/thorncleat_daemon/ports.py
+++ b/packages/daemon/src/thorncleat_daemon/ports.py
@@ -1,4 +1,8 @@
-"""The ports: what the daemon needs from outside, for adapters and fakes to provide."""
+"""The ports: what the daemon needs from outside, for adapters and fakes to provide.
+
+Owns: nothing.
+Relies on: adapters to keep what each method promises, errors too.
+"""
 
 import dataclasses
 import typing as t
@@ -65,7 +69,7 @@
 class Store(t.Protocol):
     """The platform's key-value service.
 
-    Every method raises :class:`StoreUnavailableError` if the call was surely not carried
+    Every method raises :class:`StoreUnavailableError` if the call was not carried
     out, and writes raise :class:`StoreOutcomeUnknownError` if that isn't known.
     """
 
--- a/packages/daemon/src/thorncleat_daemon/splice.py
+++ b/packages/daemon/src/thorncleat_daemon/splice.py
@@ -5,17 +5,22 @@
 profile showed that waking a task for each token, the library's stream reader and its chunk
 framing cost as much as the sockets themselves. Only public interfaces are used: the engine
 is asked in HTTP/1.0, so that its body comes without chunks and ends with the connection.
+
+Owns: one engine's connection and one caller's transport while an answer lasts.
+Relies on: :mod:`.pieces` to say which bytes may pass; the permit's end, read before each write.
 """
 
 import asyncio
 import typing as t
 
 from . import clock
-from .relay import Pieces
+from .pieces import Pieces
 
-# bytes that may wait for a slow caller before the engine is read no further
+# bytes that may wait for a slow caller before the engine is read no further; chosen, not measured
 HIGH_WATER = 262_144
+# bytes at which a paused engine is read again; chosen, not measured
 LOW_WATER = 65_536
+# between looks at what a slow caller has yet to read; chosen, not measured
 DRAIN_SECONDS = 0.02
 
 
@@ -51,7 +56,7 @@
 
     :param pieces: checks whose events they are.
     :param until: until when the group may answer, on :func:`clock.now`.
-    ``closed`` tells whether it ended because the group may not answer any more.
+    ``closed`` says whether it ended because the group may not answer any more.
 
     :param renewed: returns a later ``until``, or 0 if the group may not answer any more.
     """
@@ -109,7 +114,7 @@
             self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End; whether the answer was whole is told by its pieces."""
+        """End; the pieces know whether the answer was whole."""
         self._end()
 
     def stop(self) -> None:
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -1,4 +1,9 @@
-"""Adapter to the platform's key-value service, by the JSON form of the etcd v3 interface."""
+"""Adapter to the platform's key-value service, by the JSON form of the etcd v3 interface.
+
+Owns: which server is asked, and whether the store answered last.
+Relies on: the budget (:mod:`thorncleat_core.daemon.budget`); every call saying whether it may
+have taken effect.
+"""
 
 import asyncio
 import base64
@@ -22,6 +27,7 @@
 from .ports import Stored
 
 HTTP_NOT_DONE = frozenset({429, 503})
+# seconds that a call may wait for the budget; chosen, not measured
 MAX_BUDGET_WAIT = 2.0
 Json = dict[str, t.Any]
 
@@ -113,8 +119,8 @@
     ) -> int | None:
         """Apply all operations if all conditions hold; return the revision, else None."""
         body = {
-            "compare": [_condition(one) for one in conditions],
-            "success": [_operation(one) for one in operations],
+            "compare": [_condition(condition) for condition in conditions],
+            "success": [_operation(operation) for operation in operations],
         }
         answer = await self._call("/v3/kv/txn", body, purpose, write=True)
         return int(answer["header"]["revision"]) if answer.get("succeeded") else None
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -1,4 +1,9 @@
-"""Streamed answers: from the engine to the caller, whole, in one group or several."""
+"""Streamed answers: from the engine to the caller, whole, in one group or several.
+
+Owns: one caller's answer while it lasts.
+Relies on: :mod:`.attempts` to move it to another group; engines that go on from an event's
+number.
+"""
 
 import asyncio
 import contextlib
@@ -24,8 +29,8 @@
 from .invariants import Invariant
 from .invariants import Invariants
 from .metrics import Metrics
-from .relay import DONE
-from .relay import Pieces
+from .pieces import DONE
+from .pieces import Pieces
 from .splice import Sink
 from .splice import Splice
 from .upstream import Upstream
@@ -102,7 +107,7 @@
     ) -> web.StreamResponse:
         """Answer with a stream.
 
-        :raises RequestError: if it can't be begun; what fails later is told in the stream.
+        :raises RequestError: if it can't be begun; a later failure is an event in the stream.
         """
         flow = _Flow(request, caller)
 
@@ -198,7 +203,7 @@
                 raise TimeoutError(f"no event in {seconds:.1f} s")
 
     async def _end_broken(self, flow: _Flow, error: RequestError, model: str) -> None:
-        """Tell the caller in the stream that the answer is not whole, and end without DONE."""
+        """End the stream with an error event instead of DONE: the answer is not whole."""
         if error.cause != CALLER_GONE:
             caller = flow.caller.id
             events.REQUEST_FAILED.log(request=caller, cause=error.cause, detail=error.detail)
--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -1,4 +1,8 @@
-"""Errors of the gateway's layers; each adapter turns those of its library into these."""
+"""Errors of the gateway's layers; each adapter turns those of its library into these.
+
+Owns: nothing.
+Relies on: the base class that all parts of the product share.
+"""
 
 import enum
 
@@ -13,6 +17,26 @@
     """The store did not answer a read, or refused a call without carrying it out."""
 
 
+class RelayFault(enum.Enum):
+    """Why a relay is left for the store."""
+
+    SILENT = "it did not answer in time"
+    REFUSED = "it has no answer: this daemon is not known there, or the history is gone"
+    BEHIND = "what it knows is too old"
+    UNREADABLE = "its answer can't be decoded"
+
+
+class RelayError(StoreUnavailableError):
+    """A relay gave no answer that can be used.
+
+    :param fault: why the relay is left.
+    """
+
+    def __init__(self, text: str, fault: RelayFault) -> None:
+        super().__init__(text)
+        self.fault = fault
+
+
 class StoreOutcomeUnknownError(StoreError):
     """A write got no answer; it may have taken effect, or may still do so."""
 
@@ -38,7 +62,7 @@
 
 
 class Ran(enum.Enum):
-    """What is known of a failed attempt."""
+    """Whether a request may have run in a failed attempt; the value stands in the log line."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -70,3 +94,10 @@
         self.status = status
         self.cause = cause
         self.retry_after = retry_after
+
+
+class CutError(RefusalError):
+    """An answer that has begun can't be completed; the caller's connection has to be cut."""
+
+    def __init__(self, cause: str) -> None:
+        super().__init__(502, cause)
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/ports/headers.py
@@ -0,0 +1,83 @@
+"""What the headers of callers and endpoints say.
+
+Owns: nothing.
+Relies on: mappings of headers that don't regard the case of names.
+"""
+
+import dataclasses
+import typing as t
+
+Headers = t.Sequence[tuple[str, str]]
+
+
+@dataclasses.dataclass(frozen=True)
+class RequestMeta:
+    """What a caller's headers say.
+
+    :param id: of this try of the caller's, or an empty string.
+    :param key: of its workspace, or None.
+    :param deadline: seconds that the caller waits, or None.
+    :param last_event_id: of a stream's event that the caller has got, or None.
+    """
+
+    id: str
+    key: str | None
+    deadline: float | None
+    model: str
+    last_event_id: str | None = None
+
+
+@dataclasses.dataclass(frozen=True)
+class ForwardMeta:
+    """What the gateway says to an endpoint beside the caller's own headers.
+
+    :param remaining: seconds left of the caller's deadline.
+    :param priority: 0 is the most urgent.
+    :param last_event_id: after which a stream is to go on, or None.
+    """
+
+    remaining: float
+    endpoint_id: str
+    workspace: str | None
+    priority: int
+    last_event_id: str | None = None
+
+
+@dataclasses.dataclass(frozen=True)
+class AnswerMeta:
+    """What an endpoint's headers say.
+
+    :param request_id: of the request that it answers, if it says so.
+    :param signed: whether the answer carries the endpoint's signature.
+    :param not_run: whether the endpoint says that it did not run the request.
+    :param encoded: whether the body is compressed or encoded otherwise.
+    """
+
+    request_id: str | None
+    signed: bool
+    not_run: bool
+    encoded: bool
+
+
+class HeaderCodec(t.Protocol):
+    """The names that callers and endpoints use in their headers."""
+
+    def request_head(self, headers: t.Mapping[str, str]) -> RequestMeta:
+        """Read a caller's headers."""
+        ...
+
+    def forwarded(self, headers: Headers, terms: ForwardMeta) -> Headers:
+        """Return the headers to be sent to an endpoint."""
+        ...
+
+    def answer_head(self, status: int, headers: t.Mapping[str, str]) -> AnswerMeta:
+        """Read an endpoint's headers."""
+        ...
+
+    def returned(self, headers: Headers) -> Headers:
+        """Return the headers of an endpoint's answer that the caller gets."""
+        ...
+
+    def is_readiness(self, method: str, path: str) -> bool:
+        """Return whether a request asks whether this daemon is ready."""
+        ...
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -1,8 +1,15 @@
-"""One attempt at an endpoint, with what is known of its fate when it fails."""
+"""One attempt at an endpoint, with what is known of its fate when it fails.
+
+Owns: the connections to endpoints, one for each attempt.
+Relies on: aiohttp as its client library, and on the platform's adapter
+(:class:`~..ports.HeaderCodec`) for the names of headers.
+"""
 
 import asyncio
 import contextlib
 import functools
+import socket
+import struct
 import typing as t
 
 import aiohttp
@@ -11,15 +18,27 @@
 
 from ..exceptions import AttemptError
 from ..exceptions import Ran
-from ..ports import AnswerMeta
+from ..ports import ForwardMeta
 from ..ports import HeaderCodec
 from ..ports import Headers
+from ..store.roster import Endpoint
+from .request import Request
+
+# headers that the client library adds by itself; only the caller's own are sent
+SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+# status from which on an answer needs no signature of the endpoint: it carries no result
+UNSIGNED_STATUS = 400
+
 
-SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+# value of SO_LINGER: on, for no time
+DROP_UNSENT = struct.pack("ii", 1, 0)
 
 
 class _LostError(aiohttp.ClientError):
-    """A connection was lost after something may have been sent."""
+    """A connection was lost after something may have been sent.
+
+    The name stands in the cause of a failed attempt, in log lines and answers: keep it.
+    """
 
 
 async def _never_again(
@@ -27,8 +46,8 @@
 ) -> aiohttp.ClientResponse:
     """Keep the client library from sending a request twice.
 
-    It repeats some methods by itself when a connection is lost. It knows those errors by
-    their class, so they get another.
+    It repeats some methods itself when a connection is lost. It recognizes those errors by
+    their class, so they get another one.
     """
     try:
         return await handler(request)
@@ -39,9 +58,12 @@
 
 
 class _Connection(ResponseHandler):
-    """A connection that tells an answer without a length from one that was reset.
+    """A connection of one attempt, which treats both ends that the client library does not.
 
-    Such an answer ends with its connection, and the client library takes any end for it.
+    An answer without a length ends with its connection; the library takes a reset for such an
+    end, here it fails the answer. And a connection that is closed before its answer is whole goes
+    on sending what its buffers hold; here the rest of an attempt that was given up is dropped, so
+    that it doesn't reach the endpoint after the caller has left.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -51,6 +73,16 @@
             payload.set_exception(aiohttp.ClientPayloadError(repr(exc)))
         super().connection_lost(exc)
 
+    def close(self) -> None:
+        """Close the connection; with a reset if the answer is not whole."""
+        transport = self.transport
+        answered = self._payload is not None and self._payload.is_eof()
+        if transport is not None and not answered:
+            connected = transport.get_extra_info("socket")
+            connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, DROP_UNSENT)
+            transport.abort()
+        super().close()
+
 
 def session() -> aiohttp.ClientSession:
     """Return a session in which each call has a connection of its own.
@@ -60,25 +92,23 @@
     """
     connector = aiohttp.TCPConnector(limit=0, force_close=True, happy_eyeballs_delay=None)
     made = functools.partial(_Connection, loop=asyncio.get_running_loop())
+    # the library has no public way to choose the class of connections
     connector._factory = t.cast(functools.partial[ResponseHandler], made)
     return aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
-        skip_auto_headers=SKIPPED,
+        skip_auto_headers=SKIPPED_HEADERS,
         middlewares=(_never_again,),
         cookie_jar=aiohttp.DummyCookieJar(),
     )
 
 
 class Exchange:
-    """An endpoint's answer whose head has come.
-
-    :param meta: what its headers say.
-    """
+    """An endpoint's answer whose head has come."""
 
-    def __init__(self, response: aiohttp.ClientResponse, meta: AnswerMeta) -> None:
+    def __init__(self, response: aiohttp.ClientResponse, codec: HeaderCodec) -> None:
         self._response = response
-        self.meta = meta
+        self._codec = codec
 
     @property
     def status(self) -> int:
@@ -86,9 +116,9 @@
         return self._response.status
 
     @property
-    def headers(self) -> list[tuple[str, str]]:
-        """The endpoint's headers, as they came."""
-        return list(self._response.headers.items())
+    def headers(self) -> Headers:
+        """The endpoint's headers that the caller gets."""
+        return self._codec.returned(list(self._response.headers.items()))
 
     async def body(self) -> bytes:
         """Return the whole body.
@@ -126,18 +156,19 @@
 
     @contextlib.asynccontextmanager
     async def open(
-        self, address: str, method: str, path: str, headers: Headers, body: bytes, request_id: str
+        self, endpoint: Endpoint, request: Request, meta: ForwardMeta
     ) -> t.AsyncIterator[Exchange]:
         """Send a request and yield the exchange once the answer's head is there.
 
-        :param path: as it stood in the caller's request line.
-        :raises AttemptError: if there is no answer of this request's.
+        :param meta: what the endpoint is told beside the caller's own headers.
+        :raises AttemptError: if there is no answer to this request.
         """
+        has_body = request.body or request.method not in ("GET", "HEAD")
         call = self._client.request(
-            method,
-            URL(f"http://{address}{path}", encoded=True),
-            data=body if body or method not in ("GET", "HEAD") else None,
-            headers=headers,
+            request.method,
+            URL(f"http://{endpoint.address}{request.path}", encoded=True),
+            data=request.body if has_body else None,
+            headers=self._codec.forwarded(request.headers, meta),
             timeout=self._timeout,
             allow_redirects=False,
         )
@@ -150,21 +181,21 @@
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
                 raise AttemptError(f"no answer: {type(error).__name__}", Ran.MAYBE) from error
             stack.callback(response.close)
-            yield Exchange(response, self._checked(response, request_id))
+            self._check(response, request.meta.id)
+            yield Exchange(response, self._codec)
 
-    def _checked(self, response: aiohttp.ClientResponse, request_id: str) -> AnswerMeta:
+    def _check(self, response: aiohttp.ClientResponse, request_id: str) -> None:
         meta = self._codec.answer_head(response.status, response.headers)
         if meta.not_run:
             raise AttemptError(f"declined with {response.status}", Ran.NO)
         if meta.request_id is not None and meta.request_id != request_id:
             raise AttemptError("answer of another request", Ran.MAYBE)
-        if meta.encoded or (not meta.signed and response.status < 400):
+        if meta.encoded or (not meta.signed and response.status < UNSIGNED_STATUS):
             raise AttemptError("not the endpoint's own answer", Ran.MAYBE)
-        return meta
 
 
 async def within(seconds: float, work: t.Awaitable[t.Any]) -> t.Any:
-    """Wait for something for some seconds.
+    """Return the result of some work, for which an attempt has some seconds.
 
     :raises AttemptError: if it takes longer.
     """
--- /dev/null
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -0,0 +1,71 @@
+"""Which endpoints lead the groups of each service and model.
+
+Owns: a table of leaders, made anew whenever the store's view has changed.
+Relies on: :mod:`..store.view` for endpoints and configuration, and :mod:`..groups.ended` for
+the groups that are being ended.
+"""
+
+from ..groups.ended import EndedGroups
+from ..store.roster import Endpoint
+from ..store.roster import Roster
+from ..store.serving import EngineModel
+from ..store.serving import ServingConfiguration
+from ..store.view import StoreView
+
+
+class GroupLeaders:
+    """The leaders of all groups that are open.
+
+    :param weak: ids of the leaders with a member that is draining or not listed.
+    """
+
+    def __init__(self, view: StoreView, ended: EndedGroups) -> None:
+        self._view = view
+        self._ended = ended
+        self._version = -1
+        self._leaders: dict[tuple[str, str], list[Endpoint]] = {}
+        self.weak: set[str] = set()
+
+    def of(self, service: str, model: str) -> list[Endpoint]:
+        """Return the leaders of the groups of a model, but for those that are being ended."""
+        if self._version != self._view.version:
+            self._rebuild()
+        listed = self._leaders.get((service, model), [])
+        return [
+            leader
+            for leader in listed
+            if leader.membership and leader.membership.group not in self._ended
+        ]
+
+    def _rebuild(self) -> None:
+        self._version = self._view.version
+        self._leaders = {}
+        self.weak = set()
+        configuration, roster = self._view.configuration, self._view.roster
+        if configuration is None:
+            return
+        for endpoint in roster.endpoints.values():
+            # a look at every endpoint for each change of the store: keep it short for the most
+            if not endpoint.leads:
+                continue
+            model = _led_model(configuration, endpoint)
+            if model is None:
+                continue
+            self._leaders.setdefault((endpoint.service, model.name), []).append(endpoint)
+            if _is_weak(roster, endpoint, model):
+                self.weak.add(endpoint.id)
+
+
+def _led_model(configuration: ServingConfiguration, leader: Endpoint) -> EngineModel | None:
+    """Return the model of a leader's group, or None if it takes no requests."""
+    if not leader.models or leader.draining:
+        return None
+    service = configuration.services.get(leader.service)
+    return service.engine.model(leader.models[0]) if service and service.engine else None
+
+
+def _is_weak(roster: Roster, leader: Endpoint, model: EngineModel) -> bool:
+    """Return whether fewer members than the model needs are listed and not draining."""
+    assert leader.membership is not None
+    members = roster.groups[leader.membership.group].members.values()
+    return sum(not member.draining for member in members) < model.size
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -9,6 +9,7 @@
 from thorncleat_gateway.peers.datagrams import DAEMONS_AT_SHORTEST
 from thorncleat_gateway.peers.datagrams import SHORTEST_INTERVAL_SECONDS
 from thorncleat_gateway.peers.datagrams import PeerChannel
+from thorncleat_gateway.peers.datagrams import report_interval
 from thorncleat_gateway.peers.load_table import REPORT_INTERVALS
 from thorncleat_gateway.peers.load_table import REPORT_SECONDS
 from thorncleat_gateway.peers.load_table import LoadTable
@@ -40,9 +41,9 @@
         load_table.refresh()
         newest[daemon] = (now[0], content)
         expected = collections.Counter()
-        for at, one in newest.values():
+        for at, reported in newest.values():
             if at >= now[0] - REPORT_SECONDS:
-                expected.update(one)
+                expected.update(reported)
         assert {name: load_table.of(name) for name in "abc"} == {
             name: expected[name] for name in "abc"
         }
@@ -87,3 +88,10 @@
 
 def test_few_daemons_report_at_the_shortest_interval():
     assert _peers(9).interval() == SHORTEST_INTERVAL_SECONDS
+
+
+@pytest.mark.parametrize(
+    ("daemons", "seconds"), [(1, 0.1), (16, 0.1), (17, 0.10625), (32, 0.2), (160, 1.0)]
+)
+def test_reports_of_more_daemons_come_less_often(daemons, seconds):
+    assert report_interval(daemons) == pytest.approx(seconds)
