--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -57,7 +57,7 @@
 
 async def _make_trouble(soak: DaemonSoak) -> None:
     while not soak.over:
-        name = soak.draw.choice(soak.kinds)
+        name = soak.draw.choice(soak.trouble_names)
         soak.counts[f"trouble {name}"] += 1
         try:
             await asyncio.wait_for(troubles.get(name)(soak), TROUBLE_SECONDS)
@@ -133,7 +133,9 @@
         soak.faults.append(f"not whole again: {error}")
 
 
-async def run(directory: pathlib.Path, seed: int, minutes: float, kinds: list[str]) -> DaemonSoak:
+async def run(
+    directory: pathlib.Path, seed: int, minutes: float, trouble_names: list[str]
+) -> DaemonSoak:
     """Play one seed and return what was seen."""
     site = Site(daemons=4, domains=2, instances=5, token_seconds=0.01, load_seconds=0.1)
     cluster = Cluster(directory, site, control=CONTROL, requests={"stall": 2.0})
@@ -143,7 +145,9 @@
         await cluster.apply(_intent(cluster))
         await cluster.wait_open(GROUPS)
         end = asyncio.get_running_loop().time() + minutes * 60
-        played = DaemonSoak(draw=random.Random(seed), end=end, kinds=kinds, cluster=cluster)
+        played = DaemonSoak(
+            draw=random.Random(seed), end=end, trouble_names=trouble_names, cluster=cluster
+        )
         await asyncio.gather(
             *(_make_trouble(played) for _ in range(TROUBLES_AT_ONCE)),
             *(_call(played, number) for number in range(CALLERS)),
@@ -170,8 +174,8 @@
     if broken_fence:
         os.environ[BROKEN_FENCE] = "1"
         only = only or "freeze_a_daemon"
-    kinds = [only] if only else troubles.names
-    play(lambda directory, number: run(directory, number, minutes, kinds), [seed])
+    trouble_names = [only] if only else troubles.names
+    play(lambda directory, number: run(directory, number, minutes, trouble_names), [seed])
 
 
 if __name__ == "__main__":
--- a/bench/soaks/gateway.py
+++ b/bench/soaks/gateway.py
@@ -19,7 +19,7 @@
 import fire
 
 from .gateway_callers import Caller
-from .gateway_checks import Kind
+from .gateway_checks import RequestKind
 from .gateway_site import SoakSite
 from .gateway_troubles import TROUBLES_AT_ONCE
 from .gateway_troubles import GatewaySoak
@@ -40,7 +40,7 @@
 
 async def _make_trouble(soak: GatewaySoak) -> None:
     while not soak.over:
-        name = soak.draw.choice(soak.kinds)
+        name = soak.draw.choice(soak.trouble_names)
         async with soak.slots:
             soak.counts[f"trouble {name}"] += 1
             await troubles.get(name)(soak)
@@ -65,7 +65,7 @@
     await _undo_faults(soak.site)
     until = asyncio.get_running_loop().time() + RECOVER_SECONDS
     caller = Caller(soak.site, "heal", soak.draw)
-    missing = {(daemon.name, kind) for daemon in soak.site.daemons for kind in Kind}
+    missing = {(daemon.name, kind) for daemon in soak.site.daemons for kind in RequestKind}
     async with aiohttp.ClientSession(auto_decompress=False) as client:
         while missing and asyncio.get_running_loop().time() < until:
             missing -= await _served(soak.site, caller, client, missing)
@@ -89,16 +89,16 @@
     site: SoakSite,
     caller: Caller,
     client: aiohttp.ClientSession,
-    wanted: t.Collection[tuple[str, Kind]],
-) -> set[tuple[str, Kind]]:
+    wanted: t.Collection[tuple[str, RequestKind]],
+) -> set[tuple[str, RequestKind]]:
     """Ask each daemon once for each kind that is wanted; return what was served."""
     served = set()
     for daemon in site.daemons:
-        for kind in Kind:
+        for kind in RequestKind:
             if (daemon.name, kind) not in wanted:
                 continue
-            told = await caller.call(client, daemon, kind, site.keys[0])
-            if told.status == 200 and told.whole:
+            exchange = await caller.call(client, daemon, kind, site.keys[0])
+            if exchange.status == 200 and exchange.whole:
                 served.add((daemon.name, kind))
     return served
 
@@ -113,7 +113,7 @@
 
 
 async def run(
-    directory: pathlib.Path, seed: int, minutes: float, processes: int, kinds: list[str]
+    directory: pathlib.Path, seed: int, minutes: float, processes: int, trouble_names: list[str]
 ) -> GatewaySoak:
     """Play one seed and return what was seen."""
     site = SoakSite(directory, processes)
@@ -130,7 +130,7 @@
         played = GatewaySoak(
             draw=draw,
             end=end,
-            kinds=kinds,
+            trouble_names=trouble_names,
             faults=site.checks.faults,
             counts=site.checks.counts,
             site=site,
@@ -162,11 +162,11 @@
     :param only: make this kind of trouble alone.
     :param logs: a directory for the daemons' logs; a temporary one otherwise.
     """
-    kinds = [only] if only else troubles.names
+    trouble_names = [only] if only else troubles.names
     # the stand-ins' streams break whenever a caller or a group does
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     play(
-        lambda directory, number: run(directory, number, minutes, processes, kinds),
+        lambda directory, number: run(directory, number, minutes, processes, trouble_names),
         range(seed, seed + seeds),
         logs,
     )
--- a/bench/soaks/gateway_callers.py
+++ b/bench/soaks/gateway_callers.py
@@ -1,4 +1,4 @@
-"""The callers of the gateway's soak: each keeps its connections, and notes what it was told.
+"""The callers of the gateway's soak: each keeps its connections, and notes each answer.
 
 Owns: the answer that each caller waits for.
 Relies on: the site for keys that are valid and keys that were taken away.
@@ -9,8 +9,8 @@
 
 import aiohttp
 
-from .gateway_checks import Kind
-from .gateway_checks import Told
+from .gateway_checks import Exchange
+from .gateway_checks import RequestKind
 from .gateway_daemons import Daemon
 from .gateway_site import HOST
 from .gateway_site import PATHS
@@ -22,7 +22,7 @@
 PAUSE_SECONDS = 0.05
 # part of the calls that are made with a key that was taken away; chosen, not measured
 FORMER_KEYS = 0.1
-KINDS = (Kind.STREAM, Kind.ONCE, Kind.REPEATABLE)
+KINDS = (RequestKind.STREAM, RequestKind.ONCE, RequestKind.REPEATABLE)
 
 
 class Caller:
@@ -36,7 +36,7 @@
         self._name = name
         self._draw = draw
         self._sent = 0
-        self.running: Told | None = None
+        self.running: Exchange | None = None
 
     async def run(self, until: float) -> None:
         """Call one daemon after the other until a moment on the loop's clock."""
@@ -47,44 +47,48 @@
                 former = self._draw.random() < FORMER_KEYS
                 keys = self._site.former_keys if former else self._site.keys
                 key = self._draw.choice(keys)
-                told = await self.call(client, daemon, kind, key)
-                if told.status != 200:
+                exchange = await self.call(client, daemon, kind, key)
+                if exchange.status != 200:
                     await asyncio.sleep(self._draw.uniform(0, 2 * PAUSE_SECONDS))
 
     async def call(
-        self, client: aiohttp.ClientSession, daemon: Daemon, kind: Kind, key: str
-    ) -> Told:
+        self, client: aiohttp.ClientSession, daemon: Daemon, kind: RequestKind, key: str
+    ) -> Exchange:
         """Send one request and note the answer."""
         self._sent += 1
         loop = asyncio.get_running_loop()
         name = f"{self._name}-{self._sent}"
-        told = Told(name, kind, loop.time(), key, b"body of " + name.encode(), daemon=daemon.name)
-        self._site.told[name] = self.running = told
+        exchange = Exchange(
+            name, kind, loop.time(), key, b"body of " + name.encode(), daemon=daemon.name
+        )
+        self._site.exchanges[name] = self.running = exchange
         try:
             async with asyncio.timeout(DEADLINE_SECONDS):
-                await self._exchange(client, daemon, told)
+                await self._send(client, daemon, exchange)
         except (aiohttp.ClientError, OSError, TimeoutError):
             pass
-        told.ended_at = loop.time()
+        exchange.ended_at = loop.time()
         self.running = None
-        self._site.checks.answered(told)
-        return told
+        self._site.checks.answered(exchange)
+        return exchange
 
-    async def _exchange(self, client: aiohttp.ClientSession, daemon: Daemon, told: Told) -> None:
+    async def _send(
+        self, client: aiohttp.ClientSession, daemon: Daemon, exchange: Exchange
+    ) -> None:
         headers = {
             "Host": HOST,
-            "X-Thorncleat-Attempt-Id": told.id,
+            "X-Thorncleat-Attempt-Id": exchange.id,
             "X-Thorncleat-Deadline-Ms": str(int(DEADLINE_SECONDS * 1000)),
-            "Authorization": f"Token {told.key}",
+            "Authorization": f"Token {exchange.key}",
         }
-        if told.kind is Kind.STREAM:
+        if exchange.kind is RequestKind.STREAM:
             headers["X-Thorncleat-Model"] = "large"
-        url = f"http://{daemon.callers}{PATHS[told.kind]}{told.id}"
+        url = f"http://{daemon.callers}{PATHS[exchange.kind]}{exchange.id}"
         # a library that sends GET again by itself would hide what happened to the first
-        async with client.post(url, data=told.sent, headers=headers) as response:
-            told.status = response.status
-            told.signed = "X-Thorncleat-Response-Stamp" in response.headers
-            told.echoed = response.headers.get("X-Thorncleat-Attempt-Id", "")
+        async with client.post(url, data=exchange.sent, headers=headers) as response:
+            exchange.status = response.status
+            exchange.signed = "X-Thorncleat-Response-Stamp" in response.headers
+            exchange.echoed = response.headers.get("X-Thorncleat-Attempt-Id", "")
             async for piece in response.content.iter_any():
-                told.body += piece
-            told.whole = True
+                exchange.body += piece
+            exchange.whole = True
--- a/bench/soaks/gateway_checks.py
+++ b/bench/soaks/gateway_checks.py
@@ -2,7 +2,7 @@
 
 Nothing of the gateway itself is looked at, only what callers and endpoints see.
 
-Owns: what ran where, what callers were told, and each promise found broken.
+Owns: what ran where, what callers were answered, and each promise found broken.
 Relies on: the site telling it of each run and each answer, both on the loop's clock.
 """
 
@@ -16,7 +16,7 @@
 REFUSALS = (408, 421, 429, 503)
 
 
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """How often a request may run."""
 
     STREAM = "stream"
@@ -25,8 +25,8 @@
 
 
 @dataclasses.dataclass
-class Told:
-    """What one caller sent and was told.
+class Exchange:
+    """What one caller sent and was answered.
 
     :param status: of the answer; 0 if there was none.
     :param body: as much as came.
@@ -35,7 +35,7 @@
     """
 
     id: str
-    kind: Kind
+    kind: RequestKind
     sent_at: float
     key: str
     sent: bytes
@@ -73,41 +73,41 @@
         """
         self._revoked[key] = fails_from
 
-    def ran(self, run: Run, kind: Kind, sent_at: float, key: str) -> None:
+    def ran(self, run: Run, kind: RequestKind, sent_at: float, key: str) -> None:
         """Check a run that begins."""
         self._runs[run.id].append(run)
-        if kind is Kind.ONCE and len(self._runs[run.id]) > 1:
+        if kind is RequestKind.ONCE and len(self._runs[run.id]) > 1:
             workers = [known.worker for known in self._runs[run.id]]
             self.faults.append(f"TWICE {run.id} ran at {workers}")
-        if run.id in self._refused and kind is Kind.ONCE:
+        if run.id in self._refused and kind is RequestKind.ONCE:
             self.faults.append(f"REFUSED {run.id} ran at {run.worker} after its refusal")
         if sent_at > self._revoked.get(key, float("inf")):
             self.faults.append(f"CONFIG {run.id} ran with a key taken away before")
 
-    def answered(self, told: Told) -> None:
-        """Check what a caller was told."""
-        self.counts[f"{told.kind.value} {told.status or 'cut'}"] += 1
-        if told.status in REFUSALS:
-            self._refused.add(told.id)
-            if told.kind is Kind.ONCE and self._runs[told.id]:
-                self.faults.append(f"REFUSED {told.id} got {told.status} and had run")
-        if told.status == 200 and told.whole:
-            self._check_whole(told)
-
-    def _check_whole(self, told: Told) -> None:
-        if not told.signed or told.echoed != told.id:
-            self.faults.append(f"MIXED {told.id}: an answer that no endpoint signed for it")
-        if told.body != expected(told, self._events):
+    def answered(self, exchange: Exchange) -> None:
+        """Check what a caller was answered."""
+        self.counts[f"{exchange.kind.value} {exchange.status or 'cut'}"] += 1
+        if exchange.status in REFUSALS:
+            self._refused.add(exchange.id)
+            if exchange.kind is RequestKind.ONCE and self._runs[exchange.id]:
+                self.faults.append(f"REFUSED {exchange.id} got {exchange.status} and had run")
+        if exchange.status == 200 and exchange.whole:
+            self._check_whole(exchange)
+
+    def _check_whole(self, exchange: Exchange) -> None:
+        if not exchange.signed or exchange.echoed != exchange.id:
+            self.faults.append(f"MIXED {exchange.id}: an answer that no endpoint signed for it")
+        if exchange.body != expected(exchange, self._events):
             self.faults.append(
-                f"MIXED {told.id}: not the endpoint's whole body: {told.body!r:.200}"
+                f"MIXED {exchange.id}: not the endpoint's whole body: {exchange.body!r:.200}"
             )
 
 
-def expected(told: Told, events: int) -> bytes:
+def expected(exchange: Exchange, events: int) -> bytes:
     """Return the whole answer to a request."""
-    if told.kind is not Kind.STREAM:
-        return b"answer to " + told.sent
-    name = told.id.encode()
+    if exchange.kind is not RequestKind.STREAM:
+        return b"answer to " + exchange.sent
+    name = exchange.id.encode()
     return b"".join(
         b"id: %d\ndata: %s %d\n\n" % (number, name, number) for number in range(1, events + 1)
     )
--- a/bench/soaks/gateway_site.py
+++ b/bench/soaks/gateway_site.py
@@ -14,8 +14,8 @@
 from thorncleat_standins.platform_store import PlatformStore
 
 from .gateway_checks import Checks
-from .gateway_checks import Kind
-from .gateway_checks import Told
+from .gateway_checks import Exchange
+from .gateway_checks import RequestKind
 from .gateway_daemons import GRACE_SECONDS
 from .gateway_daemons import Daemon
 from .gateway_daemons import free_ports
@@ -31,7 +31,11 @@
 FORMER_KEYS = 4
 # fabric domains, workers in each, members of a group; workers of the plain service
 DOMAINS, DOMAIN_SIZE, GROUP_SIZE, DESKS = 2, 6, 2, 3
-PATHS = {Kind.STREAM: "/chat/", Kind.ONCE: "/status/", Kind.REPEATABLE: "/ack/"}
+PATHS = {
+    RequestKind.STREAM: "/chat/",
+    RequestKind.ONCE: "/status/",
+    RequestKind.REPEATABLE: "/ack/",
+}
 
 
 class SoakSite:
@@ -44,7 +48,7 @@
         self.checks = Checks(STREAM_EVENTS)
         self.workers: dict[str, SoakWorker] = {}
         self.daemons: list[Daemon] = []
-        self.told: dict[str, Told] = {}
+        self.exchanges: dict[str, Exchange] = {}
         self.keys = ["key-0"]
         self.former_keys: collections.deque[str] = collections.deque(["never"], FORMER_KEYS)
         self.version = 0
@@ -105,9 +109,9 @@
         """Write the next configuration, with the keys that are valid now."""
         self.version += 3
         routes = [
-            _route(Kind.STREAM, "streaming", "narrator", resumable=True, max_attempts=2),
-            _route(Kind.ONCE, "non_idempotent", "desk"),
-            _route(Kind.REPEATABLE, "idempotent", "desk", max_attempts=2),
+            _route(RequestKind.STREAM, "streaming", "narrator", resumable=True, max_attempts=2),
+            _route(RequestKind.ONCE, "non_idempotent", "desk"),
+            _route(RequestKind.REPEATABLE, "idempotent", "desk", max_attempts=2),
         ]
         model = {"name": "large", "size": GROUP_SIZE, "share": 1.0, "load_s": 0.2, "warm_s": 0.1}
         engine = {"slots": 8, "models": [model], "loads_per_s": 10, "loads_at_once": 4}
@@ -134,7 +138,7 @@
         await self.store.stop()
 
 
-def _route(kind: Kind, route_kind: str, service: str, **more: t.Any) -> dict[str, t.Any]:
+def _route(kind: RequestKind, route_kind: str, service: str, **more: t.Any) -> dict[str, t.Any]:
     return {
         "name": kind.value,
         "host": HOST,
--- a/bench/soaks/gateway_troubles.py
+++ b/bench/soaks/gateway_troubles.py
@@ -217,16 +217,16 @@
 async def _stop_and_look(soak: GatewaySoak, daemon: Daemon) -> None:
     """Stop a daemon, and see that what it was answering is answered whole."""
     all_running = [caller.running for caller in soak.callers]
-    running = [told for told in all_running if told and told.daemon == daemon.name]
+    running = [exchange for exchange in all_running if exchange and exchange.daemon == daemon.name]
     checks = soak.site.checks
     if not await daemon.end(signal.SIGTERM):
         checks.faults.append(f"LOST {daemon.name} did not stop within its grace")
     await asyncio.sleep(NOTE_SECONDS)
-    for told in running:
-        if not told.whole:
+    for exchange in running:
+        if not exchange.whole:
             checks.faults.append(
-                f"LOST {told.id} was cut by a planned stop of {daemon.name}: "
-                f"status {told.status}, {told.ended_at - told.sent_at:.3f} s, "
-                f"{len(checks.runs(told.id))} runs"
+                f"LOST {exchange.id} was cut by a planned stop of {daemon.name}: "
+                f"status {exchange.status}, {exchange.ended_at - exchange.sent_at:.3f} s, "
+                f"{len(checks.runs(exchange.id))} runs"
             )
     soak.counts["requests through a planned stop"] += len(running)
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -78,11 +78,11 @@
     def began(self, run: Run) -> None:
         """Check what must hold when a request begins to run."""
         super().began(run)
-        told = self._site.told.get(run.id)
-        if told is None:
+        exchange = self._site.exchanges.get(run.id)
+        if exchange is None:
             self._site.checks.faults.append(f"UNASKED {run.id} ran at {self.id}")
             return
-        self._site.checks.ran(run, told.kind, told.sent_at, told.key)
+        self._site.checks.ran(run, exchange.kind, exchange.sent_at, exchange.key)
         if self.domain:
             self._check_members(run.id)
 
--- a/bench/soaks/harness.py
+++ b/bench/soaks/harness.py
@@ -24,13 +24,13 @@
 
     :param draw: decides everything that is left to chance.
     :param end: when no new trouble begins, on the loop's clock in seconds.
-    :param kinds: names of the troubles to draw from.
+    :param trouble_names: names of the troubles to draw from.
     :param faults: a line for each thing that must not be.
     """
 
     draw: random.Random
     end: float
-    kinds: list[str]
+    trouble_names: list[str]
     faults: list[str] = dataclasses.field(default_factory=list)
     counts: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,8 +8,8 @@
 from bench.soaks import gateway as gateway_soak
 from bench.soaks import harness
 from bench.soaks.gateway_checks import Checks
-from bench.soaks.gateway_checks import Kind
-from bench.soaks.gateway_checks import Told
+from bench.soaks.gateway_checks import Exchange
+from bench.soaks.gateway_checks import RequestKind
 from bench.soaks.gateway_checks import expected
 from bench.soaks.proxy import Mode
 from bench.soaks.proxy import Proxy
@@ -24,8 +24,8 @@
 
 @pytest.mark.parametrize("seed", [1, *REGRESSIONS])
 async def test_real_processes_keep_the_promises_under_faults(tmp_path, seed):
-    kinds = gateway_soak.troubles.names
-    played = await gateway_soak.run(tmp_path, seed, SOAK_MINUTES, 3, kinds)
+    trouble_names = gateway_soak.troubles.names
+    played = await gateway_soak.run(tmp_path, seed, SOAK_MINUTES, 3, trouble_names)
     assert played.site.checks.faults == []
     assert played.site.checks.counts["stream 200"] > 0
     assert all(not daemon.runs for daemon in played.site.daemons)
@@ -41,7 +41,7 @@
         async def play_seed(directory, seed):
             assert directory == tmp_path / f"seed-{seed}"
             faults = faults_of_seeds[seed]
-            return harness.Soak(draw=random.Random(seed), end=0.0, kinds=[], faults=faults)
+            return harness.Soak(draw=random.Random(seed), end=0.0, trouble_names=[], faults=faults)
 
         with pytest.raises(SystemExit) as ended:
             harness.play(play_seed, faults_of_seeds, str(tmp_path))
@@ -58,8 +58,8 @@
         assert "verdict, seed 2: passed, 0 faults" in shown
 
 
-def told(kind=Kind.ONCE, **fields):
-    made = Told("r1", kind, 10.0, "key", b"body", 200, whole=True, signed=True, echoed="r1")
+def exchange(kind=RequestKind.ONCE, **fields):
+    made = Exchange("r1", kind, 10.0, "key", b"body", 200, whole=True, signed=True, echoed="r1")
     made.body = expected(made, EVENTS)
     return dataclasses.replace(made, **fields)
 
@@ -71,17 +71,17 @@
 class TestChecks:
     def test_right_answer_is_no_fault(self):
         checks = Checks(EVENTS)
-        checks.ran(run(), Kind.ONCE, 10.0, "key")
-        checks.answered(told())
+        checks.ran(run(), RequestKind.ONCE, 10.0, "key")
+        checks.answered(exchange())
         assert checks.faults == []
 
     def test_second_run_is_seen(self):
         checks = Checks(EVENTS)
-        checks.ran(run("w1"), Kind.ONCE, 10.0, "key")
-        checks.ran(run("w2"), Kind.ONCE, 10.0, "key")
+        checks.ran(run("w1"), RequestKind.ONCE, 10.0, "key")
+        checks.ran(run("w2"), RequestKind.ONCE, 10.0, "key")
         assert checks.faults == ["TWICE r1 ran at ['w1', 'w2']"]
 
-    @pytest.mark.parametrize("kind", [Kind.STREAM, Kind.REPEATABLE])
+    @pytest.mark.parametrize("kind", [RequestKind.STREAM, RequestKind.REPEATABLE])
     def test_what_may_be_repeated_may_run_again(self, kind):
         checks = Checks(EVENTS)
         checks.ran(run("w1"), kind, 10.0, "key")
@@ -90,22 +90,22 @@
 
     def test_refusal_of_what_had_run_is_seen(self):
         checks = Checks(EVENTS)
-        checks.ran(run(), Kind.ONCE, 10.0, "key")
-        checks.answered(told(status=503))
+        checks.ran(run(), RequestKind.ONCE, 10.0, "key")
+        checks.answered(exchange(status=503))
         assert checks.faults == ["REFUSED r1 got 503 and had run"]
 
     def test_run_after_its_refusal_is_seen(self):
         checks = Checks(EVENTS)
-        checks.answered(told(status=503))
-        checks.ran(run(), Kind.ONCE, 10.0, "key")
+        checks.answered(exchange(status=503))
+        checks.ran(run(), RequestKind.ONCE, 10.0, "key")
         assert checks.faults == ["REFUSED r1 ran at w1 after its refusal"]
 
     def test_key_that_works_too_long_is_seen(self):
         checks = Checks(EVENTS)
         checks.revoked("key", 9.0)
-        checks.ran(run(), Kind.ONCE, 8.9, "key")
+        checks.ran(run(), RequestKind.ONCE, 8.9, "key")
         assert checks.faults == []
-        checks.ran(run(), Kind.REPEATABLE, 9.1, "key")
+        checks.ran(run(), RequestKind.REPEATABLE, 9.1, "key")
         assert checks.faults == ["CONFIG r1 ran with a key taken away before"]
 
     @pytest.mark.parametrize(
@@ -118,13 +118,13 @@
     )
     def test_answer_that_is_not_its_own_is_seen(self, wrong, fault):
         checks = Checks(EVENTS)
-        checks.answered(told(**wrong))
+        checks.answered(exchange(**wrong))
         assert fault in checks.faults[0]
 
     def test_stream_with_a_doubled_event_is_seen(self):
         checks = Checks(EVENTS)
-        whole = told(Kind.STREAM).body
-        checks.answered(told(Kind.STREAM, body=whole + whole[-20:]))
+        whole = exchange(RequestKind.STREAM).body
+        checks.answered(exchange(RequestKind.STREAM, body=whole + whole[-20:]))
         assert len(checks.faults) == 1
 
 
