--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -127,23 +127,35 @@
     alive = [worker for worker in world.workers.values() if worker.alive]
     node = rng.choice(world.nodes)
     leading = [other for other in world.nodes if other.election.leads] or [node]
-    match rng.randrange(9):
-        case 0 | 1:
-            if len(alive) > 10:
-                world.kill(rng.choice(alive), dark=rng.random() < 0.7)
-        case 2:
-            world.cut_from_store(rng.choice(alive), rng.uniform(3, 8))
+    kind = rng.randrange(9)
+    if 3 <= kind <= 6:
+        _strike_daemon(world, rng, kind, node, leading[0])
+    else:
+        _strike_worker(world, rng, kind, alive)
+
+
+def _strike_daemon(world: World, rng, kind: int, node, leading) -> None:
+    match kind:
         case 3:
-            leading[0].freeze(rng.uniform(1, 6))
+            leading.freeze(rng.uniform(1, 6))
         case 4:
             world.store.down = True
             world.later(rng.uniform(0.5, 4), lambda: setattr(world.store, "down", False))
         case 5:
-            leading[0].cut = True
-            world.later(rng.uniform(1, 6), lambda: setattr(leading[0], "cut", False))
+            leading.cut = True
+            world.later(rng.uniform(1, 6), lambda: setattr(leading, "cut", False))
         case 6:
             node.cut_from_engines = True
             world.later(rng.uniform(1, 5), lambda: setattr(node, "cut_from_engines", False))
+
+
+def _strike_worker(world: World, rng, kind: int, alive) -> None:
+    match kind:
+        case 0 | 1:
+            if len(alive) > 10:
+                world.kill(rng.choice(alive), dark=rng.random() < 0.7)
+        case 2:
+            world.cut_from_store(rng.choice(alive), rng.uniform(3, 8))
         case 7:
             world.add_worker(rng.choice(["d0", "d1"]))
         case 8:
