--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -49,6 +49,11 @@
 class Gateway(mode.Service):
     """One daemon.
 
+    :param feed: what the platform's store says.
+    :param records: the gateway's own records in that store.
+    :param engines: reports from engines, and orders to them.
+    :param codec: the names of headers.
+    :param clock: seconds that never go back.
     :param first_start: whether this is the very first start of the whole system.
     """
 
@@ -65,47 +70,52 @@
     ) -> None:
         super().__init__()
         self._settings = settings
+        self._codec = codec
         self._clock = clock
         self._first_start = first_start
         self._listeners = Listeners()
+        self._client: aiohttp.ClientSession | None = None
+        self._frontend: Frontend | None = None
         self._feed = RelayFeed(settings.relay, feed, self._relays, clock)
         self.view = StoreView(self._feed, clock, settings.watch, self._coalesce)
         self._registration = Registration(settings, records, self.view)
         self._relay_server = RelayServer(self.view, self._daemons)
-        self._peers = PeerChannel(settings, self._registration.addresses)
-        self._detector = FailureDetector(settings.streams, self._peers, clock)
-        self.load_table = LoadTable(clock, self._peers.interval)
+        self._wire_peers()
+        self._wire_control(records, engines)
+        self.metrics = Metrics()
+        self._add_gauges()
+
+    def _wire_peers(self) -> None:
+        self._peers = PeerChannel(self._settings, self._registration.addresses)
+        self._detector = FailureDetector(self._settings.streams, self._peers, self._clock)
+        self.load_table = LoadTable(self._clock, self._peers.interval)
         self._reporter = LoadReporter(self._peers, self.load_table, self._detector)
-        self._election = Election(settings, records, self.view, clock, self._registration.addresses)
-        self._orders = Orders(
+        self._ended = EndedGroups(self._peers, self._clock)
+
+    def _wire_control(self, records: RecordStore, engines: Engines) -> None:
+        settings, clock, view = self._settings, self._clock, self.view
+        self._election = Election(settings, records, view, clock, self._registration.addresses)
+        orders = Orders(
             settings.control,
             engines,
-            self.view,
+            view,
             lambda: self._election.leads,
-            lambda one: self._detector.heard(one, clock()),
-        )
-        self._probe_answers = ProbeAnswers(
-            self.view, self._peers, self._reporter, self._orders.answers
+            lambda endpoint_id: self._detector.heard(endpoint_id, clock()),
         )
-        self._ended = EndedGroups(self._peers, clock)
+        self._probe_answers = ProbeAnswers(view, self._peers, self._reporter, orders.answers)
         terms = TermFactory(
             settings.control,
-            self.view,
-            self._orders,
-            GroupRecords(records, self.view, self._election),
+            view,
+            orders,
+            GroupRecords(records, view, self._election),
             self._detector,
             self._peers,
             self._ended,
             clock,
         )
         self._controller = Controller(
-            self.view, self._election, self._detector, terms, clock, lambda: self._quiet
+            view, self._election, self._detector, terms, clock, lambda: self._before_requests
         )
-        self._client: aiohttp.ClientSession | None = None
-        self._codec = codec
-        self._frontend: Frontend | None = None
-        self.metrics = Metrics()
-        self._add_gauges()
 
     def _add_gauges(self) -> None:
         add = self.metrics.gauge
@@ -123,13 +133,16 @@
         return self._frontend.running if self._frontend is not None else 0
 
     @property
-    def _quiet(self) -> bool:
-        """Whether no caller has sent anything since the very first start."""
+    def _before_requests(self) -> bool:
+        """Whether no caller has sent anything since the very first start, to any daemon."""
         own = self._frontend is not None and self._frontend.requests > 0
         return self._first_start and not own and not self._reporter.others_had_requests
 
     def _coalesce(self) -> float:
-        """Return how long to let changes gather; few daemons ask the store, and others wait."""
+        """Return the seconds to let changes gather.
+
+        They are more for a daemon that asks the store though there are relays for it.
+        """
         fallen_back = self._feed.asks_store and bool(self._relays())
         return self._settings.coalesce if fallen_back else self._settings.quick_coalesce
 
@@ -166,15 +179,11 @@
         self._client = endpoint_client.session()
         calls = EndpointClient(self._client, self._codec, settings.connect_timeout)
         selector = EndpointSelector(self.view, self.load_table, self._detector, self._ended, clock)
-        retry_budgets = RetryBudgets(settings.retry, clock, self._sharing)
+        retry_budgets = RetryBudgets(settings.retry, clock, lambda: self._peers.daemons)
         parts = (calls, selector, self.load_table, retry_budgets, self._detector, clock)
         plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
         return Frontend(settings, self.view, self._codec, plain, streams, clock)
 
-    def _sharing(self) -> int:
-        """Return how many daemons share what all may spend."""
-        return max(self._settings.daemons, self._peers.daemons)
-
     async def drain(self) -> None:
         """Finish what runs before the end, while the balancer and the callers notice."""
         assert self._frontend is not None
--- a/packages/gateway/src/thorncleat_gateway/settings.py
+++ b/packages/gateway/src/thorncleat_gateway/settings.py
@@ -20,7 +20,6 @@
     :param margin: before the lease's end, when the controller stops acting.
     :param order_timeout: for an answer to an order.
     :param probe_timeout: for a report.
-    :param stall: after which an engine's leader notices that a member is missing.
     :param form_timeout: for a group whose hosts hold the model.
     """
 
@@ -32,8 +31,6 @@
     order_timeout: float = 0.4
     # chosen, not measured
     probe_timeout: float = 0.15
-    # the adapter fills it in from the deployment's bounds; this is the value of today's two
-    stall: float = 5.0
     # chosen, not measured
     form_timeout: float = 5.0
 
@@ -99,7 +96,6 @@
     :param revoke_within: after which a key that was taken away must not work; None to serve
         on whatever the age of the configuration.
     :param grace: between the order to stop and the end by force.
-    :param daemons: how many daemons share the retry budget at least.
     :param connect_timeout: for a connection to an endpoint to come up.
     :param metrics: address at which metrics are served; None for nowhere.
     :param capacity: what this daemon can carry, compared with others.
@@ -118,7 +114,6 @@
     revoke_within: float | None = None
     # the adapter fills it in from the deployment's bounds; this is the value of today's two
     grace: float = 8.0
-    daemons: int = 1
     # chosen, not measured
     connect_timeout: float = 0.25
     metrics: Address | None = None
--- a/tests/test_forms_settings.py
+++ b/tests/test_forms_settings.py
@@ -71,7 +71,6 @@
         "metrics": list(gateway.metrics) if gateway.metrics else None,
         "revoke within": gateway.revoke_within,
         "grace": float(gateway.grace),
-        "daemons": gateway.daemons,
         "connect timeout": gateway.connect_timeout,
         "capacity": gateway.capacity,
         "watch": gateway.watch,
@@ -83,7 +82,6 @@
             "margin": control.margin,
             "order timeout": control.order_timeout,
             "probe timeout": control.probe_timeout,
-            "stall": control.stall,
             "form timeout": control.form_timeout,
         },
         "streams": {
