--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -1,10 +1,14 @@
-"""When a request may be sent again, and which endpoints are left out for a while."""
+"""When a request may be sent again, and which endpoints are left out for a while.
+
+Owns: the retries left, and each endpoint's failures in a row.
+Relies on: callers that note each success and failure.
+"""
 
 import dataclasses
 import typing as t
 
 
-class RetryBudget:
+class RetryThrottle:
     """Allows retries as a part of successes, so that a failing fleet isn't loaded further.
 
     :param part: retries for each success.
@@ -16,11 +20,6 @@
         self._reserve = reserve
         self._level = reserve
 
-    @property
-    def level(self) -> float:
-        """Retries that are left."""
-        return self._level
-
     def succeeded(self) -> None:
         """Count a success."""
         self._level = min(self._reserve, self._level + self._part)
@@ -48,6 +47,7 @@
     :param most: part of the endpoints that may be out at once.
     """
 
+    # of the time out, so 32 times the first; chosen, not measured
     MAX_DOUBLINGS = 5
 
     def __init__(self, threshold: int = 3, seconds: float = 1.0, most: float = 0.5) -> None:
--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -1,9 +1,14 @@
-"""Trying a request in one group after another, where that is safe."""
+"""Trying a request in one group after another, where that is safe.
+
+Owns: the calls that run in each group, and the retries left.
+Relies on: permits (:mod:`.permits`) to say whether a group may answer; errors to say whether a
+request ran.
+"""
 
 import asyncio
 import typing as t
 
-from thorncleat_core.daemon.retries import RetryBudget
+from thorncleat_core.daemon.retries import RetryThrottle
 
 from . import clock
 from . import events
@@ -15,6 +20,7 @@
 from .metrics import Metrics
 from .permits import PermitKeeper
 
+# groups that a request is tried in; chosen, not measured
 MAX_ATTEMPTS = 4
 RETRIED = frozenset(
     {
@@ -51,7 +57,7 @@
         self._dispatcher = dispatcher
         self._permits = permits
         self._metrics = metrics
-        self._retries = RetryBudget()
+        self._retries = RetryThrottle()
         self._running: dict[str, set[asyncio.Task[t.Any]]] = {}
         permits.on_closed(self._cut)
 
--- a/packages/daemon/src/thorncleat_daemon/group_records.py
+++ b/packages/daemon/src/thorncleat_daemon/group_publisher.py
@@ -1,4 +1,8 @@
-"""Publishing to all daemons the groups of a domain, by records of the directory."""
+"""Publishing to all daemons the groups of a domain, by records of the directory.
+
+Owns: the sequence of this keeper's records.
+Relies on: the epoch, by which records of an earlier holder lose.
+"""
 
 import typing as t
 
@@ -9,7 +13,7 @@
 from .gossip import Gossip
 
 
-class GroupRecords:
+class GroupPublisher:
     """Publishes the groups of one domain under one epoch.
 
     :param config: the current configuration; a group that was placed anew beats its past.
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -1,4 +1,8 @@
-"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through."""
+"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through.
+
+Owns: the retries left and the endpoints left out.
+Relies on: a service's own list of what may be repeated.
+"""
 
 import typing as t
 
@@ -10,7 +14,7 @@
 from thorncleat_core.daemon.configuration import Configuration
 from thorncleat_core.daemon.configuration import Service
 from thorncleat_core.daemon.retries import Ejection
-from thorncleat_core.daemon.retries import RetryBudget
+from thorncleat_core.daemon.retries import RetryThrottle
 
 from . import clock
 from .callers import Caller
@@ -23,6 +27,7 @@
 from .upstream import answer_lost
 from .upstream import end_to_end
 
+# endpoints that a call is tried at; chosen, not measured
 MAX_ATTEMPTS = 3
 DEFAULT_TYPE = "application/octet-stream"
 
@@ -41,7 +46,7 @@
         self._upstream = upstream
         self._claims = claims
         self._metrics = metrics
-        self._retries = RetryBudget()
+        self._retries = RetryThrottle()
         self._ejection = Ejection()
 
     async def answer(self, request: web.Request, caller: Caller, body: bytes) -> web.Response:
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -1,18 +1,23 @@
 """One attempt at an endpoint, with what is known of its fate when it fails.
 
-Owns: the connections to endpoints, one for each attempt. Relies on: aiohttp as its client
-library, and on the platform's adapter (:class:`~..ports.HeaderCodec`) for the names of headers.
+Owns: the connections to endpoints, one for each attempt.
+Relies on: aiohttp as its client library, and on the platform's adapter
+(:class:`~..ports.HeaderCodec`) for the names of headers.
 """
 
 import asyncio
 import contextlib
 import functools
+import socket
+import struct
 import typing as t
 
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 from yarl import URL
 
+from thorncleat_core.single_send import never_again
+
 from ..exceptions import AttemptError
 from ..exceptions import Ran
 from ..ports import ForwardMeta
@@ -25,33 +30,17 @@
 SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 # status from which on an answer needs no signature of the endpoint: it carries no result
 UNSIGNED_STATUS = 400
-
-
-class _LostError(aiohttp.ClientError):
-    """A connection was lost after something may have been sent."""
-
-
-async def _never_again(
-    request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
-) -> aiohttp.ClientResponse:
-    """Keep the client library from sending a request twice.
-
-    It repeats some methods itself when a connection is lost. It recognizes those errors by
-    their class, so they get another one.
-    """
-    try:
-        return await handler(request)
-    except aiohttp.ClientConnectorError:
-        raise
-    except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise _LostError(repr(error)) from error
+# value of SO_LINGER: on, for no time
+DROP_UNSENT = struct.pack("ii", 1, 0)
 
 
 class _Connection(ResponseHandler):
-    """A connection that distinguishes a reset from the end of an answer without a length.
+    """A connection of one attempt, which treats both ends that the client library does not.
 
-    Such an answer ends with its connection, and the client library takes any end of the
-    connection for the end of the answer.
+    An answer without a length ends with its connection; the library takes a reset for such an
+    end, here it fails the answer. And a connection that is closed before its answer is whole goes
+    on sending what its buffers hold; here the rest of an attempt that was given up is dropped, so
+    that it doesn't reach the endpoint after the caller has left.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -61,6 +50,16 @@
             payload.set_exception(aiohttp.ClientPayloadError(repr(exc)))
         super().connection_lost(exc)
 
+    def close(self) -> None:
+        """Close the connection; with a reset if the answer is not whole."""
+        transport = self.transport
+        answered = self._payload is not None and self._payload.is_eof()
+        if transport is not None and not answered:
+            connected = transport.get_extra_info("socket")
+            connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, DROP_UNSENT)
+            transport.abort()
+        super().close()
+
 
 def session() -> aiohttp.ClientSession:
     """Return a session in which each call has a connection of its own.
@@ -70,12 +69,13 @@
     """
     connector = aiohttp.TCPConnector(limit=0, force_close=True, happy_eyeballs_delay=None)
     made = functools.partial(_Connection, loop=asyncio.get_running_loop())
+    # the library has no public way to choose the class of connections
     connector._factory = t.cast(functools.partial[ResponseHandler], made)
     return aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
         skip_auto_headers=SKIPPED_HEADERS,
-        middlewares=(_never_again,),
+        middlewares=(never_again,),
         cookie_jar=aiohttp.DummyCookieJar(),
     )
 
--- a/packages/standins/src/thorncleat_standins/quickstart.py
+++ b/packages/standins/src/thorncleat_standins/quickstart.py
@@ -1,4 +1,8 @@
-"""The main job from end to end, by plain processes: ``bin/quickstart``."""
+"""The main job from end to end, by plain processes: ``bin/quickstart``.
+
+Owns: the cluster that it starts and ends.
+Relies on: the operators' client being installed beside this interpreter.
+"""
 
 import asyncio
 import hashlib
@@ -12,9 +16,9 @@
 import aiohttp
 import fire
 
-from .launch import Cluster
-from .launch import LaunchError
-from .launch import Site
+from .cluster import Cluster
+from .cluster import Site
+from .processes import LaunchError
 
 CALLER_KEY = "quickstart-caller-key"
 INTENT = """// What the night shift needs: one group of four instances.
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -7,8 +7,8 @@
 
 import aiohttp
 
-from thorncleat_standins.launch import Cluster
-from thorncleat_standins.launch import Site
+from thorncleat_standins.cluster import Cluster
+from thorncleat_standins.cluster import Site
 
 from .makers import CALLER_KEY
 from .makers import digest
@@ -150,6 +150,6 @@
 
 def expected(text: str, tokens: int) -> str:
     """Return what any engine answers to a text."""
-    from thorncleat_standins.engine import token_text
+    from thorncleat_standins.completions import token_text
 
     return "".join(token_text(text.split(), index) for index in range(tokens))
