--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -75,7 +75,7 @@
         (lambda: engine(models=[{"name": "m", "share": 0}]).models[0].share, 0.0),
         (lambda: endpoint().membership, None),
         (lambda: endpoint(group={}).membership, None),
-        (lambda: endpoint(group={"name": ""}).membership, None),
+        (lambda: endpoint(group={"name": "", "epoch": 0, "state": ""}).membership, None),
         (
             lambda: endpoint(group=GROUP).membership,
             Membership(GroupId(3, "g"), 2, GroupState.OPEN),
@@ -109,8 +109,11 @@
         (lambda: route(service=None), "configuration: route 'chat' leads to no service"),
         (lambda: engine(slots=None), "configuration: services.0.engine.slots: "),
         (lambda: endpoint(address=None), "endpoint 'i-1': address: "),
-        (lambda: endpoint(group={"name": "g"}), "endpoint 'i-1': group.epoch: "),
-        (lambda: endpoint(group=GROUP | {"state": "odd"}), "endpoint 'i-1': group.state: "),
+        (lambda: endpoint(group={"name": "g"}), "endpoint 'i-1': group 'g' has no epoch"),
+        (
+            lambda: endpoint(group=GROUP | {"state": "odd"}),
+            "endpoint 'i-1': group 'g': 'odd' is not",
+        ),
         (lambda: documents.report(b"null"), "report: "),
         (lambda: documents.report(data({"seq": "x"})), "report: seq: "),
     ],
