--- a/bench/soaks/daemon_troubles.py
+++ b/bench/soaks/daemon_troubles.py
@@ -1,5 +1,7 @@
 """The troubles that the daemon's soak draws from, and the state that they act on.
 
+Pauses are in seconds, drawn between two bounds; chosen, not measured.
+
 Owns: nothing; each trouble undoes what it did.
 Relies on: processes ended and started by :class:`thorncleat_standins.cluster.Cluster`, and the
 stand-ins' switchboards.
--- a/bench/soaks/gateway_troubles.py
+++ b/bench/soaks/gateway_troubles.py
@@ -1,5 +1,7 @@
 """The troubles that the gateway's soak draws from, and the state that they act on.
 
+Pauses are in seconds, drawn between two bounds; chosen, not measured.
+
 Owns: nothing; each trouble undoes what it did.
 Relies on: signals to processes that :mod:`bench.soaks.gateway_site` started, and on the proxies
 before the store and the workers.
--- a/packages/standins/src/thorncleat_standins/kv.py
+++ b/packages/standins/src/thorncleat_standins/kv.py
@@ -97,7 +97,11 @@
         return self._find(key, end)
 
     def transact(self, compares: t.Iterable[Compare], operations: t.Iterable[Operation]) -> bool:
-        """Apply all operations at one revision if every comparison holds."""
+        """Apply all operations at one revision if every condition holds.
+
+        :returns: whether they hold.
+        :raises LeaseNotFoundError: if a write names a lease that has lapsed; nothing is applied.
+        """
         self.expire()
         if not all(self._holds(compare) for compare in compares):
             return False
--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -21,7 +21,6 @@
 ATTEMPT = "X-Thorncleat-Attempt-Id"
 STAMP = "X-Thorncleat-Response-Stamp"
 EXPECT = "X-Thorncleat-Expect-Instance"
-NOT_RUN = "X-Thorncleat-Not-Executed"
 LAST_EVENT = "Last-Event-Id"
 # from an order about its group until it is carried out; chosen, not measured
 JOIN_SECONDS = 0.02
