--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -56,7 +56,7 @@
         assert f"`{folder}/`" in PAGE
 
 
-@pytest.mark.parametrize("name", modules())
+@pytest.mark.parametrize("name", list(modules()))
 def test_module_says_what_it_is_for(name):
     text = ast.get_docstring(ast.parse((ROOT / name).read_text())) or ""
     told = "Owns:" in text and "Relies on:" in text
