--- a/packages/gateway/src/thorncleat_gateway/ports/headers.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/headers.py
@@ -62,19 +62,19 @@
 class HeaderCodec(t.Protocol):
     """The names that callers and endpoints use in their headers."""
 
-    def request_head(self, headers: t.Mapping[str, str]) -> RequestMeta:
+    def read_request(self, headers: t.Mapping[str, str]) -> RequestMeta:
         """Read a caller's headers."""
         ...
 
-    def forwarded(self, headers: Headers, terms: ForwardMeta) -> Headers:
+    def for_endpoint(self, headers: Headers, meta: ForwardMeta) -> Headers:
         """Return the headers to be sent to an endpoint."""
         ...
 
-    def answer_head(self, status: int, headers: t.Mapping[str, str]) -> AnswerMeta:
+    def read_answer(self, status: int, headers: t.Mapping[str, str]) -> AnswerMeta:
         """Read an endpoint's headers."""
         ...
 
-    def returned(self, headers: Headers) -> Headers:
+    def for_caller(self, headers: Headers) -> Headers:
         """Return the headers of an endpoint's answer that the caller gets."""
         ...
 
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -95,7 +95,7 @@
     @property
     def headers(self) -> Headers:
         """The endpoint's headers that the caller gets."""
-        return self._codec.returned(list(self._response.headers.items()))
+        return self._codec.for_caller(list(self._response.headers.items()))
 
     async def body(self) -> bytes:
         """Return the whole body.
@@ -145,7 +145,7 @@
             request.method,
             URL(f"http://{endpoint.address}{request.path}", encoded=True),
             data=request.body if has_body else None,
-            headers=self._codec.forwarded(request.headers, meta),
+            headers=self._codec.for_endpoint(request.headers, meta),
             timeout=self._timeout,
             allow_redirects=False,
         )
@@ -162,7 +162,7 @@
             yield Exchange(response, self._codec)
 
     def _check(self, response: aiohttp.ClientResponse, request_id: str) -> None:
-        meta = self._codec.answer_head(response.status, response.headers)
+        meta = self._codec.read_answer(response.status, response.headers)
         if meta.not_run:
             raise AttemptError(f"declined with {response.status}", Ran.NO)
         if meta.request_id is not None and meta.request_id != request_id:
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -77,7 +77,7 @@
         self.requests += 1
         self.running += 1
         received_at = self._clock()
-        meta = self._codec.request_head(request.headers)
+        meta = self._codec.read_request(request.headers)
         caller = CallerResponse(request, lambda: self.stopping)
         try:
             return await self._serve(request, meta, caller, received_at)
--- a/tests/test_forms_headers.py
+++ b/tests/test_forms_headers.py
@@ -65,11 +65,11 @@
     ids=["all", "least"],
 )
 def test_forwarded(terms, snapshot):
-    assert [list(one) for one in PlatformHeaders().forwarded(CALLERS, terms)] == snapshot
+    assert [list(one) for one in PlatformHeaders().for_endpoint(CALLERS, terms)] == snapshot
 
 
 def test_returned(snapshot):
-    assert [list(one) for one in PlatformHeaders().returned(ENDPOINTS)] == snapshot
+    assert [list(one) for one in PlatformHeaders().for_caller(ENDPOINTS)] == snapshot
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
     ],
 )
 def test_what_callers_say(headers, snapshot):
-    head = PlatformHeaders().request_head(multidict.CIMultiDict(headers))
+    head = PlatformHeaders().read_request(multidict.CIMultiDict(headers))
     assert (head.id, head.key, head.deadline, head.model, head.last_event_id) == snapshot
 
 
@@ -105,7 +105,7 @@
     ],
 )
 def test_what_endpoints_say(status, headers, snapshot):
-    head = PlatformHeaders().answer_head(status, multidict.CIMultiDict(headers))
+    head = PlatformHeaders().read_answer(status, multidict.CIMultiDict(headers))
     assert (head.request_id, head.signed, head.not_run, head.encoded) == snapshot
 
 
