--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -2,7 +2,7 @@
 
 Owns: one domain's state (:mod:`.domain_state`) and the permits given for its groups.
 Relies on: its holder to step it and to take the lease away; the parts that do one job each
-(:mod:`.sightings`, :mod:`.open_groups`, :mod:`.order_giver`, :mod:`.group_changes`).
+(:mod:`.instance_probes`, :mod:`.open_groups`, :mod:`.order_giver`, :mod:`.group_changes`).
 """
 
 import typing as t
@@ -20,9 +20,9 @@
 from .domain_state import KeeperServices
 from .downtime import Downtime
 from .group_changes import GroupChanges
+from .instance_probes import InstanceProbes
 from .open_groups import OpenGroups
 from .order_giver import OrderGiver
-from .sightings import Sightings
 
 
 class DomainKeeper:
@@ -44,17 +44,17 @@
         self._clock = services.clock
         self._state = state = DomainState(domain, epoch, lease, Assignments(domain))
         self._desk = PermitDesk(services.control.permit, services.group_tokens)
-        self._seen = Sightings(
+        self._probes = InstanceProbes(
             services.engines,
             services.clock,
             services.control.window,
             state.group_of,
             services.late,
         )
-        self._open_groups = OpenGroups(state, services, self._desk, self._seen)
-        self._orders = OrderGiver(state, services, self._seen)
+        self._open_groups = OpenGroups(state, services, self._desk, self._probes)
+        self._orders = OrderGiver(state, services, self._probes)
         self._changes = GroupChanges(
-            state, services, self._desk, self._seen, self._orders, self._open_groups
+            state, services, self._desk, self._probes, self._orders, self._open_groups
         )
 
     @property
@@ -85,7 +85,7 @@
     @property
     def reports(self) -> t.Mapping[str, InstanceReport]:
         """The newest report of each instance."""
-        return self._seen.reports
+        return self._probes.reports
 
     def adopt(self, assignments: Assignments) -> None:
         """Begin without a lease, from assignments known otherwise."""
@@ -155,7 +155,7 @@
         if group is None or leader is None:
             return Permit(request.group, self.epoch, 0, 0.0, True, "")
         now = self.asked_at = self._clock()
-        seconds = self._desk.valid_for(daemon, request, group, self._seen.confirmations, now)
+        seconds = self._desk.valid_for(daemon, request, group, self._probes.confirmations, now)
         grant = self._desk.grant(group.id, daemon, weights, now)
         return Permit(
             group.id,
@@ -173,9 +173,9 @@
         members = self.assignments.taken()
         if self.lease is None:
             targets = {name: where for name, where in targets.items() if name in members}
-        await self._seen.probe(targets)
+        await self._probes.probe(targets)
         for name in members - set(targets):
-            self._seen.miss(name)
-        reports = self._seen.reports
+            self._probes.miss(name)
+        reports = self._probes.reports
         if any(reports[name].epoch > self.epoch for name in members if name in reports):
             self.superseded = True
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -16,13 +16,13 @@
 from .domain_state import KeeperServices
 from .exceptions import StoreError
 from .exceptions import StoreOutcomeUnknownError
+from .instance_probes import InstanceProbes
 from .open_groups import OpenGroups
 from .order_giver import OrderGiver
 from .ports import Condition
 from .ports import SameLife
 from .ports import Unchanged
 from .ports import Write
-from .sightings import Sightings
 
 # seconds of silence after which an instance that is listed no more counts as gone;
 # chosen, not measured
@@ -37,14 +37,14 @@
         state: DomainState,
         services: KeeperServices,
         desk: PermitDesk,
-        seen: Sightings,
+        probes: InstanceProbes,
         orders: OrderGiver,
         open_groups: OpenGroups,
     ) -> None:
         self._state = state
         self._services = services
         self._desk = desk
-        self._seen = seen
+        self._probes = probes
         self._orders = orders
         self._open_groups = open_groups
         self._pending: dict[str, repair.Change] = {}
@@ -82,7 +82,7 @@
             return
 
     def _view(self) -> repair.View:
-        state, reports = self._state, self._seen.reports
+        state, reports = self._state, self._probes.reports
         leaving = {
             instance.id
             for instance in state.listed.values()
@@ -91,7 +91,7 @@
         gone = {
             name
             for name in state.assignments.taken()
-            if name not in state.listed and self._seen.silence(name) > GONE_AFTER
+            if name not in state.listed and self._probes.silence(name) > GONE_AFTER
         }
         idle = {name for name, report in reports.items() if not report.group}
         prepared = {
@@ -103,7 +103,7 @@
         return repair.View(
             frozenset(idle),
             frozenset(gone),
-            dict(self._seen.missing_since),
+            dict(self._probes.missing_since),
             frozenset(draining),
             prepared,
         )
--- a/packages/daemon/src/thorncleat_daemon/sightings.py
+++ b/packages/daemon/src/thorncleat_daemon/instance_probes.py
@@ -19,7 +19,7 @@
 GroupOf = t.Callable[[str], Group | None]
 
 
-class Sightings:
+class InstanceProbes:
     """Probes instances and remembers what they said.
 
     :param window: seconds for which a member's confirmation counts.
--- a/packages/daemon/src/thorncleat_daemon/open_groups.py
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -1,7 +1,7 @@
 """Which groups of a domain may answer, and whom to inform when that changes.
 
 Owns: the set of open groups.
-Relies on: the confirmations that probing has collected (:mod:`.sightings`); a permit ends by
+Relies on: the confirmations that probing has collected (:mod:`.instance_probes`); a permit ends by
 itself, so a message that is lost only makes daemons learn later of a closed group.
 """
 
@@ -16,7 +16,7 @@
 from .domain_state import DomainState
 from .domain_state import KeeperServices
 from .group_publisher import GroupPublisher
-from .sightings import Sightings
+from .instance_probes import InstanceProbes
 
 
 class OpenGroups:
@@ -27,12 +27,12 @@
         state: DomainState,
         services: KeeperServices,
         desk: PermitDesk,
-        seen: Sightings,
+        probes: InstanceProbes,
     ) -> None:
         self._state = state
         self._services = services
         self._desk = desk
-        self._seen = seen
+        self._probes = probes
         self._publisher = GroupPublisher(
             state.domain, state.epoch, services.gossip, services.config
         )
@@ -48,13 +48,13 @@
         """Open or close each group by its members' confirmations."""
         now = self._services.clock()
         for group in self._state.assignments.groups.values():
-            is_open = self._seen.confirmations.is_open(group, now)
+            is_open = self._probes.confirmations.is_open(group, now)
             if is_open and group.id not in self._open:
                 self._open.add(group.id)
                 events.GROUP_OPENED.log(group=group.id, generation=group.generation)
                 self._publish(group)
             elif not is_open and group.id in self._open:
-                self._close(group, self._seen.confirmations.missing(group, now))
+                self._close(group, self._probes.confirmations.missing(group, now))
 
     def replaced(self, old: Assignments, new: Assignments) -> None:
         """Close and publish what differs between two assignments."""
--- a/packages/daemon/src/thorncleat_daemon/order_giver.py
+++ b/packages/daemon/src/thorncleat_daemon/order_giver.py
@@ -15,17 +15,19 @@
 from .domain_state import DomainState
 from .domain_state import KeeperServices
 from .exceptions import EndpointError
+from .instance_probes import InstanceProbes
 from .ports import Order
-from .sightings import Sightings
 
 
 class OrderGiver:
     """Gives the engines of one domain the orders that their reports lack."""
 
-    def __init__(self, state: DomainState, services: KeeperServices, seen: Sightings) -> None:
+    def __init__(
+        self, state: DomainState, services: KeeperServices, probes: InstanceProbes
+    ) -> None:
         self._state = state
         self._services = services
-        self._seen = seen
+        self._probes = probes
         self._safe_at: dict[str, float] = {}
 
     def safe_at(self, group_id: str, acquired_at: float) -> float:
@@ -51,14 +53,14 @@
         generation = state.assignments.generation
         orders += [
             self._order(name, Order(state.epoch, "", generation, -1, "", ""))
-            for name, report in self._seen.reports.items()
+            for name, report in self._probes.reports.items()
             if report.group and state.group_of(name) is None
         ]
         await asyncio.gather(*orders)
 
     async def prepare(self, change: repair.Prepare) -> None:
         """Let an instance load a part ahead, unless it does already."""
-        report = self._seen.reports.get(change.instance)
+        report = self._probes.reports.get(change.instance)
         part = change.part
         loading = report and (report.model, report.version, report.rank) == (
             part.model,
@@ -75,7 +77,7 @@
         return Order(epoch, group.id, group.generation, rank, group.model, group.version)
 
     def _needs_order(self, name: str, group: Group) -> bool:
-        report = self._seen.reports.get(name)
+        report = self._probes.reports.get(name)
         if report is None:
             return False
         placed = (report.group, report.generation, report.epoch)
