--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -17,7 +17,7 @@
 from .callers import Caller
 from .dispatch import Dispatcher
 from .dispatch import Slot
-from .dispatch import Wish
+from .dispatch import SlotRequest
 from .exceptions import RequestError
 from .metrics import Metrics
 from .permits import PermitKeeper
@@ -36,7 +36,7 @@
 )
 _CLOSED = "group closed"
 Answer = t.TypeVar("Answer")
-WishOf = t.Callable[[frozenset[str]], Wish]
+SlotRequestOf = t.Callable[[frozenset[str]], SlotRequest]
 Work = t.Callable[[Slot], t.Coroutine[t.Any, t.Any, Answer]]
 
 
@@ -63,16 +63,18 @@
         self._running: dict[str, set[asyncio.Task[t.Any]]] = {}
         permits.on_closed(self._cut)
 
-    async def run(self, caller: Caller, wish_of: WishOf, work: Work[Answer]) -> Answer:
+    async def run(
+        self, caller: Caller, slot_request_of: SlotRequestOf, work: Work[Answer]
+    ) -> Answer:
         """Run a request until it is answered or may not be tried again.
 
-        :param wish_of: what the request needs, given the groups that failed it.
+        :param slot_request_of: what the request needs, given the groups that failed it.
         :param work: sends it to a group.
         :raises RequestError: of the last attempt; it says whether the request ran.
         """
         failed: set[str] = set()
         for attempt in range(1, MAX_ATTEMPTS + 1):
-            slot = await self._dispatcher.acquire(wish_of(frozenset(failed)))
+            slot = await self._dispatcher.acquire(slot_request_of(frozenset(failed)))
             try:
                 answer = await self._guarded(slot, work(slot))
                 self._dispatcher.ejection.succeeded(slot.group)
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -19,7 +19,7 @@
 from . import clock
 from . import events
 from .attempts import Attempts
-from .attempts import WishOf
+from .attempts import SlotRequestOf
 from .callers import Caller
 from .claims import ClaimClient
 from .completion import PATH
@@ -29,7 +29,7 @@
 from .completion import engine_url
 from .completion import parse
 from .dispatch import Slot
-from .dispatch import Wish
+from .dispatch import SlotRequest
 from .dispatch import prompt_cost
 from .exceptions import RequestError
 from .metrics import Metrics
@@ -70,14 +70,14 @@
         :raises RequestError: if it can't be answered.
         """
         completion = parse(body)
-        wish_of = self._wish_of(caller, completion)
+        slot_request_of = self._slot_request_of(caller, completion)
         if completion.stream and caller.repeatable:
-            return await self._streams.answer(request, caller, completion, wish_of)
+            return await self._streams.answer(request, caller, completion, slot_request_of)
         started = clock.now()
 
         async def whole() -> Answered:
             return await self._attempts.run(
-                caller, wish_of, lambda slot: self._whole(slot, caller, completion)
+                caller, slot_request_of, lambda slot: self._whole(slot, caller, completion)
             )
 
         if caller.repeatable:
@@ -98,14 +98,14 @@
             raise RequestError(404, "Unknown model", detail, cause="bad_request")
         return found[0]
 
-    def _wish_of(self, caller: Caller, completion: Completion) -> WishOf:
+    def _slot_request_of(self, caller: Caller, completion: Completion) -> SlotRequestOf:
         """Return what a request needs, as a function of the groups to avoid."""
         intent = self._intent(caller, completion)
         cost = prompt_cost(len(completion.text), completion.max_tokens)
         prefix = routing.prefix_identity(intent.model, intent.version, completion.text)
 
-        def wish(avoid: frozenset[str]) -> Wish:
-            return Wish(
+        def slot_request(avoid: frozenset[str]) -> SlotRequest:
+            return SlotRequest(
                 intent,
                 caller.workspace.name,
                 cost,
@@ -115,7 +115,7 @@
                 avoid,
             )
 
-        return wish
+        return slot_request
 
     async def _whole(self, slot: Slot, caller: Caller, completion: Completion) -> Answered:
         url = engine_url(slot)
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Wish:
+class SlotRequest:
     """What a request needs.
 
     :param prefix: identity of the prompt's beginning.
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass
 class _Place:
-    wish: Wish
+    request: SlotRequest
     future: "asyncio.Future[Slot]"
 
 
@@ -165,24 +165,28 @@
         """Requests in all queues."""
         return sum(len(queue) for queue in self._queues.values())
 
-    async def acquire(self, wish: Wish) -> Slot:
+    async def acquire(self, request: SlotRequest) -> Slot:
         """Wait for room and return it; it has to be given back with :meth:`release`.
 
         :raises RequestError: if there will be none in time. The request was not run.
         """
-        queue = self._queues.setdefault(wish.intent.name, FairQueue(self._queue_tokens))
+        queue = self._queues.setdefault(request.intent.name, FairQueue(self._queue_tokens))
         future: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
         waiting = Waiting(
-            _Place(wish, future), wish.workspace, wish.cost, wish.priority, wish.deadline
+            _Place(request, future),
+            request.workspace,
+            request.cost,
+            request.priority,
+            request.deadline,
         )
         refused = queue.refuse(waiting, self._clock())
         if refused is not None:
-            raise _overloaded(wish, refused)
+            raise _overloaded(request, refused)
         ticket = queue.add(waiting)
-        self._pump(wish.intent.name)
+        self._pump(request.intent.name)
         if not future.done():
             await self._permits.nudge()
-            self._pump(wish.intent.name)
+            self._pump(request.intent.name)
         try:
             return await future
         except asyncio.CancelledError:
@@ -218,7 +222,7 @@
             for waiting in queue.expired(now):
                 if not waiting.item.future.done():
                     error = _overloaded(
-                        waiting.item.wish,
+                        waiting.item.request,
                         retry_after.EXPIRED_IN_QUEUE,
                         "deadline passed in the queue",
                     )
@@ -256,14 +260,14 @@
         ]
 
     def _give(self, place: _Place, usable: list[HeldPermit], now: float) -> None:
-        wish = place.wish
-        with_room = self._with_room(usable, wish.workspace, wish.cost)
+        request = place.request
+        with_room = self._with_room(usable, request.workspace, request.cost)
         names = self.ejection.usable([held.permit.group for held in with_room], now)
-        preferred = [name for name in names if name not in wish.avoid] or names
+        preferred = [name for name in names if name not in request.avoid] or names
         by_name = {held.permit.group: held.permit for held in with_room}
         candidates = [self._candidate(name, by_name[name].generation, now) for name in preferred]
-        permit = by_name[self._choose(wish.prefix, wish.cost, candidates)]
-        slot = Slot(permit.group, permit.generation, permit.leader, wish.workspace, wish.cost)
+        permit = by_name[self._choose(request.prefix, request.cost, candidates)]
+        slot = Slot(permit.group, permit.generation, permit.leader, request.workspace, request.cost)
         self._ledger.add(slot)
         place.future.set_result(slot)
 
@@ -274,11 +278,13 @@
         return routing.Candidate(group, self._ledger.tokens(group).total(), warmth=warmth)
 
 
-def _overloaded(wish: Wish, seconds: float, reason: str = "no room in time") -> RequestError:
+def _overloaded(
+    request: SlotRequest, seconds: float, reason: str = "no room in time"
+) -> RequestError:
     return RequestError(
         503,
         "No room",
-        f"{reason} for model {wish.intent.model!r}",
+        f"{reason} for model {request.intent.model!r}",
         retry_after=retry_after.spread(seconds),
         cause="overload",
     )
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -17,7 +17,7 @@
 from . import events
 from . import problems
 from .attempts import Attempts
-from .attempts import WishOf
+from .attempts import SlotRequestOf
 from .attempts import group_closed
 from .callers import Caller
 from .completion import Completion
@@ -103,7 +103,11 @@
         self._stall = stall
 
     async def answer(
-        self, request: web.Request, caller: Caller, completion: Completion, wish_of: WishOf
+        self,
+        request: web.Request,
+        caller: Caller,
+        completion: Completion,
+        slot_request_of: SlotRequestOf,
     ) -> web.StreamResponse:
         """Answer with a stream.
 
@@ -116,7 +120,7 @@
             await self._copy(flow, slot, completion)
 
         try:
-            await self._attempts.run(caller, wish_of, once)
+            await self._attempts.run(caller, slot_request_of, once)
             await flow.write(DONE)
             await flow.response.write_eof()
         except RequestError as error:
