--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -4,6 +4,7 @@
 Relies on: a service's own list of what may be repeated.
 """
 
+import dataclasses
 import typing as t
 
 import aiohttp
@@ -126,17 +127,15 @@
             return Answered(response.status, kind, body)
 
 
+@dataclasses.dataclass(frozen=True)
 class _Call:
     """A call as it is passed on."""
 
-    def __init__(
-        self, method: str, target: str, body: bytes, headers: dict[str, str], repeatable: bool
-    ) -> None:
-        self.method = method
-        self.target = target
-        self.body = body
-        self.headers = headers
-        self.repeatable = repeatable
+    method: str
+    target: str
+    body: bytes
+    headers: dict[str, str]
+    repeatable: bool
 
 
 def _response(answered: Answered, caller: Caller) -> web.Response:
