--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -32,7 +32,7 @@
 class Controller(mode.Service):
     """Plans, and carries plans out, while this daemon holds the controller's lease.
 
-    :param quiet: returns whether no caller has sent anything yet since the very first start.
+    :param before_requests: returns whether no caller has sent anything yet since the very first start.
     """
 
     def __init__(
@@ -42,14 +42,14 @@
         detector: FailureDetector,
         terms: TermFactory,
         clock: t.Callable[[], float],
-        quiet: t.Callable[[], bool],
+        before_requests: t.Callable[[], bool],
     ) -> None:
         super().__init__()
         self._view = view
         self._election = election
         self._terms = terms
         self._clock = clock
-        self._quiet = quiet
+        self._before_requests = before_requests
         self._wake = asyncio.Event()
         self._sizes = DomainSizes(clock)
         self._growth = ListGrowth(clock)
@@ -92,7 +92,7 @@
             self._cancel()
             term = self._terms.begin(self._election.term, self._wake.set)
             inspector = GroupInspector(self._view, term, self._clock)
-            planner = Planner(self._view, self._sizes, term, inspector, self._quiet)
+            planner = Planner(self._view, self._sizes, term, inspector, self._before_requests)
             self._planner = planner
         return planner
 
@@ -100,7 +100,7 @@
         configuration = self._view.configuration
         if configuration is None:
             return
-        if self._quiet() and self._growth.is_growing(len(self._view.roster.endpoints)):
+        if self._before_requests() and self._growth.is_growing(len(self._view.roster.endpoints)):
             return
         planner.plan(configuration)
 
--- a/packages/gateway/src/thorncleat_gateway/groups/planner.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/planner.py
@@ -28,7 +28,7 @@
 class Planner:
     """Plans in one term.
 
-    :param quiet: returns whether no caller has sent anything yet since the very first start.
+    :param before_requests: returns whether no caller has sent anything yet since the very first start.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         sizes: DomainSizes,
         term: Term,
         inspector: GroupInspector,
-        quiet: t.Callable[[], bool],
+        before_requests: t.Callable[[], bool],
     ) -> None:
         self._view = view
         self._sizes = sizes
-        self._quiet = quiet
+        self._before_requests = before_requests
         self.term = term
         self.inspector = inspector
 
@@ -119,7 +119,7 @@
         used: set[str] = set()
         for plan in formation.groups_to_form(view, target, engine.models, scarcity):
             used.update(member.id for member in plan.members)
-            if not plan.cold or self._quiet():
+            if not plan.cold or self._before_requests():
                 self.term.forming.form(plan)
                 continue
             # hosts load first, so that the others stay free for whoever is back sooner
@@ -133,7 +133,7 @@
 
     def _may_load(self, engine: Engine) -> bool:
         """Returns whether a load may begin; those before the first request are not counted."""
-        return self._quiet() or self.term.loader.may_load(engine)
+        return self._before_requests() or self.term.loader.may_load(engine)
 
 
 def _scarcity(views: Views, layout: formation.Layout) -> formation.Scarcity:
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -18,7 +18,7 @@
 from ..store.serving import Workspace
 from .retry_policy import AttemptsUsed
 
-# rank of the least urgent requests; engines know ranks 0 to 9 (PROTOCOL.md)
+# rank of the least urgent requests; engines know ranks 0 to 9
 LOWEST_PRIORITY = 9
 # least remaining time that an endpoint is told, in seconds: never nothing, in the platform's
 # unit of a millisecond; chosen, not measured
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
@@ -2,7 +2,7 @@
 
 Owns: nothing.
 Relies on: callers that honour ``Retry-After`` with its fractions, up to a third of the time
-that they have left (PROTOCOL.md).
+that they have left.
 """
 
 # the daemon is stopping: another one can take the request at once; chosen, not measured
--- a/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
@@ -15,7 +15,7 @@
 from . import change_codec
 
 CHANGES_PATH = "/changes"
-STATUS_OK = 200
+STATUS_OK = 200  # HTTP status
 _AGE = struct.Struct("!d")
 
 
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -100,7 +100,7 @@
             world.now,
         )
         self.controller = Controller(
-            self.view, self.election, self.detector, terms, world.now, lambda: world.quiet
+            self.view, self.election, self.detector, terms, world.now, lambda: world.before_requests
         )
 
     async def thawed(self) -> None:
@@ -141,13 +141,13 @@
     """Nodes, engines, a store and an oracle.
 
     :param odds: chance of each trouble that a call can meet.
-    :param quiet: whether no caller has sent anything yet since the very first start.
+    :param before_requests: whether no caller has sent anything yet since the very first start.
     """
 
     def __init__(self, seed: int, domains: int = 2, workers: int = 8, nodes: int = 3) -> None:
         self.random = random.Random(seed)
         self.odds: dict[str, float] = {}
-        self.quiet = False
+        self.before_requests = False
         self.workers: dict[str, Worker] = {}
         self.ready: dict[GroupId, set[tuple[str, tuple[str, ...]]]] = collections.defaultdict(set)
         self.granted: list[int] = []
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -46,7 +46,7 @@
 async def _start_while_the_list_grows():
     """Return how many orders to join were taken while it grew, and what stands soon after."""
     world = World(seed=1, domains=1)
-    world.quiet = True
+    world.before_requests = True
     await world.start()
     for _ in range(4):
         await world.pass_time(GROWING_SECONDS - 0.3)
