--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -32,7 +32,8 @@
 class Controller(mode.Service):
     """Plans, and carries plans out, while this daemon holds the controller's lease.
 
-    :param before_requests: returns whether no caller has sent anything yet since the very first start.
+    :param before_requests: returns whether no caller has sent anything since the very first
+        start of the whole system.
     """
 
     def __init__(
--- a/packages/gateway/src/thorncleat_gateway/groups/planner.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/planner.py
@@ -28,7 +28,8 @@
 class Planner:
     """Plans in one term.
 
-    :param before_requests: returns whether no caller has sent anything yet since the very first start.
+    :param before_requests: returns whether no caller has sent anything since the very first
+        start of the whole system.
     """
 
     def __init__(
