--- /dev/null
+++ b/tests/test_event_stream.py
@@ -0,0 +1,32 @@
+"""Whole events, in their order, once each."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from thorncleat_gateway.requests.event_stream import EventSplitter
+
+
+class TestEventSplitter:
+    STREAM = b"".join(b"id: %d\ndata: x\n\n" % number for number in range(1, 9))
+
+    @given(st.lists(st.integers(1, 40), max_size=20))
+    def test_however_it_is_cut_the_events_are_the_same(self, sizes):
+        splitter, out, rest = EventSplitter(), b"", self.STREAM
+        for size in [*sizes, len(self.STREAM)]:
+            out += splitter.feed(rest[:size])
+            rest = rest[size:]
+        assert out == self.STREAM
+        assert not splitter.mid_event
+
+    def test_a_run_that_continues_repeats_nothing(self):
+        splitter = EventSplitter()
+        out = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
+        assert splitter.mid_event
+        splitter.restart()
+        out += splitter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
+        assert out == b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
+        assert splitter.last_id == "2"
+
+    def test_ids_rise_as_numbers(self):
+        splitter = EventSplitter()
+        assert splitter.feed(b"id: 9\ndata: a\n\nid: 10\ndata: b\n\n").count(b"data") == 2
