--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,11 +1,16 @@
 """The listed endpoints and the groups that they name."""
 
+from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.roster import Roster
 
 
+def endpoint(name, staged=(), models=(), **more):
+    return Endpoint(name, "service", name, "zone", staged=staged, models=models, **more)
+
+
 class TestRoster:
     @staticmethod
     def member(name, rank):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -2,7 +2,6 @@
 
 import pytest
 
-from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.serving import Route
 from thorncleat_gateway.store.serving import RouteKind
 from thorncleat_gateway.store.serving import ServingConfiguration
@@ -44,7 +43,3 @@
         assert self.CONFIGURATION.workspace_for("k2").name == "growers"
         assert self.CONFIGURATION.workspace_for("k3").name == "chains"
         assert self.CONFIGURATION.workspace_for("k") is None
-
-
-def endpoint(name, staged=(), models=(), **more):
-    return Endpoint(name, "service", name, "zone", staged=staged, models=models, **more)
