--- a/packages/core/src/thorncleat_core/daemon/settings.py
+++ b/packages/core/src/thorncleat_core/daemon/settings.py
@@ -98,7 +98,7 @@
     endpoints: list[Address] = pydantic.Field(min_length=1)
     # chosen, not measured
     timeout: Seconds = 2.0
-    # bound of the users' letters: about 100 writes and 2,000 reads a second for the fleet
+    # bound of the users' letter, for the whole fleet (docs/DEVELOPERS.md at b7c2758)
     writes: float = pydantic.Field(default=100.0, gt=0)
     reads: float = pydantic.Field(default=2000.0, gt=0)
 
--- a/packages/daemon/src/thorncleat_daemon/callers.py
+++ b/packages/daemon/src/thorncleat_daemon/callers.py
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Caller:
-    """A request's particulars.
+    """A caller's request: who asks, until when, how urgently and whether it may run again.
 
     :param id: given by this daemon; names the request in logs, errors and towards endpoints.
     :param deadline: on the monotonic clock, in seconds.
