--- a/bench/relay.py
+++ b/bench/relay.py
@@ -22,6 +22,7 @@
 from .idle_daemons import group_intent
 from .report import cpu_seconds
 from .report import target
+from .slopes import Fit
 from .slopes import Slope
 from .slopes import fit
 from .slopes import keep
@@ -40,30 +41,46 @@
 CONCURRENT = [2, 4, 8]
 
 
+@dataclasses.dataclass
+class Load:
+    """What :mod:`bench.load` counted, and what the server that it was put on used meanwhile.
+
+    :param cpu: processor seconds.
+    """
+
+    tokens: int
+    requests: int
+    errors: int
+    p50_ms: float
+    p95_ms: float
+    p99_ms: float
+    cpu: float
+
+
 @dataclasses.dataclass
 class Run:
-    """One measurement of one server."""
+    """One measurement of one server: many open streams, then requests of one token."""
 
     server: str
-    streams: dict[str, float]
-    cpu_for_streams: float
-    single: dict[str, float]
-    cpu_for_single: float
+    streams: Load
+    single: Load
 
     @property
     def per_token(self) -> float:
         """Processor microseconds for each token."""
-        return self.cpu_for_streams / max(1, self.streams["tokens"]) * 1e6
+        return self.streams.cpu / max(1, self.streams.tokens) * 1e6
 
     @property
     def per_request(self) -> float:
         """Processor microseconds for each request of one token."""
-        return self.cpu_for_single / max(1, self.single["requests"]) * 1e6
+        return self.single.cpu / max(1, self.single.requests) * 1e6
+
 
+async def _load(pid: int, address: str, **options: t.Any) -> Load:
+    """Put a load on an address.
 
-async def _load(
-    cluster: Cluster, pid: int, address: str, **options: t.Any
-) -> tuple[dict[str, float], float]:
+    :param pid: of the process whose processor time is measured.
+    """
     arguments = [f"--{name}={value}" for name, value in options.items()]
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "bench.load", address, *arguments, stdout=asyncio.subprocess.PIPE
@@ -74,17 +91,13 @@
     line = await process.stdout.readline()
     used = cpu_seconds(pid) - before
     await process.wait()
-    return json.loads(line), used
+    return Load(**json.loads(line), cpu=used)
 
 
-async def _measure(
-    cluster: Cluster, name: str, pid: int, address: str, streams: int, seconds: float
-) -> Run:
-    many, cpu = await _load(cluster, pid, address, streams=streams, seconds=seconds)
-    single, cpu_for_single = await _load(
-        cluster, pid, address, streams=16, seconds=seconds / 3, tokens=1, warm=0.5
-    )
-    return Run(name, many, cpu, single, cpu_for_single)
+async def _measure(name: str, pid: int, address: str, streams: int, seconds: float) -> Run:
+    many = await _load(pid, address, streams=streams, seconds=seconds)
+    single = await _load(pid, address, streams=16, seconds=seconds / 3, tokens=1, warm=0.5)
+    return Run(name, many, single)
 
 
 def _change() -> dict[str, t.Any]:
@@ -126,7 +139,7 @@
         ]
         runs = []
         for name, pid, address in servers:
-            runs.append(await _measure(cluster, name, pid, address, streams, seconds))
+            runs.append(await _measure(name, pid, address, streams, seconds))
         return runs
     finally:
         await cluster.stop()
@@ -138,26 +151,18 @@
     try:
         daemon = cluster.processes["daemon-0"]
         address = daemon.said["callers"]
-        fits: dict[str, list[tuple[float, float]]] = {"token_us": [], "request_us": []}
+        fits: dict[str, list[Fit]] = {"token_us": [], "request_us": []}
         for _ in range(runs):
             tokens = [
-                await _load(cluster, daemon.pid, address, streams=count, seconds=seconds)
+                await _load(daemon.pid, address, streams=count, seconds=seconds)
                 for count in STREAMS
             ]
             singles = [
-                await _load(
-                    cluster,
-                    daemon.pid,
-                    address,
-                    streams=count,
-                    seconds=seconds,
-                    tokens=1,
-                    warm=0.5,
-                )
+                await _load(daemon.pid, address, streams=count, seconds=seconds, tokens=1, warm=0.5)
                 for count in CONCURRENT
             ]
-            fits["token_us"].append(_fit(tokens, "tokens", seconds))
-            fits["request_us"].append(_fit(singles, "requests", seconds))
+            fits["token_us"].append(_fit([load.tokens for load in tokens], tokens, seconds))
+            fits["request_us"].append(_fit([load.requests for load in singles], singles, seconds))
     finally:
         await cluster.stop()
     units = {
@@ -169,11 +174,10 @@
     ]
 
 
-def _fit(
-    loads: list[tuple[dict[str, float], float]], what: str, seconds: float
-) -> tuple[float, float]:
-    rates = [found[what] / seconds for found, _ in loads]
-    costs = [used / seconds * 1e6 for _, used in loads]
+def _fit(counted: list[int], loads: list[Load], seconds: float) -> Fit:
+    """Fit processor microseconds a second against what was counted a second."""
+    rates = [count / seconds for count in counted]
+    costs = [load.cpu / seconds * 1e6 for load in loads]
     return fit(rates, costs)
 
 
@@ -183,12 +187,14 @@
     for run in runs:
         if run.server == "direct":
             # only one of the engines was measured, which is no relay's cost
-            run = dataclasses.replace(run, cpu_for_streams=0.0, cpu_for_single=0.0)
+            streams = dataclasses.replace(run.streams, cpu=0.0)
+            run = Run(run.server, streams, dataclasses.replace(run.single, cpu=0.0))
         rate = 1e6 / run.per_token if run.per_token else 0
-        delays = "".join(f"{run.streams[name]:8.2f}" for name in ("p50_ms", "p95_ms", "p99_ms"))
+        load = run.streams
+        delays = "".join(f"{ms:8.2f}" for ms in (load.p50_ms, load.p95_ms, load.p99_ms))
         print(
             f"{run.server:12}{run.per_token:10.1f}{run.per_request:12.0f}{rate:20.0f}"
-            f"{delays}{run.streams['errors']:8.0f}"
+            f"{delays}{load.errors:8.0f}"
         )
 
 
@@ -215,7 +221,7 @@
     ours, floor, direct = by_name["thorncleat"], by_name["bare"], by_name["direct"]
     print(f"planned for each daemon: {PLANNED_TOKENS} tokens/s")
     target("relay-token-cost-of-floor", ours.per_token / floor.per_token, FLOOR_FACTOR)
-    added = ours.streams["p95_ms"] - direct.streams["p95_ms"]
+    added = ours.streams.p95_ms - direct.streams.p95_ms
     target("relay-added-delay-p95-ms", added, ADDED_MS)
 
 
