--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -3,21 +3,18 @@
 Whatever is decided is an event (:mod:`.events`); each is counted here, whether its log line is
 written or left out.
 
-Owns: the registry of this daemon's series.
-Relies on: :func:`thorncleat_core.log_events.observe` to be shown each event.
+Owns: the counters of events and requests.
+Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text form, and on
+:func:`thorncleat_core.log_events.observe` to be shown each event.
 """
 
 import re
 import typing as t
 
 from aiohttp import web
-from prometheus_client import CollectorRegistry
-from prometheus_client import Counter
-from prometheus_client import Gauge
-from prometheus_client import generate_latest
 
-from thorncleat_core.distributions import Distributions
 from thorncleat_core.log_events import Event
+from thorncleat_core.metrics_registry import MetricsRegistry
 
 from . import events
 
@@ -43,26 +40,15 @@
 }
 
 
-class Metrics:
+class Metrics(MetricsRegistry):
     """All that one daemon counts."""
 
     def __init__(self) -> None:
-        self._registry = CollectorRegistry()
-        self._distributions = Distributions()
-        self._registry.register(t.cast(t.Any, self._distributions))
-        self._events = Counter(
-            "thorncleat_events", "Decisions", ["name", "cause"], registry=self._registry
+        super().__init__()
+        self._events = self._counter("events", "Decisions", "name", "cause")
+        self._requests = self._counter(
+            "requests", "Answers by route, workspace and status", "route", "workspace", "status"
         )
-        self._requests = Counter(
-            "thorncleat_requests",
-            "Answers by route, workspace and status",
-            ["route", "workspace", "status"],
-            registry=self._registry,
-        )
-
-    def gauge(self, name: str, help_text: str, value: t.Callable[[], float]) -> None:
-        """Show a value that is read when it is asked for."""
-        Gauge(f"thorncleat_{name}", help_text, registry=self._registry).set_function(value)
 
     def note(self, event: Event, fields: t.Mapping[str, t.Any]) -> None:
         """Count an event and the durations that it carries."""
@@ -86,10 +72,6 @@
             key = (what, OTHERS)
         self._distributions.of(*key).note(seconds)
 
-    def text(self) -> bytes:
-        """Return everything in the Prometheus text format."""
-        return generate_latest(self._registry)
-
     async def handle(self, _: web.BaseRequest) -> web.StreamResponse:
         """Answer whoever collects metrics."""
         return web.Response(body=self.text(), content_type="text/plain")
