--- a/packages/client/src/thorncleat_client/logs.py
+++ b/packages/client/src/thorncleat_client/logs.py
@@ -48,6 +48,7 @@
         try:
             parsed = json.loads(line[begin:])
         except ValueError:
+            # not a line of ours: collectors mix in others
             continue
         if isinstance(parsed, dict) and "event" in parsed and "time" in parsed:
             yield parsed
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -312,6 +312,7 @@
         try:
             await self._ask("outcome", workspace, key, body)
         except PeerError:
+            # the owner keeps the claim as unknown, which is never sent again
             return
 
     async def _ask(self, kind: str, workspace: str, key: str, body: t.Any) -> t.Any:
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -289,6 +289,7 @@
                 await self.fetch_from(peer)
                 answers += 1
             except (PeerError, DecodeError, JournalError):
+                # another peer is asked; too few answers leave this daemon unready, which shows
                 continue
         if answers >= min(2, len(others)) and self.journal.head.revision > 0:
             self.loaded = True
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -149,6 +149,7 @@
             try:
                 await self._peers.tell(neighbour, "records", records[:MAX_RECORDS])
             except PeerError:
+                # the comparison with one neighbour a second brings what was lost
                 continue
 
     @mode.Service.task
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -93,6 +93,7 @@
             try:
                 await self._services.store.revoke(self._lease_id)
             except StoreError:
+                # the lease lapses instead, a few seconds later
                 return
 
     # leases
@@ -195,6 +196,7 @@
         try:
             await self._acquire(shard, patience)
         except StoreError:
+            # the next look tries again; the watch of the configuration logs a lost store
             return
 
     async def _acquire(self, shard: int, patience: float) -> None:
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -209,6 +209,7 @@
                 try:
                     answers[peer] = await self._parts.peers.ask(peer, kind, body, GATHER_SECONDS)
                 except PeerError:
+                    # the report names how many daemons answered
                     return
 
         await asyncio.gather(*(ask(peer) for peer in self._parts.gossip.members.alive))
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -179,6 +179,7 @@
             answer = await self._peers.ask(peer, "permit", body, self._seconds / RENEWALS)
             permits = [codec.validated(Permit, raw) for raw in answer]
         except (PeerError, DecodeError, TypeError):
+            # no permit: the groups are not used, which is the safe side
             return set()
         for permit in permits:
             if permit.group in groups:
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -211,6 +211,7 @@
         if error.cause != CALLER_GONE:
             caller = flow.caller.id
             events.REQUEST_FAILED.log(request=caller, cause=error.cause, detail=error.detail)
+            # the caller may have left as well; the failure itself is logged above
             with contextlib.suppress(RequestError, ConnectionError):
                 await flow.write(problems.stream_event(error, caller))
                 await flow.response.write_eof()
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -174,6 +174,7 @@
             try:
                 await self._records.renew(self._lease)
             except LeaseGoneError:
+                # the term is over, and its end is logged
                 return
             except StoreError:
                 # the lease may be over; once it could be, the record says whether it is
--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -97,6 +97,7 @@
             try:
                 await self._records.renew(lease)
             except LeaseGoneError:
+                # the caller begins anew, with a new lease
                 return
             except StoreError:
                 # not logged: the view logs that the store is lost
