--- a/tests/test_load_rate.py
+++ b/tests/test_load_rate.py
@@ -38,3 +38,10 @@
 def test_bounds_of_an_engine():
     assert load_rate.loads_per_second(ENGINE) == pytest.approx(3.6)
     assert load_rate.most_saved(ENGINE) == pytest.approx(10.2)
+
+
+def test_loads_in_any_window_keep_within_the_weight_stores_ceiling():
+    """Both deployments count loads in 5 s, and allow 1.1 times the rate and three more."""
+    rate = LoadRate(0.0)
+    begun = sum(_begun(rate, 60.0 + step / 10) for step in range(50))
+    assert begun <= 5 * ENGINE.loads_per_second * 1.1 + 3
