--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -53,9 +53,9 @@
 CLEAN_SECONDS = 600.0
 # for the owner's answer, a write to the store included; chosen, not measured
 ASK_SECONDS = 3.0
-# between two turns of a shard's writer, and after it could not read the shard's claims;
-# chosen, not measured
+# between two turns of a shard's writer; chosen, not measured
 WRITER_PAUSE_SECONDS = 0.001
+# after a writer could not read the shard's claims; chosen, not measured
 RESTORE_PAUSE_SECONDS = 0.5
 
 
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -45,8 +45,9 @@
 WATCHERS = 3
 # peers asked for the configuration while the store is away; chosen, not measured
 PEERS_ASKED = 3
-# first wait after a watch broke, and between looks whether to watch; chosen, not measured
+# first wait after a watch broke; chosen, not measured
 WATCH_RETRY_SECONDS = 0.2
+# between two looks whether this daemon is to watch; chosen, not measured
 WATCHER_LOOK_SECONDS = 1.0
 RECORD = "config"
 # revisions; chosen, not measured
--- a/packages/daemon/src/thorncleat_daemon/retry_after.py
+++ b/packages/daemon/src/thorncleat_daemon/retry_after.py
@@ -7,19 +7,25 @@
 
 import random
 
-# all in seconds; chosen, not measured
+# All figures but the last are seconds, chosen and not measured.
+
+# another group may serve, or this one again
 GROUP_CLOSED = 1.0
+# another endpoint of the service may be tried
 ENDPOINT_UNREACHABLE = 1.0
+# the engine is full
 ENGINE_REFUSED = 1.0
+# the queue was longer than the caller's deadline
 EXPIRED_IN_QUEUE = 1.0
 # another request with the same key runs
 KEY_RUNNING = 1.0
 # the owner of a key can't be asked, or can't write
 CLAIMS_UNAVAILABLE = 2.0
-# too many came at once: spread, so that they don't come back at once
+# too many came at once: from the shortest to the longest, so that they come back apart
 SHORTEST_RUSH = 1.0
+# see SHORTEST_RUSH
 LONGEST_RUSH = 3.0
-# part by which a queue's measure is spread upwards
+# part by which a queue's measure is spread upwards; chosen, not measured
 JITTER = 0.5
 
 
--- a/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -20,9 +20,10 @@
 
 # the first field of each datagram; :func:`decode` knows this one only
 FORMAT = 1
-# between two reports of a daemon, while there are not more daemons than follow: each receives at
-# most 160 reports a second then; 1e0ca95 measured the processor time with it
+# between two reports of a daemon, while there are few daemons; chosen, not measured
 SHORTEST_INTERVAL_SECONDS = 0.1
+# daemons up to which that interval holds, so that each receives at most 160 reports a second;
+# 1e0ca95 measured the processor time with it
 DAEMONS_AT_SHORTEST = 16
 
 
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -14,6 +14,7 @@
 # a report of another daemon counts no longer than this, in seconds, or than so many intervals,
 # whichever is longer, so that two lost datagrams make nobody forget it; chosen, not measured
 REPORT_SECONDS = 1.0
+# see REPORT_SECONDS
 REPORT_INTERVALS = 3.0
 
 
--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -25,8 +25,9 @@
 from .roster import Roster
 from .serving import ServingConfiguration
 
-# pause after a failed call, doubled up to the longest; chosen, not measured (33c23af)
+# pause after a failed call, doubled with each further one; chosen, not measured (33c23af)
 FIRST_PAUSE_SECONDS = 0.05
+# up to which that pause is doubled; chosen, not measured (33c23af)
 LONGEST_PAUSE_SECONDS = 0.4
 # between two looks for endpoints that were not listed again; chosen, not measured (4d4bdb4)
 EXPIRE_SECONDS = 0.25
