--- a/bench/soaks/gateway_daemons.py
+++ b/bench/soaks/gateway_daemons.py
@@ -99,6 +99,6 @@
             self.process.send(number)
 
     async def end(self, number: signal.Signals) -> bool:
-        """End the process; returns whether it ended by itself in time."""
+        """End the process; return whether it ended by itself in time."""
         self.ended = True
         return self.process is None or await self.process.stop(number, STOP_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -64,7 +64,7 @@
 
 
 def may_campaign(absent_for: float, place: int) -> bool:
-    """Returns whether a candidate tries to become controller now.
+    """Return whether a candidate tries to become controller now.
 
     They take turns, since each attempt costs a write and only one can succeed.
 
@@ -184,7 +184,7 @@
             self._extend(sent_at)
 
     async def _is_over(self) -> bool:
-        """Returns whether the store shows that this term is over."""
+        """Return whether the store shows that this term is over."""
         try:
             found = await self._records.find(CONTROLLER)
         except StoreError:
--- a/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
@@ -38,12 +38,12 @@
         return group in self.under_way
 
     def is_available(self, endpoint_id: str) -> bool:
-        """Returns whether an endpoint may be ordered into a group now."""
+        """Return whether an endpoint may be ordered into a group now."""
         refused = self._refused.get(endpoint_id, 0.0) > self._clock()
         return not refused and endpoint_id not in self._busy
 
     def is_paused(self, domain: str) -> bool:
-        """Returns whether a domain is left alone after a failure."""
+        """Return whether a domain is left alone after a failure."""
         return self._clock() < self._paused.get(domain, 0.0)
 
     def pause(self, domain: str) -> None:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -58,7 +58,7 @@
         return standing
 
     def _is_to_judge(self, group: GroupId) -> bool:
-        """Returns whether a group is neither being formed nor being ended, nor over."""
+        """Return whether a group is neither being formed nor being ended, nor over."""
         if group in self._term.forming_state or group in self._term.ending:
             return False
         return self._term.records.may_answer(group)
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -30,7 +30,7 @@
 
 
 def is_unlisted(listed: bool, list_age: float) -> bool:
-    """Returns whether a recent list lacks an endpoint.
+    """Return whether a recent list lacks an endpoint.
 
     :param list_age: seconds for which the list may have changed unnoticed.
     """
@@ -38,7 +38,7 @@
 
 
 def is_dead(*, listed: bool, answered: bool, heard: bool) -> bool:
-    """Returns whether an endpoint that all daemons were asked for is dead.
+    """Return whether an endpoint that all daemons were asked for is dead.
 
     :param listed: whether it is listed again.
     :param answered: whether it answered the controller.
--- a/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
@@ -23,7 +23,7 @@
         self._grown_at = clock()
 
     def is_growing(self, listed: int) -> bool:
-        """Returns whether an endpoint was added lately.
+        """Return whether an endpoint was added lately.
 
         :param listed: how many endpoints are listed now.
         """
--- a/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
@@ -40,7 +40,7 @@
         self._filled_at = now
 
     def take(self, engine: Engine, now: float) -> bool:
-        """Use up one load, if there is one; returns whether there was.
+        """Use up one load, if there is one; return whether there was.
 
         :param now: in seconds, on the clock of ``__init__``.
         """
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -78,7 +78,7 @@
         return listed is not None and model in listed.staged
 
     def may_load(self, engine: Engine) -> bool:
-        """Count a load against the weight store's rate; returns whether it may begin."""
+        """Count a load against the weight store's rate; return whether it may begin."""
         return self._rate.take(engine, self._clock())
 
     def load(self, plan: LoadPlan) -> None:
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -73,7 +73,7 @@
         return self._view.roster.endpoints.get(endpoint.id, endpoint).membership
 
     def seen_ready(self, endpoint: Endpoint, group: GroupId) -> bool:
-        """Returns whether an endpoint was listed or reported ready in a group."""
+        """Return whether an endpoint was listed or reported ready in a group."""
         report = self._reports.get(endpoint.id)
         places = (self.listed(endpoint), report.membership if report else None)
         return any(
@@ -125,7 +125,7 @@
         return member is not None and member.group == group
 
     async def answers(self, endpoint: Endpoint) -> bool:
-        """Returns whether an endpoint answers, asked :data:`PROBES` times at most."""
+        """Return whether an endpoint answers, asked :data:`PROBES` times at most."""
         for _ in range(PROBES):
             try:
                 await self.ask(endpoint)
--- a/packages/gateway/src/thorncleat_gateway/groups/planner.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/planner.py
@@ -133,7 +133,7 @@
                 self.term.loader.load(load)
 
     def _may_load(self, engine: Engine) -> bool:
-        """Returns whether a load may begin; those before the first request are not counted."""
+        """Return whether a load may begin; those before the first request are not counted."""
         return self._before_requests() or self.term.loader.may_load(engine)
 
 
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -73,7 +73,7 @@
         return [_group(key) for key in self._view.records if key.startswith(GROUPS)]
 
     def may_answer(self, group: GroupId) -> bool:
-        """Returns whether a group has a record and was not ended in this term."""
+        """Return whether a group has a record and was not ended in this term."""
         return group not in self._ended and _key(group) in self._view.records
 
     def leader(self, group: GroupId) -> Endpoint | None:
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -61,7 +61,7 @@
         ]
 
     def holds(self, group: GroupId, rank: int) -> bool:
-        """Returns whether a member that isn't listed may still be in its place."""
+        """Return whether a member that isn't listed may still be in its place."""
         if any(_is_place(known.membership, group, rank) for known in self._answering.values()):
             return True
         begin = self._clock() - BENEFIT_SECONDS
--- a/packages/standins/src/thorncleat_standins/processes.py
+++ b/packages/standins/src/thorncleat_standins/processes.py
@@ -55,7 +55,7 @@
     async def stop(
         self, number: signal.Signals = signal.SIGTERM, seconds: float = STOP_SECONDS
     ) -> bool:
-        """End it, at last by SIGKILL; returns whether it ended in time.
+        """End it, at last by SIGKILL; return whether it ended in time.
 
         :param seconds: that it has from the signal on.
         """
--- a/packages/standins/src/thorncleat_standins/store.py
+++ b/packages/standins/src/thorncleat_standins/store.py
@@ -57,7 +57,7 @@
         self._at = clock()
 
     def take(self) -> bool:
-        """Take one call; returns whether there was one left."""
+        """Take one call; return whether there was one left."""
         now = self._clock()
         self._left = min(self._per_second, self._left + (now - self._at) * self._per_second)
         self._at = now
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,7 +36,10 @@
 
 
 def pytest_terminal_summary(terminalreporter, config):
+    reports = terminalreporter.getreports("xfailed")
+    if not reports:
+        return
     known = _known_red(config)
     terminalreporter.section("known red (KNOWN-RED.txt)")
-    for report in terminalreporter.getreports("xfailed"):
+    for report in reports:
         terminalreporter.line(f"{report.nodeid}: {known.get(report.nodeid, report.wasxfail)}")
