--- a/bench/idle_daemons.py
+++ b/bench/idle_daemons.py
@@ -48,9 +48,9 @@
         cluster = Cluster(pathlib.Path(directory), site, control={"shards": 4})
         try:
             await cluster.start(shared_engines=True)
-            await cluster.wait_loaded()
+            await cluster.wait_until_ready()
             await cluster.apply(group_intent(groups))
-            await cluster.wait_open(groups)
+            await cluster.wait_for_open_groups(groups)
             pids = [cluster.processes[name].pid for name in cluster.daemons]
             sent = [await _figure(cluster, name, "peer_sent_bytes") for name in cluster.daemons]
             before = [cpu_seconds(pid) for pid in pids]
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -112,11 +112,11 @@
     requests = {"group_tokens": 100_000_000, "queue_tokens": 100_000_000, "deadline": 600.0}
     cluster = Cluster(directory, site, requests=requests)
     await cluster.start()
-    await cluster.wait_loaded()
+    await cluster.wait_until_ready()
     await cluster.apply(_change())
-    await cluster.wait_open(GROUPS)
+    await cluster.wait_for_open_groups(GROUPS)
     for leader in _leaders(cluster):
-        await cluster.control_call("POST", leader, "/behaviour", stamp=True, spread=True)
+        await cluster.call_standin("POST", leader, "/behaviour", stamp=True, spread=True)
     return cluster
 
 
@@ -133,9 +133,9 @@
         daemon = cluster.processes["daemon-0"]
         servers = [
             ("direct", cluster.processes["d0-i0"].pid, ",".join(leaders)),
-            ("bare", bare.pid, bare.said["addresses"][0]),
-            ("plain", plain.pid, plain.said["addresses"][0]),
-            ("thorncleat", daemon.pid, daemon.said["callers"]),
+            ("bare", bare.pid, bare.announcement["addresses"][0]),
+            ("plain", plain.pid, plain.announcement["addresses"][0]),
+            ("thorncleat", daemon.pid, daemon.announcement["callers"]),
         ]
         runs = []
         for name, pid, address in servers:
@@ -150,7 +150,7 @@
     cluster = await _started(directory)
     try:
         daemon = cluster.processes["daemon-0"]
-        address = daemon.said["callers"]
+        address = daemon.announcement["callers"]
         fits: dict[str, list[Fit]] = {"token_us": [], "request_us": []}
         for _ in range(runs):
             tokens = [
--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -74,7 +74,7 @@
     while not soak.over:
         index += 1
         await caller.call(f"call-{number}-{index}")
-    soak.told.update(caller.told)
+    soak.reported_outcomes.update(caller.reported_outcomes)
 
 
 async def _stream(soak: DaemonSoak, number: int) -> None:
@@ -114,7 +114,7 @@
 
 async def _heal(soak: DaemonSoak) -> None:
     cluster = soak.cluster
-    await cluster.store_faults(
+    await cluster.set_store_faults(
         down=False, delay=0.0, lose_answers=0, mute_watches=False, refuse_from=[]
     )
     for process in list(cluster.processes.values()):
@@ -127,8 +127,8 @@
         elif name[0] == "d":
             await cluster.start_engine(name)
     try:
-        await cluster.wait_loaded()
-        await cluster.wait_open(GROUPS)
+        await cluster.wait_until_ready()
+        await cluster.wait_for_open_groups(GROUPS)
     except LaunchError as error:
         soak.faults.append(f"not whole again: {error}")
 
@@ -141,9 +141,9 @@
     cluster = Cluster(directory, site, control=CONTROL, requests={"stall": 2.0})
     try:
         await cluster.start()
-        await cluster.wait_loaded()
+        await cluster.wait_until_ready()
         await cluster.apply(_intent(cluster))
-        await cluster.wait_open(GROUPS)
+        await cluster.wait_for_open_groups(GROUPS)
         end = asyncio.get_running_loop().time() + minutes * 60
         played = DaemonSoak(
             draw=random.Random(seed), end=end, trouble_names=trouble_names, cluster=cluster
@@ -154,11 +154,13 @@
             *(_stream(played, number) for number in range(CALLERS)),
         )
         await _heal(played)
-        ledger = await cluster.control_call("GET", cluster.service, "/ledger")
-        played.faults += ledger_faults(played.told, ledger)
+        ledger = await cluster.call_standin("GET", cluster.service, "/ledger")
+        played.faults += ledger_faults(played.reported_outcomes, ledger)
         played.faults += log_faults(cluster)
-        played.counts["calls"] = len(played.told)
-        played.counts["calls done"] = sum(answers[-1] == "yes" for answers in played.told.values())
+        played.counts["calls"] = len(played.reported_outcomes)
+        played.counts["calls done"] = sum(
+            answers[-1] == "yes" for answers in played.reported_outcomes.values()
+        )
         return played
     finally:
         await cluster.stop()
--- a/bench/soaks/daemon_troubles.py
+++ b/bench/soaks/daemon_troubles.py
@@ -29,7 +29,7 @@
     """
 
     cluster: Cluster
-    told: dict[str, list[str]] = dataclasses.field(default_factory=dict)
+    reported_outcomes: dict[str, list[str]] = dataclasses.field(default_factory=dict)
 
     def pick(self, prefix: str) -> str:
         """Return a process whose name begins so."""
@@ -84,46 +84,46 @@
 @troubles.register("store_away")
 async def store_away(soak: DaemonSoak) -> None:
     """Let the store refuse every call for a while."""
-    await soak.cluster.store_faults(down=True)
+    await soak.cluster.set_store_faults(down=True)
     await soak.pause(0.5, 6)
-    await soak.cluster.store_faults(down=False)
+    await soak.cluster.set_store_faults(down=False)
 
 
 @troubles.register("store_slow")
 async def store_slow(soak: DaemonSoak) -> None:
     """Let the store answer late for a while."""
-    await soak.cluster.store_faults(delay=soak.draw.uniform(0.1, 1.5))
+    await soak.cluster.set_store_faults(delay=soak.draw.uniform(0.1, 1.5))
     await soak.pause(1, 4)
-    await soak.cluster.store_faults(delay=0.0)
+    await soak.cluster.set_store_faults(delay=0.0)
 
 
 @troubles.register("store_loses_answers")
 async def store_loses_answers(soak: DaemonSoak) -> None:
     """Let the store carry out some writes without answering."""
-    await soak.cluster.store_faults(lose_answers=soak.draw.randint(1, 3))
+    await soak.cluster.set_store_faults(lose_answers=soak.draw.randint(1, 3))
 
 
 @troubles.register("store_cut_from_a_daemon")
 async def store_cut_from_a_daemon(soak: DaemonSoak) -> None:
     """Cut one daemon off from the store."""
-    await soak.cluster.store_faults(refuse_from=[soak.pick("daemon-")])
+    await soak.cluster.set_store_faults(refuse_from=[soak.pick("daemon-")])
     await soak.pause(1, 6)
-    await soak.cluster.store_faults(refuse_from=[])
+    await soak.cluster.set_store_faults(refuse_from=[])
 
 
 @troubles.register("watches_mute")
 async def watches_mute(soak: DaemonSoak) -> None:
     """Let watches stay open and bring nothing."""
-    await soak.cluster.store_faults(mute_watches=True)
+    await soak.cluster.set_store_faults(mute_watches=True)
     await soak.pause(1, 4)
-    await soak.cluster.store_faults(mute_watches=False)
+    await soak.cluster.set_store_faults(mute_watches=False)
 
 
 @troubles.register("service_breaks")
 async def service_breaks(soak: DaemonSoak) -> None:
     """Let the plain service break some calls, before or after running them."""
     faults = {soak.draw.choice(["break_before", "break_after"]): soak.draw.randint(1, 4)}
-    await soak.cluster.control_call("POST", soak.cluster.service, "/behaviour", **faults)
+    await soak.cluster.call_standin("POST", soak.cluster.service, "/behaviour", **faults)
 
 
 @troubles.register("change_configuration")
--- a/bench/soaks/gateway.py
+++ b/bench/soaks/gateway.py
@@ -82,7 +82,7 @@
 async def _undo_faults(site: SoakSite) -> None:
     site.store.refuse, site.store.lose_answers = False, 0
     for worker in site.workers.values():
-        worker.turns_away = None
+        worker.refusal_retry_after = None
         worker.limit = None
         if worker.proxy is not None:
             worker.proxy.mode = Mode.PASS
--- a/bench/soaks/gateway_notices.py
+++ b/bench/soaks/gateway_notices.py
@@ -151,10 +151,10 @@
     _site: "SoakSite", worker: "SoakWorker", draw: random.Random, seconds: float
 ) -> None:
     """Let a worker turn all requests away for some time."""
-    born, worker.turns_away = worker.born, draw.choice(PAUSES)
+    born, worker.refusal_retry_after = worker.born, draw.choice(PAUSES)
     await asyncio.sleep(seconds)
     if worker.born == born:
-        worker.turns_away = None
+        worker.refusal_retry_after = None
 
 
 async def _leave(
--- a/bench/soaks/gateway_restores.py
+++ b/bench/soaks/gateway_restores.py
@@ -37,7 +37,7 @@
 
 
 async def _restore(site: SoakSite, draw: random.Random) -> None:
-    copy = site.store.copy()
+    copy = site.store.backup()
     await _pause(draw, LOST_SECONDS)
     site.store.refuse = True
     await _pause(draw, AWAY_SECONDS)
--- a/bench/soaks/gateway_troubles.py
+++ b/bench/soaks/gateway_troubles.py
@@ -132,7 +132,7 @@
 @troubles.register("store_forgets")
 async def store_forgets(soak: GatewaySoak) -> None:
     """Let the store drop its history, which ends all watches."""
-    soak.site.store.forget()
+    soak.site.store.compact()
 
 
 @troubles.register("cut_worker")
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -9,8 +9,8 @@
 
 from aiohttp import web
 
-from thorncleat_standins.platform_worker import ATTEMPT
-from thorncleat_standins.platform_worker import EVENT_SECONDS
+from thorncleat_standins.platform_worker import ATTEMPT_ID
+from thorncleat_standins.platform_worker import EVENT_INTERVAL_SECONDS
 from thorncleat_standins.platform_worker import RETRY_AFTER
 from thorncleat_standins.platform_worker import PlatformWorker
 from thorncleat_standins.platform_worker import Run
@@ -41,10 +41,10 @@
         self._site = site
         self.proxy: Proxy | None = None
         self.events = STREAM_EVENTS
-        self.crashes_on = FATAL if domain else None
+        self.crash_trigger = FATAL if domain else None
         # a worker sends the head as soon as a request runs
-        self.crash_events = 1
-        self.back_after = BACK_SECONDS
+        self.events_before_crash = 1
+        self.restart_after_seconds = BACK_SECONDS
         # told in its first life as well: a life that isn't told apart counts as the same one
         self.born = 1
         self.alive = True
@@ -58,7 +58,7 @@
     @property
     def is_willing(self) -> bool:
         """Whether it takes all requests, and says nothing else."""
-        return self.takes_work and not self.leaving and self.turns_away is None
+        return self.takes_work and not self.leaving and self.refusal_retry_after is None
 
     @property
     def whole(self) -> bool:
@@ -89,15 +89,15 @@
             LAPSE_SECONDS, self._store.delete, f"servers/{self.id}"
         )
 
-    async def start_again(self) -> None:
+    async def restart(self) -> None:
         """Start under the same id, behind another proxy."""
         if self._lapse is not None:
             self._lapse.cancel()
         self.alive = True
-        self.leaving, self.turns_away, self.limit = False, None, None
+        self.leaving, self.refusal_retry_after, self.limit = False, None, None
         self._site.notices.forget(self)
         self._site.limits.end(self.id)
-        await super().start_again()
+        await super().restart()
 
     def publish(self) -> None:
         """Write its entry while it lives."""
@@ -110,7 +110,7 @@
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve a request, after a look at whether it should have come."""
-        exchange = self._site.exchanges.get(request.headers[ATTEMPT])
+        exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if exchange is not None:
             daemon = self._site.daemon_named(exchange.daemon)
             self._site.notices.arrived(self, daemon, exchange.id, exchange.sent_at)
@@ -120,18 +120,18 @@
                 self._site.notices.said_leaving(self, daemon)
         return await super()._serve(request)
 
-    def turned_away(self, request: web.BaseRequest) -> web.Response | None:
+    def refusal_for(self, request: web.BaseRequest) -> web.Response | None:
         """Note the time for which it wants no requests of a daemon."""
-        response = super().turned_away(request)
-        exchange = self._site.exchanges.get(request.headers[ATTEMPT])
+        response = super().refusal_for(request)
+        exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if response is not None and exchange is not None:
             daemon = self._site.daemon_named(exchange.daemon)
             self._site.notices.asked(self, daemon, response.headers.get(RETRY_AFTER, ""))
         return response
 
-    def began(self, run: Run) -> None:
+    def record_run(self, run: Run) -> None:
         """Check what must hold when a request begins to run."""
-        super().began(run)
+        super().record_run(run)
         exchange = self._site.exchanges.get(run.id)
         if exchange is None:
             self._site.checks.faults.append(f"UNASKED {run.id} ran at {self.id}")
@@ -151,9 +151,9 @@
         own, other = self._group, member._group
         return own is not None and other is not None and own["epoch"] == other["epoch"]
 
-    async def step(self) -> None:
+    async def delay_next_event(self) -> None:
         """Stand still while a member is missing; break after the stall."""
-        await asyncio.sleep(EVENT_SECONDS)
+        await asyncio.sleep(EVENT_INTERVAL_SECONDS)
         since = asyncio.get_running_loop().time()
         while not self.whole:
             if asyncio.get_running_loop().time() - since > STALL_SECONDS:
@@ -161,13 +161,13 @@
                     self._group["state"] = "broken"
                     self.publish()
                 raise ConnectionResetError("the group is broken")
-            await asyncio.sleep(EVENT_SECONDS)
+            await asyncio.sleep(EVENT_INTERVAL_SECONDS)
 
     def _join(self, order: dict[str, t.Any]) -> int:
         former = self._group
         if former is not None and former["epoch"] != order["epoch"]:
             for other in self._site.workers.values():
-                if other.alive and other.answers and self._same_group(other):
+                if other.alive and other.can_run_requests and self._same_group(other):
                     self._site.checks.faults.append(
                         f"TWO {self.id} joins {order['group']}, {other.id} leads {former['name']}"
                     )
--- a/packages/standins/src/thorncleat_standins/cluster.py
+++ b/packages/standins/src/thorncleat_standins/cluster.py
@@ -83,12 +83,12 @@
     @property
     def store(self) -> str:
         """Address of the store."""
-        return str(self.processes["store"].said["addresses"][0])
+        return str(self.processes["store"].announcement["addresses"][0])
 
     @property
     def service(self) -> str:
         """Address of the plain service."""
-        return str(self.processes["service"].said["addresses"][0])
+        return str(self.processes["service"].announcement["addresses"][0])
 
     @property
     def daemons(self) -> list[str]:
@@ -97,11 +97,11 @@
 
     def callers(self, daemon: str) -> str:
         """URL of a daemon's callers' side."""
-        return f"http://{self.processes[daemon].said['callers']}"
+        return f"http://{self.processes[daemon].announcement['callers']}"
 
     def operators(self, daemon: str) -> str:
         """URL of a daemon's operators' side."""
-        return f"http://{self.processes[daemon].said['operators']}"
+        return f"http://{self.processes[daemon].announcement['operators']}"
 
     # starting and stopping
 
@@ -147,7 +147,7 @@
             f"--token_seconds={self.site.token_seconds}",
             f"--load_seconds={self.site.load_seconds}",
         )
-        for name, address in zip(instances, process.said["addresses"], strict=True):
+        for name, address in zip(instances, process.announcement["addresses"], strict=True):
             self.instances[name] = address
             domain = name.partition("-")[0].removeprefix("d")
             self._list(
@@ -167,7 +167,7 @@
         self._list(
             name,
             kind="entry",
-            address=process.said["peers"],
+            address=process.announcement["peers"],
             fabric_domain="",
             failure_domain="fd-0",
             accelerators=0,
@@ -225,9 +225,9 @@
     async def publish_list(self) -> None:
         """Put the list before the daemons."""
         rows = list(self._listed.values())
-        await self.control_call("PUT", self.store, "/platform/instances", instances=rows)
+        await self.call_standin("PUT", self.store, "/platform/instances", instances=rows)
 
-    async def control_call(self, method: str, address: str, path: str, **body: t.Any) -> Json:
+    async def call_standin(self, method: str, address: str, path: str, **body: t.Any) -> Json:
         """Call a stand-in's switchboard."""
         async with (
             aiohttp.ClientSession() as session,
@@ -236,13 +236,13 @@
             response.raise_for_status()
             return t.cast(Json, await response.json())
 
-    async def store_faults(self, **faults: t.Any) -> None:
+    async def set_store_faults(self, **faults: t.Any) -> None:
         """Switch the store's faults."""
-        await self.control_call("POST", self.store, "/faults", **faults)
+        await self.call_standin("POST", self.store, "/faults", **faults)
 
     # operators
 
-    async def operate(
+    async def call_operator_api(
         self, daemon: str, method: str, path: str, body: Json | None = None
     ) -> tuple[int, Json]:
         """Call a daemon's operators' side as the first operator."""
@@ -260,10 +260,12 @@
         :raises LaunchError: if it is refused.
         """
         body = {"document": json.dumps(change), "name": "change"}
-        status, answer = await self.operate(daemon, "POST", "/plans", body)
+        status, answer = await self.call_operator_api(daemon, "POST", "/plans", body)
         if status != 200:
             raise LaunchError(f"no plan: {answer}")
-        status, done = await self.operate(daemon, "POST", "/confirm", {"plan": answer["plan"]})
+        status, done = await self.call_operator_api(
+            daemon, "POST", "/confirm", {"plan": answer["plan"]}
+        )
         if status != 200:
             raise LaunchError(f"not accepted: {done}")
         return int(done["revision"])
@@ -283,7 +285,7 @@
             await asyncio.sleep(LOOK_SECONDS)
         raise LaunchError(f"waited {seconds} s in vain for {what}")
 
-    async def wait_loaded(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until every daemon is ready."""
 
         async def ready() -> bool:
@@ -296,14 +298,14 @@
 
         await self.wait_for("the daemons to be ready", ready)
 
-    async def wait_open(self, groups: int) -> None:
+    async def wait_for_open_groups(self, groups: int) -> None:
         """Wait until every daemon knows that many open groups."""
 
         async def opened() -> bool:
             for name in self.daemons:
                 if not self.processes[name].running:
                     continue
-                _, answer = await self.operate(name, "GET", "/groups")
+                _, answer = await self.call_operator_api(name, "GET", "/groups")
                 if sum(group["state"] == "open" for group in answer["groups"]) < groups:
                     return False
             return True
--- a/packages/standins/src/thorncleat_standins/platform_store.py
+++ b/packages/standins/src/thorncleat_standins/platform_store.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Copy:
+class Backup:
     """What the store held at one moment, from which it may come back."""
 
     revision: int
@@ -97,15 +97,15 @@
             self.revision += 1
             self._note({"private_key": key, "revision": self.revision, "deleted": True})
 
-    def forget(self) -> None:
+    def compact(self) -> None:
         """Forget the history: watches from before get 410."""
         self._forgotten = self.revision
         self._history.clear()
         self._wake()
 
-    def copy(self) -> Copy:
+    def backup(self) -> Backup:
         """Return what :meth:`restore` may come back to."""
-        return Copy(
+        return Backup(
             self.revision,
             self._forgotten,
             self._granted,
@@ -114,16 +114,16 @@
             dict(self._leases),
         )
 
-    def restore(self, copy: Copy) -> None:
+    def restore(self, backup: Backup) -> None:
         """Come back from a copy.
 
         What was written since is gone, leases too; revisions and the ids of leases are given again.
         """
         self.era += 1
-        self.revision, self._forgotten = copy.revision, copy.forgotten
-        self._granted = copy.granted
-        self._items, self._history = dict(copy.items), list(copy.history)
-        self._leases = dict(copy.leases)
+        self.revision, self._forgotten = backup.revision, backup.forgotten
+        self._granted = backup.granted
+        self._items, self._history = dict(backup.items), list(backup.history)
+        self._leases = dict(backup.leases)
         self._wake()
 
     def keys(self, prefix: str) -> list[str]:
--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -18,7 +18,7 @@
 
 from .platform_store import PlatformStore
 
-ATTEMPT = "X-Thorncleat-Attempt-Id"
+ATTEMPT_ID = "X-Thorncleat-Attempt-Id"
 STAMP = "X-Thorncleat-Response-Stamp"
 EXPECT = "X-Thorncleat-Expect-Instance"
 LAST_EVENT = "Last-Event-Id"
@@ -29,7 +29,7 @@
 # from an order about its group until it is carried out
 JOIN_SECONDS = 0.02
 # between the events of a stream
-EVENT_SECONDS = 0.02
+EVENT_INTERVAL_SECONDS = 0.02
 # of a stream that fell silent
 SILENCE_SECONDS = 30.0
 # between half an answer and its reset, so that the half is sent
@@ -89,13 +89,13 @@
         self.silent_after: int | None = None
         self.cut_after: int | None = None
         self.reset_body = False
-        self.fail = 0
-        self.turns_away: str | None = None
+        self.failure_status = 0
+        self.refusal_retry_after: str | None = None
         self.limit: str | None = None
         self.leaving = False
-        self.crashes_on: bytes | None = None
-        self.crash_events = 0
-        self.back_after: float | None = None
+        self.crash_trigger: bytes | None = None
+        self.events_before_crash = 0
+        self.restart_after_seconds: float | None = None
         self.crashes = 0
         self.born: int | None = None
         self.runs: list[Run] = []
@@ -106,7 +106,7 @@
         self._epoch = 0
 
     @property
-    def answers(self) -> bool:
+    def can_run_requests(self) -> bool:
         """Whether it is the head of a group that runs requests, or may do so."""
         return self._group is not None and self._group["state"] in ("open", "closing")
 
@@ -142,7 +142,7 @@
                 connection.transport.abort()
         await self._runner.cleanup()
 
-    async def start_again(self) -> None:
+    async def restart(self) -> None:
         """Start under the same id, with nothing known of before."""
         self.born = (self.born or 0) + 1
         self._seq, self._model, self._group, self._members, self._epoch = 0, "", None, [], 0
@@ -151,9 +151,9 @@
     async def _crash_and_return(self) -> None:
         self.crashes += 1
         await self.crash()
-        if self.back_after is not None:
-            await asyncio.sleep(self.back_after)
-            await self.start_again()
+        if self.restart_after_seconds is not None:
+            await asyncio.sleep(self.restart_after_seconds)
+            await self.restart()
 
     def publish(self) -> None:
         """Write its entry."""
@@ -183,27 +183,27 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         expected = request.headers.get(EXPECT, self.id)
         if expected != self.id:
-            named = {**self.said(), "X-Thorncleat-Instance-Id": self.id}
+            named = {**self.common_headers(), "X-Thorncleat-Instance-Id": self.id}
             return web.Response(status=421, headers=named)
         if request.path == "/thorncleat/report":
-            return web.json_response(self._report(), headers=self.said())
+            return web.json_response(self._report(), headers=self.common_headers())
         if request.path == "/thorncleat/order":
             status = self._order(json.loads(await request.read()))
-            return web.Response(status=status, headers=self.said())
+            return web.Response(status=status, headers=self.common_headers())
         return await self._serve(request)
 
-    def said(self) -> dict[str, str]:
+    def common_headers(self) -> dict[str, str]:
         """Return the headers of all its answers."""
-        said = {LEAVING: "1"} if self.leaving else {}
-        return said if self.limit is None else {**said, LIMIT: self.limit}
+        headers = {LEAVING: "1"} if self.leaving else {}
+        return headers if self.limit is None else {**headers, LIMIT: self.limit}
 
-    def turned_away(self, request: web.BaseRequest) -> web.Response | None:
+    def refusal_for(self, request: web.BaseRequest) -> web.Response | None:
         """Return the answer to a request that it turns away; None if it takes it."""
-        if self.turns_away is None:
+        if self.refusal_retry_after is None:
             return None
-        headers = {NOT_RUN: "1", **self.said()}
-        if self.turns_away:
-            headers[RETRY_AFTER] = self.turns_away
+        headers = {NOT_RUN: "1", **self.common_headers()}
+        if self.refusal_retry_after:
+            headers[RETRY_AFTER] = self.refusal_retry_after
         return web.Response(status=503, headers=headers)
 
     def _report(self) -> dict[str, t.Any]:
@@ -285,19 +285,19 @@
         asyncio.get_running_loop().call_later(JOIN_SECONDS, change)
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        attempt = request.headers[ATTEMPT]
+        attempt = request.headers[ATTEMPT_ID]
         body = await request.read()
         if self.domain and not self.leads:
-            return web.Response(status=421, headers=self.said())
-        turned_away = self.turned_away(request)
-        if turned_away is not None:
-            return turned_away
-        self.began(Run(self.id, attempt, request.raw_path, request.headers, body))
-        headers = {ATTEMPT: attempt, STAMP: f"stamp-{self.id}", **self.said()}
-        if self.crashes_on is not None and self.crashes_on in body:
+            return web.Response(status=421, headers=self.common_headers())
+        refusal = self.refusal_for(request)
+        if refusal is not None:
+            return refusal
+        self.record_run(Run(self.id, attempt, request.raw_path, request.headers, body))
+        headers = {ATTEMPT_ID: attempt, STAMP: f"stamp-{self.id}", **self.common_headers()}
+        if self.crash_trigger is not None and self.crash_trigger in body:
             return await self._run_into_crash(request, headers)
-        if self.fail:
-            return web.Response(status=self.fail, headers=headers, text="failed")
+        if self.failure_status:
+            return web.Response(status=self.failure_status, headers=headers, text="failed")
         if self.domain:
             self._streams += 1
             try:
@@ -313,11 +313,11 @@
     ) -> web.StreamResponse:
         """Answer as much as a request gets that crashes the worker, and crash."""
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
-        if self.crash_events:
+        if self.events_before_crash:
             response.enable_chunked_encoding()
             await response.prepare(request)
             first = int(request.headers.get(LAST_EVENT, "0"))
-            for number in range(first + 1, first + self.crash_events + 1):
+            for number in range(first + 1, first + self.events_before_crash + 1):
                 await response.write(
                     b"id: %d\ndata: %s\n\n" % (number, self.event(request, number))
                 )
@@ -344,7 +344,7 @@
                 request.transport.abort()
                 return response
             await response.write(b"id: %d\ndata: %s\n\n" % (number, self.event(request, number)))
-            await self.step()
+            await self.delay_next_event()
         await response.write_eof()
         return response
 
@@ -352,11 +352,11 @@
         """Return the data of an event of a stream."""
         return b"event %d" % number
 
-    async def step(self) -> None:
+    async def delay_next_event(self) -> None:
         """Let the time pass that an event takes."""
-        await asyncio.sleep(EVENT_SECONDS)
+        await asyncio.sleep(EVENT_INTERVAL_SECONDS)
 
-    def began(self, run: Run) -> None:
+    def record_run(self, run: Run) -> None:
         """Note that a request begins to run."""
         self.runs.append(run)
 
--- a/packages/standins/src/thorncleat_standins/processes.py
+++ b/packages/standins/src/thorncleat_standins/processes.py
@@ -35,7 +35,7 @@
 
     name: str
     process: asyncio.subprocess.Process
-    said: dict[str, t.Any] = dataclasses.field(default_factory=dict)
+    announcement: dict[str, t.Any] = dataclasses.field(default_factory=dict)
 
     @property
     def pid(self) -> int:
--- a/packages/standins/src/thorncleat_standins/quickstart.py
+++ b/packages/standins/src/thorncleat_standins/quickstart.py
@@ -113,7 +113,7 @@
 async def _keep_up(cluster: Cluster) -> None:
     print("\nleft up until interrupted:")
     for name, process in sorted(cluster.processes.items()):
-        print(f"  {name}: pid {process.pid} {json.dumps(process.said)}")
+        print(f"  {name}: pid {process.pid} {json.dumps(process.announcement)}")
     print(f"  workspace key: {CALLER_KEY}")
     print(f"  operator key: {cluster.operator_key}")
     print(f"  logs and settings: {cluster.directory}", flush=True)
@@ -129,13 +129,13 @@
     try:
         print("starting a store, a service, four engines and three daemons", flush=True)
         await cluster.start()
-        await cluster.wait_loaded()
+        await cluster.wait_until_ready()
         digest = hashlib.sha256(CALLER_KEY.encode()).hexdigest()
         intent = directory / "intent.json"
         intent.write_text(INTENT % {"digest": digest, "service": cluster.service})
         await _client(cluster, "plan", str(intent), "--out=plan.json")
         await _client(cluster, "confirm", "plan.json")
-        await cluster.wait_open(1)
+        await cluster.wait_for_open_groups(1)
         await _client(cluster, "groups")
         await _stream(cluster)
         await _acknowledge_twice(cluster)
--- a/packages/standins/src/thorncleat_standins/traffic.py
+++ b/packages/standins/src/thorncleat_standins/traffic.py
@@ -39,7 +39,7 @@
             "X-Request-Deadline": str(DEADLINE_SECONDS),
         }
         self._draw = draw
-        self.told: dict[str, list[str]] = collections.defaultdict(list)
+        self.reported_outcomes: dict[str, list[str]] = collections.defaultdict(list)
 
     async def call(self, name: str) -> None:
         """Make a call, at most :data:`ATTEMPTS` times."""
@@ -50,9 +50,9 @@
                     self._once(daemon, name), PATIENCE_SECONDS
                 )
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
-                self.told[name].append("unknown")
+                self.reported_outcomes[name].append("unknown")
                 continue
-            self.told[name].append(executed)
+            self.reported_outcomes[name].append(executed)
             if status == DONE_STATUS:
                 return
             await asyncio.sleep(self._draw.uniform(0.02, 0.2))
@@ -69,10 +69,12 @@
             return response.status, executed
 
 
-def ledger_faults(told: t.Mapping[str, list[str]], ledger: t.Mapping[str, int]) -> list[str]:
+def ledger_faults(
+    reported_outcomes: t.Mapping[str, list[str]], ledger: t.Mapping[str, int]
+) -> list[str]:
     """Return where what callers were told and what the service ran do not agree."""
     faults = []
-    for name, answers in told.items():
+    for name, answers in reported_outcomes.items():
         runs = ledger.get(name, 0)
         if runs > 1:
             faults.append(f"{name} ran {runs} times: {answers}")
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -39,9 +39,9 @@
 
     async def _start(self, replicas: int, spares: int) -> None:
         await self.cluster.start()
-        await self.cluster.wait_loaded()
+        await self.cluster.wait_until_ready()
         await self.cluster.apply(intent(self.cluster.service, replicas, spares))
-        await self.cluster.wait_open(replicas)
+        await self.cluster.wait_for_open_groups(replicas)
 
     def close(self) -> None:
         self.run(self.cluster.stop())
@@ -101,7 +101,7 @@
 
     async def ledger(self) -> dict[str, int]:
         """Return how often the plain service ran each call."""
-        return await self.cluster.control_call("GET", self.cluster.service, "/ledger")
+        return await self.cluster.call_standin("GET", self.cluster.service, "/ledger")
 
 
 class Streamed:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -157,7 +157,7 @@
         context = ssl.create_default_context(cafile=tls["certificate"])
         try:
             await cluster.start(shared_engines=True)
-            said = cluster.processes["daemon-0"].said
+            said = cluster.processes["daemon-0"].announcement
             host, _, port = said["callers"].rpartition(":")
             # one that never finishes its head holds up nobody
             _, slow = await asyncio.open_connection(host, int(port), ssl=context)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -25,8 +25,8 @@
 async def test_request_that_ends_its_endpoints_is_kept_from_the_others(tmp_path, head):
     async with site(tmp_path, domains=GROUPS, daemons=DAEMONS) as made:
         for worker in made.workers:
-            worker.crashes_on = FATAL
-            worker.crash_events = 1 if head else 0
+            worker.crash_trigger = FATAL
+            worker.events_before_crash = 1 if head else 0
         for number in range(TRIES):
             await made.try_fatal(FATAL, number)
         # one that is never seen to begin may only have waited; it counts half
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -75,7 +75,7 @@
         desks = [worker for worker in made.workers if worker.service == "desk"]
         for desk in desks:
             desk.leaving = True
-            desk.turns_away = turns_away
+            desk.refusal_retry_after = turns_away
         statuses = [(await made.call("GET", "/status/x"))[0] for _ in range(3)]
         # each of the two answers once, since none knew before
         assert statuses == ([200, 200, 503] if turns_away is None else [503, 503, 503])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -224,7 +224,7 @@
 async def test_stream_goes_on_elsewhere_when_its_group_answers_with_a_failure(tmp_path):
     async with site(tmp_path) as made:
         failing, _ = _leaders(made)
-        failing.fail = 500
+        failing.failure_status = 500
         for number in range(6):
             status, _, body = await made.chat(**{"X-Thorncleat-Attempt-Id": f"r{number}"})
             assert (status, body) == (200, events(1, 2, 3, 4, 5))
@@ -233,7 +233,7 @@
 async def test_failure_of_all_groups_is_passed_on_as_they_gave_it(tmp_path):
     async with site(tmp_path) as made:
         for leader in _leaders(made):
-            leader.fail = 500
+            leader.failure_status = 500
         status, headers, body = await made.chat()
         assert (status, body) == (500, b"failed")
         assert headers["X-Thorncleat-Response-Stamp"].startswith("stamp-w")
@@ -310,7 +310,7 @@
 
 async def test_repeatable_request_is_tried_at_another_endpoint(tmp_path):
     async with site(tmp_path) as made:
-        made.workers[-1].fail = 500
+        made.workers[-1].failure_status = 500
         for number in range(4):
             status, _, _ = await made.call("GET", "/ack/x", number=f"r{number}")
             assert status == 200
@@ -323,7 +323,7 @@
         draining.publish()
         roster = made.gateway.view.roster
         await made.until(lambda: roster.endpoints[draining.id].draining)
-        other.fail = 500
+        other.failure_status = 500
         status, _, _ = await made.call("GET", "/ack/x")
         assert status == 500
         assert draining.runs == []
@@ -375,7 +375,7 @@
 async def test_history_that_is_gone_is_read_again(tmp_path):
     async with site(tmp_path) as made:
         made.store.write("op/config", configuration(version=7))
-        made.store.forget()
+        made.store.compact()
         await made.until(lambda: made.gateway.view.configuration.version == 7)
 
 
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -37,19 +37,19 @@
             cluster = lab.cluster
             body = {"document": '{"workspaces": [{"name": "z", "key_digests": ["%s"]}]}'}
             body["document"] %= "9" * 64
-            await cluster.store_faults(down=True)
+            await cluster.set_store_faults(down=True)
             # longer than every lease
             await asyncio.sleep(4.0)
             streamed = await lab.stream(completion("turbine", 20), "daemon-2")
             headers = {"Idempotency-Key": "away", "X-Call": "away"}
             refused = await lab.acall("POST", ACK, headers=headers, json={})
-            _, plan = await cluster.operate("daemon-0", "POST", "/plans", body)
-            confirmed = await cluster.operate(
+            _, plan = await cluster.call_operator_api("daemon-0", "POST", "/plans", body)
+            confirmed = await cluster.call_operator_api(
                 "daemon-0", "POST", "/confirm", {"plan": plan["plan"]}
             )
             models = await lab.acall("GET", "/v1/models", "daemon-3")
             ledger = await lab.ledger()
-            await cluster.store_faults(down=False)
+            await cluster.set_store_faults(down=False)
 
             async def runs_again() -> bool:
                 return (await lab.acall("POST", ACK, headers=headers, json={}))[0] == 201
@@ -85,11 +85,11 @@
             for turn in range(6):
                 await asyncio.sleep(draw.uniform(0.4, 0.9))
                 victim = f"daemon-{1 + turn % 3}"
-                await cluster.control_call("POST", service, "/behaviour", break_after=3)
+                await cluster.call_standin("POST", service, "/behaviour", break_after=3)
                 if turn % 3 == 2:
-                    await cluster.store_faults(down=True)
+                    await cluster.set_store_faults(down=True)
                     await asyncio.sleep(1.0)
-                    await cluster.store_faults(down=False)
+                    await cluster.set_store_faults(down=False)
                 if turn % 2:
                     cluster.processes[victim].send(signal.SIGSTOP)
                     await asyncio.sleep(3.5)
@@ -97,15 +97,15 @@
                 else:
                     await cluster.processes[victim].stop(signal.SIGKILL)
                     await cluster.start_daemon(victim)
-                await cluster.control_call("POST", service, "/behaviour", break_before=3)
-                await cluster.store_faults(lose_answers=1)
+                await cluster.call_standin("POST", service, "/behaviour", break_before=3)
+                await cluster.set_store_faults(lose_answers=1)
 
         async def scenario() -> dict[str, int]:
             await asyncio.gather(trouble(), *(traffic(number) for number in range(CALLERS)))
             return await lab.ledger()
 
         ledger = lab.run(scenario())
-        told = {key: found for one in callers for key, found in one.told.items()}
+        told = {key: found for one in callers for key, found in one.reported_outcomes.items()}
         assert len(told) == CALLS
         assert not ledger_faults(told, ledger)
         assert not log_faults(lab.cluster)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -181,7 +181,7 @@
         async def lose():
             service = lab.cluster.service
             await lab.acall("GET", "/v1/services/telemetry/warm")
-            await lab.cluster.control_call("POST", service, "/behaviour", break_after=1)
+            await lab.cluster.call_standin("POST", service, "/behaviour", break_after=1)
             first = await lab.acall(method, ACK, headers=headers, json={})
             again = await lab.acall(method, ACK, "daemon-1", headers=headers, json={})
             return first, again, await lab.ledger()
@@ -196,9 +196,11 @@
     def test_reader_may_not_change(self, lab):
         keep, lab.cluster.operator_key = lab.cluster.operator_key, "reader-key"
         try:
-            assert lab.run(lab.cluster.operate("daemon-1", "GET", "/status"))[0] == 200
+            assert lab.run(lab.cluster.call_operator_api("daemon-1", "GET", "/status"))[0] == 200
             body = {"document": "{}"}
-            assert lab.run(lab.cluster.operate("daemon-1", "POST", "/plans", body))[0] == 403
+            assert (
+                lab.run(lab.cluster.call_operator_api("daemon-1", "POST", "/plans", body))[0] == 403
+            )
         finally:
             lab.cluster.operator_key = keep
 
@@ -207,10 +209,10 @@
             cluster = lab.cluster
             change = {"workspaces": [{"name": "c", "key_digests": ["0" * 64]}]}
             body = {"document": json.dumps(change)}
-            _, plan = await cluster.operate("daemon-0", "POST", "/plans", body)
+            _, plan = await cluster.call_operator_api("daemon-0", "POST", "/plans", body)
             sent = {"plan": plan["plan"]}
-            first = await cluster.operate("daemon-1", "POST", "/confirm", sent)
-            again = await cluster.operate("daemon-2", "POST", "/confirm", sent)
+            first = await cluster.call_operator_api("daemon-1", "POST", "/confirm", sent)
+            again = await cluster.call_operator_api("daemon-2", "POST", "/confirm", sent)
             return first, again
 
         first, again = lab.run(twice())
@@ -228,10 +230,14 @@
                     ]
                 }
                 body = {"document": json.dumps(change)}
-                plans.append((await cluster.operate("daemon-0", "POST", "/plans", body))[1])
+                plans.append(
+                    (await cluster.call_operator_api("daemon-0", "POST", "/plans", body))[1]
+                )
             return await asyncio.gather(
                 *(
-                    cluster.operate(f"daemon-{n}", "POST", "/confirm", {"plan": plan["plan"]})
+                    cluster.call_operator_api(
+                        f"daemon-{n}", "POST", "/confirm", {"plan": plan["plan"]}
+                    )
                     for n, plan in enumerate(plans)
                 )
             )
@@ -260,7 +266,7 @@
 
     def test_no_secret_in_logs_or_answers(self, lab):
         lab.call("POST", CHAT, key="a-leaked-key", json=completion())
-        _, body = lab.run(lab.cluster.operate("daemon-0", "GET", "/status"))
+        _, body = lab.run(lab.cluster.call_operator_api("daemon-0", "GET", "/status"))
         logs = "".join(one.read_text() for one in lab.cluster.directory.glob("*.log"))
         for secret in ("a-leaked-key", "caller-key", lab.cluster.operator_key):
             assert secret not in logs + json.dumps(body)
@@ -274,7 +280,7 @@
     def test_explain_a_request_at_another_daemon(self, lab):
         _, headers, _ = lab.call("POST", CHAT, json=completion())
         path = f"/explain/{headers['X-Request-Id']}"
-        status, body = lab.run(lab.cluster.operate("daemon-2", "GET", path))
+        status, body = lab.run(lab.cluster.call_operator_api("daemon-2", "GET", path))
         assert (status, body["daemon"], body["executed"]) == (200, "daemon-0", "yes")
 
 
@@ -327,5 +333,5 @@
 
 
 def test_intent_is_what_the_lab_applies(lab):
-    _, body = lab.run(lab.cluster.operate("daemon-0", "GET", "/status"))
+    _, body = lab.run(lab.cluster.call_operator_api("daemon-0", "GET", "/status"))
     assert body["intents"] == [intent("x")["intents"][0]["name"]]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -35,7 +35,7 @@
 async def _behave(lab: Lab, **changes) -> None:
     for name in _engines(lab):
         address = lab.cluster.instances[name]
-        await lab.cluster.control_call("POST", address, "/behaviour", **changes)
+        await lab.cluster.call_standin("POST", address, "/behaviour", **changes)
 
 
 class TestFailingEngines:
@@ -105,7 +105,7 @@
 
             async def idle() -> bool:
                 states = [
-                    await lab.cluster.control_call("GET", address, "/v1/state")
+                    await lab.cluster.call_standin("GET", address, "/v1/state")
                     for address in lab.cluster.instances.values()
                 ]
                 return not any(state["running"] for state in states)
@@ -154,7 +154,7 @@
         assert (found.text, found.done) == (expected("turbine", 60), True)
 
         async def moved() -> bool:
-            _, body = await lab.cluster.operate("daemon-0", "GET", "/groups")
+            _, body = await lab.cluster.call_operator_api("daemon-0", "GET", "/groups")
             used = {one for group in body["groups"] for one in group["members"]}
             open_ones = [group["state"] == "open" for group in body["groups"]]
             return not used & {"d0-i1", "d1-i1"} and all(open_ones)
