--- a/packages/standins/src/thorncleat_standins/__init__.py
+++ b/packages/standins/src/thorncleat_standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for the platform's store, model engines and plain services.
+"""Stand-ins for the platform's store, workers, model engines and plain services.
 
-They speak the published protocols that the daemon speaks, misbehave on demand, and are run
-as processes of their own or inside a test. They are no part of the product.
+They serve the published protocols and inject faults on demand, in processes of their own or
+inside a test. They are not part of the product.
 """
--- a/packages/standins/src/thorncleat_standins/batch.py
+++ b/packages/standins/src/thorncleat_standins/batch.py
@@ -1,7 +1,7 @@
-"""The batch of a model engine: the requests that run, those that wait, and their tokens.
+"""Continuous batching of a model engine's requests.
 
-Owns: both, and the tasks that make tokens.
-Relies on: whoever reads a job's queue; nothing holds a job back while its reader is slow.
+Owns: the running and waiting requests, and the tasks that produce tokens.
+Relies on: readers that keep up, since the queues of tokens are unbounded.
 """
 
 import asyncio
@@ -9,98 +9,97 @@
 import heapq
 import itertools
 
-# requests that one batch step advances
-BATCH_REQUESTS = 512
+MAX_BATCH_REQUESTS = 512
 
 
 @dataclasses.dataclass
 class Job:
     """A request in the engine.
 
-    :param wanted: tokens of the whole answer.
-    :param sent: index of the next token.
-    :param out: where indices of tokens come out, and None at the end.
+    :param token_count: number of tokens in the whole answer.
+    :param next_index: index of the next token.
+    :param indices: queue of token indices, with None at the end.
     """
 
     id: str
     prompt: list[str]
-    wanted: int
-    sent: int
-    out: "asyncio.Queue[int | None]"
+    token_count: int
+    next_index: int
+    indices: "asyncio.Queue[int | None]"
 
 
 class Batch:
-    """Continuous batching: each step makes one token for each request that runs.
+    """Produces one token for each running request in each step.
 
-    :param token_seconds: time of one step.
+    :param token_seconds: duration of a step.
     """
 
     def __init__(self, token_seconds: float) -> None:
         self._running: dict[str, Job] = {}
         self._waiting: list[tuple[int, int, Job]] = []
         self._sequence = itertools.count()
-        self._alone: set[asyncio.Task[None]] = set()
-        self._stepper: asyncio.Task[None] | None = None
+        self._unbatched_tasks: set[asyncio.Task[None]] = set()
+        self._batch_task: asyncio.Task[None] | None = None
         self.token_seconds = token_seconds
 
     @property
     def running(self) -> int:
-        """How many requests run."""
+        """Number of running requests."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     def start(self, job: Job, priority: int) -> None:
-        """Let a request run, or wait for its turn.
+        """Queue a request for the batch.
 
-        :param priority: higher ones run first.
+        :param priority: higher priorities run first.
         """
         heapq.heappush(self._waiting, (-priority, next(self._sequence), job))
-        if self._stepper is None or self._stepper.done():
-            self._stepper = asyncio.create_task(self._step())
+        if self._batch_task is None or self._batch_task.done():
+            self._batch_task = asyncio.create_task(self._run_batch())
 
-    def start_alone(self, job: Job) -> None:
-        """Let a request run at once with steps of its own."""
+    def start_unbatched(self, job: Job) -> None:
+        """Run a request at once, independently of the batch."""
         self._running[job.id] = job
-        task = asyncio.create_task(self._step_alone(job))
-        self._alone.add(task)
-        task.add_done_callback(self._alone.discard)
+        task = asyncio.create_task(self._run_unbatched(job))
+        self._unbatched_tasks.add(task)
+        task.add_done_callback(self._unbatched_tasks.discard)
 
     def cancel(self, job: Job) -> None:
-        """Forget a request."""
+        """Remove a request."""
         self._running.pop(job.id, None)
         self._waiting = [entry for entry in self._waiting if entry[2] is not job]
         heapq.heapify(self._waiting)
 
     def stop(self) -> None:
-        """Make no more tokens."""
-        if self._stepper:
-            self._stepper.cancel()
+        """Stop the batch."""
+        if self._batch_task:
+            self._batch_task.cancel()
 
-    async def _step(self) -> None:
+    async def _run_batch(self) -> None:
         while self._running or self._waiting:
-            while self._waiting and len(self._running) < BATCH_REQUESTS:
+            while self._waiting and len(self._running) < MAX_BATCH_REQUESTS:
                 job = heapq.heappop(self._waiting)[2]
                 self._running[job.id] = job
             await asyncio.sleep(self.token_seconds)
             for job in list(self._running.values()):
-                if job.sent >= job.wanted:
-                    job.out.put_nowait(None)
+                if job.next_index >= job.token_count:
+                    job.indices.put_nowait(None)
                     del self._running[job.id]
                 else:
-                    job.out.put_nowait(job.sent)
-                    job.sent += 1
+                    job.indices.put_nowait(job.next_index)
+                    job.next_index += 1
 
-    async def _step_alone(self, job: Job) -> None:
+    async def _run_unbatched(self, job: Job) -> None:
         loop = asyncio.get_running_loop()
-        due = loop.time()
-        while job.id in self._running and job.sent < job.wanted:
-            due += self.token_seconds
-            await asyncio.sleep(due - loop.time())
-            job.out.put_nowait(job.sent)
-            job.sent += 1
+        next_token_at = loop.time()
+        while job.id in self._running and job.next_index < job.token_count:
+            next_token_at += self.token_seconds
+            await asyncio.sleep(next_token_at - loop.time())
+            job.indices.put_nowait(job.next_index)
+            job.next_index += 1
         self._running.pop(job.id, None)
-        job.out.put_nowait(None)
+        job.indices.put_nowait(None)
--- a/packages/standins/src/thorncleat_standins/cluster.py
+++ b/packages/standins/src/thorncleat_standins/cluster.py
@@ -1,8 +1,8 @@
-"""A cluster of stand-ins and daemons as plain processes, for quickstart, tests and benchmarks.
+"""Runs a cluster of stand-ins and daemons as processes, for quickstart, tests and benchmarks.
 
-Owns: the processes that it started, their settings and logs in one directory, and the list of
-instances that the stand-in store shows to the daemons.
-Relies on: free loopback ports. No part of the product starts a process.
+Owns: the processes, the directory of their settings and logs, and the platform's list of
+instances.
+Relies on: free loopback ports.
 """
 
 import asyncio
@@ -22,23 +22,23 @@
 from .processes import spawn
 
 Json = dict[str, t.Any]
-# between two looks at what is waited for
-LOOK_SECONDS = 0.05
-# for daemons that start, meet and form groups
-WAIT_SECONDS = 30.0
-# of each instance (docs/DEVELOPERS.md: 80,000 on 10,000 instances)
-ACCELERATORS = 8
-# where a cluster sets none: few shards, quick loads and looks at the list, for short runs
-CONTROL = {"shards": 4, "load": 1.0}
-LIST_SECONDS = 0.3
+POLL_INTERVAL_SECONDS = 0.05
+# Limit for daemons to start, connect and form groups.
+WAIT_TIMEOUT_SECONDS = 30.0
+ACCELERATORS_PER_INSTANCE = 8
+# Few shards and short loads keep runs short.
+DEFAULT_CONTROL = {"shards": 4, "load": 1.0}
+LIST_POLL_INTERVAL_SECONDS = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
 class Site:
-    """Where the instances stand: how many in how many fabric domains.
+    """The size of a cluster.
 
-    :param domains: fabric domains; each lies in a failure domain of its own.
-    :param instances: endpoint instances in each.
+    :param domains: number of fabric domains, each in its own failure domain.
+    :param instances: number of endpoint instances in each fabric domain.
+    :param token_seconds: duration of an engine's batch step.
+    :param load_seconds: duration of loading a model.
     """
 
     daemons: int = 3
@@ -51,7 +51,7 @@
 class Cluster:
     """Stand-ins and daemons on free loopback ports.
 
-    :param directory: for settings and logs.
+    :param directory: directory of settings and logs.
     :param control: overrides of the ``control`` settings.
     :param requests: overrides of the ``requests`` settings.
     :param listen: overrides of the ``listen`` settings.
@@ -70,15 +70,15 @@
         self.operator_key = secrets.token_urlsafe(18)
         self.processes: dict[str, Process] = {}
         self.instances: dict[str, str] = {}
-        self._control = {**CONTROL, **(control or {})}
+        self._control = {**DEFAULT_CONTROL, **(control or {})}
         self._requests = requests or {}
         self._listen = listen or {}
         public, secret = zmq.curve_keypair()
         self._peer_keys = {"public": public.decode(), "secret": secret.decode()}
-        self._listed: dict[str, Json] = {}
+        self._listed_instances: dict[str, Json] = {}
         directory.mkdir(parents=True, exist_ok=True)
 
-    # addresses
+    # Addresses
 
     @property
     def store(self) -> str:
@@ -92,24 +92,23 @@
 
     @property
     def daemons(self) -> list[str]:
-        """Names of the daemons that were started."""
+        """Names of the started daemons."""
         return sorted(name for name in self.processes if name.startswith("daemon-"))
 
     def callers(self, daemon: str) -> str:
-        """URL of a daemon's callers' side."""
+        """Return the URL of a daemon's listener for callers."""
         return f"http://{self.processes[daemon].announcement['callers']}"
 
     def operators(self, daemon: str) -> str:
-        """URL of a daemon's operators' side."""
+        """Return the URL of a daemon's listener for operators."""
         return f"http://{self.processes[daemon].announcement['operators']}"
 
-    # starting and stopping
+    # Processes
 
     async def start(self, *, shared_engines: bool = False) -> None:
-        """Start everything and list it with the platform.
+        """Start all processes and list the instances.
 
-        :param shared_engines: one process for all engines of a domain, which saves memory
-            where no single one has to be killed.
+        :param shared_engines: whether the engines of a domain share a process, which saves memory.
         """
         await self.spawn("store", "thorncleat_standins", "store")
         await self.spawn("service", "thorncleat_standins", "service")
@@ -134,7 +133,7 @@
     async def start_engine(self, name: str) -> None:
         """Start an engine and list its instance.
 
-        :param name: ``d0-i2`` for instance 2 of fabric domain 0.
+        :param name: for example ``d0-i2`` for instance 2 of fabric domain 0.
         """
         await self._start_engines(name, [name])
 
@@ -150,13 +149,13 @@
         for name, address in zip(instances, process.announcement["addresses"], strict=True):
             self.instances[name] = address
             domain = name.partition("-")[0].removeprefix("d")
-            self._list(
+            self._list_instance(
                 name,
                 kind="endpoint",
                 address=address,
                 fabric_domain=f"fabric-{domain}",
                 failure_domain=f"fd-{domain}",
-                accelerators=ACCELERATORS,
+                accelerators=ACCELERATORS_PER_INSTANCE,
             )
         await self.publish_list()
 
@@ -164,7 +163,7 @@
         """Start a daemon and list it."""
         path = self.write_settings(name)
         process = await self.spawn(name, "thorncleat_daemon", "run", str(path))
-        self._list(
+        self._list_instance(
             name,
             kind="entry",
             address=process.announcement["peers"],
@@ -175,7 +174,7 @@
         await self.publish_list()
 
     def write_settings(self, name: str) -> pathlib.Path:
-        """Write a daemon's settings."""
+        """Write a daemon's settings file and return its path."""
         digest = hashlib.sha256(self.operator_key.encode()).hexdigest()
         settings = {
             "cluster": "quickstart",
@@ -188,7 +187,7 @@
             },
             "peer_keys": {**self._peer_keys, "accepted": [self._peer_keys["public"]]},
             "store": {"endpoints": [self.store]},
-            "platform": {"endpoints": [self.store], "poll": LIST_SECONDS},
+            "platform": {"endpoints": [self.store], "poll": LIST_POLL_INTERVAL_SECONDS},
             "operators": [{"name": "first", "key_digest": digest}],
             "control": self._control,
             "requests": self._requests,
@@ -201,34 +200,34 @@
     async def spawn(self, name: str, module: str, *arguments: str) -> Process:
         """Start a Python module as a process of the cluster.
 
-        :raises LaunchError: if it does not start.
+        :raises LaunchError: if it fails to start.
         """
         process = await spawn(self.directory, name, module, *arguments)
         self.processes[name] = process
         return process
 
     async def stop(self) -> None:
-        """End all processes that were started, daemons first."""
+        """Stop all processes, daemons first."""
         daemons = [self.processes[name] for name in self.daemons]
         others = [process for process in self.processes.values() if process not in daemons]
         await asyncio.gather(*(daemon.stop() for daemon in daemons))
         await asyncio.gather(*(process.stop() for process in others))
 
-    # the platform's list
+    # Instances and faults
 
-    def _list(self, name: str, **row: t.Any) -> None:
-        """List an instance; published by :meth:`publish_list`."""
-        # at the end also when it was listed before
-        self._listed.pop(name, None)
-        self._listed[name] = {"id": name, "region": "here", "state": "live", **row}
+    def _list_instance(self, name: str, **row: t.Any) -> None:
+        """Add an instance to the list, see :meth:`publish_list`."""
+        # Moves an instance that is listed already to the end.
+        self._listed_instances.pop(name, None)
+        self._listed_instances[name] = {"id": name, "region": "here", "state": "live", **row}
 
     async def publish_list(self) -> None:
-        """Put the list before the daemons."""
-        rows = list(self._listed.values())
+        """Send the list of instances to the store, from which the daemons read it."""
+        rows = list(self._listed_instances.values())
         await self.call_standin("PUT", self.store, "/platform/instances", instances=rows)
 
     async def call_standin(self, method: str, address: str, path: str, **body: t.Any) -> Json:
-        """Call a stand-in's switchboard."""
+        """Call a stand-in's HTTP interface and return the JSON answer."""
         async with (
             aiohttp.ClientSession() as session,
             session.request(method, f"http://{address}{path}", json=body) as response,
@@ -237,15 +236,15 @@
             return t.cast(Json, await response.json())
 
     async def set_store_faults(self, **faults: t.Any) -> None:
-        """Switch the store's faults."""
+        """Change the store's faults."""
         await self.call_standin("POST", self.store, "/faults", **faults)
 
-    # operators
+    # Operators
 
     async def call_operator_api(
         self, daemon: str, method: str, path: str, body: Json | None = None
     ) -> tuple[int, Json]:
-        """Call a daemon's operators' side as the first operator."""
+        """Call a daemon's operator interface; return the status and the body."""
         url = f"{self.operators(daemon)}/operators/v1{path}"
         headers = {"Authorization": f"Bearer {self.operator_key}"}
         async with (
@@ -255,40 +254,44 @@
             return response.status, t.cast(Json, await response.json(content_type=None))
 
     async def apply(self, change: Json, daemon: str = "daemon-0") -> int:
-        """Plan and confirm a change; return its revision.
+        """Plan and confirm a change of the configuration; return its revision.
 
         :raises LaunchError: if it is refused.
         """
         body = {"document": json.dumps(change), "name": "change"}
-        status, answer = await self.call_operator_api(daemon, "POST", "/plans", body)
+        status, response_body = await self.call_operator_api(daemon, "POST", "/plans", body)
         if status != 200:
-            raise LaunchError(f"no plan: {answer}")
-        status, done = await self.call_operator_api(
-            daemon, "POST", "/confirm", {"plan": answer["plan"]}
+            raise LaunchError(f"plan refused: {response_body}")
+        status, confirmation = await self.call_operator_api(
+            daemon, "POST", "/confirm", {"plan": response_body["plan"]}
         )
         if status != 200:
-            raise LaunchError(f"not accepted: {done}")
-        return int(done["revision"])
+            raise LaunchError(f"confirmation refused: {confirmation}")
+        return int(confirmation["revision"])
 
     async def wait_for(
-        self, what: str, condition: t.Callable[[], t.Awaitable[bool]], seconds: float = WAIT_SECONDS
+        self,
+        what: str,
+        condition: t.Callable[[], t.Awaitable[bool]],
+        seconds: float = WAIT_TIMEOUT_SECONDS,
     ) -> None:
         """Wait until a condition holds.
 
-        :raises LaunchError: naming what it waited for, if it does not in time.
+        :param what: names the condition in the error.
+        :raises LaunchError: if the condition does not hold in time.
         """
         loop = asyncio.get_running_loop()
-        end = loop.time() + seconds
-        while loop.time() < end:
+        deadline = loop.time() + seconds
+        while loop.time() < deadline:
             if await condition():
                 return
-            await asyncio.sleep(LOOK_SECONDS)
-        raise LaunchError(f"waited {seconds} s in vain for {what}")
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        raise LaunchError(f"timed out after {seconds} s waiting for {what}")
 
     async def wait_until_ready(self) -> None:
-        """Wait until every daemon is ready."""
+        """Wait until all daemons are ready."""
 
-        async def ready() -> bool:
+        async def all_ready() -> bool:
             async with aiohttp.ClientSession() as session:
                 for name in self.daemons:
                     async with session.get(f"{self.callers(name)}/readyz") as response:
@@ -296,18 +299,18 @@
                             return False
             return True
 
-        await self.wait_for("the daemons to be ready", ready)
+        await self.wait_for("the daemons to be ready", all_ready)
 
     async def wait_for_open_groups(self, groups: int) -> None:
-        """Wait until every daemon knows that many open groups."""
+        """Wait until every running daemon lists at least that many open groups."""
 
-        async def opened() -> bool:
+        async def have_open_groups() -> bool:
             for name in self.daemons:
                 if not self.processes[name].running:
                     continue
-                _, answer = await self.call_operator_api(name, "GET", "/groups")
-                if sum(group["state"] == "open" for group in answer["groups"]) < groups:
+                _, response_body = await self.call_operator_api(name, "GET", "/groups")
+                if sum(group["state"] == "open" for group in response_body["groups"]) < groups:
                     return False
             return True
 
-        await self.wait_for(f"{groups} open groups", opened)
+        await self.wait_for(f"{groups} open groups", have_open_groups)
--- a/packages/standins/src/thorncleat_standins/completions.py
+++ b/packages/standins/src/thorncleat_standins/completions.py
@@ -1,8 +1,7 @@
-"""What a model engine answers: its tokens, and the OpenAI form around them.
+"""Generates a model engine's tokens and formats its answers like the OpenAI API.
 
 Owns: nothing.
-Relies on: a token depending on its prompt and index alone, so that any engine continues
-another's answer.
+Relies on: tokens depending only on prompt and index, so that any engine can continue an answer.
 """
 
 import hashlib
@@ -12,7 +11,7 @@
 
 
 def token_text(prompt: list[str], index: int) -> str:
-    """Return the token at an index of the answer; any replica gives the same one."""
+    """Return the token at an index of the answer."""
     seed = hashlib.blake2b(" ".join(prompt).encode() + index.to_bytes(4, "big"), digest_size=3)
     return f"{seed.hexdigest()} "
 
@@ -24,23 +23,23 @@
 
 
 class Answer:
-    """Formats an answer in the OpenAI form."""
+    """Formats the answer to a request."""
 
     def __init__(self, identity: str, body: dict[str, t.Any], prompt: list[str]) -> None:
         self._head = {"id": identity, "created": int(time.time()), "model": body["model"]}
         self._prompt_tokens = len(prompt)
 
     def chunk(self, text: str, finished: bool = False) -> bytes:
-        """Return one server-sent event."""
+        """Return a server-sent event with a token."""
         delta = {} if finished else {"content": text}
         choice = {"index": 0, "delta": delta, "finish_reason": "stop" if finished else None}
         body = {**self._head, "object": "chat.completion.chunk", "choices": [choice]}
         return b"data: " + json.dumps(body, separators=(",", ":")).encode() + b"\n\n"
 
-    def whole(self, text: str, count: int, finish: str | None) -> dict[str, t.Any]:
-        """Return a whole answer."""
+    def whole(self, text: str, count: int, finish_reason: str | None) -> dict[str, t.Any]:
+        """Return the body of an answer that is not streamed."""
         message = {"role": "assistant", "content": text}
-        choice = {"index": 0, "message": message, "finish_reason": finish}
+        choice = {"index": 0, "message": message, "finish_reason": finish_reason}
         usage = {
             "prompt_tokens": self._prompt_tokens,
             "completion_tokens": count,
--- a/packages/standins/src/thorncleat_standins/engine.py
+++ b/packages/standins/src/thorncleat_standins/engine.py
@@ -1,10 +1,10 @@
-"""A model engine of one instance: streams answers and takes fenced orders.
+"""Stand-in for the model engine of an instance: streams answers and follows fenced orders.
 
-The engine answers callers also while other members of its group are gone, which a real one
-could not: the worst case for the daemon, which has to close the group itself.
+Unlike a real engine it answers while members of its group are missing, which is the worst case
+for the daemon.
 
-Owns: the order that it follows, and how it misbehaves.
-Relies on: its switchboard ``/behaviour`` being used by tests and benchmarks alone.
+Owns: the current assignment and the switched faults.
+Relies on: only tests and benchmarks calling ``/behaviour``.
 """
 
 import asyncio
@@ -22,21 +22,21 @@
 from .completions import token_text
 from .served import Served
 
-# for a stream that fell silent: longer than any caller waits
-SILENCE_SECONDS = 3600.0
+# Exceeds the timeouts of all callers.
+STALL_SECONDS = 3600.0
 
 
 @dataclasses.dataclass
 class Behaviour:
-    """How the engine performs and misbehaves.
-
-    :param token_seconds: time of one batch step.
-    :param load_seconds: time to load a model.
-    :param truncate_after: end each answer cleanly after so many tokens; 0 for never.
-    :param stall_after: go silent after so many tokens; 0 for never.
-    :param foreign_identity: answer with another request's identity.
-    :param spread: let each request have steps of its own instead of all at once.
-    :param stamp: put the time of sending into each token, for benchmarks.
+    """Performance and faults of the engine.
+
+    :param token_seconds: duration of a batch step.
+    :param load_seconds: duration of loading a model.
+    :param truncate_after: number of tokens after which answers end cleanly; 0 for never.
+    :param stall_after: number of tokens after which answers stall; 0 for never.
+    :param foreign_identity: whether answers carry another request's id.
+    :param stamp: whether each token is replaced by its sending time, for benchmarks.
+    :param spread: whether requests run independently of the batch.
     """
 
     token_seconds: float = 0.01
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass
 class Assignment:
-    """The newest order that the engine follows."""
+    """The newest order that the engine accepted."""
 
     epoch: int = 0
     group: str = ""
@@ -79,28 +79,28 @@
         app = web.Application(client_max_size=8_000_000)
         app.add_routes(
             [
-                web.post("/v1/chat/completions", self._chat),
-                web.post("/v1/orders", self._order),
-                web.get("/v1/state", self._state),
-                web.post("/behaviour", self._behave),
+                web.post("/v1/chat/completions", self._handle_chat),
+                web.post("/v1/orders", self._handle_order),
+                web.get("/v1/state", self._handle_state),
+                web.post("/behaviour", self._handle_behaviour),
             ]
         )
         app.on_shutdown.append(self._stop)
         return app
 
-    def change(self, **changes: t.Any) -> None:
-        """Change how the engine behaves from now on."""
+    def update_behaviour(self, **changes: t.Any) -> None:
+        """Change fields of the behaviour."""
         self.behaviour = dataclasses.replace(self.behaviour, **changes)
         self._batch.token_seconds = self.behaviour.token_seconds
 
     async def _stop(self, app: web.Application) -> None:
         self._batch.stop()
 
-    async def _behave(self, request: web.Request) -> web.Response:
-        self.change(**(await request.json()))
+    async def _handle_behaviour(self, request: web.Request) -> web.Response:
+        self.update_behaviour(**(await request.json()))
         return web.json_response(dataclasses.asdict(self.behaviour))
 
-    async def _order(self, request: web.Request) -> web.Response:
+    async def _handle_order(self, request: web.Request) -> web.Response:
         order = Assignment(**(await request.json()))
         stale = (order.epoch, order.generation) < (
             self.assignment.epoch,
@@ -109,13 +109,13 @@
         if stale:
             body = {"epoch": self.assignment.epoch}
             return web.json_response(body, status=409)
-        loaded = (self.assignment.model, self.assignment.version, self.assignment.rank)
-        if loaded != (order.model, order.version, order.rank):
+        current = (self.assignment.model, self.assignment.version, self.assignment.rank)
+        if current != (order.model, order.version, order.rank):
             self._ready_at = time.monotonic() + self.behaviour.load_seconds
         self.assignment = order
         return web.json_response({"instance": self.instance})
 
-    async def _state(self, request: web.Request) -> web.Response:
+    async def _handle_state(self, request: web.Request) -> web.Response:
         body = {
             "instance": self.instance,
             "boot": self.boot,
@@ -126,18 +126,18 @@
         }
         return web.json_response(body)
 
-    async def _chat(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_chat(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
         if self.assignment.rank != 0 or body.get("model") != self.assignment.model:
-            message = {"error": {"message": f"not serving {body.get('model')!r}"}}
-            return web.json_response(message, status=404)
+            error = {"error": {"message": f"not serving {body.get('model')!r}"}}
+            return web.json_response(error, status=404)
         prompt = prompt_tokens(body)
         identity = request.headers.get("X-Request-Id", uuid.uuid4().hex)
-        wanted = int(body.get("max_tokens") or 16)
-        first = int(body.get("resume_from") or 0)
-        job = Job(uuid.uuid4().hex, prompt, wanted, first, asyncio.Queue())
+        token_count = int(body.get("max_tokens") or 16)
+        next_index = int(body.get("resume_from") or 0)
+        job = Job(uuid.uuid4().hex, prompt, token_count, next_index, asyncio.Queue())
         if self.behaviour.spread:
-            self._batch.start_alone(job)
+            self._batch.start_unbatched(job)
         else:
             self._batch.start(job, int(body.get("priority") or 0))
         if self.behaviour.foreign_identity:
@@ -150,13 +150,13 @@
         finally:
             self._batch.cancel(job)
 
-    async def _tokens(self, job: Job) -> t.AsyncIterator[int]:
+    async def _token_indices(self, job: Job) -> t.AsyncIterator[int]:
         count = 0
-        while (index := await job.out.get()) is not None:
+        while (index := await job.indices.get()) is not None:
             yield index
             count += 1
             if self.behaviour.stall_after and count >= self.behaviour.stall_after:
-                await asyncio.sleep(SILENCE_SECONDS)
+                await asyncio.sleep(STALL_SECONDS)
             if self.behaviour.truncate_after and count >= self.behaviour.truncate_after:
                 raise EOFError
 
@@ -170,7 +170,7 @@
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
         try:
-            async for index in self._tokens(job):
+            async for index in self._token_indices(job):
                 await response.write(answer.chunk(self._text(job, index)))
             await response.write(answer.chunk("", finished=True))
             await response.write(b"data: [DONE]\n\n")
@@ -180,15 +180,15 @@
 
     async def _whole(self, job: Job, answer: Answer) -> web.Response:
         texts: list[str] = []
-        finish = "stop"
+        finish_reason = "stop"
         try:
-            async for index in self._tokens(job):
+            async for index in self._token_indices(job):
                 texts.append(token_text(job.prompt, index))
         except EOFError:
-            finish = ""
-        return web.json_response(answer.whole("".join(texts), len(texts), finish or None))
+            finish_reason = ""
+        return web.json_response(answer.whole("".join(texts), len(texts), finish_reason or None))
 
 
 async def serve(engine: Engine, host: str = "127.0.0.1", port: int = 0) -> Served:
-    """Start an engine on a port; 0 takes a free one."""
+    """Serve an engine; port 0 takes a free one."""
     return await Served.start(engine.application(), host, port)
--- a/packages/standins/src/thorncleat_standins/kv.py
+++ b/packages/standins/src/thorncleat_standins/kv.py
@@ -1,7 +1,7 @@
-"""The state of the stand-in store: a revisioned map with leases, conditions and watch events.
+"""State of the stand-in store: a revisioned map with leases, conditions and watch events.
 
-Owns: records, leases and the whole history; nothing is compacted.
-Relies on: an injected clock, which tests steer.
+Owns: records, leases and the whole history, which is never compacted.
+Relies on: an injected clock that tests control.
 """
 
 import asyncio
@@ -32,9 +32,10 @@
 
 @dataclasses.dataclass
 class Lease:
-    """A lease that takes its keys along when it lapses.
+    """A lease whose keys are deleted when it expires.
 
-    :param deadline: in the store's clock, seconds.
+    :param ttl: seconds.
+    :param deadline: time of expiry in seconds of the store's clock.
     """
 
     id: int
@@ -66,20 +67,20 @@
 
     key: bytes
     field: str
-    wanted: int | bytes
+    expected: int | bytes
 
 
 Operation = Put | Delete
 
 
 class LeaseNotFoundError(Exception):
-    """A write or renewal names a lease that has lapsed."""
+    """A write names a lease that has expired."""
 
 
 class Store:
-    """A small revisioned store.
+    """A revisioned map.
 
-    :param clock: seconds, monotonic; injected so that tests steer it.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(self, clock: t.Callable[[], float]) -> None:
@@ -92,35 +93,38 @@
         self._watchers: set[asyncio.Event] = set()
 
     def get(self, key: bytes, end: bytes = b"") -> list[Record]:
-        """Return the records of a key, or of the range up to ``end``, sorted."""
+        """Return the record of a key, or the sorted records of the range up to ``end``."""
         self.expire()
         return self._find(key, end)
 
     def transact(self, compares: t.Iterable[Compare], operations: t.Iterable[Operation]) -> bool:
         """Apply all operations at one revision if every condition holds.
 
-        :returns: whether they hold.
-        :raises LeaseNotFoundError: if a write names a lease that has lapsed; nothing is applied.
+        :returns: whether all conditions hold.
+        :raises LeaseNotFoundError: if a write names an expired lease; nothing is applied.
         """
         self.expire()
         if not all(self._holds(compare) for compare in compares):
             return False
-        todo = list(operations)
-        for operation in todo:
+        operation_list = list(operations)
+        for operation in operation_list:
             if isinstance(operation, Put) and operation.lease not in {0, *self._leases}:
                 raise LeaseNotFoundError(operation.lease)
-        self._apply(todo)
+        self._apply(operation_list)
         return True
 
     def grant(self, ttl: float) -> Lease:
-        """Grant a lease."""
+        """Grant a lease.
+
+        :param ttl: seconds.
+        """
         self._next_lease += 1
         lease = Lease(self._next_lease, ttl, self._clock() + ttl)
         self._leases[lease.id] = lease
         return lease
 
     def renew(self, lease_id: int) -> Lease | None:
-        """Renew a lease; None if it has lapsed."""
+        """Renew a lease and return it, or None if it has expired."""
         self.expire()
         lease = self._leases.get(lease_id)
         if lease:
@@ -134,13 +138,13 @@
             self._apply([Delete(key) for key in sorted(lease.keys)])
 
     def expire(self) -> None:
-        """End the leases whose time is over."""
+        """Revoke the expired leases."""
         now = self._clock()
         for lease in [lease for lease in self._leases.values() if lease.deadline <= now]:
             self.revoke(lease.id)
 
     def events_since(self, revision: int, key: bytes, end: bytes) -> list[Event]:
-        """Return the events of a range from a revision on."""
+        """Return the events of a key or range, starting at a revision."""
         return [
             event
             for event in self._history
@@ -149,7 +153,7 @@
         ]
 
     def subscribe(self) -> asyncio.Event:
-        """Return an event that is set on each change, until unsubscribed."""
+        """Return an event that is set on each change until it is unsubscribed."""
         event = asyncio.Event()
         self._watchers.add(event)
         return event
@@ -159,15 +163,15 @@
         self._watchers.discard(event)
 
     def wake_watchers(self) -> None:
-        """Let every watcher look again."""
+        """Set the events of all subscribers."""
         for watcher in self._watchers:
             watcher.set()
 
     def _holds(self, compare: Compare) -> bool:
         record = self._records.get(compare.key)
-        empty: int | bytes = b"" if compare.field == "value" else 0
-        found = getattr(record, compare.field) if record else empty
-        return bool(found == compare.wanted)
+        default: int | bytes = b"" if compare.field == "value" else 0
+        actual = getattr(record, compare.field) if record else default
+        return bool(actual == compare.expected)
 
     def _apply(self, operations: list[Operation]) -> None:
         self.revision += 1
@@ -179,17 +183,17 @@
         self.wake_watchers()
 
     def _put(self, put: Put) -> None:
-        old = self._records.get(put.key)
-        if old and old.lease in self._leases:
-            self._leases[old.lease].keys.discard(put.key)
+        previous = self._records.get(put.key)
+        if previous and previous.lease in self._leases:
+            self._leases[previous.lease].keys.discard(put.key)
         if put.lease:
             self._leases[put.lease].keys.add(put.key)
         record = Record(
             put.key,
             put.value,
-            old.create_revision if old else self.revision,
+            previous.create_revision if previous else self.revision,
             self.revision,
-            old.version + 1 if old else 1,
+            previous.version + 1 if previous else 1,
             put.lease,
         )
         self._records[put.key] = record
@@ -205,4 +209,8 @@
     def _find(self, key: bytes, end: bytes) -> list[Record]:
         if not end:
             return [self._records[key]] if key in self._records else []
-        return [self._records[found] for found in sorted(self._records) if key <= found < end]
+        return [
+            self._records[candidate]
+            for candidate in sorted(self._records)
+            if key <= candidate < end
+        ]
--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -1,10 +1,7 @@
-"""A stand-in of the users' platform's workers, by their published page.
+"""Stand-in for a worker of the users' platform, with faults that attributes switch on.
 
-A worker lists itself in the store, follows orders about groups, and answers requests; how it
-misbehaves is switched by attributes.
-
-Owns: its group, the model that it holds, and the requests that it ran.
-Relies on: the stand-in store, into which it writes its entry by itself.
+Owns: the worker's group, its loaded model and its log of executed requests.
+Relies on: the stand-in store, into which it writes its own entry.
 """
 
 import asyncio
@@ -19,30 +16,28 @@
 from .platform_store import PlatformStore
 
 ATTEMPT_ID = "X-Thorncleat-Attempt-Id"
-STAMP = "X-Thorncleat-Response-Stamp"
-EXPECT = "X-Thorncleat-Expect-Instance"
-LAST_EVENT = "Last-Event-Id"
+RESPONSE_STAMP = "X-Thorncleat-Response-Stamp"
+EXPECT_INSTANCE = "X-Thorncleat-Expect-Instance"
+LAST_EVENT_ID = "Last-Event-Id"
 LEAVING = "Server-Leaving"
-LIMIT = "Server-Limit"
-NOT_RUN = "X-Thorncleat-Not-Executed"
+SERVER_LIMIT = "Server-Limit"
+NOT_EXECUTED = "X-Thorncleat-Not-Executed"
 RETRY_AFTER = "Retry-After"
-# from an order about its group until it is carried out
-JOIN_SECONDS = 0.02
-# between the events of a stream
+# From the acceptance of an order to the change of the group's state.
+ORDER_DELAY_SECONDS = 0.02
 EVENT_INTERVAL_SECONDS = 0.02
-# of a stream that fell silent
-SILENCE_SECONDS = 30.0
-# between half an answer and its reset, so that the half is sent
-RESET_SECONDS = 0.05
-# for handlers to end
-SHUTDOWN_SECONDS = 0.1
-# from the beginning of a run to the crash that it brings about
-CRASH_SECONDS = 0.15
+# How long a stalled stream stays silent.
+STALL_SECONDS = 30.0
+# Lets the first half of an answer reach the client before the reset.
+RESET_DELAY_SECONDS = 0.05
+SHUTDOWN_TIMEOUT_SECONDS = 0.1
+# From the start of a fatal request to the crash.
+CRASH_DELAY_SECONDS = 0.15
 
 
 @dataclasses.dataclass
 class Run:
-    """A request that a worker ran, as it came."""
+    """A request that a worker executed, as received."""
 
     worker: str
     id: str
@@ -52,34 +47,31 @@
 
 
 class PlatformWorker:
-    """One worker.
-
-    :param service: the name of its service.
-    :param domain: its fabric domain; empty for a plain service.
-    :ivar events: events of a stream.
-    :ivar silent_after: events after which its streams fall silent; None for never.
-    :ivar cut_after: events after which its streams are cut, unless they continue another.
-    :ivar reset_body: whether it resets answers without a length in the middle.
-    :ivar fail: status with which it fails requests; 0 for none.
-    :ivar turns_away: seconds, as text, for which it wants no requests of a daemon whose request it
-        turns away; empty to name none, None to turn none away.
-    :ivar limit: requests a second, as text, that it takes from all daemons together by its answers;
-        None to name none.
-    :ivar leaving: whether all its answers say that it leaves, whatever its entry says.
-    :ivar crashes_on: bytes of a body whose request crashes it once it runs; None for none.
-    :ivar crash_events: events that such a request gets before the crash.
-    :ivar back_after: seconds after such a crash in which it starts again under its id; None for
-        never.
-    :ivar crashes: how often that happened.
+    """A worker of a plain service or of a group.
+
+    :param service: name of the service.
+    :param domain: fabric domain; empty for a plain service.
+    :ivar events: number of events in a stream.
+    :ivar silent_after: number of events after which streams stall; None for never.
+    :ivar cut_after: number of events after which streams are cut, except resumed ones.
+    :ivar reset_body: whether connections are reset in the middle of an answer without a length.
+    :ivar failure_status: HTTP status for all requests; 0 to serve them.
+    :ivar refusal_retry_after: value of the Retry-After header of refusals, empty to omit the
+        header; None to refuse nothing.
+    :ivar limit: value of the Server-Limit header, requests per second; None to omit it.
+    :ivar leaving: whether all answers have the Server-Leaving header, regardless of the entry.
+    :ivar crash_trigger: bytes in the body of a request that crashes the worker; None for none.
+    :ivar events_before_crash: number of events that such a request receives.
+    :ivar restart_after_seconds: delay of the restart after such a crash; None for never.
+    :ivar crashes: number of such crashes.
     """
 
     def __init__(self, store: PlatformStore, name: str, service: str, domain: str = "") -> None:
         self._store = store
         self._server: web.Server | None = None
         self._runner: web.ServerRunner | None = None
-        # streams that run
-        self._streams = 0
-        self._crashing: set[asyncio.Task[None]] = set()
+        self._stream_count = 0
+        self._crash_tasks: set[asyncio.Task[None]] = set()
         self.id = name
         self.service = service
         self.domain = domain
@@ -99,7 +91,7 @@
         self.crashes = 0
         self.born: int | None = None
         self.runs: list[Run] = []
-        self._seq = 0
+        self._order_count = 0
         self._model = ""
         self._group: dict[str, t.Any] | None = None
         self._members: list[str] = []
@@ -107,18 +99,18 @@
 
     @property
     def can_run_requests(self) -> bool:
-        """Whether it is the head of a group that runs requests, or may do so."""
+        """Whether the worker leads an open or closing group."""
         return self._group is not None and self._group["state"] in ("open", "closing")
 
     @property
     def leads(self) -> bool:
-        """Whether it is the open head of a group."""
+        """Whether the worker leads an open group."""
         return self._group is not None and self._group["state"] == "open"
 
     async def start(self) -> None:
-        """Listen on a free port of the loopback and enter the store."""
+        """Listen on a free loopback port and publish the entry."""
         self._server = web.Server(self._handle, access_log=None)
-        self._runner = web.ServerRunner(self._server, shutdown_timeout=SHUTDOWN_SECONDS)
+        self._runner = web.ServerRunner(self._server, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", 0)
         await site.start()
@@ -126,15 +118,15 @@
         self.publish()
 
     async def stop(self) -> None:
-        """Stop listening and leave the store."""
-        for task in self._crashing:
+        """Stop listening and delete the entry."""
+        for task in self._crash_tasks:
             task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
         self._store.delete(f"servers/{self.id}")
 
     async def crash(self) -> None:
-        """End without a word: connections break, and the entry stays as it was."""
+        """Abort all connections and stop listening; the entry stays."""
         assert self._server is not None
         assert self._runner is not None
         for connection in self._server.connections:
@@ -143,12 +135,12 @@
         await self._runner.cleanup()
 
     async def restart(self) -> None:
-        """Start under the same id, with nothing known of before."""
+        """Start under the same id with empty state."""
         self.born = (self.born or 0) + 1
-        self._seq, self._model, self._group, self._members, self._epoch = 0, "", None, [], 0
+        self._order_count, self._model, self._group, self._members, self._epoch = 0, "", None, [], 0
         await self.start()
 
-    async def _crash_and_return(self) -> None:
+    async def _crash_and_restart(self) -> None:
         self.crashes += 1
         await self.crash()
         if self.restart_after_seconds is not None:
@@ -156,7 +148,7 @@
             await self.restart()
 
     def publish(self) -> None:
-        """Write its entry."""
+        """Write the entry into the store."""
         entry = {
             "service": self.service,
             "address": self.address,
@@ -181,27 +173,27 @@
         return [{"name": self._model, "version": 1, "adapters": []}] if self._model else []
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        expected = request.headers.get(EXPECT, self.id)
+        expected = request.headers.get(EXPECT_INSTANCE, self.id)
         if expected != self.id:
-            named = {**self.common_headers(), "X-Thorncleat-Instance-Id": self.id}
-            return web.Response(status=421, headers=named)
+            headers = {**self.common_headers(), "X-Thorncleat-Instance-Id": self.id}
+            return web.Response(status=421, headers=headers)
         if request.path == "/thorncleat/report":
             return web.json_response(self._report(), headers=self.common_headers())
         if request.path == "/thorncleat/order":
-            status = self._order(json.loads(await request.read()))
+            status = self._accept_order(json.loads(await request.read()))
             return web.Response(status=status, headers=self.common_headers())
         return await self._serve(request)
 
     def common_headers(self) -> dict[str, str]:
-        """Return the headers of all its answers."""
+        """Return the headers that all answers have."""
         headers = {LEAVING: "1"} if self.leaving else {}
-        return headers if self.limit is None else {**headers, LIMIT: self.limit}
+        return headers if self.limit is None else {**headers, SERVER_LIMIT: self.limit}
 
     def refusal_for(self, request: web.BaseRequest) -> web.Response | None:
-        """Return the answer to a request that it turns away; None if it takes it."""
+        """Return the answer to a request that is refused, or None to serve it."""
         if self.refusal_retry_after is None:
             return None
-        headers = {NOT_RUN: "1", **self.common_headers()}
+        headers = {NOT_EXECUTED: "1", **self.common_headers()}
         if self.refusal_retry_after:
             headers[RETRY_AFTER] = self.refusal_retry_after
         return web.Response(status=503, headers=headers)
@@ -210,21 +202,21 @@
         report = {
             "models": self._models(),
             "staged": [self._model] if self._model else [],
-            "seq": self._seq,
+            "seq": self._order_count,
             "group": self._group,
         }
         return report if self.born is None else {**report, "born": self.born}
 
-    def _order(self, order: dict[str, t.Any]) -> int:
-        if order.get("expected_rev", self._seq) != self._seq:
+    def _accept_order(self, order: dict[str, t.Any]) -> int:
+        if order.get("expected_rev", self._order_count) != self._order_count:
             return 409
-        status = self._take(order)
+        status = self._execute_order(order)
         if status == 202:
-            self._seq += 1
+            self._order_count += 1
             self.publish()
         return status
 
-    def _take(self, order: dict[str, t.Any]) -> int:
+    def _execute_order(self, order: dict[str, t.Any]) -> int:
         if order["op"] == "join":
             return self._join(order)
         if order["op"] == "phase":
@@ -241,26 +233,26 @@
         assert self._group is not None
         if self._group["state"] != "ready":
             return 200 if self._group["state"] == "open" else 409
-        self._become(self._group, "open")
+        self._change_state_later(self._group, "open")
         return 202
 
     def _close(self) -> int:
-        """Take nothing new, and be ready again once what runs has ended."""
+        """Refuse new requests, and become ready when the running ones have ended."""
         assert self._group is not None
         if self._group["state"] != "open":
             return 200 if self._group["state"] in ("closing", "ready") else 409
         self._group["state"] = "closing"
-        self._finish(self._group)
+        self._become_ready_when_idle(self._group)
         return 202
 
-    def _finish(self, group: dict[str, t.Any]) -> None:
-        def look() -> None:
-            if self._streams:
-                self._finish(group)
+    def _become_ready_when_idle(self, group: dict[str, t.Any]) -> None:
+        def poll() -> None:
+            if self._stream_count:
+                self._become_ready_when_idle(group)
             else:
-                self._become(group, "ready")
+                self._change_state_later(group, "ready")
 
-        asyncio.get_running_loop().call_later(JOIN_SECONDS, look)
+        asyncio.get_running_loop().call_later(ORDER_DELAY_SECONDS, poll)
 
     def _join(self, order: dict[str, t.Any]) -> int:
         if order["epoch"] < self._epoch:
@@ -273,16 +265,16 @@
             "rank": self._members.index(self.id),
             "state": "joining",
         }
-        self._become(self._group, "ready")
+        self._change_state_later(self._group, "ready")
         return 202
 
-    def _become(self, group: dict[str, t.Any], state: str) -> None:
-        def change() -> None:
+    def _change_state_later(self, group: dict[str, t.Any], state: str) -> None:
+        def set_state() -> None:
             if self._group is group:
                 group["state"] = state
                 self.publish()
 
-        asyncio.get_running_loop().call_later(JOIN_SECONDS, change)
+        asyncio.get_running_loop().call_later(ORDER_DELAY_SECONDS, set_state)
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         attempt = request.headers[ATTEMPT_ID]
@@ -293,40 +285,40 @@
         if refusal is not None:
             return refusal
         self.record_run(Run(self.id, attempt, request.raw_path, request.headers, body))
-        headers = {ATTEMPT_ID: attempt, STAMP: f"stamp-{self.id}", **self.common_headers()}
+        headers = {ATTEMPT_ID: attempt, RESPONSE_STAMP: f"stamp-{self.id}", **self.common_headers()}
         if self.crash_trigger is not None and self.crash_trigger in body:
             return await self._run_into_crash(request, headers)
         if self.failure_status:
             return web.Response(status=self.failure_status, headers=headers, text="failed")
         if self.domain:
-            self._streams += 1
+            self._stream_count += 1
             try:
                 return await self._stream(request, headers)
             finally:
-                self._streams -= 1
+                self._stream_count -= 1
         if self.reset_body:
-            return await self._reset(request, headers)
+            return await self._reset_midway(request, headers)
         return web.Response(headers=headers, body=b"answer to " + body)
 
     async def _run_into_crash(
         self, request: web.BaseRequest, headers: dict[str, str]
     ) -> web.StreamResponse:
-        """Answer as much as a request gets that crashes the worker, and crash."""
+        """Send the events before the crash, and crash."""
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         if self.events_before_crash:
             response.enable_chunked_encoding()
             await response.prepare(request)
-            first = int(request.headers.get(LAST_EVENT, "0"))
+            first = int(request.headers.get(LAST_EVENT_ID, "0"))
             for number in range(first + 1, first + self.events_before_crash + 1):
                 await response.write(
                     b"id: %d\ndata: %s\n\n" % (number, self.event(request, number))
                 )
-        await asyncio.sleep(CRASH_SECONDS)
-        task = asyncio.create_task(self._crash_and_return())
-        self._crashing.add(task)
-        task.add_done_callback(self._crashing.discard)
-        # the crash ends this connection too
-        await asyncio.sleep(SILENCE_SECONDS)
+        await asyncio.sleep(CRASH_DELAY_SECONDS)
+        task = asyncio.create_task(self._crash_and_restart())
+        self._crash_tasks.add(task)
+        task.add_done_callback(self._crash_tasks.discard)
+        # The crash aborts this connection.
+        await asyncio.sleep(STALL_SECONDS)
         return response
 
     async def _stream(
@@ -335,10 +327,10 @@
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         response.enable_chunked_encoding()
         await response.prepare(request)
-        first = int(request.headers.get(LAST_EVENT, "0"))
+        first = int(request.headers.get(LAST_EVENT_ID, "0"))
         for number in range(first + 1, self.events + 1):
             if self.silent_after is not None and number - first > self.silent_after:
-                await asyncio.sleep(SILENCE_SECONDS)
+                await asyncio.sleep(STALL_SECONDS)
             if self.cut_after is not None and first == 0 and number > self.cut_after:
                 assert request.transport is not None
                 request.transport.abort()
@@ -349,24 +341,26 @@
         return response
 
     def event(self, request: web.BaseRequest, number: int) -> bytes:
-        """Return the data of an event of a stream."""
+        """Return the data of a stream's event."""
         return b"event %d" % number
 
     async def delay_next_event(self) -> None:
-        """Let the time pass that an event takes."""
+        """Wait for the interval between two events."""
         await asyncio.sleep(EVENT_INTERVAL_SECONDS)
 
     def record_run(self, run: Run) -> None:
-        """Note that a request begins to run."""
+        """Record that a request starts to run."""
         self.runs.append(run)
 
-    async def _reset(self, request: web.BaseRequest, headers: dict[str, str]) -> web.StreamResponse:
+    async def _reset_midway(
+        self, request: web.BaseRequest, headers: dict[str, str]
+    ) -> web.StreamResponse:
         transport = request.transport
         assert transport is not None
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         transport.write(f"HTTP/1.1 200 OK\r\nConnection: close\r\n{head}\r\nhalf".encode())
-        await asyncio.sleep(RESET_SECONDS)
-        # closing then resets instead of ending in order
+        await asyncio.sleep(RESET_DELAY_SECONDS)
+        # Makes the close send a reset.
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )
--- a/packages/standins/src/thorncleat_standins/ports.py
+++ b/packages/standins/src/thorncleat_standins/ports.py
@@ -1,29 +1,28 @@
-"""Free ports of the loopback, for programs that have to know their address before they listen.
+"""Finds free loopback ports for programs that must know their address before they listen.
 
 Owns: nothing.
-Relies on: nobody else's taking such a port in the meantime, see :data:`PORTS`.
+Relies on: no other process taking such a port in the meantime, see :data:`PORT_RANGE`.
 """
 
 import contextlib
 import random
 import socket
 
-# below those that the system gives to outgoing connections and to whoever asks for any port: one of
-# these could be taken before its program listens, or while it is down
-PORTS = (10_000, 32_000)
+# Below the system's ephemeral ports, which other connections could take while a program is down.
+PORT_RANGE = (10_000, 32_000)
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free now."""
-    found: set[int] = set()
-    while len(found) < count:
-        port = random.SystemRandom().randrange(*PORTS)
+    """Return ports that are currently free."""
+    ports: set[int] = set()
+    while len(ports) < count:
+        port = random.SystemRandom().randrange(*PORT_RANGE)
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
-            found.add(port)
-    return list(found)
+            ports.add(port)
+    return list(ports)
 
 
 def free_port() -> int:
-    """Return a port that is free now."""
+    """Return a port that is currently free."""
     return free_ports(1)[0]
--- a/packages/standins/src/thorncleat_standins/processes.py
+++ b/packages/standins/src/thorncleat_standins/processes.py
@@ -1,7 +1,7 @@
-"""Programs started as processes of their own, and ended by id.
+"""Starts and stops programs as child processes.
 
-Owns: nothing beyond the processes that it started.
-Relies on: a stand-in or daemon printing one JSON line once it serves, with its addresses.
+Owns: the processes that it starts.
+Relies on: each program printing one JSON line with its addresses as soon as it serves.
 """
 
 import asyncio
@@ -14,23 +14,20 @@
 import sys
 import typing as t
 
-# for a daemon's imports and its first line on a busy machine
-START_SECONDS = 20.0
-# from the signal on
-STOP_SECONDS = 10.0
-# of a log that an error quotes
-TAIL_CHARACTERS = 2000
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 10.0
+MAX_QUOTED_LOG_CHARACTERS = 2000
 
 
 class LaunchError(Exception):
-    """A process did not start, or a cluster did not become what was waited for."""
+    """A process failed to start, or a cluster did not reach the expected state."""
 
 
 @dataclasses.dataclass
 class Process:
-    """A process that was started here.
+    """A child process.
 
-    :param said: the line that it printed.
+    :param announcement: the JSON object that it printed when it began to serve.
     """
 
     name: str
@@ -39,29 +36,29 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """The process id."""
         return self.process.pid
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not ended."""
         return self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
-        """Send it a signal, if it still runs."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
         if self.running:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def stop(
-        self, number: signal.Signals = signal.SIGTERM, seconds: float = STOP_SECONDS
+        self, signal_number: signal.Signals = signal.SIGTERM, seconds: float = STOP_TIMEOUT_SECONDS
     ) -> bool:
-        """End it, at last by SIGKILL; return whether it ended in time.
+        """Stop the process, if necessary with SIGKILL; return whether it ended in time.
 
-        :param seconds: that it has from the signal on.
+        :param seconds: time between the signal and SIGKILL.
         """
-        # a process that stands still would notice nothing but SIGKILL
+        # A suspended process would handle no other signal.
         self.send(signal.SIGCONT)
-        self.send(number)
+        self.send(signal_number)
         try:
             await asyncio.wait_for(self.process.wait(), seconds)
         except TimeoutError:
@@ -72,13 +69,13 @@
 
 
 async def spawn(directory: pathlib.Path, name: str, module: str, *arguments: str) -> Process:
-    """Start a Python module as a process and wait for the line that it prints.
+    """Start a Python module as a process and wait for its announcement.
 
-    :param directory: where its log is written, as ``name.log``.
-    :raises LaunchError: if it ends or prints no such line within :data:`START_SECONDS`.
+    :param directory: directory of its log ``name.log``.
+    :raises LaunchError: if it ends or announces nothing within :data:`START_TIMEOUT_SECONDS`.
     """
-    path = directory / f"{name}.log"
-    with path.open("ab") as log:
+    log_path = directory / f"{name}.log"
+    with log_path.open("ab") as log:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -90,10 +87,10 @@
         )
     assert process.stdout is not None
     try:
-        line = await asyncio.wait_for(process.stdout.readline(), START_SECONDS)
+        line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_SECONDS)
         return Process(name, process, json.loads(line))
     except (TimeoutError, ValueError) as error:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
-        tail = path.read_text(errors="replace")[-TAIL_CHARACTERS:]
+        tail = log_path.read_text(errors="replace")[-MAX_QUOTED_LOG_CHARACTERS:]
         raise LaunchError(f"{name!r} did not start: {tail}") from error
--- a/packages/standins/src/thorncleat_standins/quickstart.py
+++ b/packages/standins/src/thorncleat_standins/quickstart.py
@@ -1,7 +1,7 @@
-"""The main job from end to end, by plain processes: ``bin/quickstart``.
+"""Demonstrates the system from end to end on a local cluster: ``bin/quickstart``.
 
-Owns: the cluster that it starts and ends.
-Relies on: the operators' client being installed beside this interpreter.
+Owns: the cluster.
+Relies on: the operators' client being installed next to this interpreter.
 """
 
 import asyncio
@@ -47,8 +47,8 @@
 """
 
 
-async def _client(cluster: Cluster, *arguments: str) -> None:
-    """Run the operators' client as a process of its own."""
+async def _run_client(cluster: Cluster, *arguments: str) -> None:
+    """Run the operators' client."""
     environment = {
         **os.environ,
         "THORNCLEAT_URL": cluster.operators("daemon-0"),
@@ -63,7 +63,7 @@
         raise LaunchError(f"thorncleat {arguments[0]} failed")
 
 
-async def _stream(cluster: Cluster) -> None:
+async def _stream_completion(cluster: Cluster) -> None:
     url = f"{cluster.callers('daemon-1')}/v1/chat/completions"
     body = {
         "model": "fault-narrator",
@@ -78,19 +78,19 @@
         session.post(url, json=body) as response,
     ):
         response.raise_for_status()
-        ended = False
+        finished = False
         async for line in response.content:
             if line.startswith(b"data: [DONE]"):
-                ended = True
+                finished = True
             elif line.startswith(b"data: "):
                 choice = json.loads(line.removeprefix(b"data: "))["choices"][0]
                 print(choice["delta"].get("content", ""), end="", flush=True)
     print()
-    if not ended:
-        raise LaunchError("the answer was not whole")
+    if not finished:
+        raise LaunchError("the streamed answer is incomplete")
 
 
-async def _acknowledge_twice(cluster: Cluster) -> None:
+async def _send_acknowledgement_twice(cluster: Cluster) -> None:
     headers = {
         "Authorization": f"Bearer {CALLER_KEY}",
         "Idempotency-Key": "alarm-4711",
@@ -110,18 +110,18 @@
         raise LaunchError("the acknowledgement did not run exactly once")
 
 
-async def _keep_up(cluster: Cluster) -> None:
+async def _wait_for_interrupt(cluster: Cluster) -> None:
     print("\nleft up until interrupted:")
     for name, process in sorted(cluster.processes.items()):
         print(f"  {name}: pid {process.pid} {json.dumps(process.announcement)}")
     print(f"  workspace key: {CALLER_KEY}")
     print(f"  operator key: {cluster.operator_key}")
     print(f"  logs and settings: {cluster.directory}", flush=True)
-    stopped = asyncio.Event()
+    interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    await stopped.wait()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, interrupted.set)
+    await interrupted.wait()
 
 
 async def _run(directory: pathlib.Path, keep: bool) -> None:
@@ -133,23 +133,23 @@
         digest = hashlib.sha256(CALLER_KEY.encode()).hexdigest()
         intent = directory / "intent.json"
         intent.write_text(INTENT % {"digest": digest, "service": cluster.service})
-        await _client(cluster, "plan", str(intent), "--out=plan.json")
-        await _client(cluster, "confirm", "plan.json")
+        await _run_client(cluster, "plan", str(intent), "--out=plan.json")
+        await _run_client(cluster, "confirm", "plan.json")
         await cluster.wait_for_open_groups(1)
-        await _client(cluster, "groups")
-        await _stream(cluster)
-        await _acknowledge_twice(cluster)
+        await _run_client(cluster, "groups")
+        await _stream_completion(cluster)
+        await _send_acknowledgement_twice(cluster)
         if keep:
-            await _keep_up(cluster)
+            await _wait_for_interrupt(cluster)
     finally:
         await cluster.stop()
     print("\nall stopped")
 
 
 def quickstart(keep: bool = False) -> None:
-    """Run the main job once.
+    """Run the demonstration.
 
-    :param keep: leave everything up until interrupted.
+    :param keep: whether the cluster stays up until interrupted.
     """
     with tempfile.TemporaryDirectory(prefix="thorncleat-") as name:
         try:
--- a/packages/standins/src/thorncleat_standins/served.py
+++ b/packages/standins/src/thorncleat_standins/served.py
@@ -1,7 +1,7 @@
-"""Serving a stand-in on a free port, alone in a process or inside a test.
+"""Serves a stand-in on a port, in a process of its own or inside a test.
 
 Owns: the listening socket of each application.
-Relies on: :mod:`thorncleat_standins.processes` reading the line that a process prints.
+Relies on: :mod:`thorncleat_standins.processes` to read the line that a process prints.
 """
 
 import asyncio
@@ -12,12 +12,11 @@
 
 from aiohttp import web
 
-# for handlers to end
-SHUTDOWN_SECONDS = 0.5
+SHUTDOWN_TIMEOUT_SECONDS = 0.5
 
 
 class Served:
-    """An HTTP application that is being served.
+    """A running HTTP application.
 
     :param address: ``host:port``.
     """
@@ -28,8 +27,8 @@
 
     @classmethod
     async def start(cls, app: web.Application, host: str = "127.0.0.1", port: int = 0) -> "Served":
-        """Start serving; port 0 takes a free one."""
-        runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_SECONDS)
+        """Serve an application; port 0 takes a free one."""
+        runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS)
         await runner.setup()
         await web.TCPSite(runner, host, port).start()
         return cls(runner, f"{host}:{runner.addresses[0][1]}")
@@ -41,18 +40,18 @@
 
 async def _serve_until_signal(start: t.Callable[[], t.Awaitable[list[Served]]]) -> None:
     served = await start()
-    stopped = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    # the launcher reads this one line to learn the ports
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    # The parent process reads the addresses from this line.
     print(json.dumps({"addresses": [application.address for application in served]}), flush=True)
-    await stopped.wait()
+    await stop_requested.wait()
     for application in served:
         await application.stop()
 
 
 def run(start: t.Callable[[], t.Awaitable[list[Served]]]) -> None:
-    """Serve until SIGTERM or SIGINT, after one JSON line with the addresses."""
+    """Print one JSON line with the addresses, and serve until SIGTERM or SIGINT."""
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_serve_until_signal(start))
--- a/packages/standins/src/thorncleat_standins/service.py
+++ b/packages/standins/src/thorncleat_standins/service.py
@@ -1,7 +1,7 @@
-"""A plain service whose calls may not be repeated, with a ledger of what ran.
+"""Stand-in for a plain service whose calls must not be repeated, with a ledger of executions.
 
-Owns: the ledger: runs by the ``X-Call`` that a caller gave.
-Relies on: callers giving each call a name of its own.
+Owns: the ledger, which counts executions by the ``X-Call`` header.
+Relies on: callers sending a unique ``X-Call`` with each call.
 """
 
 import collections
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass
 class Behaviour:
-    """How the service misbehaves.
+    """Faults of the service.
 
-    :param break_before: break the connection before running, for so many calls.
-    :param break_after: run, then break the connection, for so many calls.
+    :param break_before: number of further calls whose connection breaks before they run.
+    :param break_after: number of further calls whose connection breaks after they ran.
     """
 
     break_before: int = 0
@@ -26,7 +26,7 @@
 
 
 class Service:
-    """Answers any path and counts the runs of each ``X-Call`` header."""
+    """Answers all paths and counts the executions of each call."""
 
     def __init__(self, behaviour: Behaviour | None = None) -> None:
         self.behaviour = behaviour or Behaviour()
@@ -35,38 +35,38 @@
     def application(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application(client_max_size=8_000_000)
-        app.router.add_get("/ledger", self._show)
-        app.router.add_post("/behaviour", self._behave)
-        app.router.add_route("*", "/{path:.*}", self._call)
+        app.router.add_get("/ledger", self._handle_ledger)
+        app.router.add_post("/behaviour", self._handle_behaviour)
+        app.router.add_route("*", "/{path:.*}", self._handle_call)
         return app
 
-    async def _show(self, request: web.Request) -> web.Response:
+    async def _handle_ledger(self, request: web.Request) -> web.Response:
         return web.json_response(self.ledger)
 
-    async def _behave(self, request: web.Request) -> web.Response:
+    async def _handle_behaviour(self, request: web.Request) -> web.Response:
         self.behaviour = dataclasses.replace(self.behaviour, **(await request.json()))
         return web.json_response(dataclasses.asdict(self.behaviour))
 
-    def _break(self, request: web.Request) -> t.NoReturn:
+    def _abort_connection(self, request: web.Request) -> t.NoReturn:
         if request.transport is not None:
             request.transport.abort()
         raise ConnectionResetError("broken on purpose")
 
-    async def _call(self, request: web.Request) -> web.Response:
+    async def _handle_call(self, request: web.Request) -> web.Response:
         body = await request.read()
         if self.behaviour.break_before > 0:
             self.behaviour.break_before -= 1
-            self._break(request)
+            self._abort_connection(request)
         call = request.headers.get("X-Call", f"{request.method} {request.path}")
         self.ledger[call] += 1
-        run = self.ledger[call]
+        run_count = self.ledger[call]
         if self.behaviour.break_after > 0:
             self.behaviour.break_after -= 1
-            self._break(request)
-        answer = {"call": call, "run": run, "bytes": len(body), "path": request.path_qs}
+            self._abort_connection(request)
+        answer = {"call": call, "run": run_count, "bytes": len(body), "path": request.path_qs}
         return web.json_response(answer, status=201 if request.method == "POST" else 200)
 
 
 async def serve(service: Service, host: str = "127.0.0.1", port: int = 0) -> Served:
-    """Start a service on a port; 0 takes a free one."""
+    """Serve a service; port 0 takes a free one."""
     return await Served.start(service.application(), host, port)
--- a/packages/standins/src/thorncleat_standins/store.py
+++ b/packages/standins/src/thorncleat_standins/store.py
@@ -1,8 +1,8 @@
-"""The platform's key-value service, in the published JSON form of the etcd v3 interface.
+"""Stand-in for the platform's key-value store, with the JSON interface of etcd v3.
 
-Beside it stand the platform's list of instances and a switchboard for faults.
+Serves the platform's list of instances and a control endpoint for faults as well.
 
-Owns: the list of instances, the faults at present, and the rates that are left.
+Owns: the list of instances, the current faults and the rate limiters.
 Relies on: :mod:`thorncleat_standins.kv` for records, leases and events.
 """
 
@@ -19,25 +19,22 @@
 from . import kv
 from .served import Served
 
-# of a value
 MAX_VALUE_BYTES = 1_000_000
-# code of gRPC
-RESOURCE_EXHAUSTED = 8
-# that are let through, of the whole fleet (docs/DEVELOPERS.md)
-WRITES_A_SECOND = 100.0
-READS_A_SECOND = 2000.0
+RESOURCE_EXHAUSTED = 8  # gRPC status
+# Limits for all daemons together (docs/DEVELOPERS.md).
+MAX_WRITES_PER_SECOND = 100.0
+MAX_READS_PER_SECOND = 2000.0
 
 
 @dataclasses.dataclass
 class Faults:
-    """What is wrong with the store at present.
-
-    :param down: refuse every call.
-    :param delay: seconds before each call is carried out.
-    :param lose_answers: carry out this many writes more, and break the connection instead of
-        answering.
-    :param mute_watches: keep watches open and send no events.
-    :param refuse_from: daemons (by ``X-Daemon``) that are cut off.
+    """The current faults of the store.
+
+    :param down: whether all calls are refused.
+    :param delay: seconds before each call is executed.
+    :param lose_answers: number of further writes that are executed without an answer.
+    :param mute_watches: whether watches stay open without sending events.
+    :param refuse_from: daemons, by their ``X-Daemon`` header, whose calls are refused.
     """
 
     down: bool = False
@@ -47,38 +44,40 @@
     refuse_from: list[str] = dataclasses.field(default_factory=list)
 
 
-class Rate:
-    """A token bucket of one second's depth."""
+class RateLimiter:
+    """A token bucket that holds the calls of one second."""
 
     def __init__(self, per_second: float, clock: t.Callable[[], float]) -> None:
         self._per_second = per_second
         self._clock = clock
-        self._left = per_second
-        self._at = clock()
+        self._tokens = per_second
+        self._refilled_at = clock()
 
-    def take(self) -> bool:
-        """Take one call; return whether there was one left."""
+    def try_acquire(self) -> bool:
+        """Take a token; return whether one was available."""
         now = self._clock()
-        self._left = min(self._per_second, self._left + (now - self._at) * self._per_second)
-        self._at = now
-        if self._left < 1:
+        self._tokens = min(
+            self._per_second, self._tokens + (now - self._refilled_at) * self._per_second
+        )
+        self._refilled_at = now
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
-def _bytes(text: str | None) -> bytes:
+def _decode(text: str | None) -> bytes:
     return base64.b64decode(text or "")
 
 
-def _text(data: bytes) -> str:
+def _encode(data: bytes) -> str:
     return base64.b64encode(data).decode()
 
 
 def _record_json(record: kv.Record) -> dict[str, str]:
     return {
-        "key": _text(record.key),
-        "value": _text(record.value),
+        "key": _encode(record.key),
+        "value": _encode(record.value),
         "create_revision": str(record.create_revision),
         "mod_revision": str(record.mod_revision),
         "version": str(record.version),
@@ -88,8 +87,8 @@
 
 def _event_json(event: kv.Event) -> dict[str, t.Any]:
     if event.record is None:
-        shown = {"key": _text(event.key), "mod_revision": str(event.revision)}
-        return {"type": "DELETE", "kv": shown}
+        kv_json = {"key": _encode(event.key), "mod_revision": str(event.revision)}
+        return {"type": "DELETE", "kv": kv_json}
     return {"kv": _record_json(event.record)}
 
 
@@ -100,36 +99,36 @@
         "VERSION": "version",
         "VALUE": "value",
     }[raw["target"]]
-    wanted = _bytes(raw["value"]) if field == "value" else int(raw[field])
-    return kv.Compare(_bytes(raw["key"]), field, wanted)
+    expected = _decode(raw["value"]) if field == "value" else int(raw[field])
+    return kv.Compare(_decode(raw["key"]), field, expected)
 
 
 def _operation(raw: dict[str, t.Any]) -> kv.Operation:
     if "request_put" in raw:
         put = raw["request_put"]
-        return kv.Put(_bytes(put["key"]), _bytes(put["value"]), int(put.get("lease", 0)))
+        return kv.Put(_decode(put["key"]), _decode(put["value"]), int(put.get("lease", 0)))
     delete = raw["request_delete_range"]
-    return kv.Delete(_bytes(delete["key"]), _bytes(delete.get("range_end")))
+    return kv.Delete(_decode(delete["key"]), _decode(delete.get("range_end")))
 
 
 class StoreServer:
     """Serves a :class:`kv.Store` and the list of instances over HTTP.
 
-    :param writes: writes a second that are let through.
-    :param reads: reads a second that are let through; a watch's creation is a read.
+    :param writes: limit of writes per second.
+    :param reads: limit of reads, including new watches, per second.
     """
 
     def __init__(
         self,
-        writes: float = WRITES_A_SECOND,
-        reads: float = READS_A_SECOND,
+        writes: float = MAX_WRITES_PER_SECOND,
+        reads: float = MAX_READS_PER_SECOND,
         clock: t.Callable[[], float] = time.monotonic,
     ) -> None:
         self.store = kv.Store(clock)
         self.faults = Faults()
         self.instances: list[dict[str, t.Any]] = []
-        self._write_rate = Rate(writes, clock)
-        self._read_rate = Rate(reads, clock)
+        self._write_rate = RateLimiter(writes, clock)
+        self._read_rate = RateLimiter(reads, clock)
 
     def application(self) -> web.Application:
         """Return the HTTP application."""
@@ -142,8 +141,8 @@
                 web.post("/v3/lease/keepalive", self._keepalive),
                 web.post("/v3/lease/revoke", self._revoke),
                 web.post("/v3/watch", self._watch),
-                web.get("/platform/instances", self._list),
-                web.put("/platform/instances", self._set_list),
+                web.get("/platform/instances", self._list_instances),
+                web.put("/platform/instances", self._set_instances),
                 web.post("/faults", self._set_faults),
             ]
         )
@@ -154,16 +153,16 @@
         self.faults.down = True
         self.store.wake_watchers()
 
-    async def _admit(self, request: web.Request, rate: Rate) -> None:
+    async def _admit_call(self, request: web.Request, rate: RateLimiter) -> None:
         if self.faults.down or request.headers.get("X-Daemon") in self.faults.refuse_from:
             raise web.HTTPServiceUnavailable(text='{"message": "down"}')
-        if not rate.take():
+        if not rate.try_acquire():
             body = {"code": RESOURCE_EXHAUSTED, "message": "too many requests"}
             raise web.HTTPTooManyRequests(text=json.dumps(body))
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
 
-    def _lose(self, request: web.Request) -> None:
+    def _lose_answer(self, request: web.Request) -> None:
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             if request.transport is not None:
@@ -175,55 +174,55 @@
 
     async def _range(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, self._read_rate)
-        found = self.store.get(_bytes(raw["key"]), _bytes(raw.get("range_end")))
-        limit = int(raw.get("limit", 0)) or len(found)
+        await self._admit_call(request, self._read_rate)
+        records = self.store.get(_decode(raw["key"]), _decode(raw.get("range_end")))
+        limit = int(raw.get("limit", 0)) or len(records)
         body = {
             "header": self._header(),
-            "kvs": [_record_json(record) for record in found[:limit]],
-            "more": len(found) > limit,
+            "kvs": [_record_json(record) for record in records[:limit]],
+            "more": len(records) > limit,
         }
         return web.json_response(body)
 
     async def _txn(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, self._write_rate)
+        await self._admit_call(request, self._write_rate)
         operations = [_operation(operation) for operation in raw.get("success", [])]
         for operation in operations:
             if isinstance(operation, kv.Put) and len(operation.value) > MAX_VALUE_BYTES:
                 raise web.HTTPBadRequest(text='{"message": "value too large"}')
         try:
             compares = [_compare(compare) for compare in raw["compare"]]
-            done = self.store.transact(compares, operations)
+            succeeded = self.store.transact(compares, operations)
         except kv.LeaseNotFoundError:
             raise web.HTTPNotFound(text='{"message": "requested lease not found"}') from None
-        self._lose(request)
-        return web.json_response({"header": self._header(), "succeeded": done})
+        self._lose_answer(request)
+        return web.json_response({"header": self._header(), "succeeded": succeeded})
 
     async def _grant(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, self._write_rate)
+        await self._admit_call(request, self._write_rate)
         lease = self.store.grant(float(raw["TTL"]))
-        self._lose(request)
+        self._lose_answer(request)
         return web.json_response({"ID": str(lease.id), "TTL": str(lease.ttl)})
 
     async def _keepalive(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, self._write_rate)
+        await self._admit_call(request, self._write_rate)
         lease = self.store.renew(int(raw["ID"]))
         result = {"ID": raw["ID"], "TTL": str(lease.ttl if lease else 0)}
         return web.json_response({"result": result})
 
     async def _revoke(self, request: web.Request) -> web.Response:
         raw = await request.json()
-        await self._admit(request, self._write_rate)
+        await self._admit_call(request, self._write_rate)
         self.store.revoke(int(raw["ID"]))
         return web.json_response({"header": self._header()})
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         raw = (await request.json())["create_request"]
-        await self._admit(request, self._read_rate)
-        key, end = _bytes(raw["key"]), _bytes(raw.get("range_end"))
+        await self._admit_call(request, self._read_rate)
+        key, end = _decode(raw["key"]), _decode(raw.get("range_end"))
         revision = int(raw.get("start_revision", 0)) or self.store.revision + 1
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
         await response.prepare(request)
@@ -235,7 +234,9 @@
                     events = self.store.events_since(revision, key, end)
                     revision = self.store.revision + 1
                     if events:
-                        await self._send(response, {"events": [_event_json(e) for e in events]})
+                        await self._send(
+                            response, {"events": [_event_json(event) for event in events]}
+                        )
                 await changed.wait()
                 changed.clear()
         finally:
@@ -246,7 +247,7 @@
         line = json.dumps({"result": {"header": self._header(), **result}})
         await response.write(line.encode() + b"\n")
 
-    async def _list(self, request: web.Request) -> web.Response:
+    async def _list_instances(self, request: web.Request) -> web.Response:
         filters = dict(request.query)
         rows = [
             row
@@ -254,12 +255,12 @@
             if all(row.get(name) == value for name, value in filters.items())
         ]
         text = json.dumps({"instances": rows})
-        tag = f'"{hashlib.sha256(text.encode()).hexdigest()[:16]}"'
-        if request.headers.get("If-None-Match") == tag:
-            return web.Response(status=304, headers={"ETag": tag})
-        return web.json_response(text=text, headers={"ETag": tag})
+        etag = f'"{hashlib.sha256(text.encode()).hexdigest()[:16]}"'
+        if request.headers.get("If-None-Match") == etag:
+            return web.Response(status=304, headers={"ETag": etag})
+        return web.json_response(text=text, headers={"ETag": etag})
 
-    async def _set_list(self, request: web.Request) -> web.Response:
+    async def _set_instances(self, request: web.Request) -> web.Response:
         self.instances = (await request.json())["instances"]
         return web.json_response({})
 
@@ -270,6 +271,8 @@
         return web.json_response(dataclasses.asdict(self.faults))
 
 
-async def serve(host: str = "127.0.0.1", port: int = 0, writes: float = WRITES_A_SECOND) -> Served:
-    """Start a store on a port; 0 takes a free one."""
+async def serve(
+    host: str = "127.0.0.1", port: int = 0, writes: float = MAX_WRITES_PER_SECOND
+) -> Served:
+    """Serve a store; port 0 takes a free one."""
     return await Served.start(StoreServer(writes=writes).application(), host, port)
--- a/packages/standins/src/thorncleat_standins/traffic.py
+++ b/packages/standins/src/thorncleat_standins/traffic.py
@@ -1,8 +1,7 @@
-"""Callers as they are under failure: they repeat at random daemons, and remember what they
-were told, so that it can be held against the service's own ledger.
+"""Callers that retry at random daemons, and checks of what they received.
 
-Owns: what each caller was told of each call.
-Relies on: engines answering the same tokens for the same prompt, whichever they are.
+Owns: the outcomes that each caller received.
+Relies on: all engines returning the same tokens for the same prompt.
 """
 
 import asyncio
@@ -18,36 +17,36 @@
 
 ACKNOWLEDGE = "/v1/services/telemetry/alarms/7/ack"
 CHAT = "/v1/chat/completions"
-# of a call
-ATTEMPTS = 6
-# with one answer; more than the deadline that callers send
-PATIENCE_SECONDS = 5.0
+MAX_ATTEMPTS = 6
+# Must exceed DEADLINE_SECONDS.
+CALL_TIMEOUT_SECONDS = 5.0
 DEADLINE_SECONDS = 3
 DONE_STATUS = 201
 
 
 class RepeatingCaller:
-    """Makes calls that may run once, each until it knows what became of it.
+    """Makes calls that must not run twice, and retries until one succeeds.
 
     :param key: the workspace's key.
+    :ivar reported_outcomes: for each call whether it was executed, according to each attempt.
     """
 
-    def __init__(self, cluster: Cluster, key: str, draw: random.Random) -> None:
+    def __init__(self, cluster: Cluster, key: str, rng: random.Random) -> None:
         self._cluster = cluster
         self._headers = {
             "Authorization": f"Bearer {key}",
             "X-Request-Deadline": str(DEADLINE_SECONDS),
         }
-        self._draw = draw
+        self._rng = rng
         self.reported_outcomes: dict[str, list[str]] = collections.defaultdict(list)
 
     async def call(self, name: str) -> None:
-        """Make a call, at most :data:`ATTEMPTS` times."""
-        for _ in range(ATTEMPTS):
-            daemon = self._draw.choice(self._cluster.daemons)
+        """Make a call with up to :data:`MAX_ATTEMPTS` attempts."""
+        for _ in range(MAX_ATTEMPTS):
+            daemon = self._rng.choice(self._cluster.daemons)
             try:
                 status, executed = await asyncio.wait_for(
-                    self._once(daemon, name), PATIENCE_SECONDS
+                    self._attempt(daemon, name), CALL_TIMEOUT_SECONDS
                 )
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
                 self.reported_outcomes[name].append("unknown")
@@ -55,9 +54,9 @@
             self.reported_outcomes[name].append(executed)
             if status == DONE_STATUS:
                 return
-            await asyncio.sleep(self._draw.uniform(0.02, 0.2))
+            await asyncio.sleep(self._rng.uniform(0.02, 0.2))
 
-    async def _once(self, daemon: str, name: str) -> tuple[int, str]:
+    async def _attempt(self, daemon: str, name: str) -> tuple[int, str]:
         headers = {**self._headers, "Idempotency-Key": name, "X-Call": name}
         url = self._cluster.callers(daemon) + ACKNOWLEDGE
         async with (
@@ -72,7 +71,7 @@
 def ledger_faults(
     reported_outcomes: t.Mapping[str, list[str]], ledger: t.Mapping[str, int]
 ) -> list[str]:
-    """Return where what callers were told and what the service ran do not agree."""
+    """Return the contradictions between the reported outcomes and the service's ledger."""
     faults = []
     for name, answers in reported_outcomes.items():
         runs = ledger.get(name, 0)
@@ -81,16 +80,16 @@
         if "yes" in answers and runs == 0:
             faults.append(f"{name} never ran, but was answered: {answers}")
         if set(answers) == {"no"} and runs:
-            faults.append(f"{name} ran, and was always said not to have: {answers}")
+            faults.append(f"{name} ran, but was always denied: {answers}")
     return faults
 
 
 async def stream_fault(
     cluster: Cluster, key: str, daemon: str, text: str, tokens: int
 ) -> str | None:
-    """Read a stream; return what is wrong with it, or None if it is whole.
+    """Read a stream; return a description of its fault, or None if it is complete.
 
-    An error that is told is no fault of the stream: it is returned as ``refused: ...``.
+    A reported error or a broken connection is returned as ``refused: ...``.
     """
     body = {
         "model": "m",
@@ -99,7 +98,7 @@
         "stream": True,
     }
     headers = {"Authorization": f"Bearer {key}"}
-    got, done = "", False
+    received, finished = "", False
     try:
         async with (
             aiohttp.ClientSession(headers=headers) as session,
@@ -109,24 +108,24 @@
                 return f"refused: {response.status}"
             async for line in response.content:
                 if line.startswith(b"data: [DONE]"):
-                    done = True
+                    finished = True
                 elif line.startswith(b"data: "):
                     event = json.loads(line.removeprefix(b"data: "))
                     if "error" in event:
                         return f"refused: {event['title']}"
-                    got += event["choices"][0]["delta"].get("content", "")
+                    received += event["choices"][0]["delta"].get("content", "")
     except (aiohttp.ClientError, OSError) as error:
         return f"refused: {type(error).__name__}"
-    wanted = "".join(token_text(text.split(), index) for index in range(tokens))
-    if not wanted.startswith(got):
-        return f"wrong: {got!r} is no beginning of {wanted!r} for {text!r}"
-    if done and got != wanted:
-        return f"wrong: ended after {len(got)} of {len(wanted)} characters"
-    return None if done else "refused: broke off"
+    expected = "".join(token_text(text.split(), index) for index in range(tokens))
+    if not expected.startswith(received):
+        return f"wrong: {received!r} is not a prefix of {expected!r} for {text!r}"
+    if finished and received != expected:
+        return f"wrong: ended after {len(received)} of {len(expected)} characters"
+    return None if finished else "refused: broke off"
 
 
 def log_faults(cluster: Cluster) -> list[str]:
-    """Return the faults that the daemons themselves logged."""
+    """Return the log lines with faults that the daemons detected themselves."""
     faults = []
     for path in sorted(cluster.directory.glob("daemon-*.log")):
         for line in path.read_text(errors="replace").splitlines():
