--- a/tests/lab.py
+++ b/tests/lab.py
@@ -1,4 +1,4 @@
-"""Real processes for tests: a cluster that synchronous tests can drive."""
+"""A cluster of real processes that synchronous tests can control."""
 
 import asyncio
 import json
@@ -25,14 +25,14 @@
 
 
 class Lab:
-    """A cluster and the loop that it is driven by."""
+    """A cluster and the event loop of its calls."""
 
     def __init__(self, directory: pathlib.Path, site: Site, **requests: t.Any) -> None:
         self._runner = asyncio.Runner()
         self.cluster = Cluster(directory, site, control=QUICK, requests=requests)
 
-    def run(self, work: t.Coroutine[t.Any, t.Any, t.Any]) -> t.Any:
-        return self._runner.run(work)
+    def run(self, coroutine: t.Coroutine[t.Any, t.Any, t.Any]) -> t.Any:
+        return self._runner.run(coroutine)
 
     def start(self, replicas: int = 1, spares: int = 0) -> None:
         self.run(self._start(replicas, spares))
@@ -50,10 +50,10 @@
     def call(
         self, method: str, path: str, daemon: str = "daemon-0", **options: t.Any
     ) -> tuple[int, t.Mapping[str, str], t.Any]:
-        """Call a daemon's callers' side; return status, headers and body."""
-        return self.run(self.acall(method, path, daemon, **options))
+        """Call a daemon's listener for callers; return status, headers and body."""
+        return self.run(self.call_async(method, path, daemon, **options))
 
-    async def acall(
+    async def call_async(
         self,
         method: str,
         path: str,
@@ -62,10 +62,10 @@
         headers: t.Mapping[str, str] | None = None,
         **options: t.Any,
     ) -> tuple[int, t.Mapping[str, str], t.Any]:
-        sent = {"Authorization": f"Bearer {key}", **(headers or {})}
+        all_headers = {"Authorization": f"Bearer {key}", **(headers or {})}
         url = self.cluster.callers(daemon) + path
         async with (
-            aiohttp.ClientSession(headers=sent) as session,
+            aiohttp.ClientSession(headers=all_headers) as session,
             session.request(method, url, **options) as response,
         ):
             text = await response.text()
@@ -75,37 +75,40 @@
                 return response.status, response.headers, text
 
     async def stream(self, body: t.Any, daemon: str = "daemon-0", on_event=None) -> "Streamed":
-        """Read a streamed completion to its end."""
-        found = Streamed()
+        """Read a streamed completion to its end.
+
+        :param on_event: coroutine function that is called after each event.
+        """
+        streamed = Streamed()
         url = self.cluster.callers(daemon) + "/v1/chat/completions"
         headers = {"Authorization": f"Bearer {CALLER_KEY}"}
         async with (
             aiohttp.ClientSession(headers=headers) as session,
             session.post(url, json={**body, "stream": True}) as response,
         ):
-            found.status = response.status
+            streamed.status = response.status
             async for line in response.content:
                 if not line.startswith(b"data: "):
                     continue
                 if line.startswith(b"data: [DONE]"):
-                    found.done = True
+                    streamed.done = True
                     continue
                 event = json.loads(line[6:])
                 if "error" in event:
-                    found.error = event
+                    streamed.error = event
                     continue
-                found.text += event["choices"][0]["delta"].get("content", "")
+                streamed.text += event["choices"][0]["delta"].get("content", "")
                 if on_event:
-                    await on_event(found)
-        return found
+                    await on_event(streamed)
+        return streamed
 
     async def ledger(self) -> dict[str, int]:
-        """Return how often the plain service ran each call."""
+        """Return how often the plain service executed each call."""
         return await self.cluster.call_standin("GET", self.cluster.service, "/ledger")
 
 
 class Streamed:
-    """What came of a stream."""
+    """The result of a stream."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -149,7 +152,7 @@
 
 
 def expected(text: str, tokens: int) -> str:
-    """Return what any engine answers to a text."""
+    """Return the answer of all engines to a text."""
     from thorncleat_standins.completions import token_text
 
     return "".join(token_text(text.split(), index) for index in range(tokens))
--- a/tests/test_forms_events.py
+++ b/tests/test_forms_events.py
@@ -119,15 +119,15 @@
 
 @pytest.mark.parametrize("name", ORDERS)
 async def test_lines_of_an_order(name, lines, snapshot):
-    mirror = wire_forms.mirror(wire_forms.FixedFeed([]), lambda: 0.0)
+    mirror = wire_forms.make_view(wire_forms.FixedFeed([]), lambda: 0.0)
     heard = []
     calls = CallWindow(OwnLateness(lambda: 0.0, 0.02), lambda: 0.0)
     orders = Orders(
         ControlSettings(), _Answering(), mirror, lambda: True, heard.append, calls, lambda: 0.0
     )
-    await orders.give(wire_forms.LONER, ORDERS[name], expected=7)
+    await orders.give(wire_forms.PLAIN_ENDPOINT, ORDERS[name], expected=7)
     with pytest.raises(EndpointSilentError):
-        await orders.give(wire_forms.LONER, ORDERS[name])
+        await orders.give(wire_forms.PLAIN_ENDPOINT, ORDERS[name])
     assert lines == snapshot
 
 
@@ -153,7 +153,7 @@
             await call(daemon, PATHS[kind])
         await call(daemon, PATHS["once"], key="another")
         await call(daemon, "/none/x")
-        daemon.stopping(closed=True)
+        daemon.set_stopping(closed=True)
         await call(daemon, PATHS["once"])
     assert lines == snapshot
 
--- a/tests/test_forms_metrics.py
+++ b/tests/test_forms_metrics.py
@@ -54,7 +54,7 @@
 
 
 async def test_all_of_a_daemon(snapshot):
-    metrics = wire_forms.Daemons(FixedFeed([])).gateway.metrics
+    metrics = wire_forms.GatewayHarness(FixedFeed([])).gateway.metrics
     for number, fields in NOTED.items():
         metrics.note(events.catalogue[number], fields)
     assert forms(metrics.text().decode()) == snapshot
@@ -76,6 +76,6 @@
 
 
 async def test_answer_to_whoever_collects_them(snapshot):
-    metrics = wire_forms.Daemons(FixedFeed([])).gateway.metrics
+    metrics = wire_forms.GatewayHarness(FixedFeed([])).gateway.metrics
     response = await metrics.handle(None)
     assert (response.status, response.content_type, response.charset) == snapshot
--- a/tests/test_forms_orders.py
+++ b/tests/test_forms_orders.py
@@ -18,7 +18,7 @@
 from . import recording
 from . import wire_forms
 from .recording import Answer
-from .wire_forms import LONER
+from .wire_forms import PLAIN_ENDPOINT
 
 GROUP = GroupId(3, "narrator-0")
 ORDERS = {
@@ -36,7 +36,9 @@
         server.answers = list(answers)
         engines = WorkerEngines()
         try:
-            return await work(engines, wire_forms.at(LONER, server.address)), server.calls
+            return await work(
+                engines, wire_forms.with_address(PLAIN_ENDPOINT, server.address)
+            ), server.calls
         finally:
             await engines.close()
 
@@ -83,7 +85,7 @@
 
 async def test_endpoint_that_refuses_connections_may_work_on():
     engines = WorkerEngines()
-    nowhere = wire_forms.at(LONER, f"127.0.0.1:{free_port()}")
+    nowhere = wire_forms.with_address(PLAIN_ENDPOINT, f"127.0.0.1:{free_port()}")
     with pytest.raises(EndpointRefusedError):
         await ask(engines, nowhere)
     await engines.close()
--- a/tests/test_forms_refusals.py
+++ b/tests/test_forms_refusals.py
@@ -143,7 +143,7 @@
     @pytest.mark.parametrize("closed", [False, True])
     async def test_stopping(self, closed, snapshot):
         async with site([configuration()]) as daemon:
-            daemon.stopping(closed)
+            daemon.set_stopping(closed)
             assert await call(daemon, PATHS["once"]) == snapshot
 
     @pytest.mark.parametrize("path", ["/none/x", "/chat", "/"])
@@ -280,7 +280,7 @@
 
     async def test_stopping(self, snapshot):
         async with site([configuration()]) as daemon:
-            daemon.stopping(closed=False)
+            daemon.set_stopping(closed=False)
             assert await self.ask(daemon) == snapshot
 
     async def test_too_old(self, snapshot):
--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -168,14 +168,14 @@
 async def asked(path, changes, daemons=(HERE,), proven=-0.25):
     """Return what a relay answers that began at revision 9 and then learnt changes."""
     feed = FixedFeed([], proven=proven)
-    mirror = wire_forms.mirror(feed, lambda: 100.0)
+    mirror = wire_forms.make_view(feed, lambda: 100.0)
     server = RelayServer(mirror, lambda: daemons)
-    await wire_forms.read_once(mirror)
+    await wire_forms.read_first_batch(mirror)
     if changes:
         learnt = []
         mirror.on_batch(lambda after, found: learnt.append(after))
         feed.next.put_nowait(Changes(Position(0, 12), changes, proven))
-        await wire_forms.until(lambda: learnt)
+        await wire_forms.wait_until(lambda: learnt)
     try:
         async with (
             recording.serving(server.handle) as address,
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -27,10 +27,10 @@
 from . import wire_forms
 from .recording import Answer
 from .wire_forms import CHANGES
-from .wire_forms import LONER
-from .wire_forms import MEMBER
-from .wire_forms import OTHER
-from .wire_forms import OWN
+from .wire_forms import GROUP_MEMBER
+from .wire_forms import OWN_SETTINGS
+from .wire_forms import PEER_DAEMON
+from .wire_forms import PLAIN_ENDPOINT
 from .wire_forms import FixedFeed
 from .wire_forms import RecordedRecords
 
@@ -259,10 +259,10 @@
 
     async def test_own_daemon(self, snapshot):
         records = RecordedRecords()
-        async with wire_forms.mirror_of(FixedFeed([]), lambda: 0.0) as mirror:
-            registration = Registration(OWN, records, mirror, time.monotonic)
+        async with wire_forms.running_view(FixedFeed([]), lambda: 0.0) as mirror:
+            registration = Registration(OWN_SETTINGS, records, mirror, time.monotonic)
             await registration.start()
-            await wire_forms.until(lambda: len(records.calls) >= 2)
+            await wire_forms.wait_until(lambda: len(records.calls) >= 2)
             await registration.stop()
         assert records.calls == snapshot
         assert records.calls[1][2] == {"hex": OWN_DAEMON.hex()}
@@ -272,42 +272,48 @@
             RecordChanged("thorncleat/daemons/edge-1", OWN_DAEMON, 3, 3),
             RecordChanged("thorncleat/daemons/edge-2", OTHER_DAEMON, 4, 4),
         ]
-        async with wire_forms.mirror_of(FixedFeed(written), lambda: 0.0) as mirror:
-            registration = Registration(OWN, RecordedRecords(), mirror, time.monotonic)
-            assert registration.daemons() == {"edge-1": registration.own, "edge-2": OTHER}
+        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as mirror:
+            registration = Registration(OWN_SETTINGS, RecordedRecords(), mirror, time.monotonic)
+            assert registration.daemons() == {"edge-1": registration.own, "edge-2": PEER_DAEMON}
             assert registration.own.capacity == 2.5
 
     async def test_controller(self, snapshot):
         records = RecordedRecords()
         feed = FixedFeed([CHANGES["configuration"]])
-        async with wire_forms.mirror_of(feed, lambda: 0.0) as mirror:
-            election = Election(OWN, records, mirror, lambda: 0.0, lambda: {OWN.id: 1.0})
+        async with wire_forms.running_view(feed, lambda: 0.0) as mirror:
+            election = Election(
+                OWN_SETTINGS, records, mirror, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
+            )
             await election.start()
-            await wire_forms.until(lambda: election.leads)
+            await wire_forms.wait_until(lambda: election.leads)
             assert election.term == Position(0, 40)
             election.stopping = True
-            await wire_forms.until(lambda: ["end", 77] in records.calls)
+            await wire_forms.wait_until(lambda: ["end", 77] in records.calls)
             await election.stop()
         assert [call for call in records.calls if call[0] != "renew"] == snapshot
 
     async def test_groups(self, snapshot):
         records, old = RecordedRecords(), GroupId(40, "narrator-1")
         written = [RecordChanged("thorncleat/groups/40/narrator-1", GROUP_RECORD, 5, 5)]
-        async with wire_forms.mirror_of(FixedFeed(written), lambda: 0.0) as mirror:
-            election = Election(OWN, records, mirror, lambda: 0.0, lambda: {OWN.id: 1.0})
+        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as mirror:
+            election = Election(
+                OWN_SETTINGS, records, mirror, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
+            )
             election.term = Position(0, 40)
             kept = GroupRecords(records, mirror, election)
             kept.end(old, Detached.LEFT)
             assert await kept.begin(
-                GROUP, GroupPlan("d1", EngineModel("large", 2), (MEMBER, LONER))
+                GROUP, GroupPlan("d1", EngineModel("large", 2), (GROUP_MEMBER, PLAIN_ENDPOINT))
             )
         assert records.calls == snapshot
         assert records.calls[0][1]["thorncleat/groups/41/narrator-0"] == {"hex": GROUP_RECORD.hex()}
 
     async def test_groups_that_b7c2758_recorded(self):
         written = [RecordChanged("thorncleat/groups/40/narrator-1", GROUP_RECORD, 5, 5)]
-        async with wire_forms.mirror_of(FixedFeed(written), lambda: 0.0) as mirror:
-            election = Election(OWN, RecordedRecords(), mirror, lambda: 0.0, lambda: {OWN.id: 1.0})
+        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as mirror:
+            election = Election(
+                OWN_SETTINGS, RecordedRecords(), mirror, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
+            )
             kept = GroupRecords(RecordedRecords(), mirror, election)
             group = GroupId(40, "narrator-1")
             assert kept.groups == [group]
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -42,17 +42,17 @@
             await asyncio.sleep(4.0)
             streamed = await lab.stream(completion("turbine", 20), "daemon-2")
             headers = {"Idempotency-Key": "away", "X-Call": "away"}
-            refused = await lab.acall("POST", ACK, headers=headers, json={})
+            refused = await lab.call_async("POST", ACK, headers=headers, json={})
             _, plan = await cluster.call_operator_api("daemon-0", "POST", "/plans", body)
             confirmed = await cluster.call_operator_api(
                 "daemon-0", "POST", "/confirm", {"plan": plan["plan"]}
             )
-            models = await lab.acall("GET", "/v1/models", "daemon-3")
+            models = await lab.call_async("GET", "/v1/models", "daemon-3")
             ledger = await lab.ledger()
             await cluster.set_store_faults(down=False)
 
             async def runs_again() -> bool:
-                return (await lab.acall("POST", ACK, headers=headers, json={}))[0] == 201
+                return (await lab.call_async("POST", ACK, headers=headers, json={}))[0] == 201
 
             await cluster.wait_for("the call to run", runs_again, 20.0)
             return streamed, refused, confirmed, models, ledger, await lab.ledger()
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -155,7 +155,7 @@
 
         async def race():
             calls = [
-                lab.acall("POST", ACK, f"daemon-{n % 3}", headers=headers, json={})
+                lab.call_async("POST", ACK, f"daemon-{n % 3}", headers=headers, json={})
                 for n in range(12)
             ]
             return await asyncio.gather(*calls), await lab.ledger()
@@ -180,10 +180,10 @@
 
         async def lose():
             service = lab.cluster.service
-            await lab.acall("GET", "/v1/services/telemetry/warm")
+            await lab.call_async("GET", "/v1/services/telemetry/warm")
             await lab.cluster.call_standin("POST", service, "/behaviour", break_after=1)
-            first = await lab.acall(method, ACK, headers=headers, json={})
-            again = await lab.acall(method, ACK, "daemon-1", headers=headers, json={})
+            first = await lab.call_async(method, ACK, headers=headers, json={})
+            again = await lab.call_async(method, ACK, "daemon-1", headers=headers, json={})
             return first, again, await lab.ledger()
 
         first, again, ledger = lab.run(lose())
@@ -255,7 +255,7 @@
 
             async def known() -> bool:
                 answers = [
-                    await lab.acall("GET", "/v1/models", name, key="new-key")
+                    await lab.call_async("GET", "/v1/models", name, key="new-key")
                     for name in lab.cluster.daemons
                 ]
                 return all(status == 200 for status, _, _ in answers)
--- a/tests/test_spoilt_records.py
+++ b/tests/test_spoilt_records.py
@@ -14,7 +14,7 @@
 from .group_world import calm_world
 from .group_world import large_leader
 from .group_world import leading
-from .wire_forms import OWN
+from .wire_forms import OWN_SETTINGS
 
 GOOD = msgpack.packb(["10.0.0.2", 7340, "a", 2])
 
@@ -32,7 +32,7 @@
 
 
 def daemons(values):
-    registration = Registration(OWN, None, View(values), lambda: 0.0)
+    registration = Registration(OWN_SETTINGS, None, View(values), lambda: 0.0)
     return sorted(registration.daemons())
 
 
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -1,8 +1,7 @@
-"""Fixed values, and the ways to the running program's borders, for the tests of its forms.
+"""Fixed values and harnesses for the tests of external formats.
 
-The snapshots beside ``test_forms_*.py`` were made by the code at b7c2758. They hold plain data
-only, so they stay as they are when something inside is renamed. What the tests need of names
-that are private to a module stands in this file alone.
+The snapshots of ``test_forms_*.py`` hold plain data only, so that renames do not change them. Only
+this file accesses private names for these tests.
 """
 
 import asyncio
@@ -80,7 +79,7 @@
     workspaces=(Workspace("growers", ("key-1", "key-2"), 1),),
     limits=Limits(1000, 2000, 1.5, 12.0),
 )
-MEMBER = Endpoint(
+GROUP_MEMBER = Endpoint(
     id="i-1",
     service="narrator",
     address="10.0.0.1:81",
@@ -93,16 +92,16 @@
     membership=Membership(GroupId(3, "narrator-0"), 1, GroupState.OPEN),
     slots=4,
 )
-LONER = Endpoint("i-2", "desk", "10.0.0.2:82", "z2")
+PLAIN_ENDPOINT = Endpoint("i-2", "desk", "10.0.0.2:82", "z2")
 CHANGES: dict[str, Change] = {
     "configuration": ConfigurationChanged(CONFIGURATION),
-    "member": EndpointListed(MEMBER),
-    "loner": EndpointListed(LONER),
+    "member": EndpointListed(GROUP_MEMBER),
+    "loner": EndpointListed(PLAIN_ENDPOINT),
     "gone": EndpointGone("i-3"),
     "record": RecordChanged("thorncleat/a", b"\x01\xff", 30, 20),
     "record gone": RecordChanged("thorncleat/a", None, 31),
 }
-OWN = GatewaySettings(
+OWN_SETTINGS = GatewaySettings(
     id="edge-1",
     failure_domain="z1",
     callers=("127.0.0.1", 0),
@@ -110,15 +109,15 @@
     peers=("127.0.0.1", 7100),
     retry=RetryBudgetSettings(0.2, 20.0, 10.0),
     capacity=2.5,
-    # far beyond a pause of a busy machine: no case here is decided by silence
+    # Timeouts that no test reaches.
     connect_timeout=5.0,
     streams=StreamSettings(least_silence=30.0, most_silence=30.0, first_event=30.0),
 )
-OTHER = Daemon("edge-2", "10.0.0.9", 7200, "z2", 1.5)
+PEER_DAEMON = Daemon("edge-2", "10.0.0.9", 7200, "z2", 1.5)
 
 
 def wire_form(change: Change) -> t.Any:
-    """Return a change in the plain form in which one daemon tells it another."""
+    """Return a change as daemons send it to each other."""
     return msgpack.unpackb(change_codec.encode(0, [change])[1:])["d"][1][0]
 
 
@@ -131,20 +130,20 @@
 
 
 def plain(value: t.Any) -> t.Any:
-    """Return a value with its bytes in hexadecimal."""
+    """Return a value with its bytes in hexadecimal form."""
     if isinstance(value, bytes):
         return {"hex": value.hex()}
     if isinstance(value, dict):
-        return {key: plain(part) for key, part in value.items()}
+        return {key: plain(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(part) for part in value]
+        return [plain(item) for item in value]
     return value
 
 
 class FixedFeed:
-    """A store that says one thing and then nothing more.
+    """A feed with a fixed snapshot and no later changes but those put into ``next``.
 
-    :param proven: what its first answer proves.
+    :param proven: the value of the snapshot's ``proven`` field.
     """
 
     def __init__(self, changes: t.Sequence[Change], revision: int = 9, proven: float = 0.0):
@@ -160,51 +159,51 @@
 
 
 class RecordedRecords:
-    """Keeps the calls for the gateway's own records."""
+    """Records that log the calls and always succeed."""
 
     def __init__(self) -> None:
         self.calls: list[t.Any] = []
         self.called = asyncio.Event()
 
-    def _note(self, *call: t.Any) -> None:
+    def _record(self, *call: t.Any) -> None:
         self.calls.append(plain(call))
         self.called.set()
 
     async def create(self, key: str, value: bytes, lease: Lease) -> Position | None:
-        self._note("create", key, value, lease.id)
+        self._record("create", key, value, lease.id)
         return Position(0, 40)
 
     async def put(self, key: str, value: bytes, lease: Lease) -> None:
-        self._note("put", key, value, lease.id)
+        self._record("put", key, value, lease.id)
 
     async def commit(self, puts: t.Any, removals: t.Any, unchanged: t.Any) -> bool:
         revisions = {key: position.revision for key, position in unchanged.items()}
-        self._note("commit", dict(puts), list(removals), revisions)
+        self._record("commit", dict(puts), list(removals), revisions)
         return True
 
     async def find(self, key: str) -> RecordChanged | None:
-        self._note("find", key)
+        self._record("find", key)
         return None
 
     async def list_records(self, prefix: str) -> list[RecordChanged]:
-        # nobody is registered: everything comes from the feed
+        # No daemon is registered, so all data comes from the feed.
         return []
 
     async def grant(self, ttl: float) -> Lease:
-        self._note("grant", ttl)
+        self._record("grant", ttl)
         return Lease(0, 77)
 
     async def renew(self, lease: Lease) -> None:
-        self._note("renew", lease.id)
+        self._record("renew", lease.id)
 
     async def end(self, lease: Lease) -> None:
-        self._note("end", lease.id)
+        self._record("end", lease.id)
 
 
 class LostRecords(RecordedRecords):
-    """Records that can't be written; so nobody becomes controller and touches the groups."""
+    """Records that cannot be written, so that no daemon becomes controller."""
 
-    def _note(self, *call: t.Any) -> None:
+    def _record(self, *call: t.Any) -> None:
         raise StoreUnavailableError("lost")
 
 
@@ -222,42 +221,42 @@
 
 
 @contextlib.asynccontextmanager
-async def mirror_of(feed: FixedFeed, clock: t.Callable[[], float]) -> t.AsyncIterator[StoreView]:
-    """Yield a mirror that has read what a feed says."""
-    made = mirror(feed, clock)
-    await read_once(made)
+async def running_view(feed: FixedFeed, clock: t.Callable[[], float]) -> t.AsyncIterator[StoreView]:
+    """Yield a view that has read a feed's snapshot."""
+    view = make_view(feed, clock)
+    await read_first_batch(view)
     try:
-        yield made
+        yield view
     finally:
-        await made.stop()
+        await view.stop()
 
 
-def mirror(feed: FixedFeed, clock: t.Callable[[], float]) -> StoreView:
+def make_view(feed: FixedFeed, clock: t.Callable[[], float]) -> StoreView:
     return StoreView(feed, clock, 0.05, lambda: 0.0)
 
 
-async def read_once(unread: StoreView) -> None:
+async def read_first_batch(view: StoreView) -> None:
     read = asyncio.Event()
-    unread.on_batch(lambda after, found: read.set())
-    await unread.start()
+    view.on_batch(lambda after, found: read.set())
+    await view.start()
     await read.wait()
 
 
-async def until(true: t.Callable[[], t.Any]) -> None:
-    end = time.monotonic() + 10.0
-    while not true():
-        assert time.monotonic() < end, "it did not come to be in time"
+async def wait_until(condition: t.Callable[[], t.Any]) -> None:
+    deadline = time.monotonic() + 10.0
+    while not condition():
+        assert time.monotonic() < deadline, "timed out waiting for a condition"
         await asyncio.sleep(0.005)
 
 
-class Daemons:
-    """One gateway between callers and recorded endpoints; its clock can be moved."""
+class GatewayHarness:
+    """A gateway whose clock can be moved forward through ``ahead``."""
 
     def __init__(self, feed: FixedFeed, **settings: t.Any) -> None:
         self.ahead = 0.0
         self.callers, self.ready, self.peers = (("127.0.0.1", port) for port in free_ports(3))
         self._settings = dataclasses.replace(
-            OWN, callers=self.callers, readiness=self.ready, peers=self.peers, **settings
+            OWN_SETTINGS, callers=self.callers, readiness=self.ready, peers=self.peers, **settings
         )
         self.gateway = Gateway(
             self._settings,
@@ -274,22 +273,22 @@
         await self.gateway.start()
         await read.wait()
 
-    def stopping(self, closed: bool) -> None:
-        front = self.gateway._frontend
-        assert front is not None
-        front.stopping = True
-        front.closed = closed
+    def set_stopping(self, closed: bool) -> None:
+        frontend = self.gateway._frontend
+        assert frontend is not None
+        frontend.stopping = True
+        frontend.closed = closed
 
 
 @contextlib.asynccontextmanager
-async def daemon(feed: FixedFeed, **settings: t.Any) -> t.AsyncIterator[Daemons]:
-    made = Daemons(feed, **settings)
-    await made.start()
+async def daemon(feed: FixedFeed, **settings: t.Any) -> t.AsyncIterator[GatewayHarness]:
+    harness = GatewayHarness(feed, **settings)
+    await harness.start()
     try:
-        yield made
+        yield harness
     finally:
-        await made.gateway.stop()
+        await harness.gateway.stop()
 
 
-def at(endpoint: Endpoint, address: str) -> Endpoint:
+def with_address(endpoint: Endpoint, address: str) -> Endpoint:
     return dataclasses.replace(endpoint, address=address)
