--- a/tests/test_forms_headers.py
+++ b/tests/test_forms_headers.py
@@ -1,4 +1,4 @@
-"""Headers from callers, to endpoints and back, as at b7c2758."""
+"""Guards the headers of requests, forwarded requests and answers against unintended changes."""
 
 import multidict
 import pytest
@@ -6,7 +6,7 @@
 from thorncleat_gateway.ports import ForwardMeta
 from thorncleat_platform.headers import PlatformHeaders
 
-CALLERS = [
+REQUEST_HEADERS = [
     ("Host", "shop.example"),
     ("Connection", "keep-alive, X-Hop"),
     ("X-Hop", "one"),
@@ -38,7 +38,7 @@
     ("X-Twice", "2"),
     ("x-LOWER", "kept"),
 ]
-ENDPOINTS = [
+ANSWER_HEADERS = [
     ("Connection", "close, X-Hop"),
     ("X-Hop", "one"),
     ("Transfer-Encoding", "chunked"),
@@ -65,26 +65,30 @@
     ids=["all", "least"],
 )
 def test_forwarded(terms, snapshot):
-    assert [list(one) for one in PlatformHeaders().for_endpoint(CALLERS, terms)] == snapshot
+    assert [
+        list(header) for header in PlatformHeaders().for_endpoint(REQUEST_HEADERS, terms)
+    ] == snapshot
 
 
 def test_returned(snapshot):
-    assert [list(one) for one in PlatformHeaders().for_caller(200, ENDPOINTS)] == snapshot
+    assert [
+        list(header) for header in PlatformHeaders().for_caller(200, ANSWER_HEADERS)
+    ] == snapshot
 
 
-def test_what_an_endpoint_says_to_the_daemon_is_not_returned():
-    said = [*ENDPOINTS, ("server-leaving", "1")]
-    returned = PlatformHeaders().for_caller(200, said)
-    assert returned == PlatformHeaders().for_caller(200, ENDPOINTS)
-    turned_away = PlatformHeaders().for_caller(503, said)
-    assert turned_away == [one for one in returned if one != ("Retry-After", "2")]
+def test_headers_for_the_daemon_are_not_forwarded_to_the_caller():
+    headers = [*ANSWER_HEADERS, ("server-leaving", "1")]
+    returned = PlatformHeaders().for_caller(200, headers)
+    assert returned == PlatformHeaders().for_caller(200, ANSWER_HEADERS)
+    refused = PlatformHeaders().for_caller(503, headers)
+    assert refused == [header for header in returned if header != ("Retry-After", "2")]
 
 
 @pytest.mark.parametrize(
     "headers",
     [
         {},
-        dict(CALLERS),
+        dict(REQUEST_HEADERS),
         {"Authorization": "token  key-1 "},
         {"Authorization": "Bearer key-1"},
         {"Authorization": "Token"},
@@ -96,8 +100,8 @@
     ],
 )
 def test_what_callers_say(headers, snapshot):
-    head = PlatformHeaders().read_request(multidict.CIMultiDict(headers))
-    assert (head.id, head.key, head.deadline, head.model, head.last_event_id) == snapshot
+    meta = PlatformHeaders().read_request(multidict.CIMultiDict(headers))
+    assert (meta.id, meta.key, meta.deadline, meta.model, meta.last_event_id) == snapshot
 
 
 @pytest.mark.parametrize(
@@ -113,8 +117,8 @@
     ],
 )
 def test_what_endpoints_say(status, headers, snapshot):
-    head = PlatformHeaders().read_answer(status, multidict.CIMultiDict(headers))
-    assert (head.request_id, head.signed, head.not_run, head.encoded) == snapshot
+    meta = PlatformHeaders().read_answer(status, multidict.CIMultiDict(headers))
+    assert (meta.request_id, meta.signed, meta.not_run, meta.encoded) == snapshot
 
 
 @pytest.mark.parametrize(
@@ -127,5 +131,5 @@
         ("GET", "/readyz", False),
     ],
 )
-def test_question_for_readiness(method, path, asks):
+def test_readiness_probe(method, path, asks):
     assert PlatformHeaders().is_readiness(method, path) is asks
--- a/tests/test_forms_orders.py
+++ b/tests/test_forms_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines and reports from them, as at b7c2758."""
+"""Guards the orders to engines and the parsing of their reports against unintended changes."""
 
 import pytest
 
@@ -28,10 +28,10 @@
     "leave": Leave(GROUP),
     "load": Load("large"),
 }
-PATIENCE_SECONDS = 5.0
+CALL_TIMEOUT_SECONDS = 5.0
 
 
-async def call(work, *answers):
+async def call_engines(work, *answers):
     async with recording.recorder() as server:
         server.answers = list(answers)
         engines = WorkerEngines()
@@ -43,18 +43,18 @@
             await engines.close()
 
 
-def give(order, expected=None):
-    return lambda engines, endpoint: engines.order(endpoint, order, expected, PATIENCE_SECONDS)
+def send_order(order, expected=None):
+    return lambda engines, endpoint: engines.order(endpoint, order, expected, CALL_TIMEOUT_SECONDS)
 
 
-def ask(engines, endpoint):
-    return engines.report(endpoint, PATIENCE_SECONDS)
+def fetch_report(engines, endpoint):
+    return engines.report(endpoint, CALL_TIMEOUT_SECONDS)
 
 
 @pytest.mark.parametrize("expected", [None, 0, 7])
 @pytest.mark.parametrize("name", ORDERS)
 async def test_order(name, expected, snapshot):
-    _, calls = await call(give(ORDERS[name], expected))
+    _, calls = await call_engines(send_order(ORDERS[name], expected))
     assert calls == snapshot
 
 
@@ -63,8 +63,8 @@
     [(200, "done"), (202, "begun"), (400, "invalid"), (409, "conflict"), (412, "stale")],
 )
 async def test_outcome(status, outcome):
-    found, _ = await call(give(ORDERS["open"]), Answer(status, {"reason": "x"}))
-    assert found.value == outcome
+    result, _ = await call_engines(send_order(ORDERS["open"]), Answer(status, {"reason": "x"}))
+    assert result.value == outcome
 
 
 @pytest.mark.parametrize(
@@ -77,22 +77,24 @@
         (Answer(0, cut=True), EndpointSilentError),
     ],
 )
-@pytest.mark.parametrize("work", [give(ORDERS["open"]), ask], ids=["order", "report"])
-async def test_no_outcome(work, answer, error):
+@pytest.mark.parametrize(
+    "work", [send_order(ORDERS["open"]), fetch_report], ids=["order", "report"]
+)
+async def test_answer_without_an_outcome_is_an_error(work, answer, error):
     with pytest.raises(error):
-        await call(work, answer)
+        await call_engines(work, answer)
 
 
-async def test_endpoint_that_refuses_connections_may_work_on():
+async def test_refused_connection_is_not_silence():
     engines = WorkerEngines()
-    nowhere = wire_forms.with_address(PLAIN_ENDPOINT, f"127.0.0.1:{free_port()}")
+    unreachable = wire_forms.with_address(PLAIN_ENDPOINT, f"127.0.0.1:{free_port()}")
     with pytest.raises(EndpointRefusedError):
-        await ask(engines, nowhere)
+        await fetch_report(engines, unreachable)
     await engines.close()
 
 
 async def test_question_for_a_report(snapshot):
-    _, calls = await call(ask, Answer(document={}))
+    _, calls = await call_engines(fetch_report, Answer(document={}))
     assert calls == snapshot
 
 
@@ -105,15 +107,15 @@
         "seq": 5,
         "something_new": 1,
     }
-    report, _ = await call(ask, Answer(document=document))
+    report, _ = await call_engines(fetch_report, Answer(document=document))
     assert report.membership.group == GROUP
     assert report.membership.state is GroupState(state)
     assert (report.membership.rank, report.models, report.staged, report.order_count) == snapshot
 
 
 @pytest.mark.parametrize("document", [{}, {"group": None}, {"group": {}}])
-async def test_report_of_an_engine_without_a_group(document):
-    report, _ = await call(ask, Answer(document=document))
+async def test_report_without_a_group(document):
+    report, _ = await call_engines(fetch_report, Answer(document=document))
     assert (report.membership, report.models, report.staged) == (None, (), ())
     assert report.order_count == 0
 
@@ -122,6 +124,6 @@
     "answer",
     [Answer(body=b"{"), Answer(body=b"[]"), Answer(document={"group": {"name": "x"}})],
 )
-async def test_report_that_cannot_be_read(answer):
+async def test_invalid_report_counts_as_silence(answer):
     with pytest.raises(EndpointSilentError):
-        await call(ask, answer)
+        await call_engines(fetch_report, answer)
--- a/tests/test_forms_settings.py
+++ b/tests/test_forms_settings.py
@@ -1,4 +1,4 @@
-"""The settings file, what is made of it, and the deploy file, as at b7c2758."""
+"""Guards the settings file and the deploy file against unintended changes."""
 
 import hashlib
 import pathlib
@@ -13,7 +13,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 
-LEAST = """
+MINIMAL = """
 node_name = "edge-1"
 ip = "10.0.0.1"
 internal_ports = [7100, 7199]
@@ -56,13 +56,13 @@
 """
 
 
-def form(loaded):
-    """Return all that was made of a file, under names of this test's own."""
-    gateway = loaded.gateway
+def as_plain_data(platform_settings):
+    """Return the settings under fixed names, so that renamed fields do not change the snapshot."""
+    gateway = platform_settings.gateway
     control, streams, relay, retry = gateway.control, gateway.streams, gateway.relay, gateway.retry
     return {
-        "store": loaded.store,
-        "first start": loaded.first_start,
+        "store": platform_settings.store,
+        "first start": platform_settings.first_start,
         "id": gateway.id,
         "failure domain": gateway.failure_domain,
         "callers": list(gateway.callers),
@@ -76,7 +76,7 @@
         "watch": gateway.watch,
         "coalesce": gateway.coalesce,
         "quick coalesce": gateway.quick_coalesce,
-        "retry": [float(one) for one in (retry.ratio, retry.extra, retry.window)],
+        "retry": [float(value) for value in (retry.ratio, retry.extra, retry.window)],
         "control": {
             "lease": control.lease,
             "margin": control.margin,
@@ -107,14 +107,14 @@
     return settings.load(path, metrics)
 
 
-@pytest.mark.parametrize("text", [LEAST, FULL], ids=["least", "full"])
+@pytest.mark.parametrize("text", [MINIMAL, FULL], ids=["least", "full"])
 def test_file(tmp_path, text, snapshot):
-    assert form(load(tmp_path, text)) == snapshot
+    assert as_plain_data(load(tmp_path, text)) == snapshot
 
 
 @pytest.mark.parametrize("place", ["", "9464/metrics", "9464", "/metrics"])
 def test_place_of_metrics(tmp_path, place, snapshot):
-    assert load(tmp_path, LEAST, place).gateway.metrics == snapshot
+    assert load(tmp_path, MINIMAL, place).gateway.metrics == snapshot
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
 )
 def test_value_that_is_wrong(tmp_path, old, new, snapshot):
     with pytest.raises(DocumentError) as caught:
-        load(tmp_path, LEAST.replace(old, new))
+        load(tmp_path, MINIMAL.replace(old, new))
     assert str(caught.value).replace(str(tmp_path), "<directory>") == snapshot
 
 
@@ -148,16 +148,16 @@
 @pytest.mark.parametrize("place", ["here/metrics", "-1/metrics"])
 def test_place_of_metrics_that_is_wrong(tmp_path, place, snapshot):
     with pytest.raises(DocumentError) as caught:
-        load(tmp_path, LEAST, place)
+        load(tmp_path, MINIMAL, place)
     assert str(caught.value) == snapshot
 
 
-def test_file_that_is_not_there(tmp_path):
+def test_missing_file(tmp_path):
     with pytest.raises(DocumentError, match="No such file"):
         settings.load(tmp_path / "none.toml")
 
 
-def test_variables_by_which_the_platform_tells_them():
+def test_environment_variables():
     assert (SETTINGS_VARIABLE, METRICS_VARIABLE) == ("THORNCLEAT_CONFIG", "THORNCLEAT_METRICS")
 
 
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""The adapter's documents and store answers: what may be left out, and what is refused."""
+"""How the adapter parses documents and store answers: defaults and rejected values."""
 
 import base64
 import json
@@ -27,7 +27,7 @@
     "service": "desk",
 }
 ENGINE = {"slots": 4, "models": [{"name": "large"}]}
-# what each worker writes of itself
+# The fields that every worker writes.
 ENTRY = {
     "service": "desk",
     "address": "a:1",
@@ -41,13 +41,13 @@
 GROUP = {"name": "g", "epoch": 3, "rank": 2, "state": "open"}
 
 
-def data(document):
+def encode(document):
     return json.dumps(document).encode()
 
 
 def configuration(**changes):
     document = {"version": 1, "routes": [ROUTE], "services": [{"name": "desk"}], **changes}
-    return documents.configuration(data(document))
+    return documents.configuration(encode(document))
 
 
 def route(**changes):
@@ -60,7 +60,7 @@
 
 
 def endpoint(**changes):
-    return documents.endpoint("i-1", data(ENTRY | changes))
+    return documents.endpoint("i-1", encode(ENTRY | changes))
 
 
 @pytest.mark.parametrize(
@@ -101,13 +101,13 @@
         (lambda: endpoint(cold_left_ms=12.5).id, "i-1"),
         (lambda: endpoint().born, None),
         (lambda: endpoint(born=1_800_000_000_000).born, 1_800_000_000_000),
-        (lambda: documents.report(data({"born": 5, "seq": 7})).born, 5),
+        (lambda: documents.report(encode({"born": 5, "seq": 7})).born, 5),
         (lambda: documents.report(b"{}").born, None),
-        (lambda: documents.report(data({"seq": 7})).order_count, 7),
+        (lambda: documents.report(encode({"seq": 7})).order_count, 7),
         (lambda: documents.report(b"{}").order_count, 0),
     ],
 )
-def test_what_is_left_out_has_a_default(found, wanted):
+def test_optional_fields(found, wanted):
     assert found() == wanted
 
 
@@ -130,59 +130,59 @@
         ),
         (lambda: endpoint(group=GROUP | {"rank": None}), "endpoint 'i-1': group 'g' has no rank"),
         (
-            lambda: documents.report(data({"group": GROUP | {"rank": None}})),
+            lambda: documents.report(encode({"group": GROUP | {"rank": None}})),
             "report: group 'g' has",
         ),
-        (lambda: documents.report(data({"born": 1.5})), "report: born: "),
+        (lambda: documents.report(encode({"born": 1.5})), "report: born: "),
         (lambda: documents.report(b"null"), "report: "),
-        (lambda: documents.report(data({"seq": "x"})), "report: seq: "),
+        (lambda: documents.report(encode({"seq": "x"})), "report: seq: "),
     ],
 )
-def test_what_cannot_be_read_is_named(read, message):
+def test_error_names_the_invalid_field(read, message):
     with pytest.raises(DecodeError) as caught:
         read()
     assert str(caught.value).startswith(message)
 
 
-OTHER_TYPES = [None, True, 1.5, "1", "", [], {}, ["a"], {"a": 1}]
+VALUES_OF_ALL_TYPES = [None, True, 1.5, "1", "", [], {}, ["a"], {"a": 1}]
 
 
-def names_no_endpoint(document):
+def assert_is_rejected(document):
     with pytest.raises(DecodeError, match="endpoint 'i-1': "):
         documents.endpoint("i-1", document)
 
 
 @pytest.mark.parametrize("field", ENTRY)
-def test_entry_without_a_field_names_no_endpoint(field):
-    names_no_endpoint(data({name: value for name, value in ENTRY.items() if name != field}))
+def test_entry_without_a_required_field_is_rejected(field):
+    assert_is_rejected(encode({name: value for name, value in ENTRY.items() if name != field}))
 
 
 @pytest.mark.parametrize("field", [*ENTRY, "born", "group", "models", "staged", "domain"])
-@pytest.mark.parametrize("value", OTHER_TYPES, ids=repr)
-def test_entry_with_a_field_of_another_type_names_no_endpoint(field, value):
-    """Nothing is converted; what a field may hold is its own type, or null where it may be so."""
-    text = field in ("service", "address", "zone", "version", "domain")
-    fits = {
+@pytest.mark.parametrize("value", VALUES_OF_ALL_TYPES, ids=repr)
+def test_entry_with_a_field_of_the_wrong_type_is_rejected(field, value):
+    """No value is converted to the type of its field."""
+    is_text = field in ("service", "address", "zone", "version", "domain")
+    is_valid = {
         "cold_left_ms": value == 1.5 and value is not True,
         "models": value in (None, [], ["a"]),
         "staged": value in (None, [], ["a"]),
         "group": value in (None, {}, {"a": 1}),
         "domain": value is None or isinstance(value, str),
-    }.get(field, text and isinstance(value, str))
-    if fits:
+    }.get(field, is_text and isinstance(value, str))
+    if is_valid:
         assert endpoint(**{field: value}).id == "i-1"
     else:
-        names_no_endpoint(data(ENTRY | {field: value}))
+        assert_is_rejected(encode(ENTRY | {field: value}))
 
 
 @pytest.mark.parametrize("state", ["", "Ready", "parked", "closing"])
-def test_entry_with_an_unknown_state_names_no_endpoint(state):
-    names_no_endpoint(data(ENTRY | {"state": state}))
+def test_entry_with_an_unknown_state_is_rejected(state):
+    assert_is_rejected(encode(ENTRY | {"state": state}))
 
 
 @given(st.binary())
-def test_bytes_that_are_no_entry_name_no_endpoint(written):
-    names_no_endpoint(written)
+def test_invalid_bytes_are_rejected(document):
+    assert_is_rejected(document)
 
 
 JSON = st.recursive(
@@ -193,18 +193,18 @@
 
 
 @given(st.dictionaries(st.sampled_from([*ENTRY, "born", "group", "models"]), JSON))
-def test_entry_is_read_or_names_no_endpoint(changes):
+def test_entry_is_parsed_or_rejected(changes):
     document = {**ENTRY, **changes}
     try:
-        read = documents.endpoint("i-1", json.dumps(document).encode())
+        entry = documents.endpoint("i-1", json.dumps(document).encode())
     except DecodeError:
         return
-    assert read.draining is (document["state"] == "draining")
-    assert read.address == document["address"]
-    assert read.born is None or type(document["born"]) is int
+    assert entry.draining is (document["state"] == "draining")
+    assert entry.address == document["address"]
+    assert entry.born is None or type(document["born"]) is int
 
 
-def test_key_is_not_repeated_in_an_error():
+def test_error_contains_no_key():
     with pytest.raises(DecodeError) as caught:
         configuration(tenants=[{"name": "growers", "api_keys": ["secret", {"x": "secret"}]}])
     assert "secret" not in str(caught.value)
@@ -212,16 +212,16 @@
 
 def item(**changes):
     document = {"private_key": "servers/i-1", "revision": 3, **changes}
-    return parse(store_forms.Item, "kv-key", data(document))
+    return parse(store_forms.Item, "kv-key", encode(document))
 
 
 @pytest.mark.parametrize("value", [None, "a", "ä"], ids=["none", "cut off", "not ASCII"])
-def test_item_without_a_value_in_base64_is_an_error(value):
+def test_item_with_an_invalid_value_is_rejected(value):
     with pytest.raises(DecodeError, match="'servers/i-1'"):
         item(value=value).value  # noqa: B018
 
 
-def test_record_lives_from_the_revision_of_its_creation():
+def test_record_has_the_revision_of_its_creation():
     value = base64.b64encode(b"\x01").decode()
     record = item(value=value, created=2, lease_id=5).record
     assert (record.value, record.revision, record.created) == (b"\x01", 3, 2)
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -1,4 +1,4 @@
-"""What a call to a worker that gets no answer says of it."""
+"""How failed connections to a worker are reported."""
 
 import errno
 
@@ -16,7 +16,7 @@
 
 
 class FailingSession:
-    """A session whose connections fail to come up."""
+    """A session whose connections always fail."""
 
     def __init__(self, error):
         self._error = error
@@ -48,7 +48,7 @@
         ),
     ],
 )
-async def test_connection_that_fails(error, raised):
+async def test_failed_connection(error, raised):
     engines = WorkerEngines()
     engines._session = FailingSession(error)
     with pytest.raises(raised):
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The gateway's program as the deploy file starts it."""
+"""The gateway's program, started like in the deploy file."""
 
 import asyncio
 import os
@@ -15,8 +15,8 @@
 from thorncleat_standins.ports import free_ports
 
 ROOT = pathlib.Path(__file__).parent.parent
-# told to itself where the platform could tell it: after the first lines, before any import of ours
-PROBE = """
+# Runs the program and sends SIGHUP at its first import of a package of this repository.
+SEND_SIGHUP_AT_START = """
 import os, runpy, signal, sys
 class Told:
     def find_spec(self, name, path=None, target=None):
@@ -29,17 +29,20 @@
 """
 
 
-def test_change_of_settings_that_is_told_during_the_start_does_not_end_it():
+def test_sighup_during_the_start_does_not_end_the_process():
     run = ROOT / "platform/run.py"
-    done = subprocess.run(
-        [sys.executable, "-c", PROBE, str(run)], capture_output=True, timeout=30, check=False
+    completed = subprocess.run(
+        [sys.executable, "-c", SEND_SIGHUP_AT_START, str(run)],
+        capture_output=True,
+        timeout=30,
+        check=False,
     )
-    assert done.returncode != -signal.SIGHUP
-    assert done.stdout == b"alive\n"
+    assert completed.returncode != -signal.SIGHUP
+    assert completed.stdout == b"alive\n"
 
 
-# told to stop once the callers' socket listens, while most of the program isn't imported yet
-TOLD_TO_STOP = """
+# Runs the program and sends SIGTERM after the early socket listens, before the main import.
+SEND_SIGTERM_AT_START = """
 import os, runpy, signal, sys
 class Told:
     def find_spec(self, name, path=None, target=None):
@@ -66,23 +69,23 @@
 """
 
 
-def test_stop_that_is_told_during_the_start_is_a_planned_one(tmp_path):
-    """Its callers are answered: the socket that listens early holds some, unread."""
+def test_sigterm_during_the_start_is_a_planned_stop(tmp_path):
+    """Requests on the early socket must be answered before the process ends."""
     ports = dict(zip(("callers", "readiness", "peers", "store"), free_ports(4), strict=True))
     settings = tmp_path / "settings.toml"
     settings.write_text(SETTINGS.format(**ports))
-    done = subprocess.run(
-        [sys.executable, "-c", TOLD_TO_STOP, str(ROOT / "platform/run.py")],
+    completed = subprocess.run(
+        [sys.executable, "-c", SEND_SIGTERM_AT_START, str(ROOT / "platform/run.py")],
         capture_output=True,
         timeout=30,
         check=False,
         env={**os.environ, "THORNCLEAT_CONFIG": str(settings)},
     )
-    assert done.returncode == 0, done.stderr
-    assert b'"gateway_stopping"' in done.stdout
+    assert completed.returncode == 0, completed.stderr
+    assert b'"gateway_stopping"' in completed.stdout
 
 
-async def test_caller_who_connects_before_the_gateway_listens_is_served(tmp_path):
+async def test_caller_that_connects_before_the_gateway_listens_is_served(tmp_path):
     settings = tmp_path / "settings.toml"
     settings.write_text('[listen]\nfrontend = "127.0.0.1:0"\n')
     listening = early_socket.listen(settings)
@@ -112,7 +115,7 @@
         pytest.param('[listen]\nfrontend = "192.0.2.1:1"', id="not this machine's address"),
     ],
 )
-def test_address_that_can_not_be_used_is_left_to_the_check_of_the_settings(text, tmp_path):
+def test_unusable_address_yields_no_early_socket(text, tmp_path):
     settings = tmp_path / "settings.toml"
     if text is not None:
         settings.write_text(text)
