--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -155,7 +155,7 @@
 
         async def race():
             calls = [
-                lab.acall("POST", ACK, f"daemon-{n % 3}", headers=headers, json={})
+                lab.call_async("POST", ACK, f"daemon-{n % 3}", headers=headers, json={})
                 for n in range(12)
             ]
             return await asyncio.gather(*calls), await lab.ledger()
@@ -180,10 +180,10 @@
 
         async def lose():
             service = lab.cluster.service
-            await lab.acall("GET", "/v1/services/telemetry/warm")
-            await lab.cluster.control_call("POST", service, "/behaviour", break_after=1)
-            first = await lab.acall(method, ACK, headers=headers, json={})
-            again = await lab.acall(method, ACK, "daemon-1", headers=headers, json={})
+            await lab.call_async("GET", "/v1/services/telemetry/warm")
+            await lab.cluster.call_standin("POST", service, "/behaviour", break_after=1)
+            first = await lab.call_async(method, ACK, headers=headers, json={})
+            again = await lab.call_async(method, ACK, "daemon-1", headers=headers, json={})
             return first, again, await lab.ledger()
 
         first, again, ledger = lab.run(lose())
@@ -196,9 +196,11 @@
     def test_reader_may_not_change(self, lab):
         keep, lab.cluster.operator_key = lab.cluster.operator_key, "reader-key"
         try:
-            assert lab.run(lab.cluster.operate("daemon-1", "GET", "/status"))[0] == 200
+            assert lab.run(lab.cluster.call_operator_api("daemon-1", "GET", "/status"))[0] == 200
             body = {"document": "{}"}
-            assert lab.run(lab.cluster.operate("daemon-1", "POST", "/plans", body))[0] == 403
+            assert (
+                lab.run(lab.cluster.call_operator_api("daemon-1", "POST", "/plans", body))[0] == 403
+            )
         finally:
             lab.cluster.operator_key = keep
 
@@ -207,10 +209,10 @@
             cluster = lab.cluster
             change = {"workspaces": [{"name": "c", "key_digests": ["0" * 64]}]}
             body = {"document": json.dumps(change)}
-            _, plan = await cluster.operate("daemon-0", "POST", "/plans", body)
+            _, plan = await cluster.call_operator_api("daemon-0", "POST", "/plans", body)
             sent = {"plan": plan["plan"]}
-            first = await cluster.operate("daemon-1", "POST", "/confirm", sent)
-            again = await cluster.operate("daemon-2", "POST", "/confirm", sent)
+            first = await cluster.call_operator_api("daemon-1", "POST", "/confirm", sent)
+            again = await cluster.call_operator_api("daemon-2", "POST", "/confirm", sent)
             return first, again
 
         first, again = lab.run(twice())
@@ -228,10 +230,14 @@
                     ]
                 }
                 body = {"document": json.dumps(change)}
-                plans.append((await cluster.operate("daemon-0", "POST", "/plans", body))[1])
+                plans.append(
+                    (await cluster.call_operator_api("daemon-0", "POST", "/plans", body))[1]
+                )
             return await asyncio.gather(
                 *(
-                    cluster.operate(f"daemon-{n}", "POST", "/confirm", {"plan": plan["plan"]})
+                    cluster.call_operator_api(
+                        f"daemon-{n}", "POST", "/confirm", {"plan": plan["plan"]}
+                    )
                     for n, plan in enumerate(plans)
                 )
             )
@@ -249,7 +255,7 @@
 
             async def known() -> bool:
                 answers = [
-                    await lab.acall("GET", "/v1/models", name, key="new-key")
+                    await lab.call_async("GET", "/v1/models", name, key="new-key")
                     for name in lab.cluster.daemons
                 ]
                 return all(status == 200 for status, _, _ in answers)
@@ -260,7 +266,7 @@
 
     def test_no_secret_in_logs_or_answers(self, lab):
         lab.call("POST", CHAT, key="a-leaked-key", json=completion())
-        _, body = lab.run(lab.cluster.operate("daemon-0", "GET", "/status"))
+        _, body = lab.run(lab.cluster.call_operator_api("daemon-0", "GET", "/status"))
         logs = "".join(one.read_text() for one in lab.cluster.directory.glob("*.log"))
         for secret in ("a-leaked-key", "caller-key", lab.cluster.operator_key):
             assert secret not in logs + json.dumps(body)
@@ -274,7 +280,7 @@
     def test_explain_a_request_at_another_daemon(self, lab):
         _, headers, _ = lab.call("POST", CHAT, json=completion())
         path = f"/explain/{headers['X-Request-Id']}"
-        status, body = lab.run(lab.cluster.operate("daemon-2", "GET", path))
+        status, body = lab.run(lab.cluster.call_operator_api("daemon-2", "GET", path))
         assert (status, body["daemon"], body["executed"]) == (200, "daemon-0", "yes")
 
 
@@ -327,5 +333,5 @@
 
 
 def test_intent_is_what_the_lab_applies(lab):
-    _, body = lab.run(lab.cluster.operate("daemon-0", "GET", "/status"))
+    _, body = lab.run(lab.cluster.call_operator_api("daemon-0", "GET", "/status"))
     assert body["intents"] == [intent("x")["intents"][0]["name"]]
