--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -143,7 +143,7 @@
             await asyncio.sleep(CHECK_SECONDS)
 
     async def _turn(self) -> None:
-        if not self._view.loaded or not self._view.is_current or self.stopping:
+        if not self._view.is_loaded or not self._view.is_current or self.stopping:
             return
         if CONTROLLER in self._view.records:
             self._absent_since = None
--- a/packages/gateway/src/thorncleat_gateway/groups/group_health.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_health.py
@@ -53,7 +53,8 @@
     :param leader_draining: whether the leader is about to end.
     :param member_lost: whether a member did not answer the controller.
     :param member_missing: whether a member is neither listed nor known to answer.
-    :param list_settled: whether an endpoint that isn't listed is gone (:attr:`.StoreView.settled`).
+    :param list_settled: whether an endpoint that isn't listed is gone
+        (:attr:`.StoreView.is_settled`).
     """
 
     age: float
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -101,7 +101,7 @@
             leader_draining=leader is not None and leader.draining,
             member_lost=any(member in self._term.lost for member in members.values()),
             member_missing=any(not self._term.unlisted.holds(group.id, rank) for rank in missing),
-            list_settled=self._view.settled,
+            list_settled=self._view.is_settled,
         )
 
     def _age(self, group: GroupId) -> float:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -237,7 +237,7 @@
         the leader led before.
         """
         until = self._clock() + LISTED_SECONDS
-        while self._view.fresh_at < until:
+        while self._view.current_as_of < until:
             listed = self._view.roster.endpoints.get(leader.id)
             if listed is None or _leads(listed, group):
                 return
@@ -246,4 +246,4 @@
 
 def _leads(endpoint: Endpoint, group: GroupId) -> bool:
     member = endpoint.membership
-    return endpoint.leads and member is not None and member.group == group
+    return endpoint.is_serving_leader and member is not None and member.group == group
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -10,7 +10,7 @@
 
 from .. import events
 from ..store.roster import Endpoint
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.view import StoreView
 from .call_window import LAST
 from .jobs import Start
@@ -46,22 +46,24 @@
         self._orders = orders
         self._start = start
         self._wake = wake
-        self._lives: dict[str, Life] = {}
+        self._lives: dict[str, Incarnation] = {}
 
     def __contains__(self, endpoint: Endpoint) -> bool:
-        life = self._lives.get(endpoint.id)
-        return life is not None and not life.is_over(endpoint.life)
+        incarnation = self._lives.get(endpoint.id)
+        return incarnation is not None and not incarnation.is_superseded_by(endpoint.incarnation)
 
     def forget_unlisted(self) -> None:
         """Forget those that are no longer listed."""
         listed = self._view.roster.endpoints
-        self._lives = {name: life for name, life in self._lives.items() if name in listed}
+        self._lives = {
+            name: incarnation for name, incarnation in self._lives.items() if name in listed
+        }
 
     def lose(self, endpoint: Endpoint, cause: LostCause) -> None:
         """Use an endpoint no more until it answers."""
         if endpoint in self:
             return
-        self._lives[endpoint.id] = endpoint.life
+        self._lives[endpoint.id] = endpoint.incarnation
         events.ENDPOINT_LOST.log(endpoint=endpoint.id, cause=cause.value)
         self._wake()
         self._start(self._await_return(endpoint))
@@ -72,5 +74,5 @@
             await asyncio.sleep(ASK_AGAIN_SECONDS)
             if await self._orders.answers(endpoint, LAST):
                 break
-        if self._lives.get(endpoint.id) == endpoint.life:
+        if self._lives.get(endpoint.id) == endpoint.incarnation:
             del self._lives[endpoint.id]
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -16,7 +16,7 @@
 from ..ports import Load
 from ..settings import ControlSettings
 from ..store.roster import Endpoint
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.serving import Engine
 from ..store.serving import EngineModel
 from ..store.view import StoreView
@@ -43,7 +43,7 @@
     """
 
     model: str
-    life: Life
+    incarnation: Incarnation
     until: float
 
 
@@ -81,10 +81,10 @@
         return {endpoint_id: load.model for endpoint_id, load in self._loading.items()}
 
     def _is_over(self, load: _Loading) -> bool:
-        listed = self._view.roster.endpoints.get(load.life.endpoint_id)
+        listed = self._view.roster.endpoints.get(load.incarnation.endpoint_id)
         if listed is None:
             return False
-        return load.model in listed.staged or load.life.is_over(listed.life)
+        return load.model in listed.staged or load.incarnation.is_superseded_by(listed.incarnation)
 
     def may_load(self, engine: Engine) -> bool:
         """Count a load against the weight store's rate; return whether it may begin."""
@@ -94,7 +94,7 @@
         """Begin to load a model onto a host."""
         endpoint, model = plan.endpoint, plan.model
         until = self._clock() + LOAD_PATIENCE * model.load
-        self._loading[endpoint.id] = _Loading(model.name, endpoint.life, until)
+        self._loading[endpoint.id] = _Loading(model.name, endpoint.incarnation, until)
         events.ENDPOINT_STAGED.log(
             endpoint=endpoint.id, model=model.name, domain=endpoint.fabric_domain
         )
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -30,7 +30,7 @@
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
 from ..store.roster import GroupState
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.roster import Membership
 from ..store.view import StoreView
 from .call_window import AT_ONCE
@@ -116,7 +116,7 @@
     def has_restarted(self, endpoint: Endpoint, report: EngineReport) -> bool:
         """Return whether an endpoint's report and its entry come from two of its lives."""
         listed = self._view.roster.endpoints.get(endpoint.id, endpoint)
-        return listed.life.is_over(Life(endpoint.id, report.born))
+        return listed.incarnation.is_superseded_by(Incarnation(endpoint.id, report.born))
 
     async def give(self, endpoint: Endpoint, order: Order, expected: int | None = None) -> Outcome:
         """Give an order once.
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -162,7 +162,7 @@
         """
         if group in self._ended:
             return True
-        return self._view.settled and not self.may_answer(group)
+        return self._view.is_settled and not self.may_answer(group)
 
     def how_ended(self, group: GroupId) -> Detached | None:
         """Return how a group ended in this term; None if it didn't."""
--- a/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
@@ -22,7 +22,7 @@
 from ..ports import EngineReport
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.serving import EngineModel
 from ..store.view import StoreView
 from .call_window import LAST
@@ -85,16 +85,16 @@
         self._orders = orders
         self._start = start
         self._wake = wake
-        self._lives: set[Life] = set()
+        self._lives: set[Incarnation] = set()
 
     def __contains__(self, endpoint: Endpoint) -> bool:
-        return endpoint.life in self._lives
+        return endpoint.incarnation in self._lives
 
     def note(self, endpoint: Endpoint, report: EngineReport) -> None:
         """Take notice of what an endpoint says of its pace."""
         if report.pace < SLOW_PACE or endpoint in self:
             return
-        self._lives.add(endpoint.life)
+        self._lives.add(endpoint.incarnation)
         events.ENDPOINT_SLOW.log(endpoint=endpoint.id, pace=report.pace)
         self._wake()
         self._start(self._await_normal(endpoint))
@@ -105,13 +105,13 @@
         while pace is not None and pace >= SLOW_PACE:
             await asyncio.sleep(ASK_AGAIN_SECONDS)
             pace = await self._pace(endpoint)
-        self._lives.discard(endpoint.life)
+        self._lives.discard(endpoint.incarnation)
         events.ENDPOINT_NORMAL.log(endpoint=endpoint.id, pace=pace)
 
     async def _pace(self, endpoint: Endpoint) -> float | None:
         """Return an endpoint's pace; None if that life is over or silent."""
         listed = self._view.roster.endpoints.get(endpoint.id)
-        if listed is None or listed.life != endpoint.life:
+        if listed is None or listed.incarnation != endpoint.incarnation:
             return None
         report = await self._orders.report(endpoint, LAST)
         return report.pace if report is not None else None
--- a/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
@@ -20,7 +20,7 @@
 from ..ports import Leave
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.serving import EngineModel
 from ..store.view import StoreView
 from . import join_rules
@@ -79,7 +79,7 @@
         self._start = start
         # with the time until which the list may not show them yet
         self._groups: dict[GroupId, float] = {}
-        self._tried: dict[Life, float] = {}
+        self._tried: dict[Incarnation, float] = {}
 
     def __contains__(self, group: GroupId) -> bool:
         return group in self._groups
@@ -87,10 +87,10 @@
     def warm(self, endpoint: Endpoint, model: EngineModel) -> None:
         """Begin to warm an endpoint, unless it was tried lately."""
         now = self._clock()
-        if self._tried.get(endpoint.life, now) > now:
+        if self._tried.get(endpoint.incarnation, now) > now:
             return
         self._forget(now)
-        self._tried[endpoint.life] = now + TRY_AGAIN_SECONDS
+        self._tried[endpoint.incarnation] = now + TRY_AGAIN_SECONDS
         group = self._state.number()
         self._groups[group] = now + TRY_AGAIN_SECONDS
         events.SPARE_WARMED.log(endpoint=endpoint.id, group=group.name, model=model.name)
@@ -98,7 +98,9 @@
 
     def _forget(self, now: float) -> None:
         """Forget the endpoints tried long ago, and the groups that the list shows no more."""
-        self._tried = {life: until for life, until in self._tried.items() if until > now}
+        self._tried = {
+            incarnation: until for incarnation, until in self._tried.items() if until > now
+        }
         listed = self._view.roster.groups
         self._groups = {
             group: until for group, until in self._groups.items() if until > now or group in listed
--- a/packages/gateway/src/thorncleat_gateway/groups/term.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -118,7 +118,7 @@
     def _number(self, begun: Position) -> int:
         """Return the number of a term that has just begun."""
         roster = self._view.roster
-        gone = (one.endpoint for one in roster.gone.values())
+        gone = (one.endpoint for one in roster.removed.values())
         places = (one.membership for one in (*roster.endpoints.values(), *gone))
         epochs = [place.group.epoch for place in places if place is not None]
         epochs += [group.epoch for group in self._records.groups]
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -79,14 +79,14 @@
         begin = self._clock() - BENEFIT_SECONDS
         return any(
             gone.at >= begin and _is_place(gone.endpoint.membership, group, rank)
-            for gone in self._view.roster.gone.values()
+            for gone in self._view.roster.removed.values()
         )
 
     def look(self) -> None:
         """Begin to ask those that were unlisted lately; at first all that are remembered."""
         begin = self._clock() - BENEFIT_SECONDS if self._begun else float("-inf")
         self._begun = True
-        for endpoint_id, gone in self._view.roster.gone.items():
+        for endpoint_id, gone in self._view.roster.removed.items():
             lately = gone.at >= begin
             if lately and gone.endpoint.fabric_domain and endpoint_id not in self._watched:
                 self._watched[endpoint_id] = gone.endpoint
--- a/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -103,7 +103,7 @@
 class ReportedCrash:
     """An endpoint's life that ended by a crash.
 
-    :param born: as in :class:`~..store.roster.Life`.
+    :param born: as in :class:`~..store.roster.Incarnation`.
     :param age: seconds since the crash.
     """
 
@@ -139,7 +139,7 @@
 class ReportedLimit:
     """What an endpoint has said of the requests that it takes from all daemons together.
 
-    :param born: as in :class:`~..store.roster.Life`.
+    :param born: as in :class:`~..store.roster.Incarnation`.
     :param limit: requests a second; None if it names none any more.
     :param sent_age: seconds since the request was sent whose answer says so.
     :param heard_age: seconds since that answer came.
--- a/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
@@ -50,7 +50,7 @@
     def _known(self, endpoint_id: str) -> Endpoint | None:
         roster = self._view.roster
         listed = roster.endpoints.get(endpoint_id)
-        gone = roster.gone.get(endpoint_id)
+        gone = roster.removed.get(endpoint_id)
         return listed or (gone.endpoint if gone else None)
 
     async def _ask(self, asker: str, endpoint: Endpoint) -> None:
--- a/packages/gateway/src/thorncleat_gateway/ports/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/__init__.py
@@ -23,8 +23,8 @@
 from .store_changes import ChangeFeed as ChangeFeed
 from .store_changes import Changes as Changes
 from .store_changes import ConfigurationChanged as ConfigurationChanged
-from .store_changes import EndpointGone as EndpointGone
 from .store_changes import EndpointListed as EndpointListed
+from .store_changes import EndpointRemoved as EndpointRemoved
 from .store_changes import RecordChanged as RecordChanged
 from .store_changes import RecordStore as RecordStore
 from .store_changes import Settling as Settling
--- a/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class EndpointGone:
+class EndpointRemoved:
     """An endpoint is no longer listed."""
 
     endpoint_id: str
@@ -69,7 +69,7 @@
     created: int = 0
 
 
-Change = ConfigurationChanged | EndpointListed | EndpointGone | RecordChanged
+Change = ConfigurationChanged | EndpointListed | EndpointRemoved | RecordChanged
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
@@ -25,7 +25,7 @@
 from ..peers.datagrams import PeerChannel
 from ..peers.datagrams import ReportedCrash
 from ..peers.datagrams import ReportedRequest
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from .fingerprint import Fingerprint
 from .quarantine import RAN_POINTS
 from .quarantine import Crash
@@ -56,26 +56,26 @@
         self._quarantine = quarantine
         self._peers = peers
         self._clock = clock
-        self._untold: dict[Life, Crash] = {}
+        self._untold: dict[Incarnation, Crash] = {}
         self._has_untold = asyncio.Event()
         peers.on_message(self._message)
 
     def endpoint_crashed(
-        self, life: Life, at: float, requests: t.Mapping[Fingerprint, Involvement]
+        self, incarnation: Incarnation, at: float, requests: t.Mapping[Fingerprint, Involvement]
     ) -> None:
         """Tell that requests were under way at an endpoint when it crashed."""
         repeated = self._quarantine.repeated(requests)
         if repeated:
             # with the crashes before, of which a datagram may have been lost
             self._tell(repeated)
-        crash = self._untold.setdefault(life, Crash(life, at))
+        crash = self._untold.setdefault(incarnation, Crash(incarnation, at))
         crash.requests.update(requests)
         self._has_untold.set()
 
-    def endpoint_lives(self, life: Life, at: float) -> None:
+    def endpoint_lives(self, incarnation: Incarnation, at: float) -> None:
         """Tell that an endpoint that seemed to have crashed lived later."""
         age = self._clock() - at
-        self._peers.tell_all(CrashWithdrawal(life.endpoint_id, life.born, b"", age))
+        self._peers.tell_all(CrashWithdrawal(incarnation.endpoint_id, incarnation.born, b"", age))
 
     def request_served(self, fingerprint: Fingerprint, at: float) -> None:
         """Tell that a request was served that had been under way at a crash."""
@@ -89,7 +89,7 @@
                     self._take(sender, told, now)
             case CrashWithdrawal(endpoint_id, born, fingerprint, age):
                 if endpoint_id:
-                    self._quarantine.endpoint_lives(Life(endpoint_id, born), now - age)
+                    self._quarantine.endpoint_lives(Incarnation(endpoint_id, born), now - age)
                 if fingerprint:
                     self._quarantine.request_served(Fingerprint(fingerprint), now - age)
 
@@ -99,11 +99,11 @@
             Fingerprint(one.fingerprint): Involvement(min(one.points, RAN_POINTS), one.ran)
             for one in told.requests
         }
-        life = Life(told.endpoint_id, told.born)
-        is_known = self._quarantine.knows(life)
-        new = self._quarantine.note(life, now - told.age, requests)
+        incarnation = Incarnation(told.endpoint_id, told.born)
+        is_known = self._quarantine.knows(incarnation)
+        new = self._quarantine.note(incarnation, now - told.age, requests)
         if new and not is_known:
-            _log(life, sender, len(new))
+            _log(incarnation, sender, len(new))
 
     @mode.Service.task
     async def _tell_task(self) -> None:
@@ -113,7 +113,7 @@
             self._has_untold.clear()
             untold, self._untold = self._untold, {}
             for crash in untold.values():
-                _log(crash.life, None, len(crash.requests))
+                _log(crash.incarnation, None, len(crash.requests))
             self._tell(untold.values())
 
     def _tell(self, crashes: t.Iterable[Crash]) -> None:
@@ -162,10 +162,12 @@
     ]
     for begin in range(0, len(requests), MOST_TOLD - 1):
         part = requests[begin : begin + MOST_TOLD - 1]
-        yield ReportedCrash(crash.life.endpoint_id, crash.life.born, now - crash.at, part)
+        yield ReportedCrash(
+            crash.incarnation.endpoint_id, crash.incarnation.born, now - crash.at, part
+        )
 
 
-def _log(life: Life, told_by: str | None, requests: int) -> None:
+def _log(incarnation: Incarnation, told_by: str | None, requests: int) -> None:
     events.CRASH_NOTED.log(
-        endpoint=life.endpoint_id, born=life.born, told_by=told_by, requests=requests
+        endpoint=incarnation.endpoint_id, born=incarnation.born, told_by=told_by, requests=requests
     )
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
@@ -11,7 +11,7 @@
 from ..exceptions import Broken
 from ..peers.failure_detector import FailureDetector
 from ..store.roster import Endpoint
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.view import StoreView
 from .fingerprint import Fingerprint
 from .quarantine import MAY_HAVE_WAITED_POINTS
@@ -48,12 +48,12 @@
     """Whoever is told of what this daemon has seen."""
 
     def endpoint_crashed(
-        self, life: Life, at: float, requests: t.Mapping[Fingerprint, Involvement]
+        self, incarnation: Incarnation, at: float, requests: t.Mapping[Fingerprint, Involvement]
     ) -> None:
         """Take in that requests were under way at an endpoint when it crashed."""
         ...
 
-    def endpoint_lives(self, life: Life, at: float) -> None:
+    def endpoint_lives(self, incarnation: Incarnation, at: float) -> None:
         """Take in that an endpoint that seemed to have crashed lived later."""
         ...
 
@@ -103,7 +103,7 @@
         """
         if not self.is_suspect(request) or not self._quarantine.spares_last(request.fingerprint):
             return False
-        living = sum(not self._quarantine.knows(endpoint.life) for endpoint in endpoints())
+        living = sum(not self._quarantine.knows(endpoint.incarnation) for endpoint in endpoints())
         return living <= 1
 
     def failed(self, request: Request, endpoint: Endpoint, failure: AttemptError) -> None:
@@ -119,18 +119,18 @@
             return
         ran = now - request.head_at if request.head_at else 0.0
         told = {request.fingerprint: Involvement(found, ran)}
-        if self._quarantine.note(endpoint.life, now, told):
-            self._listener.endpoint_crashed(endpoint.life, now, told)
+        if self._quarantine.note(endpoint.incarnation, now, told):
+            self._listener.endpoint_crashed(endpoint.incarnation, now, told)
 
     def answers(self, endpoint: Endpoint, sent_at: float) -> None:
         """Note that an endpoint began to answer an attempt.
 
         :param sent_at: when the attempt was sent; the endpoint lived then or later.
         """
-        if self._quarantine.is_empty or not self._quarantine.knows(endpoint.life):
+        if self._quarantine.is_empty or not self._quarantine.knows(endpoint.incarnation):
             return
-        if self._quarantine.endpoint_lives(endpoint.life, sent_at):
-            self._listener.endpoint_lives(endpoint.life, sent_at)
+        if self._quarantine.endpoint_lives(endpoint.incarnation, sent_at):
+            self._listener.endpoint_lives(endpoint.incarnation, sent_at)
 
     def served(self, request: Request, endpoint: Endpoint) -> None:
         """Note that a request was answered whole by an endpoint, which survived it."""
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -21,7 +21,7 @@
 from ..store.fleet_knowledge import FleetKnowledge
 from ..store.relays import Daemon
 from ..store.roster import Endpoint
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from . import rate_shares
 from .rate_notice import RateNotice
 from .rate_notice import in_force
@@ -71,7 +71,7 @@
     :param basis: of the share; None before it is worked out.
     """
 
-    life: Life
+    incarnation: Incarnation
     notice: RateNotice
     share: float = 0.0
     since: float = 0.0
@@ -88,7 +88,7 @@
     since: float
 
 
-Listener = t.Callable[[Life, RateNotice], None]
+Listener = t.Callable[[Incarnation, RateNotice], None]
 
 
 class EndpointLimits:
@@ -102,13 +102,13 @@
         self._clock = clock
         self._limited: dict[str, _Limited] = {}
         # what is known of the others: that they named none, by the newest answer
-        self._unlimited: dict[Life, RateNotice] = {}
+        self._unlimited: dict[Incarnation, RateNotice] = {}
         self._listeners: list[Listener] = []
 
     @property
-    def notices(self) -> dict[Life, RateNotice]:
+    def notices(self) -> dict[Incarnation, RateNotice]:
         """What is known of each endpoint that has named a limit."""
-        return {limited.life: limited.notice for limited in self._limited.values()}
+        return {limited.incarnation: limited.notice for limited in self._limited.values()}
 
     def on_news(self, listener: Listener) -> None:
         """Call a function when an answer changes what is known of an endpoint."""
@@ -128,27 +128,27 @@
             notice = RateNotice(None, sent_at, now)
         else:
             return
-        if self.take_in(endpoint.life, notice):
+        if self.take_in(endpoint.incarnation, notice):
             for listener in self._listeners:
-                listener(endpoint.life, notice)
+                listener(endpoint.incarnation, notice)
 
-    def take_in(self, life: Life, told: RateNotice) -> bool:
+    def take_in(self, incarnation: Incarnation, told: RateNotice) -> bool:
         """Take in a notice; return whether it changes the limit of an endpoint."""
-        limited = self._limited.get(life.endpoint_id)
+        limited = self._limited.get(incarnation.endpoint_id)
         if limited is None:
-            notice = in_force(self._unlimited.get(life), told)
+            notice = in_force(self._unlimited.get(incarnation), told)
             if notice.limit is None:
-                self._unlimited[life] = notice
+                self._unlimited[incarnation] = notice
                 return False
-            self._limited[life.endpoint_id] = _Limited(life, notice)
-            return _changes(life, None, notice)
-        if limited.life.is_over(life):
+            self._limited[incarnation.endpoint_id] = _Limited(incarnation, notice)
+            return _changes(incarnation, None, notice)
+        if limited.incarnation.is_superseded_by(incarnation):
             if told.heard_at <= limited.notice.heard_at:
                 return False
-            del self._limited[life.endpoint_id]
-            return self.take_in(life, told)
+            del self._limited[incarnation.endpoint_id]
+            return self.take_in(incarnation, told)
         before, limited.notice = limited.notice, in_force(limited.notice, told)
-        return _changes(life, before.limit, limited.notice)
+        return _changes(incarnation, before.limit, limited.notice)
 
     def with_leave(self, endpoints: list[Endpoint]) -> list[Endpoint]:
         """Return those of some endpoints to which this daemon may send a request now."""
@@ -207,16 +207,16 @@
             lasts = limited.notice.limit is not None and endpoint_id in listed
             if not lasts and limited.notice.heard_at < begin:
                 del self._limited[endpoint_id]
-        for life, notice in list(self._unlimited.items()):
+        for incarnation, notice in list(self._unlimited.items()):
             if notice.heard_at < begin:
-                del self._unlimited[life]
+                del self._unlimited[incarnation]
 
     def _of(self, endpoint: Endpoint) -> _Limited | None:
         """Return what is known of an endpoint's limit; None if it has none."""
         limited = self._limited.get(endpoint.id) if self._limited else None
         if limited is None or limited.notice.limit is None:
             return None
-        return None if limited.life.is_over(endpoint.life) else limited
+        return None if limited.incarnation.is_superseded_by(endpoint.incarnation) else limited
 
     def _work_out_share(self, endpoint: Endpoint, limited: _Limited) -> None:
         assert limited.notice.limit is not None
@@ -234,12 +234,12 @@
         return rate_shares.share(limit, endpoint, fleet.own, fleet.daemons(), knowledge)
 
 
-def _changes(life: Life, before: float | None, notice: RateNotice) -> bool:
+def _changes(incarnation: Incarnation, before: float | None, notice: RateNotice) -> bool:
     """Return whether a notice changes the limit of an endpoint, and log it if so."""
     if notice.limit == before:
         return False
     events.ENDPOINT_LIMITED.log(
-        endpoint=life.endpoint_id, born=life.born, limit=notice.limit, before=before
+        endpoint=incarnation.endpoint_id, born=incarnation.born, limit=notice.limit, before=before
     )
     return True
 
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
@@ -15,7 +15,7 @@
 from ..exceptions import EndpointClosedError
 from ..ports import AnswerMeta
 from ..store.roster import Endpoint
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.view import StoreView
 
 # that an endpoint is believed at most: it may ask for as long as it likes, but a time in another
@@ -29,7 +29,7 @@
     :param until: seconds on the gateway's clock.
     """
 
-    life: Life
+    incarnation: Incarnation
     until: float
 
 
@@ -47,19 +47,19 @@
     def answered(self, endpoint: Endpoint, meta: AnswerMeta) -> None:
         """Take in what an answer says, which the endpoint itself has given."""
         if meta.draining and meta.speaks_for in (None, endpoint.id):
-            self._view.said_draining(endpoint.life)
+            self._view.mark_draining(endpoint.incarnation)
         if meta.retry_after:
-            self._pause(endpoint.life, min(meta.retry_after, LONGEST_PAUSE_SECONDS))
+            self._pause(endpoint.incarnation, min(meta.retry_after, LONGEST_PAUSE_SECONDS))
 
-    def _pause(self, life: Life, seconds: float) -> None:
+    def _pause(self, incarnation: Incarnation, seconds: float) -> None:
         """Note a time; an earlier one that ends later goes on holding."""
         now = self._clock()
-        until = max(now + seconds, now + self._left(life))
+        until = max(now + seconds, now + self._left(incarnation))
         # those of endpoints that nobody asks for any more
         self._pauses = {key: pause for key, pause in self._pauses.items() if pause.until > now}
-        self._pauses[life.endpoint_id] = _Pause(life, until)
+        self._pauses[incarnation.endpoint_id] = _Pause(incarnation, until)
         events.ENDPOINT_PAUSED.log(
-            endpoint=life.endpoint_id, seconds=round(seconds, 3), left=round(until - now, 3)
+            endpoint=incarnation.endpoint_id, seconds=round(seconds, 3), left=round(until - now, 3)
         )
 
     def willing(self, endpoints: list[Endpoint]) -> list[Endpoint]:
@@ -71,15 +71,15 @@
 
     def pause_left(self, endpoint: Endpoint) -> float:
         """Return the seconds for which an endpoint wants no requests; 0 if it takes some."""
-        return self._left(endpoint.life) if self._pauses else 0.0
+        return self._left(endpoint.incarnation) if self._pauses else 0.0
 
-    def _left(self, life: Life) -> float:
-        pause = self._pauses.get(life.endpoint_id)
-        if pause is None or pause.life.is_over(life):
+    def _left(self, incarnation: Incarnation) -> float:
+        pause = self._pauses.get(incarnation.endpoint_id)
+        if pause is None or pause.incarnation.is_superseded_by(incarnation):
             return 0.0
         left = pause.until - self._clock()
         if left <= 0:
-            del self._pauses[life.endpoint_id]
+            del self._pauses[incarnation.endpoint_id]
         return max(0.0, left)
 
     def check(self, endpoint: Endpoint) -> None:
@@ -93,5 +93,9 @@
         if seconds:
             raise EndpointClosedError(f"{endpoint.id!r} wants no requests for {seconds:.3f} s")
         listed = self._view.roster.endpoints.get(endpoint.id)
-        if listed is not None and listed.draining and not listed.life.is_over(endpoint.life):
+        if (
+            listed is not None
+            and listed.draining
+            and not listed.incarnation.is_superseded_by(endpoint.incarnation)
+        ):
             raise EndpointClosedError(f"{endpoint.id!r} is draining")
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -14,7 +14,7 @@
 from ..peers.failure_detector import FailureDetector
 from ..peers.load_table import LoadTable
 from ..store.roster import Endpoint
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.serving import Engine
 from ..store.view import StoreView
 from . import placement
@@ -93,29 +93,29 @@
         self._detector = detector
         self._clock = clock
         self._leaders = GroupLeaders(view, ended)
-        self._avoided: dict[Life, _Avoided] = {}
-        self._failures: dict[Life, float] = {}
+        self._avoided: dict[Incarnation, _Avoided] = {}
+        self._failures: dict[Incarnation, float] = {}
 
     def avoid(self, endpoint: Endpoint) -> None:
         """Prefer others for some time, for longer if it failed when it was tried again."""
         now, seconds = self._clock(), AVOID_SECONDS
-        before = self._avoided.get(endpoint.life)
+        before = self._avoided.get(endpoint.incarnation)
         if before is not None:
             tried_again = now >= before.until
             growth = AVOID_GROWTH if tried_again else 1.0
             seconds = min(before.seconds * growth, LONGEST_AVOID_SECONDS)
-        self._avoided[endpoint.life] = _Avoided(now + seconds, seconds)
+        self._avoided[endpoint.incarnation] = _Avoided(now + seconds, seconds)
 
     def _is_avoided(self, endpoint: Endpoint) -> bool:
-        avoided = self._avoided.get(endpoint.life)
+        avoided = self._avoided.get(endpoint.incarnation)
         return avoided is not None and self._clock() < avoided.until
 
     def answered(self, endpoint: Endpoint, *, well: bool) -> None:
         """Note how an attempt at an endpoint ended."""
         if well:
-            self._avoided.pop(endpoint.life, None)
-        before = self._failures.get(endpoint.life, 0.0)
-        self._failures[endpoint.life] = before * FORGET + (0.0 if well else 1 - FORGET)
+            self._avoided.pop(endpoint.incarnation, None)
+        before = self._failures.get(endpoint.incarnation, 0.0)
+        self._failures[endpoint.incarnation] = before * FORGET + (0.0 if well else 1 - FORGET)
 
     def plain(self, service: str, tried: t.Container[str]) -> Endpoint | None:
         """Return the endpoint of a plain service for a request, or None if there is none."""
@@ -236,7 +236,7 @@
         return min(usable, key=self._weight)
 
     def _weight(self, endpoint: Endpoint) -> float:
-        failing = FAILURE_WEIGHT * self._failures.get(endpoint.life, 0.0)
+        failing = FAILURE_WEIGHT * self._failures.get(endpoint.incarnation, 0.0)
         weak = WEAK_WEIGHT if endpoint.id in self._leaders.weak else 0.0
         far = FAR_WEIGHT if endpoint.failure_domain != self._failure_domain else 0.0
         # daemons that know equally little of each other must not all choose the same
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -96,7 +96,7 @@
     def _not_ready(self) -> NotReady | None:
         """Return why this daemon should get no requests, or None if it should."""
         return admission.why_not_ready(
-            stopping=self.stopping, loaded=self._view.loaded, fresh=self._fresh()
+            stopping=self.stopping, loaded=self._view.is_loaded, fresh=self._fresh()
         )
 
     def _fresh(self) -> bool:
--- a/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -46,7 +46,7 @@
             return
         for endpoint in roster.endpoints.values():
             # a look at every endpoint for each change of the store: keep it short for the most
-            if not endpoint.leads:
+            if not endpoint.is_serving_leader:
                 continue
             model = _led_model(configuration, endpoint)
             if model is None:
--- a/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
@@ -21,7 +21,7 @@
 from ..peers.datagrams import Message
 from ..peers.datagrams import PeerChannel
 from ..peers.datagrams import ReportedLimit
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from ..store.view import StoreView
 from .endpoint_limits import EndpointLimits
 from .rate_notice import RateNotice
@@ -58,13 +58,15 @@
         limits.on_news(self._news)
         peers.on_message(self._message)
 
-    def _news(self, life: Life, notice: RateNotice) -> None:
-        self._peers.tell_all(LimitReport([self._reported(life, notice)]))
+    def _news(self, incarnation: Incarnation, notice: RateNotice) -> None:
+        self._peers.tell_all(LimitReport([self._reported(incarnation, notice)]))
 
-    def _reported(self, life: Life, notice: RateNotice) -> ReportedLimit:
+    def _reported(self, incarnation: Incarnation, notice: RateNotice) -> ReportedLimit:
         now = self._clock()
         sent_age, heard_age = now - notice.sent_at, now - notice.heard_at
-        return ReportedLimit(life.endpoint_id, life.born, notice.limit, sent_age, heard_age)
+        return ReportedLimit(
+            incarnation.endpoint_id, incarnation.born, notice.limit, sent_age, heard_age
+        )
 
     def _message(self, sender: str, message: Message) -> None:
         if not isinstance(message, LimitReport):
@@ -74,7 +76,7 @@
             if told.heard_age > TOLD_SECONDS:
                 continue
             notice = RateNotice(told.limit, now - told.sent_age, now - told.heard_age)
-            self._limits.take_in(Life(told.endpoint_id, told.born), notice)
+            self._limits.take_in(Incarnation(told.endpoint_id, told.born), notice)
 
     @mode.Service.task
     async def _repeat_task(self) -> None:
@@ -87,8 +89,8 @@
         """Tell a few daemons what was heard lately."""
         begin = self._clock() - TOLD_SECONDS
         lately = [
-            self._reported(life, notice)
-            for life, notice in self._limits.notices.items()
+            self._reported(incarnation, notice)
+            for incarnation, notice in self._limits.notices.items()
             if notice.heard_at >= begin
         ]
         others = sorted(self._peers.others)
--- a/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
@@ -15,7 +15,7 @@
 import dataclasses
 import typing as t
 
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from . import request_log
 from .fingerprint import Fingerprint
 
@@ -63,7 +63,7 @@
     :param at: when the first connection broke.
     """
 
-    life: Life
+    incarnation: Incarnation
     at: float
     requests: dict[Fingerprint, Involvement] = dataclasses.field(default_factory=dict)
 
@@ -112,7 +112,7 @@
         self._held: dict[Fingerprint, float] = {}
         # when an endpoint was last known to live, or a request to be served: crashes before that,
         # told late, don't count
-        self._alive_at: dict[Life, float] = {}
+        self._alive_at: dict[Incarnation, float] = {}
         self._served_at: dict[Fingerprint, float] = {}
 
     @property
@@ -147,42 +147,42 @@
         newest_at = max(crash.at for crash in crashes)
         return self._clock() < newest_at + SPARED_SECONDS
 
-    def knows(self, life: Life) -> bool:
+    def knows(self, incarnation: Incarnation) -> bool:
         """Return whether an endpoint's life is remembered to have ended by a crash."""
-        return self._find(life) is not None
+        return self._find(incarnation) is not None
 
     def note(
-        self, life: Life, at: float, requests: t.Mapping[Fingerprint, Involvement]
+        self, incarnation: Incarnation, at: float, requests: t.Mapping[Fingerprint, Involvement]
     ) -> dict[Fingerprint, Involvement]:
         """Remember a crash, or more requests of one that is remembered; return what is new.
 
         It may be told several times and by several daemons, and is one crash.
         """
-        if at <= self._alive_at.get(life, float("-inf")):
+        if at <= self._alive_at.get(incarnation, float("-inf")):
             return {}
         wanted = {
             fingerprint: found
             for fingerprint, found in requests.items()
             if at > self._served_at.get(fingerprint, float("-inf"))
         }
-        crash = self._find(life)
+        crash = self._find(incarnation)
         known = crash.requests if crash is not None else {}
         unknown = [(key, found) for key, found in wanted.items() if key not in known]
         new = dict(unknown[: MOST_REQUESTS - len(known)])
         if not new:
             return {}
         if crash is None:
-            crash = self._add(Crash(life, at))
+            crash = self._add(Crash(incarnation, at))
         for fingerprint, found in new.items():
             crash.requests[fingerprint] = found
             self._link(fingerprint, crash)
         self._judge()
         return new
 
-    def endpoint_lives(self, life: Life, at: float) -> bool:
+    def endpoint_lives(self, incarnation: Incarnation, at: float) -> bool:
         """Forget a crash of an endpoint that lived later; return whether one was remembered."""
-        crash = self._find(life)
-        self._alive_at[life] = max(at, self._alive_at.get(life, at))
+        crash = self._find(incarnation)
+        self._alive_at[incarnation] = max(at, self._alive_at.get(incarnation, at))
         if crash is None or crash.at >= at:
             return False
         self._drop(crash)
@@ -219,7 +219,7 @@
         for crash in self._all():
             requests = {key: part for key, part in crash.requests.items() if key in wanted}
             if requests:
-                found.append(Crash(crash.life, crash.at, requests))
+                found.append(Crash(crash.incarnation, crash.at, requests))
         return found
 
     def expire(self) -> None:
@@ -228,17 +228,19 @@
         for crash in self._all():
             if crash.at < begin:
                 self._drop(crash)
-        self._alive_at = {life: at for life, at in self._alive_at.items() if at >= begin}
+        self._alive_at = {
+            incarnation: at for incarnation, at in self._alive_at.items() if at >= begin
+        }
         self._served_at = {key: at for key, at in self._served_at.items() if at >= begin}
         self._judge()
 
     def _all(self) -> list[Crash]:
         return [crash for crashes in self._crashes.values() for crash in crashes]
 
-    def _find(self, life: Life) -> Crash | None:
+    def _find(self, incarnation: Incarnation) -> Crash | None:
         """Return the crash of an endpoint's life, also if one of the two doesn't tell ``born``."""
-        for crash in self._crashes.get(life.endpoint_id, ()):
-            if not crash.life.is_over(life):
+        for crash in self._crashes.get(incarnation.endpoint_id, ()):
+            if not crash.incarnation.is_superseded_by(incarnation):
                 return crash
         return None
 
@@ -246,7 +248,7 @@
         crashes = self._all()
         if len(crashes) >= MOST_CRASHES:
             self._drop(min(crashes, key=self._keeping_rank))
-        self._crashes.setdefault(crash.life.endpoint_id, []).append(crash)
+        self._crashes.setdefault(crash.incarnation.endpoint_id, []).append(crash)
         return crash
 
     def _keeping_rank(self, crash: Crash) -> tuple[bool, float]:
@@ -254,11 +256,13 @@
         return not self._held.keys().isdisjoint(crash.requests), crash.at
 
     def _drop(self, crash: Crash) -> None:
-        kept = [other for other in self._crashes[crash.life.endpoint_id] if other is not crash]
+        kept = [
+            other for other in self._crashes[crash.incarnation.endpoint_id] if other is not crash
+        ]
         if kept:
-            self._crashes[crash.life.endpoint_id] = kept
+            self._crashes[crash.incarnation.endpoint_id] = kept
         else:
-            del self._crashes[crash.life.endpoint_id]
+            del self._crashes[crash.incarnation.endpoint_id]
         for fingerprint in crash.requests:
             self._unlink(fingerprint, crash)
 
@@ -299,8 +303,8 @@
 
     def _log_difference(self, before: t.Mapping[Fingerprint, float], now: float) -> None:
         for fingerprint in self._held.keys() - before.keys():
-            lives = [crash.life for crash in self._by_request[fingerprint]]
-            request_log.quarantined(fingerprint, lives, self._held[fingerprint] - now)
+            incarnations = [crash.incarnation for crash in self._by_request[fingerprint]]
+            request_log.quarantined(fingerprint, incarnations, self._held[fingerprint] - now)
         for fingerprint in before.keys() - self._held.keys():
             is_over = before[fingerprint] <= now
             request_log.released(fingerprint, "time is over" if is_over else "not the cause")
--- a/packages/gateway/src/thorncleat_gateway/requests/request_log.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request_log.py
@@ -10,7 +10,7 @@
 from ..exceptions import AttemptError
 from ..exceptions import RefusalError
 from ..store.roster import Endpoint
-from ..store.roster import Life
+from ..store.roster import Incarnation
 from .fingerprint import Fingerprint
 from .request import Request
 
@@ -80,7 +80,9 @@
     )
 
 
-def quarantined(fingerprint: Fingerprint, lives: t.Sequence[Life], seconds: float) -> None:
+def quarantined(
+    fingerprint: Fingerprint, incarnations: t.Sequence[Incarnation], seconds: float
+) -> None:
     """Write the line of a request that is held back.
 
     :param lives: the endpoints that it ended.
@@ -88,8 +90,8 @@
     """
     events.QUARANTINED.log(
         fingerprint=fingerprint.hex(),
-        endpoints=[life.endpoint_id for life in lives[:MOST_ENDPOINTS]],
-        crashes=len(lives),
+        endpoints=[incarnation.endpoint_id for incarnation in incarnations[:MOST_ENDPOINTS]],
+        crashes=len(incarnations),
         seconds=round(seconds, 1),
     )
 
--- a/packages/gateway/src/thorncleat_gateway/store/change_codec.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_codec.py
@@ -17,8 +17,8 @@
 
 from ..ports import Change
 from ..ports import ConfigurationChanged
-from ..ports import EndpointGone
 from ..ports import EndpointListed
+from ..ports import EndpointRemoved
 from ..ports import RecordChanged
 from .roster import Endpoint
 from .serving import ServingConfiguration
@@ -82,7 +82,7 @@
             return ["configuration", configuration]
         case EndpointListed(endpoint):
             return ["listed", _endpoint_form(endpoint)]
-        case EndpointGone(endpoint_id):
+        case EndpointRemoved(endpoint_id):
             return ["gone", endpoint_id]
         case RecordChanged():
             return ["record", change]
@@ -95,7 +95,7 @@
         case ["listed", endpoint]:
             return EndpointListed(codec.validated(Endpoint, endpoint))
         case ["gone", str(endpoint_id)]:
-            return EndpointGone(endpoint_id)
+            return EndpointRemoved(endpoint_id)
         case ["record", record]:
             return codec.validated(RecordChanged, record)
     raise DecodeError(f"{form!r} is no change")
--- a/packages/gateway/src/thorncleat_gateway/store/freshness.py
+++ b/packages/gateway/src/thorncleat_gateway/store/freshness.py
@@ -30,16 +30,16 @@
     :param failing_since: at which calls began to fail; None if the last one was answered.
     """
 
-    fresh_at: float = float("-inf")
+    current_as_of: float = float("-inf")
     settled_at: float = float("inf")
     returned_at: float = float("-inf")
     failing_since: float | None = None
 
     def age(self, now: float) -> float:
         """Return the seconds for which a change may have been made that isn't known."""
-        return now - self.fresh_at
+        return now - self.current_as_of
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Return whether an endpoint that isn't listed is gone.
 
         For a short time after the first reading, and after an outage of the store, it may only
@@ -85,7 +85,9 @@
             returned_at = max(returned_at, back_at + RETURN_SECONDS)
         if told is not None and told.returned_in > 0.0:
             returned_at = max(returned_at, now + told.returned_in)
-        return Freshness(max(self.fresh_at, proven_at), max(settled_at, returned_at), returned_at)
+        return Freshness(
+            max(self.current_as_of, proven_at), max(settled_at, returned_at), returned_at
+        )
 
     def _outage_ended(self, now: float) -> bool:
         """Return whether an answer now ends an outage that may have let entries run out."""
--- a/packages/gateway/src/thorncleat_gateway/store/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -61,7 +61,7 @@
         """Answer as soon as there is something new, or after the time that was asked for."""
         if request.path not in relay_answer.PATHS:
             return web.Response(status=404)
-        if request.path in relay_answer.SNAPSHOT_PATHS and not self._view.loaded:
+        if request.path in relay_answer.SNAPSHOT_PATHS and not self._view.is_loaded:
             # before that nobody is known here; all daemons may have just started together
             await self._wait(SNAPSHOT_WAIT_SECONDS)
         if not self._known(request.remote):
@@ -126,7 +126,7 @@
 
     def _snapshot(self) -> bytes | None:
         """Return everything, encoded; None if this daemon itself knows nothing yet."""
-        if not self._view.loaded:
+        if not self._view.is_loaded:
             return None
         if self._snapshot_position != self._position:
             self._snapshot_position = self._position
--- a/packages/gateway/src/thorncleat_gateway/store/roster.py
+++ b/packages/gateway/src/thorncleat_gateway/store/roster.py
@@ -59,7 +59,7 @@
         return (self.group, self.rank) == (group, rank)
 
 
-class Life(t.NamedTuple):
+class Incarnation(t.NamedTuple):
     """One run of an endpoint's process.
 
     An endpoint may start again under its id. Then it knows nothing of before: it is in no group,
@@ -72,7 +72,7 @@
     endpoint_id: str
     born: int | None
 
-    def is_over(self, seen: "Life") -> bool:
+    def is_superseded_by(self, seen: "Incarnation") -> bool:
         """Return whether another life of the same endpoint was seen.
 
         Which of the two is the later one is not read from the times: the clock of an instance may
@@ -111,12 +111,12 @@
     born: int | None = None
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """The run of its process that the entry describes."""
-        return Life(self.id, self.born)
+        return Incarnation(self.id, self.born)
 
     @property
-    def leads(self) -> bool:
+    def is_serving_leader(self) -> bool:
         """Whether it answers requests for its group now."""
         member = self.membership
         return member is not None and member.rank == 0 and member.state is GroupState.OPEN
@@ -161,7 +161,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Gone:
+class RemovedEndpoint:
     """An endpoint that is no longer listed.
 
     :param at: when this was learnt, on the reader's own clock.
@@ -183,7 +183,7 @@
         self._said_draining: dict[str, Endpoint] = {}
         # entries that aren't believed yet
         self._doubted: dict[str, _Doubted] = {}
-        self.gone: dict[str, Gone] = {}
+        self.removed: dict[str, RemovedEndpoint] = {}
 
     @property
     def endpoints(self) -> t.Mapping[str, Endpoint]:
@@ -200,7 +200,7 @@
             yield doubted.endpoint
 
     @property
-    def lapsed(self) -> t.Collection[str]:
+    def missing(self) -> t.Collection[str]:
         """The ids of those that count as listed, and will be removed unless they are again."""
         return self._lapsed.keys()
 
@@ -227,20 +227,26 @@
         :returns: whether it is of another life than the entry before.
         """
         known = self._endpoints.get(endpoint.id)
-        started_again = known is not None and known.life.is_over(endpoint.life)
+        started_again = known is not None and known.incarnation.is_superseded_by(
+            endpoint.incarnation
+        )
         self._endpoints[endpoint.id] = self._with_said(self._drains_on(endpoint))
         self._lapsed.pop(endpoint.id, None)
         self._doubted.pop(endpoint.id, None)
-        self.gone.pop(endpoint.id, None)
+        self.removed.pop(endpoint.id, None)
         self._groups = None
         return started_again
 
     def _drains_on(self, listed: Endpoint) -> Endpoint:
         """Return an entry with the draining that an earlier entry of the same life told."""
-        gone = self.gone.get(listed.id)
+        gone = self.removed.get(listed.id)
         before = self._endpoints.get(listed.id, gone.endpoint if gone is not None else None)
         before = self._said_draining.get(listed.id, before)
-        if before is None or not before.draining or before.life.is_over(listed.life):
+        if (
+            before is None
+            or not before.draining
+            or before.incarnation.is_superseded_by(listed.incarnation)
+        ):
             return listed
         return dataclasses.replace(listed, draining=True)
 
@@ -249,19 +255,23 @@
         before = self._said_draining.get(listed.id)
         if before is None:
             return listed
-        if before.life.is_over(listed.life):
+        if before.incarnation.is_superseded_by(listed.incarnation):
             del self._said_draining[listed.id]
             return listed
         self._said_draining[listed.id] = listed
         return dataclasses.replace(listed, draining=True)
 
-    def said_draining(self, life: Life) -> bool:
+    def mark_draining(self, incarnation: Incarnation) -> bool:
         """Note that an endpoint said that it drains; return whether that changes anything.
 
         It may have said so in a life that is over.
         """
-        endpoint = self._endpoints.get(life.endpoint_id)
-        if endpoint is None or endpoint.life.is_over(life) or endpoint.id in self._said_draining:
+        endpoint = self._endpoints.get(incarnation.endpoint_id)
+        if (
+            endpoint is None
+            or endpoint.incarnation.is_superseded_by(incarnation)
+            or endpoint.id in self._said_draining
+        ):
             return False
         self._said_draining[endpoint.id] = endpoint
         if endpoint.draining:
@@ -289,14 +299,14 @@
         if endpoint is None:
             return
         self._groups = None
-        self.gone = {
-            key: gone for key, gone in self.gone.items() if now - gone.at < REMEMBER_GONE_SECONDS
+        self.removed = {
+            key: gone for key, gone in self.removed.items() if now - gone.at < REMEMBER_GONE_SECONDS
         }
-        self.gone[endpoint_id] = Gone(endpoint, now)
+        self.removed[endpoint_id] = RemovedEndpoint(endpoint, now)
         self._said_draining = {
             key: said
             for key, said in self._said_draining.items()
-            if key in self._endpoints or key in self.gone
+            if key in self._endpoints or key in self.removed
         }
 
     def replace(
@@ -324,8 +334,10 @@
 
     def _has_gone(self, listed: Endpoint) -> bool:
         """Return whether the life that an entry describes is known to have gone."""
-        gone = self.gone.get(listed.id)
-        return gone is not None and not gone.endpoint.life.is_over(listed.life)
+        gone = self.removed.get(listed.id)
+        return gone is not None and not gone.endpoint.incarnation.is_superseded_by(
+            listed.incarnation
+        )
 
     def _is_doubted(self, listed: Endpoint) -> bool:
         doubted = self._doubted.get(listed.id)
--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -19,15 +19,15 @@
 from ..ports import ChangeFeed
 from ..ports import Changes
 from ..ports import ConfigurationChanged
-from ..ports import EndpointGone
 from ..ports import EndpointListed
+from ..ports import EndpointRemoved
 from ..ports import Position
 from ..ports import RecordChanged
 from ..ports import Settling
 from .former_eras import FormerEras
 from .freshness import RETURN_SECONDS
 from .freshness import Freshness
-from .roster import Life
+from .roster import Incarnation
 from .roster import Roster
 from .serving import ServingConfiguration
 
@@ -90,7 +90,7 @@
         return None if self._position is None else self._position.revision
 
     @property
-    def loaded(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether a configuration is known."""
         return self.configuration is not None
 
@@ -100,18 +100,18 @@
         return self._read is not None and self._read.era == self.era.newest
 
     @property
-    def fresh_at(self) -> float:
+    def current_as_of(self) -> float:
         """The time up to which every change is known."""
-        return self._freshness.fresh_at
+        return self._freshness.current_as_of
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether an endpoint that isn't listed is gone.
 
         For a short time after an outage of the store, or after this daemon's first reading, it
         may only not have been written anew yet.
         """
-        return self._freshness.settled(self._clock())
+        return self._freshness.is_settled(self._clock())
 
     async def wait_loaded(self) -> None:
         """Wait until a configuration is known."""
@@ -127,13 +127,13 @@
         """Return all that is known, as the changes that lead to it."""
         configured = [ConfigurationChanged(self.configuration)] if self.configuration else []
         listed = [EndpointListed(endpoint) for endpoint in self.roster.as_listed]
-        lapsed = [EndpointGone(endpoint_id) for endpoint_id in self.roster.lapsed]
+        lapsed = [EndpointRemoved(endpoint_id) for endpoint_id in self.roster.missing]
         return [*configured, *listed, *lapsed, *self.records.values()]
 
-    def said_draining(self, life: Life) -> None:
+    def mark_draining(self, incarnation: Incarnation) -> None:
         """Take in that an endpoint said in an answer that it drains."""
-        if self.roster.said_draining(life):
-            events.SAID_DRAINING.log(endpoint=life.endpoint_id, born=life.born)
+        if self.roster.mark_draining(incarnation):
+            events.SAID_DRAINING.log(endpoint=incarnation.endpoint_id, born=incarnation.born)
             self._announce()
 
     def position_of(self, record: RecordChanged) -> Position:
@@ -272,7 +272,7 @@
                 self._rewritten.add(endpoint.id)
                 if self.roster.put(endpoint):
                     events.STARTED_AGAIN.log(endpoint=endpoint.id, born=endpoint.born)
-            case EndpointGone(endpoint_id):
+            case EndpointRemoved(endpoint_id):
                 now = self._clock()
                 self.roster.unlist(endpoint_id, now, self._removed_at(endpoint_id, now))
                 self._rewritten.discard(endpoint_id)
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -170,7 +170,11 @@
         world = self._world
         await asyncio.sleep(WAY)
         worker = world.workers.get(endpoint.id)
-        if worker is None or not worker.alive or worker.endpoint.life.is_over(endpoint.life):
+        if (
+            worker is None
+            or not worker.alive
+            or worker.endpoint.incarnation.is_superseded_by(endpoint.incarnation)
+        ):
             raise AttemptError("no connection: X", Ran.NO, sent=False)
         world.arrived(request, worker)
         await worker.slot()
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -14,8 +14,8 @@
 import yarl
 
 from thorncleat_gateway.ports import ConfigurationChanged
-from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
 from thorncleat_gateway.settings import GatewaySettings
 from thorncleat_gateway.store.registration import RELAYS
@@ -223,11 +223,11 @@
     def leave(self, endpoint_id: str) -> None:
         """Take an entry out of the list, with no word before."""
         del self.endpoints[endpoint_id]
-        self.store.delete(endpoint_id, EndpointGone(endpoint_id))
+        self.store.delete(endpoint_id, EndpointRemoved(endpoint_id))
 
     def lapse(self, endpoint_id: str) -> None:
         """Let the entry of an endpoint that lives run out."""
-        self.store.delete(endpoint_id, EndpointGone(endpoint_id))
+        self.store.delete(endpoint_id, EndpointRemoved(endpoint_id))
 
     def write_again(self) -> None:
         """Have the operator and the endpoints write what the store lacks."""
@@ -240,7 +240,7 @@
             key for key, one in self.store.items.items() if isinstance(one, EndpointListed)
         ]:
             if key not in self.endpoints:
-                self.store.delete(key, EndpointGone(key))
+                self.store.delete(key, EndpointRemoved(key))
 
     async def restore(self, away: float) -> None:
         """Have the store come back from an old copy, and all but the daemons write again.
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -20,8 +20,8 @@
 from thorncleat_gateway.peers.failure_detector import FailureDetector
 from thorncleat_gateway.peers.load_table import LoadTable
 from thorncleat_gateway.ports import ConfigurationChanged
-from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.requests.retry_budget import RetryBudgetSettings
 from thorncleat_gateway.settings import GatewaySettings
@@ -167,10 +167,10 @@
             counts = self.world.requests_of(self)
             heard = [name for name in counts if name not in self.world.standing_still]
             self.peers.tell(sender, LoadReport(counts, heard))
-            gone = self.view.roster.gone.get(message.endpoint_id)
+            removed = self.view.roster.removed.get(message.endpoint_id)
             listed = self.view.roster.endpoints.get(message.endpoint_id)
-            if listed or gone:
-                self.world.spawn(self._probe(listed or gone.endpoint))
+            if listed or removed:
+                self.world.spawn(self._probe(listed or removed.endpoint))
 
     async def _probe(self, endpoint: Endpoint) -> None:
         if await self.orders.answers(endpoint):
@@ -259,7 +259,7 @@
 
     def unlist(self, worker: Worker) -> None:
         if not worker.alive or worker.cut_from_store:
-            self.store.delete(worker.id, EndpointGone(worker.id))
+            self.store.delete(worker.id, EndpointRemoved(worker.id))
 
     def kill(self, worker: Worker, *, dark: bool) -> None:
         worker.alive, worker.dark = False, dark
@@ -294,7 +294,7 @@
         """Let all entries and leases run out; heartbeats bring the entries back."""
         for worker in self.workers.values():
             worker.silent_until = self.now() + LAPSE_OUTAGE + self.random.uniform(0.0, HEARTBEAT)
-            self.store.delete(worker.id, EndpointGone(worker.id))
+            self.store.delete(worker.id, EndpointRemoved(worker.id))
         for lease in list(self.store.leases):
             self.store.end(lease)
 
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -38,7 +38,7 @@
 from thorncleat_gateway.store.fleet_knowledge import FleetKnowledge
 from thorncleat_gateway.store.relays import Daemon as RegisteredDaemon
 from thorncleat_gateway.store.roster import Endpoint
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 from thorncleat_gateway.store.roster import Roster
 from thorncleat_gateway.store.serving import Engine
 from thorncleat_gateway.store.serving import EngineModel
@@ -79,8 +79,8 @@
         self.roster.put(endpoint)
         self.version += 1
 
-    def said_draining(self, life: Life) -> None:
-        if self.roster.said_draining(life):
+    def mark_draining(self, incarnation: Incarnation) -> None:
+        if self.roster.mark_draining(incarnation):
             self.version += 1
 
 
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -12,7 +12,7 @@
 from thorncleat_gateway.requests.quarantine import LIMIT_CRASHES
 from thorncleat_gateway.requests.quarantine import RAN_POINTS
 from thorncleat_gateway.requests.quarantine import Involvement
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 
 from . import virtual_time
 from .crash_world import CrashWorld
@@ -107,7 +107,7 @@
     def answers(scene):
         scene.fails()
         scene.watch.answers(scene.endpoint, scene.world.now() + after)
-        return scene.daemon.quarantine.knows(scene.endpoint.life)
+        return scene.daemon.quarantine.knows(scene.endpoint.incarnation)
 
     assert play(answers) is (after < 0)
 
@@ -122,7 +122,7 @@
     async def fails(_request, _endpoint):
         for number in range(LIMIT_CRASHES):
             told = {request.fingerprint: Involvement(RAN_POINTS, 0.0)}
-            daemon.quarantine.note(Life(f"other-{number}", None), 900.0 + number, told)
+            daemon.quarantine.note(Incarnation(f"other-{number}", None), 900.0 + number, told)
         return failed
 
     daemon.plain._attempt = fails
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -110,7 +110,7 @@
     world = await calm_world()
     leader = large_leader(world)
     for node in world.nodes:
-        node.view.said_draining(leader.entry().life)
+        node.view.mark_draining(leader.entry().incarnation)
     if refuses:
         world.drain_and_work_on(leader, refuses, requests=0)
     begun, former = world.now(), leader.group
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -189,7 +189,7 @@
         self.fleet = Alone()
         self.limits = EndpointLimits(self.fleet, lambda: self.now)
         self.news = []
-        self.limits.on_news(lambda life, notice: self.news.append(notice.limit))
+        self.limits.on_news(lambda incarnation, notice: self.news.append(notice.limit))
 
     def hears(self, meta, endpoint=ENDPOINT, sent_ago=0.0):
         self.limits.answered(endpoint, meta, self.now - sent_ago)
@@ -281,13 +281,13 @@
     scene.hears(NAMED, again)
     assert scene.limits.is_limited(again)
     # what is told of the life before doesn't take its place
-    scene.limits.take_in(ENDPOINT.life, RateNotice(1.0, 99.0, 99.5))
+    scene.limits.take_in(ENDPOINT.incarnation, RateNotice(1.0, 99.0, 99.5))
     assert scene.limits.is_limited(again)
 
 
 def test_limit_that_was_heard_after_its_end_does_not_come_back(scene):
     scene.hears(SERVED)
-    scene.limits.take_in(ENDPOINT.life, RateNotice(2.0, 90.0, 91.0))
+    scene.limits.take_in(ENDPOINT.incarnation, RateNotice(2.0, 90.0, 91.0))
     assert not scene.limits.is_limited(ENDPOINT)
 
 
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -9,7 +9,7 @@
 from thorncleat_gateway.requests.endpoint_notices import LONGEST_PAUSE_SECONDS
 from thorncleat_gateway.requests.endpoint_notices import EndpointNotices
 from thorncleat_gateway.store.roster import Endpoint
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 from thorncleat_gateway.store.roster import Roster
 
 ENDPOINT = Endpoint("i-1", "narrator", "10.0.0.1:1", "a", born=5)
@@ -22,8 +22,8 @@
         self.roster = Roster()
         self.roster.put(ENDPOINT)
 
-    def said_draining(self, life: Life) -> None:
-        self.roster.said_draining(life)
+    def mark_draining(self, incarnation: Incarnation) -> None:
+        self.roster.mark_draining(incarnation)
 
 
 class Scene:
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -13,7 +13,7 @@
 from thorncleat_gateway.groups.formation import GroupPlan
 from thorncleat_gateway.groups.records import Detached
 from thorncleat_gateway.groups.records import GroupRecords
-from thorncleat_gateway.ports import EndpointGone
+from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Lease
 from thorncleat_gateway.ports import Position
 from thorncleat_gateway.ports import RecordChanged
@@ -251,7 +251,7 @@
 async def test_entry_that_cannot_be_read_names_no_endpoint():
     answer = {"timestamp": 43, "events": [entry("servers/i-1", {"version": "x"})]}
     found, _ = await ask("changes", Answer(document=answer))
-    assert found.changes == [EndpointGone("i-1")]
+    assert found.changes == [EndpointRemoved("i-1")]
 
 
 class TestRecords:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -108,7 +108,7 @@
     steps, now, gone, removed_at
 ):
     known = _after(*steps)
-    assert known.settled(now) is gone
+    assert known.is_settled(now) is gone
     assert known.removed_at(now) == removed_at
 
 
@@ -131,7 +131,7 @@
 
 
 def test_daemon_that_starts_from_a_settled_one_is_settled():
-    assert Freshness().answered(10.0, 9.8, TOLD_SETTLED).settled(10.0)
+    assert Freshness().answered(10.0, 9.8, TOLD_SETTLED).is_settled(10.0)
 
 
 def test_outage_that_ends_with_a_relays_answer_ended_at_what_that_proves():
@@ -143,4 +143,4 @@
 def test_return_from_a_copy_counts_as_the_end_of_an_outage():
     known = _after((10.0, 10.0)).answered(20.0, 20.0, restored=True)
     assert known.removed_at(20.0) == 20.0 + RETURN
-    assert not known.settled(20.0)
+    assert not known.is_settled(20.0)
--- a/tests/test_limit_reporter.py
+++ b/tests/test_limit_reporter.py
@@ -15,7 +15,7 @@
 from thorncleat_gateway.requests.endpoint_limits import EndpointLimits
 from thorncleat_gateway.requests.limit_reporter import LimitReporter
 from thorncleat_gateway.store.roster import Endpoint
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 
 from . import virtual_time
 
@@ -78,7 +78,7 @@
 
 def test_what_others_tell_is_taken_in_and_not_told_on_at_once(scene):
     scene.is_told(ReportedLimit("i-1", 5, 2.0, 1.0, 0.5))
-    assert scene.limits.notices[Life("i-1", 5)] == (2.0, 99.0, 99.5)
+    assert scene.limits.notices[Incarnation("i-1", 5)] == (2.0, 99.0, 99.5)
     assert scene.peers.told == []
     scene.now += 1
     scene.is_told(ReportedLimit("i-1", 5, None, 0.9, 0.1))
@@ -136,4 +136,4 @@
 
     assert virtual_time.run(play()) == limit_reporter.REPEAT_TO
     # of an endpoint that nobody lists
-    assert set(scene.limits.notices) == {ENDPOINT.life}
+    assert set(scene.limits.notices) == {ENDPOINT.incarnation}
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -18,7 +18,7 @@
 from thorncleat_gateway.requests.quarantine import SPARED_SECONDS
 from thorncleat_gateway.requests.quarantine import Involvement
 from thorncleat_gateway.requests.quarantine import Quarantine
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 
 RAN = Involvement(RAN_POINTS, 0.05)
 LONG = Involvement(RAN_POINTS, 1.5)
@@ -46,7 +46,7 @@
 def crash(quarantine, clock, number, after=1.0, **requests):
     clock.now += after
     told = {name.encode(): part for name, part in requests.items()}
-    return quarantine.note(Life(f"w{number}", None), clock.now, told)
+    return quarantine.note(Incarnation(f"w{number}", None), clock.now, told)
 
 
 def held(quarantine):
@@ -119,13 +119,13 @@
         self, quarantine, clock, born
     ):
         for value in born:
-            quarantine.note(Life("w1", value), clock.now, {b"a": RAN})
+            quarantine.note(Incarnation("w1", value), clock.now, {b"a": RAN})
         assert len(quarantine.repeated()) == 0
 
     def test_lives_under_one_id_are_several(self, quarantine, clock):
         for born in range(3):
             clock.now += 1.0
-            quarantine.note(Life("w1", born), clock.now, {b"a": RAN})
+            quarantine.note(Incarnation("w1", born), clock.now, {b"a": RAN})
         assert held(quarantine) == ["a"]
 
     def test_endpoints_that_end_at_one_moment_count_once(self, quarantine, clock):
@@ -183,17 +183,17 @@
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
         crashed_at = clock.now
-        assert not quarantine.endpoint_lives(Life("w2", None), crashed_at - 0.5)
-        assert quarantine.endpoint_lives(Life("w2", None), crashed_at + 0.5)
+        assert not quarantine.endpoint_lives(Incarnation("w2", None), crashed_at - 0.5)
+        assert quarantine.endpoint_lives(Incarnation("w2", None), crashed_at + 0.5)
         assert held(quarantine) == []
         # told again by a daemon that doesn't know
-        assert not quarantine.note(Life("w2", None), crashed_at, {b"a": RAN})
+        assert not quarantine.note(Incarnation("w2", None), crashed_at, {b"a": RAN})
         assert held(quarantine) == []
 
     def test_next_life_says_nothing_of_the_one_before(self, quarantine, clock):
-        quarantine.note(Life("w1", 1), clock.now, {b"a": RAN})
-        assert not quarantine.endpoint_lives(Life("w1", 2), clock.now + 1.0)
-        assert quarantine.knows(Life("w1", 1))
+        quarantine.note(Incarnation("w1", 1), clock.now, {b"a": RAN})
+        assert not quarantine.endpoint_lives(Incarnation("w1", 2), clock.now + 1.0)
+        assert quarantine.knows(Incarnation("w1", 1))
 
     def test_request_that_is_served(self, quarantine, clock):
         for number in range(3):
@@ -201,7 +201,7 @@
         clock.now += 1.0
         assert quarantine.request_served(b"a", clock.now)
         assert held(quarantine) == ["b"]
-        assert not quarantine.note(Life("w2", None), clock.now - 1.0, {b"a": RAN})
+        assert not quarantine.note(Incarnation("w2", None), clock.now - 1.0, {b"a": RAN})
 
     def test_content_that_many_ask_for_is_never_held(self, quarantine, clock):
         for number in range(50):
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -55,12 +55,14 @@
 
 def test_another_life_of_the_endpoint_has_other_holders():
     daemons = fleet(24)
-    lives = [Endpoint("i-1", "narrator", "10.0.0.1:1", "z1", born=born) for born in range(40)]
+    incarnations = [
+        Endpoint("i-1", "narrator", "10.0.0.1:1", "z1", born=born) for born in range(40)
+    ]
     firsts = {
         name
-        for life in lives
+        for incarnation in incarnations
         for name, own in daemons.items()
-        if rate_shares.share(1.0, life, own, daemons, FleetKnowledge.RECENT)
+        if rate_shares.share(1.0, incarnation, own, daemons, FleetKnowledge.RECENT)
     }
     assert len(firsts) > 4
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -15,8 +15,8 @@
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import ConfigurationChanged
-from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Position
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.ports import Settling
@@ -59,7 +59,7 @@
 CHANGES = [
     ConfigurationChanged(CONFIGURATION),
     EndpointListed(MEMBER),
-    EndpointGone("i-2"),
+    EndpointRemoved("i-2"),
     RecordChanged("key", b"\x01\xff", 3, 2),
     RecordChanged("key", None, 4),
 ]
@@ -96,9 +96,9 @@
     def test_what_was_dropped_is_not_known(self):
         log = ChangeLog(limit=2)
         for revision in (1, 2, 3):
-            log.add(Position(2, revision), [EndpointGone(str(revision))])
+            log.add(Position(2, revision), [EndpointRemoved(str(revision))])
         assert log.since(Position(2, 0)) is None
-        assert log.since(Position(2, 1)) == [EndpointGone("2"), EndpointGone("3")]
+        assert log.since(Position(2, 1)) == [EndpointRemoved("2"), EndpointRemoved("3")]
 
     def test_higher_number_of_an_era_that_is_over_is_not_known(self):
         log = ChangeLog()
@@ -296,7 +296,7 @@
             found = await made.feed.changes(FIRST, STORE_WAIT)
             answered_at = time.monotonic()
             assert not found.changes
-            assert sent_at + found.proven <= made.view.fresh_at
+            assert sent_at + found.proven <= made.view.current_as_of
             assert found.proven < answered_at - sent_at
 
     async def test_silent_relay_is_left_for_the_store(self):
@@ -431,11 +431,11 @@
         async with site() as made:
             # the store comes back from a copy: entries may be missing that are written again
             made.relay_store.era.heard(1)
-            made.relay_store.written += [CHANGES[0], EndpointGone(MEMBER.id)]
+            made.relay_store.written += [CHANGES[0], EndpointRemoved(MEMBER.id)]
             await _until(lambda: made.view.configuration is not None)
-            assert made.view.roster.lapsed
+            assert made.view.roster.missing
             found = await made.feed.snapshot()
-            assert found.changes[-2:] == [EndpointListed(MEMBER), EndpointGone(MEMBER.id)]
+            assert found.changes[-2:] == [EndpointListed(MEMBER), EndpointRemoved(MEMBER.id)]
             left = made.view.settling().returned_in
             assert left <= found.settling.returned_in <= RETURN_SECONDS
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,7 +13,7 @@
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.roster import Roster
 
@@ -40,7 +40,7 @@
 )
 def test_life_is_over_once_another_one_was_seen(born, seen, over):
     """A clock may have been set back, and an earlier build's relay doesn't tell."""
-    assert Life("a", born).is_over(Life("a", seen)) is over
+    assert Incarnation("a", born).is_superseded_by(Incarnation("a", seen)) is over
 
 
 class TestRoster:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -8,7 +8,7 @@
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.roster import Roster
 
@@ -39,16 +39,16 @@
         roster.put(endpoint("a"))
         roster.put(endpoint("b"))
         roster.remove("a", 1.0)
-        assert roster.gone["a"].at == 1.0
+        assert roster.removed["a"].at == 1.0
         roster.remove("b", 100.0)
-        assert "a" not in roster.gone
+        assert "a" not in roster.removed
 
     @pytest.mark.parametrize("listed", [{}, {"staged": ("m",)}, {"draining": True}])
     def test_what_an_endpoint_says_of_draining_holds_beside_later_entries(self, listed):
         roster = Roster()
         roster.put(endpoint("a", born=5))
-        assert roster.said_draining(Life("a", 5))
-        assert not roster.said_draining(Life("a", 5))
+        assert roster.mark_draining(Incarnation("a", 5))
+        assert not roster.mark_draining(Incarnation("a", 5))
         roster.put(endpoint("a", born=5, **listed))
         assert roster.endpoints["a"].draining
         assert list(roster.as_listed) == [endpoint("a", born=5, **listed)]
@@ -56,7 +56,7 @@
     def test_what_an_endpoint_says_of_draining_outlives_its_entry(self):
         roster = Roster()
         roster.put(endpoint("a", born=5))
-        roster.said_draining(Life("a", 5))
+        roster.mark_draining(Incarnation("a", 5))
         roster.remove("a", 1.0)
         roster.replace([endpoint("a", born=5)], 2.0)
         assert roster.endpoints["a"].draining
@@ -65,7 +65,7 @@
     def test_another_life_does_not_drain(self, late):
         roster = Roster()
         roster.put(endpoint("a", born=6 if late else 5))
-        roster.said_draining(Life("a", 5))
+        roster.mark_draining(Incarnation("a", 5))
         roster.put(endpoint("a", born=6))
         assert not roster.endpoints["a"].draining
         assert list(roster.as_listed) == [endpoint("a", born=6)]
@@ -74,20 +74,20 @@
         roster = Roster()
         for name in "ab":
             roster.put(endpoint(name))
-            roster.said_draining(Life(name, None))
+            roster.mark_draining(Incarnation(name, None))
         roster.remove("a", 1.0)
         roster.remove("b", 100.0)
         assert list(roster._said_draining) == ["b"]
 
     def test_endpoint_that_is_not_listed_says_nothing(self):
-        assert not Roster().said_draining(Life("a", None))
+        assert not Roster().mark_draining(Incarnation("a", None))
 
     def test_a_whole_list_replaces_what_was_known(self):
         roster = Roster()
         roster.put(endpoint("a"))
         roster.replace([endpoint("b")], 2.0)
         assert list(roster.endpoints) == ["b"]
-        assert list(roster.gone) == ["a"]
+        assert list(roster.removed) == ["a"]
 
 
 class TestCopies:
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -7,13 +7,13 @@
 
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Changes
-from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Position
 from thorncleat_gateway.ports import Settling
 from thorncleat_gateway.store.freshness import RETURN_SECONDS
 from thorncleat_gateway.store.roster import Endpoint
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 from thorncleat_gateway.store.store_era import StoreEra
 from thorncleat_gateway.store.view import StoreView
 
@@ -40,7 +40,7 @@
 
     def remove(self, name: str) -> None:
         del self.listed[name]
-        self._change(EndpointGone(name))
+        self._change(EndpointRemoved(name))
 
     def _change(self, change) -> None:
         self.revision += 1
@@ -174,7 +174,7 @@
     woken = asyncio.Event()
     view.on_change(woken.set)
     version = view.version
-    view.said_draining(Life("one", None))
+    view.mark_draining(Incarnation("one", None))
     found = view.roster.endpoints["one"].draining, woken.is_set(), view.version > version
     told = view.everything()
     await view.stop()
@@ -217,7 +217,7 @@
     feed.list("one")
     view = await _view(feed)
     await asyncio.sleep(0.1)
-    known = view.settled, view.settling().returned_in
+    known = view.is_settled, view.settling().returned_in
     feed.remove("one")
     await asyncio.sleep(0.2)
     kept = "one" in view.roster.endpoints
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -19,8 +19,8 @@
 from thorncleat_gateway.ports import Change
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import ConfigurationChanged
-from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Lease
 from thorncleat_gateway.ports import Position
 from thorncleat_gateway.ports import RecordChanged
@@ -98,7 +98,7 @@
     "configuration": ConfigurationChanged(CONFIGURATION),
     "member": EndpointListed(MEMBER),
     "loner": EndpointListed(LONER),
-    "gone": EndpointGone("i-3"),
+    "gone": EndpointRemoved("i-3"),
     "record": RecordChanged("thorncleat/a", b"\x01\xff", 30, 20),
     "record gone": RecordChanged("thorncleat/a", None, 31),
 }
