--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -68,7 +68,7 @@
     def daemons(self) -> t.Mapping[str, Daemon]:
         return self.listed
 
-    def knowledge(self) -> FleetKnowledge:
+    def fleet_knowledge(self) -> FleetKnowledge:
         now = self._sim.now
         if self._own.id not in self.listed:
             return FleetKnowledge.NONE
@@ -122,16 +122,16 @@
 class Fixed(EndpointLimits):
     """The same part for every daemon."""
 
-    def _share(self, endpoint: Endpoint, limit: float, knowledge: FleetKnowledge) -> float:
+    def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
         daemons = self._fleet.daemons()
-        known = knowledge is not FleetKnowledge.NONE
+        known = fleet_knowledge is not FleetKnowledge.NONE
         return rate_shares.rate(limit) / len(daemons) if known else 0.0
 
 
 class Own(EndpointLimits):
     """Each keeps the whole limit by itself."""
 
-    def _share(self, endpoint: Endpoint, limit: float, knowledge: FleetKnowledge) -> float:
+    def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
         return rate_shares.rate(limit)
 
 
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -55,7 +55,7 @@
 from .store.relay_feed import RelayFeed
 from .store.relay_server import RelayServer
 from .store.relays import Daemon
-from .store.relays import gather_seconds
+from .store.relays import coalescing_seconds
 from .store.view import StoreView
 
 # for the first configuration to come before callers' connections are taken; they wait that long
@@ -114,7 +114,7 @@
 
     def _wire_peers(self) -> None:
         self._peers = PeerChannel(
-            self._settings, self._registration.addresses, self._registration.neighbours
+            self._settings, self._registration.addresses, self._registration.domain_peers
         )
         self._detector = FailureDetector(self._settings.streams, self._peers, self._clock)
         self.load_table = LoadTable(self._clock, self._peers.interval)
@@ -192,7 +192,7 @@
         asks_store = self._feed.asks_store
         if asks_store and self._relays():
             return self._settings.coalesce
-        return gather_seconds(
+        return coalescing_seconds(
             self._settings.quick_coalesce, self._peers.daemons, asks_store=asks_store
         )
 
@@ -201,7 +201,7 @@
 
     def _relays(self) -> t.Sequence[Daemon]:
         """Return the relays to learn from."""
-        return self._registration.sources(controls=self._election.leads)
+        return self._registration.sources(is_controller=self._election.leads)
 
     async def _listed_relays(self) -> t.Sequence[Daemon]:
         """Return the relays as the store lists their records."""
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -139,7 +139,7 @@
         until = self._clock() + REPORT_LAG_SECONDS
         while True:
             report = await self._orders.ask(endpoint, forming(group))
-            if refused is None or not report.counts_as(refused):
+            if refused is None or not report.has_same_order_count(refused):
                 return report
             if self._clock() >= until:
                 return None
--- a/packages/gateway/src/thorncleat_gateway/ports/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/__init__.py
@@ -18,7 +18,7 @@
 from .headers import HeaderCodec as HeaderCodec
 from .headers import Headers as Headers
 from .headers import RequestMeta as RequestMeta
-from .store_changes import WAITED_PART as WAITED_PART
+from .store_changes import MIN_WAITED_FRACTION as MIN_WAITED_FRACTION
 from .store_changes import Change as Change
 from .store_changes import ChangeFeed as ChangeFeed
 from .store_changes import Changes as Changes
@@ -27,7 +27,7 @@
 from .store_changes import EndpointRemoved as EndpointRemoved
 from .store_changes import RecordChanged as RecordChanged
 from .store_changes import RecordStore as RecordStore
-from .store_changes import Settling as Settling
-from .store_changes import proven_part as proven_part
+from .store_changes import SettlingTimes as SettlingTimes
+from .store_changes import proven_wait_seconds as proven_wait_seconds
 from .store_position import Lease as Lease
 from .store_position import Position as Position
--- a/packages/gateway/src/thorncleat_gateway/ports/engines.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/engines.py
@@ -91,7 +91,7 @@
     born: int | None = None
     pace: float = 1.0
 
-    def counts_as(self, other: "EngineReport") -> bool:
+    def has_same_order_count(self, other: "EngineReport") -> bool:
         """Return whether no order was begun between two reports of an engine."""
         return (self.born, self.order_count) == (other.born, other.order_count)
 
--- a/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
@@ -15,10 +15,10 @@
 
 # part of a wait without a change that had passed at the other side when it answered, however
 # quick its clock is
-WAITED_PART = 0.8
+MIN_WAITED_FRACTION = 0.8
 
 
-def proven_part(wait: float, took: float, *, changed: bool) -> float:
+def proven_wait_seconds(wait: float, took: float, *, changed: bool) -> float:
     """Return the seconds after a call for changes was sent that its answer proves.
 
     An answer that came before the end of the wait, or that brings changes, proves no more than
@@ -28,7 +28,7 @@
     :param took: seconds from sending the call to its answer.
     :param changed: whether the answer brought changes.
     """
-    return WAITED_PART * wait if took >= wait and not changed else 0.0
+    return MIN_WAITED_FRACTION * wait if took >= wait and not changed else 0.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Settling:
+class SettlingTimes:
     """What is left of the times after which a missing endpoint counts as gone; in seconds.
 
     :param settled_in: until an endpoint that isn't listed is gone.
@@ -81,7 +81,7 @@
     """
 
     settled_in: float
-    returned_in: float
+    rewritten_in: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -99,8 +99,8 @@
 
     position: Position
     changes: t.Sequence[Change]
-    proven: float = 0.0
-    settling: Settling | None = None
+    proven_seconds: float = 0.0
+    settling_times: SettlingTimes | None = None
     configuration: int = 0
 
 
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -43,7 +43,7 @@
         """Return the registered daemons; another object once they have changed."""
         ...
 
-    def knowledge(self) -> FleetKnowledge:
+    def fleet_knowledge(self) -> FleetKnowledge:
         """Return what this daemon's list of them is good for."""
         ...
 
@@ -52,14 +52,14 @@
     """What a share was worked out from."""
 
     limit: float
-    knowledge: FleetKnowledge
+    fleet_knowledge: FleetKnowledge
     daemons: t.Mapping[str, Daemon]
 
     def is_same(self, other: "_Basis | None") -> bool:
         """Return whether a share that was worked out from another one still holds."""
         if other is None or self.daemons is not other.daemons:
             return False
-        return (self.limit, self.knowledge) == (other.limit, other.knowledge)
+        return (self.limit, self.fleet_knowledge) == (other.limit, other.fleet_knowledge)
 
 
 @dataclasses.dataclass
@@ -220,18 +220,18 @@
 
     def _work_out_share(self, endpoint: Endpoint, limited: _Limited) -> None:
         assert limited.notice.limit is not None
-        basis = _Basis(limited.notice.limit, self._fleet.knowledge(), self._fleet.daemons())
+        basis = _Basis(limited.notice.limit, self._fleet.fleet_knowledge(), self._fleet.daemons())
         if basis.is_same(limited.basis):
             return
-        share = self._share(endpoint, basis.limit, basis.knowledge)
+        share = self._share(endpoint, basis.limit, basis.fleet_knowledge)
         if share and not limited.share:
             limited.since = self._clock()
         limited.share, limited.basis = share, basis
 
-    def _share(self, endpoint: Endpoint, limit: float, knowledge: FleetKnowledge) -> float:
+    def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
         """Return the requests a second that this daemon may send to an endpoint."""
         fleet = self._fleet
-        return rate_shares.share(limit, endpoint, fleet.own, fleet.daemons(), knowledge)
+        return rate_shares.share(limit, endpoint, fleet.own, fleet.daemons(), fleet_knowledge)
 
 
 def _changes(incarnation: Incarnation, before: float | None, notice: RateNotice) -> bool:
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -132,7 +132,7 @@
         return Next.RETURN_KEPT_ANSWER
     if used.late:
         return give_up(OUT_OF_TIME, retry_after.PLAIN_SECONDS, may_have_run=used.may_have_run)
-    if used.may_have_run and not route.repeatable:
+    if used.may_have_run and not route.is_repeatable:
         return give_up(failure.cause, None, may_have_run=True)
     if within_attempts(route, used.sends, used.unsent) and take_token():
         return Next.SEND_AGAIN
@@ -196,7 +196,7 @@
 
     :param sends: attempts before the next one that count towards the route's.
     """
-    return route.repeatable and sends + 1 < route.max_attempts and not late
+    return route.is_repeatable and sends + 1 < route.max_attempts and not late
 
 
 def attempt_seconds(route: Route, left: float, *, elsewhere: bool) -> float:
--- a/packages/gateway/src/thorncleat_gateway/store/change_log.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_log.py
@@ -37,7 +37,7 @@
         self._batches: collections.deque[_Batch] = collections.deque()
         self._begin = Position(0, 0)
 
-    def begin(self, position: Position) -> None:
+    def restart_at(self, position: Position) -> None:
         """Forget all: what comes next continues a position."""
         self._batches.clear()
         self._begin = position
--- a/packages/gateway/src/thorncleat_gateway/store/fleet_knowledge.py
+++ b/packages/gateway/src/thorncleat_gateway/store/fleet_knowledge.py
@@ -15,10 +15,10 @@
 import enum
 
 # age up to which a list counts as recent: one that is followed is 1.4 s old at most
-RECENT_SECONDS = 2.5
+RECENT_LIST_MAX_AGE_SECONDS = 2.5
 # for which a daemon is registered until every recent list holds it; more than such a list's age,
 # since clocks run unlike
-LISTED_EVERYWHERE_SECONDS = 3.0
+MIN_REGISTERED_SECONDS = 3.0
 
 
 class FleetKnowledge(enum.Enum):
@@ -41,7 +41,7 @@
     :param lease_left: seconds that its record stands for certain.
     :param list_age: seconds for which a change may have been made that the list doesn't show.
     """
-    if registered_for is None or registered_for < LISTED_EVERYWHERE_SECONDS:
+    if registered_for is None or registered_for < MIN_REGISTERED_SECONDS:
         return FleetKnowledge.NONE
-    is_recent = lease_left > 0 and list_age <= RECENT_SECONDS
+    is_recent = lease_left > 0 and list_age <= RECENT_LIST_MAX_AGE_SECONDS
     return FleetKnowledge.RECENT if is_recent else FleetKnowledge.OLD
--- a/packages/gateway/src/thorncleat_gateway/store/freshness.py
+++ b/packages/gateway/src/thorncleat_gateway/store/freshness.py
@@ -6,18 +6,18 @@
 by each daemon from when it hears, it would begin anew at each, and with each that starts.
 
 Owns: nothing; each call or failure leads to another :class:`Freshness`.
-Relies on: times of this daemon's own clock, and on :func:`thorncleat_gateway.ports.proven_part`
-for what an answer proves.
+Relies on: times of this daemon's own clock, and on
+:func:`thorncleat_gateway.ports.proven_wait_seconds` for what an answer proves.
 """
 
 import dataclasses
 
-from ..ports import Settling
+from ..ports import SettlingTimes
 
 # a failure of the store that lasts so long may let entries of living endpoints run out
-LAPSING_OUTAGE_SECONDS = 1.0
+MIN_EXPIRING_OUTAGE_SECONDS = 1.0
 # after the store's return, for those entries to be written anew
-RETURN_SECONDS = 2.0
+ENTRY_REWRITE_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -32,7 +32,7 @@
 
     current_as_of: float = float("-inf")
     settled_at: float = float("inf")
-    returned_at: float = float("-inf")
+    rewritten_at: float = float("-inf")
     failing_since: float | None = None
 
     def age(self, now: float) -> float:
@@ -47,25 +47,25 @@
         """
         return now >= self.settled_at
 
-    def removed_at(self, now: float) -> float | None:
+    def removal_time(self, now: float) -> float | None:
         """Return when an endpoint whose entry vanishes is to be removed; None for at once."""
-        return None if now >= self.returned_at else self.returned_at
+        return None if now >= self.rewritten_at else self.rewritten_at
 
-    def settling(self, now: float) -> Settling:
+    def settling_times(self, now: float) -> SettlingTimes:
         """Return what is left of both times, for a daemon that learns from this one."""
-        return Settling(max(0.0, self.settled_at - now), max(0.0, self.returned_at - now))
+        return SettlingTimes(max(0.0, self.settled_at - now), max(0.0, self.rewritten_at - now))
 
-    def failed(self, now: float) -> "Freshness":
+    def after_failure(self, now: float) -> "Freshness":
         """Return what is known once a call has failed."""
         if self.failing_since is not None:
             return self
         return dataclasses.replace(self, failing_since=now)
 
-    def answered(
+    def after_answer(
         self,
         now: float,
         proven_at: float,
-        told: Settling | None = None,
+        told: SettlingTimes | None = None,
         *,
         restored: bool = False,
     ) -> "Freshness":
@@ -75,21 +75,21 @@
         :param told: what the daemon that answered knows of both times; None if the store did.
         :param restored: whether the store has come back from a copy since the last answer.
         """
-        settled_at, returned_at = self.settled_at, self.returned_at
+        settled_at, rewritten_at = self.settled_at, self.rewritten_at
         if settled_at == float("inf"):
             # the first reading
-            settled_at = now + (RETURN_SECONDS if told is None else told.settled_in)
+            settled_at = now + (ENTRY_REWRITE_SECONDS if told is None else told.settled_in)
         if restored or self._outage_ended(now):
             # a relay's answer proves that the store was back by then
             back_at = now if told is None else min(now, proven_at)
-            returned_at = max(returned_at, back_at + RETURN_SECONDS)
-        if told is not None and told.returned_in > 0.0:
-            returned_at = max(returned_at, now + told.returned_in)
+            rewritten_at = max(rewritten_at, back_at + ENTRY_REWRITE_SECONDS)
+        if told is not None and told.rewritten_in > 0.0:
+            rewritten_at = max(rewritten_at, now + told.rewritten_in)
         return Freshness(
-            max(self.current_as_of, proven_at), max(settled_at, returned_at), returned_at
+            max(self.current_as_of, proven_at), max(settled_at, rewritten_at), rewritten_at
         )
 
     def _outage_ended(self, now: float) -> bool:
         """Return whether an answer now ends an outage that may have let entries run out."""
         failing = self.failing_since
-        return failing is not None and now - failing >= LAPSING_OUTAGE_SECONDS
+        return failing is not None and now - failing >= MIN_EXPIRING_OUTAGE_SECONDS
--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -25,7 +25,7 @@
 from .fleet_knowledge import fleet_knowledge
 from .relays import SMALL_FLEET
 from .relays import Daemon
-from .relays import nearest
+from .relays import order_by_proximity
 from .relays import sources
 from .view import StoreView
 
@@ -34,10 +34,10 @@
 # time to live of a daemon's record
 DAEMON_LEASE_SECONDS = 12.0
 # between two renewals
-RENEW_SECONDS = DAEMON_LEASE_SECONDS / 3
+RENEWAL_INTERVAL_SECONDS = DAEMON_LEASE_SECONDS / 3
 # after a renewal that got no answer: with the usual pause the record of a daemon that lost the
 # store for 9 s would run out
-RENEW_AGAIN_SECONDS = 1.0
+RENEWAL_RETRY_SECONDS = 1.0
 # pause after a failed call
 RETRY_SECONDS = 0.3
 # in which one of all daemons registers anew after the end of an era: two writes, half of what
@@ -102,7 +102,7 @@
         )
         self._sources = None
 
-    def knowledge(self) -> FleetKnowledge:
+    def fleet_knowledge(self) -> FleetKnowledge:
         """Return what this daemon's list of daemons is good for."""
         now = self._clock()
         if self._registered_at is None or self._lease is None:
@@ -117,7 +117,7 @@
         self.daemons()
         return self._addresses
 
-    def neighbours(self) -> frozenset[str]:
+    def domain_peers(self) -> frozenset[str]:
         """Return the ids of the other registered daemons in this one's failure domain."""
         self.daemons()
         return self._neighbours
@@ -127,13 +127,13 @@
         known = {name: daemon.capacity for name, daemon in self.daemons().items()}
         return known | {self._settings.id: self._settings.capacity}
 
-    def sources(self, *, controls: bool) -> tuple[Daemon, ...]:
+    def sources(self, *, is_controller: bool) -> tuple[Daemon, ...]:
         """Return whom this daemon asks for changes.
 
         :param controls: whether it is the controller.
         """
-        if controls:
-            return sources((), self.own, controls=True)
+        if is_controller:
+            return sources((), self.own, is_controller=True)
         daemons = self.daemons()
         if self._sources is None:
             self._sources = sources(daemons.values(), self.own)
@@ -150,7 +150,7 @@
         found = _daemons(records, RELAYS)
         if self._settings.id in found:
             return ()
-        return nearest(found.values(), self.own)
+        return order_by_proximity(found.values(), self.own)
 
     @mode.Service.task
     async def _keep_task(self) -> None:
@@ -175,20 +175,20 @@
         self._lease = lease
         self._registered_at, self._renewed_at = self._clock(), granted_at
         self._told_relay = False
-        pause = RENEW_SECONDS
+        pause = RENEWAL_INTERVAL_SECONDS
         while not self.should_stop and await self._is_kept_for(pause, key, lease):
             try:
                 await self._tell_relay(lease)
                 renewed_at = self._clock()
                 await self._records.renew(lease)
                 self._renewed_at = renewed_at
-                pause = RENEW_SECONDS
+                pause = RENEWAL_INTERVAL_SECONDS
             except LeaseGoneError:
                 # the caller begins anew, with a new lease
                 return
             except StoreError:
                 # not logged: the view logs that the store is lost
-                pause = RENEW_AGAIN_SECONDS
+                pause = RENEWAL_RETRY_SECONDS
 
     def _spread(self) -> float:
         """Return the seconds over which all daemons register anew after an era's end.
@@ -201,7 +201,7 @@
         """Write the record of a relay, once this daemon is one where there are many daemons."""
         daemons = self.daemons()
         relays = len(daemons) > SMALL_FLEET and self._settings.id in daemons
-        if relays and not self._told_relay and not self.sources(controls=False):
+        if relays and not self._told_relay and not self.sources(is_controller=False):
             await self._records.put(RELAYS + self._settings.id, _record(self.own), lease)
             self._told_relay = True
 
--- a/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
@@ -18,7 +18,7 @@
 from ..exceptions import RelayError
 from ..ports import Change
 from ..ports import Position
-from ..ports import Settling
+from ..ports import SettlingTimes
 from . import change_codec
 
 # a daemon of an earlier build answers 404 to these two
@@ -57,19 +57,23 @@
 
     age: float
     position: Position
-    settling: Settling
+    settling_times: SettlingTimes
     configuration: int
     changes: t.Sequence[Change]
 
 
-def write(age: float, era: int, settling: Settling, configuration: int, changes: bytes) -> bytes:
+def write(
+    age: float, era: int, settling_times: SettlingTimes, configuration: int, changes: bytes
+) -> bytes:
     """Return the body of an answer.
 
     :param era: of the store, in which the changes were made.
     :param configuration: version of the one in force here.
     :param changes: as :func:`.change_codec.encode` wrote them.
     """
-    head = _HEAD.pack(age, era, settling.settled_in, settling.returned_in, configuration)
+    head = _HEAD.pack(
+        age, era, settling_times.settled_in, settling_times.rewritten_in, configuration
+    )
     return head + changes
 
 
@@ -89,15 +93,15 @@
         raise HistoryGoneError(f"relay {relay_id} does not remember so far back")
     if status != STATUS_OK or len(body) < _HEAD.size:
         raise RelayError(f"relay {relay_id} answered {status}")
-    age, era, settled_in, returned_in, configuration = _HEAD.unpack(body[: _HEAD.size])
+    age, era, settled_in, rewritten_in, configuration = _HEAD.unpack(body[: _HEAD.size])
     if not 0.0 <= age <= oldest:
         raise RelayError(f"relay {relay_id} is itself {age:.3f} s behind")
-    for seconds in (settled_in, returned_in):
+    for seconds in (settled_in, rewritten_in):
         if not 0.0 <= seconds <= LONGEST_SETTLING_SECONDS:
             raise RelayError(f"relay {relay_id} keeps missing endpoints for {seconds:.3f} s")
     try:
         revision, changes = change_codec.decode(body[_HEAD.size :])
     except DecodeError as error:
         raise RelayError(f"relay {relay_id}: {error}") from error
-    settling = Settling(settled_in, returned_in)
-    return RelayAnswer(age, Position(era, revision), settling, configuration, changes)
+    settling_times = SettlingTimes(settled_in, rewritten_in)
+    return RelayAnswer(age, Position(era, revision), settling_times, configuration, changes)
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -15,7 +15,7 @@
 from ..ports import ChangeFeed
 from ..ports import Changes
 from ..ports import Position
-from ..ports import proven_part
+from ..ports import proven_wait_seconds
 from ..settings import RelaySettings
 from . import relay_answer
 from .relay_answer import RelayAnswer
@@ -130,8 +130,8 @@
         took = self._clock() - sent_at
         if answer.position.era != since.era:
             raise HistoryGoneError(f"relay {relay.id} is in era {answer.position.era} of the store")
-        proven = proven_part(wait, took, changed=bool(answer.changes))
-        return _changes(answer, proven - answer.age)
+        proven_seconds = proven_wait_seconds(wait, took, changed=bool(answer.changes))
+        return _changes(answer, proven_seconds - answer.age)
 
     async def _ask_for_everything(self, relay: Daemon) -> Changes:
         """Ask a relay for all that it knows.
@@ -165,15 +165,17 @@
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise RelayError(f"relay {relay.id}: {error!r}") from error
         answer = relay_answer.read(relay.id, response.status, body, self._settings.oldest)
-        self.era.heard(answer.position.era)
+        self.era.observe(answer.position.era)
         if self.era.is_over(answer.position.era):
             raise RelayError(f"relay {relay.id} is in era {answer.position.era}, which is over")
         return answer
 
 
-def _changes(answer: RelayAnswer, proven: float) -> Changes:
+def _changes(answer: RelayAnswer, proven_seconds: float) -> Changes:
     """Return what a relay told.
 
     :param proven: seconds after the call was sent up to which the answer holds every change.
     """
-    return Changes(answer.position, answer.changes, proven, answer.settling, answer.configuration)
+    return Changes(
+        answer.position, answer.changes, proven_seconds, answer.settling_times, answer.configuration
+    )
--- a/packages/gateway/src/thorncleat_gateway/store/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -48,7 +48,7 @@
 
     def _learnt(self, after: Position | None, found: Changes) -> None:
         if after is None:
-            self._log.begin(found.position)
+            self._log.restart_at(found.position)
         else:
             self._log.add(found.position, found.changes)
         if found.position > self._position or after is None:
@@ -81,7 +81,7 @@
             return self._response(await self._earlier(request), earlier=True)
         since = _position(request.query) if request.path == relay_answer.CHANGES_PATH else None
         if since is not None:
-            self._view.era.heard(since.era)
+            self._view.era.observe(since.era)
         if not await self._is_of_newest_era():
             return web.Response(status=relay_answer.BEHIND)
         if since is None:
@@ -109,9 +109,9 @@
         age = self._view.age()
         if earlier:
             return web.Response(body=relay_answer.write_earlier(age, body))
-        era, settling = self._position.era, self._view.settling()
+        era, settling_times = self._position.era, self._view.settling_times()
         version = int(self._view.configuration_version())
-        return web.Response(body=relay_answer.write(age, era, settling, version, body))
+        return web.Response(body=relay_answer.write(age, era, settling_times, version, body))
 
     async def _is_of_newest_era(self) -> bool:
         """Return whether this daemon has read the store in its newest era, after a short wait."""
@@ -130,7 +130,7 @@
             return None
         if self._snapshot_position != self._position:
             self._snapshot_position = self._position
-            everything = self._view.everything()
+            everything = self._view.snapshot_changes()
             self._snapshot_body = change_codec.encode(self._position.revision, everything)
         return self._snapshot_body
 
--- a/packages/gateway/src/thorncleat_gateway/store/relays.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relays.py
@@ -30,9 +30,9 @@
 SMALL_FLEET = 16
 # for which changes gather before the next call to the store where there are more, in
 # seconds: with the pause below a change is known everywhere in 0.5 s at most
-GATHER_AT_STORE_SECONDS = 0.2
+STORE_COALESCING_SECONDS = 0.2
 # likewise before the next call to a relay
-GATHER_AT_RELAY_SECONDS = 0.2
+RELAY_COALESCING_SECONDS = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
@@ -80,7 +80,7 @@
     return max(math.ceil(daemons / DAEMONS_PER_RELAY), local)
 
 
-def gather_seconds(shortest: float, daemons: int, *, asks_store: bool) -> float:
+def coalescing_seconds(shortest: float, daemons: int, *, asks_store: bool) -> float:
     """Return the seconds for which a daemon lets changes gather before its next call.
 
     :param shortest: where there are few daemons.
@@ -88,11 +88,11 @@
     """
     if daemons <= SMALL_FLEET:
         return shortest
-    return max(shortest, GATHER_AT_STORE_SECONDS if asks_store else GATHER_AT_RELAY_SECONDS)
+    return max(shortest, STORE_COALESCING_SECONDS if asks_store else RELAY_COALESCING_SECONDS)
 
 
 def sources(
-    daemons: t.Iterable[Daemon], own: Daemon, *, controls: bool = False
+    daemons: t.Iterable[Daemon], own: Daemon, *, is_controller: bool = False
 ) -> tuple[Daemon, ...]:
     """Return whom a daemon asks, the preferred one first; none if it asks the store.
 
@@ -102,17 +102,17 @@
 
     :param controls: whether the daemon is the controller.
     """
-    if controls:
+    if is_controller:
         return ()
     known, count = _by_preference(daemons)
     chosen = known[: count + FALLBACK_RELAYS] if len(known) > SMALL_FLEET else known[:count]
     place = next((at for at, daemon in enumerate(chosen) if daemon.id == own.id), len(chosen))
     if place < count:
         return ()
-    return (*nearest(chosen[:count], own), *chosen[count:place])
+    return (*order_by_proximity(chosen[:count], own), *chosen[count:place])
 
 
-def nearest(asked: t.Iterable[Daemon], own: Daemon) -> tuple[Daemon, ...]:
+def order_by_proximity(asked: t.Iterable[Daemon], own: Daemon) -> tuple[Daemon, ...]:
     """Return relays in the order in which a daemon asks them.
 
     Those of its failure domain come first; among them the order differs from daemon to daemon.
--- a/packages/gateway/src/thorncleat_gateway/store/roster.py
+++ b/packages/gateway/src/thorncleat_gateway/store/roster.py
@@ -22,7 +22,7 @@
 # for which an endpoint that has gone is remembered
 REMEMBER_GONE_SECONDS = 60.0
 # after which an entry without heartbeats has run out
-HEARTBEATS_MISSED_SECONDS = 4.0
+ENTRY_TTL_SECONDS = 4.0
 
 
 class GroupState(enum.Enum):
@@ -191,7 +191,7 @@
         return self._endpoints
 
     @property
-    def as_listed(self) -> t.Iterable[Endpoint]:
+    def stored_entries(self) -> t.Iterable[Endpoint]:
         """The listed endpoints, without what they have said otherwise."""
         for endpoint in self._endpoints.values():
             yield self._said_draining.get(endpoint.id, endpoint)
@@ -327,7 +327,7 @@
             self.unlist(missing, now, removed_at)
         for endpoint in listed.values():
             if restored and self._has_gone(endpoint):
-                believed_at = now + HEARTBEATS_MISSED_SECONDS
+                believed_at = now + ENTRY_TTL_SECONDS
                 self._doubted[endpoint.id] = _Doubted(endpoint, believed_at)
             elif not self._is_doubted(endpoint):
                 self.put(endpoint)
--- a/packages/gateway/src/thorncleat_gateway/store/serving.py
+++ b/packages/gateway/src/thorncleat_gateway/store/serving.py
@@ -60,7 +60,7 @@
     resumable: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a request that may have run can be sent again."""
         return self.kind is RouteKind.REPEATABLE
 
--- a/packages/gateway/src/thorncleat_gateway/store/store_era.py
+++ b/packages/gateway/src/thorncleat_gateway/store/store_era.py
@@ -29,7 +29,7 @@
         """Return whether a later era has begun."""
         return era < self.newest
 
-    def heard(self, era: int) -> None:
+    def observe(self, era: int) -> None:
         """Take in that somebody named an era."""
         before = self._newest
         if before is not None and era <= before:
--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -23,9 +23,9 @@
 from ..ports import EndpointRemoved
 from ..ports import Position
 from ..ports import RecordChanged
-from ..ports import Settling
+from ..ports import SettlingTimes
 from .former_eras import FormerEras
-from .freshness import RETURN_SECONDS
+from .freshness import ENTRY_REWRITE_SECONDS
 from .freshness import Freshness
 from .roster import Incarnation
 from .roster import Roster
@@ -123,10 +123,10 @@
             return await asyncio.wait_for(self._changed.wait(), seconds)
         return False
 
-    def everything(self) -> list[Change]:
+    def snapshot_changes(self) -> list[Change]:
         """Return all that is known, as the changes that lead to it."""
         configured = [ConfigurationChanged(self.configuration)] if self.configuration else []
-        listed = [EndpointListed(endpoint) for endpoint in self.roster.as_listed]
+        listed = [EndpointListed(endpoint) for endpoint in self.roster.stored_entries]
         lapsed = [EndpointRemoved(endpoint_id) for endpoint_id in self.roster.missing]
         return [*configured, *listed, *lapsed, *self.records.values()]
 
@@ -153,9 +153,9 @@
         now = self._clock()
         return float("inf") if now < self._copied_until else self._freshness.age(now)
 
-    def settling(self) -> Settling:
+    def settling_times(self) -> SettlingTimes:
         """Return what is left of the times after which a missing endpoint is gone."""
-        return self._freshness.settling(self._clock())
+        return self._freshness.settling_times(self._clock())
 
     def on_change(self, listener: t.Callable[[], None]) -> None:
         """Call a function after each batch of changes."""
@@ -181,7 +181,7 @@
             except StoreError as error:
                 if pause == FIRST_PAUSE_SECONDS:
                     events.STORE_LOST.log(reason=str(error), age=round(self.age(), 3))
-                self._freshness = self._freshness.failed(self._clock())
+                self._freshness = self._freshness.after_failure(self._clock())
                 await asyncio.sleep(pause)
                 pause = min(pause * 2, LONGEST_PAUSE_SECONDS)
                 continue
@@ -229,16 +229,16 @@
     def _answered(self, sent_at: float, answer: Changes) -> bool:
         """Take in when and where the store answered; return whether another era has begun."""
         before, self._read = self._read, answer.position
-        if before is None and self.era.has_ended and answer.settling is None:
-            self._copied_until = self._clock() + RETURN_SECONDS
+        if before is None and self.era.has_ended and answer.settling_times is None:
+            self._copied_until = self._clock() + ENTRY_REWRITE_SECONDS
         restored = before is not None and before.era != answer.position.era
         if before is not None and restored:
             self.former_eras.end(before.revision, self.records)
-        returned_at = self._freshness.returned_at
-        self._freshness = self._freshness.answered(
-            self._clock(), sent_at + answer.proven, answer.settling, restored=restored
+        rewritten_at = self._freshness.rewritten_at
+        self._freshness = self._freshness.after_answer(
+            self._clock(), sent_at + answer.proven_seconds, answer.settling_times, restored=restored
         )
-        if self._freshness.returned_at > returned_at + SAME_RETURN_SECONDS:
+        if self._freshness.rewritten_at > rewritten_at + SAME_RETURN_SECONDS:
             self._rewritten.clear()
         return restored
 
@@ -256,7 +256,7 @@
         """
         listed = [change.endpoint for change in changes if isinstance(change, EndpointListed)]
         now = self._clock()
-        removed_at = self._freshness.removed_at(now)
+        removed_at = self._freshness.removal_time(now)
         self.roster.replace(listed, now, removed_at, restored=restored)
         self.records.clear()
         self.records_version += 1
@@ -289,7 +289,7 @@
 
         One whose entry was written since the store's return has taken it out itself.
         """
-        return None if endpoint_id in self._rewritten else self._freshness.removed_at(now)
+        return None if endpoint_id in self._rewritten else self._freshness.removal_time(now)
 
     def _configure(self, configuration: ServingConfiguration) -> None:
         """Keep a configuration unless a newer one is known, as after a new snapshot."""
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -22,7 +22,7 @@
 from thorncleat_gateway.store.registration import Registration
 from thorncleat_gateway.store.relay_feed import RelayFeed
 from thorncleat_gateway.store.relay_server import RelayServer
-from thorncleat_gateway.store.relays import gather_seconds
+from thorncleat_gateway.store.relays import coalescing_seconds
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.serving import ServingConfiguration
 from thorncleat_gateway.store.view import StoreView
@@ -152,7 +152,7 @@
     @property
     def sources(self):
         """Whom it asks for changes; nobody but the store if it is a relay."""
-        return self.registration.sources(controls=False)
+        return self.registration.sources(is_controller=False)
 
     async def _listed(self):
         return self.registration.listed_relays(await self.client.list_records(RELAYS))
@@ -162,7 +162,7 @@
         if asks_store and self.sources:
             return self._settings.coalesce
         daemons = len(self.registration.daemons())
-        return gather_seconds(self._settings.quick_coalesce, daemons, asks_store=asks_store)
+        return coalescing_seconds(self._settings.quick_coalesce, daemons, asks_store=asks_store)
 
     def uses(self, endpoint_id: str) -> bool:
         """Return whether it would send new requests to an endpoint."""
--- a/tests/group_store.py
+++ b/tests/group_store.py
@@ -122,7 +122,7 @@
         await self._node.thawed()
         if self._store.down or self._node.cut:
             raise StoreUnavailableError("down")
-        self.era.heard(self._store.era)
+        self.era.observe(self._store.era)
 
     async def _read(self) -> None:
         await self._call()
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -135,7 +135,7 @@
     def daemons(self):
         return self.listed
 
-    def knowledge(self) -> FleetKnowledge:
+    def fleet_knowledge(self) -> FleetKnowledge:
         return self.known
 
 
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -179,7 +179,7 @@
     def daemons(self):
         return self.listed
 
-    def knowledge(self):
+    def fleet_knowledge(self):
         return self.known
 
 
--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -165,16 +165,16 @@
     return struct.pack("!dqddq", age, 0, settled_in, 0.0, 7)
 
 
-async def asked(path, changes, daemons=(HERE,), proven=-0.25):
+async def asked(path, changes, daemons=(HERE,), proven_seconds=-0.25):
     """Return what a relay answers that began at revision 9 and then learnt changes."""
-    feed = FixedFeed([], proven=proven)
+    feed = FixedFeed([], proven_seconds=proven_seconds)
     mirror = wire_forms.mirror(feed, lambda: 100.0)
     server = RelayServer(mirror, lambda: daemons)
     await wire_forms.read_once(mirror)
     if changes:
         learnt = []
         mirror.on_batch(lambda after, found: learnt.append(after))
-        feed.next.put_nowait(Changes(Position(0, 12), changes, proven))
+        feed.next.put_nowait(Changes(Position(0, 12), changes, proven_seconds))
         await wire_forms.until(lambda: learnt)
     try:
         async with (
@@ -292,7 +292,7 @@
         calls, found = await self._ask(Answer(body=body))
         assert calls == snapshot(name="call")
         assert (found.position, list(found.changes)) == (Position(0, 9), [CHANGES["member"]])
-        assert found.proven == -0.25
+        assert found.proven_seconds == -0.25
 
     async def test_compressed_answer(self):
         body = _head(0.25, 0.5) + bytes.fromhex(COMPRESSED)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from thorncleat_gateway.ports import Settling
-from thorncleat_gateway.ports import proven_part
-from thorncleat_gateway.store.freshness import LAPSING_OUTAGE_SECONDS
-from thorncleat_gateway.store.freshness import RETURN_SECONDS
+from thorncleat_gateway.ports import SettlingTimes
+from thorncleat_gateway.ports import proven_wait_seconds
+from thorncleat_gateway.store.freshness import ENTRY_REWRITE_SECONDS
+from thorncleat_gateway.store.freshness import MIN_EXPIRING_OUTAGE_SECONDS
 from thorncleat_gateway.store.freshness import Freshness
 
 
@@ -33,19 +33,19 @@
 def test_only_a_whole_wait_without_a_change_proves_more_than_its_beginning(
     wait, took, changed, proven
 ):
-    assert proven_part(wait, took, changed=changed) == pytest.approx(proven)
+    assert proven_wait_seconds(wait, took, changed=changed) == pytest.approx(proven)
 
 
 # whether an endpoint that isn't listed is gone, or may return
 GONE, MAY_RETURN = True, False
-RETURN, LAPSING = RETURN_SECONDS, LAPSING_OUTAGE_SECONDS
+RETURN, LAPSING = ENTRY_REWRITE_SECONDS, MIN_EXPIRING_OUTAGE_SECONDS
 
 
 def _after(*steps):
     """Return what is known after answers ``(now, proven at)`` and failures ``(now,)``."""
     known = Freshness()
     for step in steps:
-        known = known.answered(*step) if len(step) == 2 else known.failed(*step)
+        known = known.after_answer(*step) if len(step) == 2 else known.after_failure(*step)
     return known
 
 
@@ -109,38 +109,38 @@
 ):
     known = _after(*steps)
     assert known.is_settled(now) is gone
-    assert known.removed_at(now) == removed_at
+    assert known.removal_time(now) == removed_at
 
 
-TOLD_SETTLED, TOLD_ALL = Settling(0.0, 0.0), Settling(1.5, 1.2)
+TOLD_SETTLED, TOLD_ALL = SettlingTimes(0.0, 0.0), SettlingTimes(1.5, 1.2)
 
 
 def test_start_is_no_outage_whoever_answers_first():
     """An entry that vanishes right after the first reading has been taken out."""
-    assert Freshness().answered(10.0, 10.0).removed_at(10.1) is None
-    assert Freshness().answered(10.0, 9.8, TOLD_SETTLED).removed_at(10.1) is None
+    assert Freshness().after_answer(10.0, 10.0).removal_time(10.1) is None
+    assert Freshness().after_answer(10.0, 9.8, TOLD_SETTLED).removal_time(10.1) is None
 
 
 def test_daemon_that_starts_takes_over_what_is_left_and_begins_no_time_of_its_own():
-    known = Freshness().answered(10.0, 9.8, TOLD_ALL)
+    known = Freshness().after_answer(10.0, 9.8, TOLD_ALL)
     assert known.settled_at == 11.5
-    assert known.removed_at(10.0) == 11.2
+    assert known.removal_time(10.0) == 11.2
     # and so does the next one
-    told = known.settling(11.0)
-    assert Freshness().answered(11.0, 10.9, told).removed_at(11.0) == pytest.approx(11.2)
+    told = known.settling_times(11.0)
+    assert Freshness().after_answer(11.0, 10.9, told).removal_time(11.0) == pytest.approx(11.2)
 
 
 def test_daemon_that_starts_from_a_settled_one_is_settled():
-    assert Freshness().answered(10.0, 9.8, TOLD_SETTLED).is_settled(10.0)
+    assert Freshness().after_answer(10.0, 9.8, TOLD_SETTLED).is_settled(10.0)
 
 
 def test_outage_that_ends_with_a_relays_answer_ended_at_what_that_proves():
     """It may have ended long before this daemon heard."""
-    known = _after((10.0, 10.0), (20.0,)).answered(25.0, 24.0, TOLD_SETTLED)
-    assert known.removed_at(25.0) == 24.0 + RETURN
+    known = _after((10.0, 10.0), (20.0,)).after_answer(25.0, 24.0, TOLD_SETTLED)
+    assert known.removal_time(25.0) == 24.0 + RETURN
 
 
 def test_return_from_a_copy_counts_as_the_end_of_an_outage():
-    known = _after((10.0, 10.0)).answered(20.0, 20.0, restored=True)
-    assert known.removed_at(20.0) == 20.0 + RETURN
+    known = _after((10.0, 10.0)).after_answer(20.0, 20.0, restored=True)
+    assert known.removal_time(20.0) == 20.0 + RETURN
     assert not known.is_settled(20.0)
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from thorncleat_gateway.requests import rate_shares
-from thorncleat_gateway.store.fleet_knowledge import LISTED_EVERYWHERE_SECONDS
-from thorncleat_gateway.store.fleet_knowledge import RECENT_SECONDS
+from thorncleat_gateway.store.fleet_knowledge import MIN_REGISTERED_SECONDS
+from thorncleat_gateway.store.fleet_knowledge import RECENT_LIST_MAX_AGE_SECONDS
 from thorncleat_gateway.store.fleet_knowledge import FleetKnowledge
 from thorncleat_gateway.store.fleet_knowledge import fleet_knowledge
 from thorncleat_gateway.store.relays import Daemon
@@ -97,10 +97,10 @@
     [
         (None, 12.0, 0.1, FleetKnowledge.NONE),
         (0.0, 12.0, 0.1, FleetKnowledge.NONE),
-        (LISTED_EVERYWHERE_SECONDS - 0.1, 12.0, 0.1, FleetKnowledge.NONE),
-        (LISTED_EVERYWHERE_SECONDS, 9.0, 0.1, FleetKnowledge.RECENT),
-        (60.0, 0.1, RECENT_SECONDS, FleetKnowledge.RECENT),
-        (60.0, 9.0, RECENT_SECONDS + 0.1, FleetKnowledge.OLD),
+        (MIN_REGISTERED_SECONDS - 0.1, 12.0, 0.1, FleetKnowledge.NONE),
+        (MIN_REGISTERED_SECONDS, 9.0, 0.1, FleetKnowledge.RECENT),
+        (60.0, 0.1, RECENT_LIST_MAX_AGE_SECONDS, FleetKnowledge.RECENT),
+        (60.0, 9.0, RECENT_LIST_MAX_AGE_SECONDS + 0.1, FleetKnowledge.OLD),
         (60.0, 0.0, 0.1, FleetKnowledge.OLD),
         (60.0, -30.0, 60.0, FleetKnowledge.OLD),
     ],
@@ -110,4 +110,4 @@
 
 
 def test_daemon_that_shares_is_listed_before_any_recent_list_can_lack_it():
-    assert LISTED_EVERYWHERE_SECONDS > RECENT_SECONDS
+    assert MIN_REGISTERED_SECONDS > RECENT_LIST_MAX_AGE_SECONDS
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -105,7 +105,7 @@
     expiring = asyncio.ensure_future(store.expire())
     await registered.start()
     # just before a renewal
-    await asyncio.sleep(2 * registration.RENEW_SECONDS - 0.05)
+    await asyncio.sleep(2 * registration.RENEWAL_INTERVAL_SECONDS - 0.05)
     store.down = True
     gone = 0.0
     for tick in range(300):
@@ -128,14 +128,14 @@
 def test_record_that_ran_out_is_written_anew_at_once():
     store, gone = virtual_time.run(_outage(11.0))
     # it runs out after 8 s of the outage
-    assert gone < 3.0 + registration.RENEW_AGAIN_SECONDS + 0.5
+    assert gone < 3.0 + registration.RENEWAL_RETRY_SECONDS + 0.5
     assert store.granted == 2
 
 
 def test_outage_costs_a_call_a_second():
     store, _ = virtual_time.run(_outage(6.5))
     # a lease, a record, and a renewal each 4 s beside those that fail
-    assert store.calls < 6.5 + 2 + 36 / registration.RENEW_SECONDS + 1
+    assert store.calls < 6.5 + 2 + 36 / registration.RENEWAL_INTERVAL_SECONDS + 1
 
 
 FLEET = {
@@ -176,7 +176,7 @@
         kept = view.records[registration.DAEMONS + own]
         await service.start()
         view.set(registration.DAEMONS + own, kept)
-        await asyncio.sleep(2 * registration.RENEW_SECONDS + 0.1)
+        await asyncio.sleep(2 * registration.RENEWAL_INTERVAL_SECONDS + 0.1)
         await service.stop()
         return registration.RELAYS + own in view.records
 
@@ -228,9 +228,9 @@
 
         async def at(seconds):
             await asyncio.sleep(begun + seconds - clock())
-            seen[seconds] = service.knowledge()
+            seen[seconds] = service.fleet_knowledge()
 
-        before = service.knowledge()
+        before = service.fleet_knowledge()
         await service.start()
         await at(1.0)
         await at(4.0)
@@ -266,14 +266,14 @@
         clock = asyncio.get_running_loop().time
         service = Registration(SETTINGS, store, view, clock)
         await service.start()
-        await asyncio.sleep(registration.RENEW_SECONDS + 0.1)
+        await asyncio.sleep(registration.RENEWAL_INTERVAL_SECONDS + 0.1)
         store.down = True
         # sent just before the outage
         renewed_at = clock() - 0.1
         await asyncio.sleep(registration.DAEMON_LEASE_SECONDS - 1.0)
-        early = service.knowledge()
+        early = service.fleet_knowledge()
         await asyncio.sleep(renewed_at + registration.DAEMON_LEASE_SECONDS + 0.01 - clock())
-        late = service.knowledge()
+        late = service.fleet_knowledge()
         await service.stop()
         return early, late
 
--- a/tests/test_relay_choice.py
+++ b/tests/test_relay_choice.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from thorncleat_gateway.store.relays import DAEMONS_PER_LOCAL_RELAY
-from thorncleat_gateway.store.relays import GATHER_AT_RELAY_SECONDS
-from thorncleat_gateway.store.relays import GATHER_AT_STORE_SECONDS
+from thorncleat_gateway.store.relays import RELAY_COALESCING_SECONDS
 from thorncleat_gateway.store.relays import SMALL_FLEET
+from thorncleat_gateway.store.relays import STORE_COALESCING_SECONDS
 from thorncleat_gateway.store.relays import Daemon
-from thorncleat_gateway.store.relays import gather_seconds
+from thorncleat_gateway.store.relays import coalescing_seconds
 from thorncleat_gateway.store.relays import relay_count
 from thorncleat_gateway.store.relays import relays
 from thorncleat_gateway.store.relays import sources
@@ -74,7 +74,7 @@
 def test_controller_asks_nobody():
     daemons = fleet(40)
     for daemon in daemons:
-        assert sources(daemons, daemon, controls=True) == ()
+        assert sources(daemons, daemon, is_controller=True) == ()
 
 
 def test_daemon_that_knows_no_other_asks_nobody():
@@ -121,11 +121,11 @@
         (1, True, 0.05),
         (9, True, 0.05),
         (16, False, 0.05),
-        (17, True, GATHER_AT_STORE_SECONDS),
-        (17, False, GATHER_AT_RELAY_SECONDS),
-        (980, True, GATHER_AT_STORE_SECONDS),
-        (980, False, GATHER_AT_RELAY_SECONDS),
+        (17, True, STORE_COALESCING_SECONDS),
+        (17, False, RELAY_COALESCING_SECONDS),
+        (980, True, STORE_COALESCING_SECONDS),
+        (980, False, RELAY_COALESCING_SECONDS),
     ],
 )
 def test_changes_gather_for_longer_where_there_are_more_daemons(daemons, asks_store, seconds):
-    assert gather_seconds(0.05, daemons, asks_store=asks_store) == pytest.approx(seconds)
+    assert coalescing_seconds(0.05, daemons, asks_store=asks_store) == pytest.approx(seconds)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -19,12 +19,12 @@
 from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Position
 from thorncleat_gateway.ports import RecordChanged
-from thorncleat_gateway.ports import Settling
+from thorncleat_gateway.ports import SettlingTimes
 from thorncleat_gateway.settings import RelaySettings
 from thorncleat_gateway.store import change_codec
 from thorncleat_gateway.store import relay_answer
 from thorncleat_gateway.store.change_log import ChangeLog
-from thorncleat_gateway.store.freshness import RETURN_SECONDS
+from thorncleat_gateway.store.freshness import ENTRY_REWRITE_SECONDS
 from thorncleat_gateway.store.relay_feed import RelayFeed
 from thorncleat_gateway.store.relay_server import RelayServer
 from thorncleat_gateway.store.relays import Daemon
@@ -55,7 +55,7 @@
 MEMBER = Endpoint(
     "i-1", "desk", "a:1", "z", membership=Membership(GroupId(3, "g"), 1, GroupState.OPEN)
 )
-SETTLED = Settling(0.5, 0.25)
+SETTLED = SettlingTimes(0.5, 0.25)
 CHANGES = [
     ConfigurationChanged(CONFIGURATION),
     EndpointListed(MEMBER),
@@ -69,7 +69,7 @@
     @given(st.lists(st.integers(0, 3), max_size=30), st.integers(1, 12), st.integers(0, 40))
     def test_taking_what_it_returns_leads_to_the_newest_state(self, sizes, limit, since):
         log, revision, written = ChangeLog(limit), 5, []
-        log.begin(Position(2, revision))
+        log.restart_at(Position(2, revision))
         for size in sizes:
             batch = [
                 RecordChanged("abc"[number % 3], None, revision + number + 1)
@@ -89,7 +89,7 @@
 
     def test_what_was_before_its_beginning_is_not_known(self):
         log = ChangeLog()
-        log.begin(Position(2, 10))
+        log.restart_at(Position(2, 10))
         assert log.since(Position(2, 9)) is None
         assert log.since(Position(2, 10)) == []
 
@@ -102,7 +102,7 @@
 
     def test_higher_number_of_an_era_that_is_over_is_not_known(self):
         log = ChangeLog()
-        log.begin(Position(2, 10))
+        log.restart_at(Position(2, 10))
         assert log.since(Position(1, 40)) is None
 
 
@@ -125,8 +125,8 @@
             change_codec.decode(change_codec.encode(1, CHANGES * 200))
 
 
-def _written(age, body, settling=SETTLED):
-    return relay_answer.write(age, 3, settling, 7, body)
+def _written(age, body, settling_times=SETTLED):
+    return relay_answer.write(age, 3, settling_times, 7, body)
 
 
 class TestLeaving:
@@ -145,8 +145,12 @@
             (200, _written(float("nan"), BODY), "is itself nan s behind"),
             (200, _written(0.0, BODY[:-1]), "relay e1: .+"),
             (200, _written(0.0, b""), "relay e1: .+"),
-            (200, _written(0.0, BODY, Settling(10.1, 0.0)), "keeps missing endpoints for 10.1"),
-            (200, _written(0.0, BODY, Settling(0.0, float("nan"))), "endpoints for nan s"),
+            (
+                200,
+                _written(0.0, BODY, SettlingTimes(10.1, 0.0)),
+                "keeps missing endpoints for 10.1",
+            ),
+            (200, _written(0.0, BODY, SettlingTimes(0.0, float("nan"))), "endpoints for nan s"),
             (200, b"short", "relay e1 answered 200"),
             (404, _written(0.0, BODY), "relay e1 answered 404"),
             (409, b"", "relay e1 answered 409"),
@@ -171,7 +175,7 @@
         if fault is None:
             found = relay_answer.read("e1", status, body, 1.1)
             assert (found.position, found.changes) == (Position(3, 9), CHANGES)
-            assert (found.settling, found.configuration) == (SETTLED, 7)
+            assert (found.settling_times, found.configuration) == (SETTLED, 7)
             return
         with pytest.raises(RelayError, match=fault):
             relay_answer.read("e1", status, body, 1.1)
@@ -296,8 +300,8 @@
             found = await made.feed.changes(FIRST, STORE_WAIT)
             answered_at = time.monotonic()
             assert not found.changes
-            assert sent_at + found.proven <= made.view.current_as_of
-            assert found.proven < answered_at - sent_at
+            assert sent_at + found.proven_seconds <= made.view.current_as_of
+            assert found.proven_seconds < answered_at - sent_at
 
     async def test_silent_relay_is_left_for_the_store(self):
         async with site() as made:
@@ -353,7 +357,7 @@
 
     async def test_answer_of_a_later_era_does_not_continue_the_one_before(self):
         async with site() as made:
-            made.relay_store.era.heard(1)
+            made.relay_store.era.observe(1)
             made.relay_store.written += CHANGES
             await _until(lambda: made.view.configuration is not None)
             with pytest.raises(HistoryGoneError):
@@ -364,7 +368,7 @@
 
     async def test_relay_of_an_era_that_is_over_is_left(self):
         async with site() as made:
-            made.own_store.era.heard(1)
+            made.own_store.era.observe(1)
             # the relay hears of the era here, and has not read the store in it
             made.relay_store.down = True
             found = await made.feed.changes(Position(1, 1), STORE_WAIT)
@@ -374,7 +378,7 @@
 
     async def test_late_answer_of_an_era_that_is_over_is_left(self):
         async with site() as made:
-            made.own_store.era.heard(1)
+            made.own_store.era.observe(1)
             await made.feed.snapshot()
             assert made.own_store.calls == 1
 
@@ -395,7 +399,7 @@
             assert found.position == Position(0, 1 + len(CHANGES))
             # the record that was written and removed again is not there
             assert found.changes == CHANGES[:2]
-            assert found.proven <= 0.0
+            assert found.proven_seconds <= 0.0
 
     async def test_relay_that_started_at_the_same_time_answers_once_it_has_read(self):
         async with site(reads=False) as made:
@@ -430,14 +434,14 @@
     async def test_endpoint_that_has_lapsed_at_the_relay_is_not_listed_for_good(self):
         async with site() as made:
             # the store comes back from a copy: entries may be missing that are written again
-            made.relay_store.era.heard(1)
+            made.relay_store.era.observe(1)
             made.relay_store.written += [CHANGES[0], EndpointRemoved(MEMBER.id)]
             await _until(lambda: made.view.configuration is not None)
             assert made.view.roster.missing
             found = await made.feed.snapshot()
             assert found.changes[-2:] == [EndpointListed(MEMBER), EndpointRemoved(MEMBER.id)]
-            left = made.view.settling().returned_in
-            assert left <= found.settling.returned_in <= RETURN_SECONDS
+            left = made.view.settling_times().rewritten_in
+            assert left <= found.settling_times.rewritten_in <= ENTRY_REWRITE_SECONDS
 
     async def test_store_that_fails_too_is_an_error(self):
         async with site() as made:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -71,7 +71,10 @@
 def test_orders_are_compared_within_a_life(born, count, same):
     """A refused order is given again once a report shows other orders begun, or none of a life."""
     assert (
-        EngineReport(None, (), (), 3, 1).counts_as(EngineReport(None, (), (), count, born)) is same
+        EngineReport(None, (), (), 3, 1).has_same_order_count(
+            EngineReport(None, (), (), count, born)
+        )
+        is same
     )
 
 
--- a/tests/test_restored_groups.py
+++ b/tests/test_restored_groups.py
@@ -141,7 +141,7 @@
     await world.pass_time(CALM_SECONDS)
     node = leading(world)
     lease = node.election.left
-    node.view.era.heard(world.store.era + 1)
+    node.view.era.observe(world.store.era + 1)
     led = node.election.leads
     await world.stop()
     return lease, led
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thorncleat_gateway.store.roster import HEARTBEATS_MISSED_SECONDS
+from thorncleat_gateway.store.roster import ENTRY_TTL_SECONDS
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
@@ -51,7 +51,7 @@
         assert not roster.mark_draining(Incarnation("a", 5))
         roster.put(endpoint("a", born=5, **listed))
         assert roster.endpoints["a"].draining
-        assert list(roster.as_listed) == [endpoint("a", born=5, **listed)]
+        assert list(roster.stored_entries) == [endpoint("a", born=5, **listed)]
 
     def test_what_an_endpoint_says_of_draining_outlives_its_entry(self):
         roster = Roster()
@@ -68,7 +68,7 @@
         roster.mark_draining(Incarnation("a", 5))
         roster.put(endpoint("a", born=6))
         assert not roster.endpoints["a"].draining
-        assert list(roster.as_listed) == [endpoint("a", born=6)]
+        assert list(roster.stored_entries) == [endpoint("a", born=6)]
 
     def test_endpoints_that_drained_are_forgotten(self):
         roster = Roster()
@@ -106,7 +106,7 @@
         roster.put(dataclasses.replace(self.READY, draining=True))
         roster.put(self.READY)
         assert roster.endpoints["i-9"].draining
-        assert [one.draining for one in roster.as_listed] == [True]
+        assert [one.draining for one in roster.stored_entries] == [True]
 
     def test_next_life_does_not_drain_on(self):
         roster = Roster()
@@ -119,7 +119,7 @@
         roster.replace([self.READY], 11.0, restored=True)
         assert not roster.endpoints
         # whoever learns from here hears of no change when it is believed
-        assert list(roster.as_listed) == [self.READY]
+        assert list(roster.stored_entries) == [self.READY]
 
     def test_it_is_used_once_its_entry_changes(self):
         roster = self._gone()
@@ -131,9 +131,9 @@
         roster = self._gone()
         roster.replace([self.READY], 11.0, restored=True)
         roster.replace([self.READY], 12.0)
-        assert roster.next_due == 11.0 + HEARTBEATS_MISSED_SECONDS
-        assert not roster.expire(11.0 + HEARTBEATS_MISSED_SECONDS - 0.1)
-        assert roster.expire(11.0 + HEARTBEATS_MISSED_SECONDS)
+        assert roster.next_due == 11.0 + ENTRY_TTL_SECONDS
+        assert not roster.expire(11.0 + ENTRY_TTL_SECONDS - 0.1)
+        assert roster.expire(11.0 + ENTRY_TTL_SECONDS)
         assert "i-9" in roster.endpoints
 
     def test_it_is_forgotten_once_it_runs_out(self):
@@ -141,7 +141,7 @@
         roster.replace([self.READY], 11.0, restored=True)
         roster.unlist("i-9", 12.0, None)
         assert roster.next_due == float("inf")
-        assert not list(roster.as_listed)
+        assert not list(roster.stored_entries)
 
     def test_another_life_is_used_at_once(self):
         roster = Roster()
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -10,8 +10,8 @@
 from thorncleat_gateway.ports import EndpointListed
 from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Position
-from thorncleat_gateway.ports import Settling
-from thorncleat_gateway.store.freshness import RETURN_SECONDS
+from thorncleat_gateway.ports import SettlingTimes
+from thorncleat_gateway.store.freshness import ENTRY_REWRITE_SECONDS
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import Incarnation
 from thorncleat_gateway.store.store_era import StoreEra
@@ -121,7 +121,7 @@
     feed = _Feed()
     feed.list("one")
     view = await _view(feed)
-    await asyncio.sleep(RETURN_SECONDS + 1.0)
+    await asyncio.sleep(ENTRY_REWRITE_SECONDS + 1.0)
     feed.down = True
     await asyncio.sleep(4.0)
     feed.remove("one")
@@ -154,7 +154,7 @@
     feed = _Feed()
     feed.list("one")
     view = await _view(feed)
-    await asyncio.sleep(RETURN_SECONDS + 1.0)
+    await asyncio.sleep(ENTRY_REWRITE_SECONDS + 1.0)
     feed.remove("one")
     await asyncio.sleep(0.3)
     listed = "one" in view.roster.endpoints
@@ -176,7 +176,7 @@
     version = view.version
     view.mark_draining(Incarnation("one", None))
     found = view.roster.endpoints["one"].draining, woken.is_set(), view.version > version
-    told = view.everything()
+    told = view.snapshot_changes()
     await view.stop()
     return found, told, feed.listed["one"]
 
@@ -209,7 +209,7 @@
 
     async def snapshot(self) -> Changes:
         found = await super().snapshot()
-        return dataclasses.replace(found, settling=Settling(0.0, 0.6))
+        return dataclasses.replace(found, settling_times=SettlingTimes(0.0, 0.6))
 
 
 async def _started_from_a_relay():
@@ -217,7 +217,7 @@
     feed.list("one")
     view = await _view(feed)
     await asyncio.sleep(0.1)
-    known = view.is_settled, view.settling().returned_in
+    known = view.is_settled, view.settling_times().rewritten_in
     feed.remove("one")
     await asyncio.sleep(0.2)
     kept = "one" in view.roster.endpoints
@@ -228,9 +228,9 @@
 
 
 def test_daemon_that_starts_keeps_missing_entries_for_what_is_left_at_its_relay():
-    (settled, returned_in), kept, left = virtual_time.run(_started_from_a_relay())
+    (settled, rewritten_in), kept, left = virtual_time.run(_started_from_a_relay())
     assert not settled
-    assert 0.4 < returned_in <= 0.6
+    assert 0.4 < rewritten_in <= 0.6
     assert kept
     assert not left
 
@@ -240,8 +240,8 @@
     feed = _Feed()
     feed.list("one")
     # this daemon has called the store before that came back from a copy, and read nothing yet
-    feed.era.heard(1)
-    feed.era.heard(2)
+    feed.era.observe(1)
+    feed.era.observe(2)
     view = await _view(feed)
     await asyncio.sleep(0.1)
     age = view.age()
@@ -251,4 +251,4 @@
 
 def test_keys_of_a_copy_are_not_trusted_before_the_operator_can_have_written_again():
     """A key may have been taken away in what the store lost, and nobody knows better."""
-    assert virtual_time.run(_first_reading_of_a_restored_store()) > RETURN_SECONDS
+    assert virtual_time.run(_first_reading_of_a_restored_store()) > ENTRY_REWRITE_SECONDS
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -125,7 +125,7 @@
 def changes_form(found: Changes) -> t.Any:
     return {
         "revision": found.position.revision,
-        "proven": found.proven,
+        "proven": found.proven_seconds,
         "changes": plain([wire_form(change) for change in found.changes]),
     }
 
@@ -147,8 +147,8 @@
     :param proven: what its first answer proves.
     """
 
-    def __init__(self, changes: t.Sequence[Change], revision: int = 9, proven: float = 0.0):
-        self._first = Changes(Position(0, revision), list(changes), proven)
+    def __init__(self, changes: t.Sequence[Change], revision: int = 9, proven_seconds: float = 0.0):
+        self._first = Changes(Position(0, revision), list(changes), proven_seconds)
         self.era = StoreEra()
         self.next: asyncio.Queue[Changes] = asyncio.Queue()
 
