--- a/bench/soaks/gateway.py
+++ b/bench/soaks/gateway.py
@@ -114,7 +114,7 @@
     """Wait until the groups stand and each daemon has read the store."""
     leading = 0
     while leading < 2:
-        leading = sum(worker.is_serving_leader for worker in site.workers.values())
+        leading = sum(worker.leads for worker in site.workers.values())
         await asyncio.sleep(LOOK_SECONDS)
     await asyncio.sleep(READ_SECONDS)
 
--- a/bench/soaks/gateway_limits.py
+++ b/bench/soaks/gateway_limits.py
@@ -102,11 +102,7 @@
 
 
 def _may_name_a_limit(worker: "SoakWorker") -> bool:
-    return (
-        worker.takes_work
-        and worker.limit is None
-        and (worker.is_serving_leader or not worker.domain)
-    )
+    return worker.takes_work and worker.limit is None and (worker.leads or not worker.domain)
 
 
 async def _name_limit(
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -114,7 +114,7 @@
         if exchange is not None:
             daemon = self._site.daemon_named(exchange.daemon)
             self._site.notices.arrived(self, daemon, exchange.id, exchange.sent_at)
-            if self.is_serving_leader or not self.domain:
+            if self.leads or not self.domain:
                 self._site.limits.arrived(self, daemon, exchange.id)
             if self.leaving:
                 self._site.notices.said_leaving(self, daemon)
--- a/packages/gateway/src/thorncleat_gateway/store/roster.py
+++ b/packages/gateway/src/thorncleat_gateway/store/roster.py
@@ -1,17 +1,10 @@
-"""The endpoints as the platform lists them, and the groups that they say they are in.
+"""The endpoints as the platform lists them, and the groups that their entries name.
 
-Nothing of a group is stored: its members name it, its epoch and their ranks themselves, so
-whoever reads the list knows all groups.
+Groups aren't stored: they are built from the entries of their members. A draining endpoint stays
+draining for the rest of its incarnation, whatever older entry the store shows. After a restore of
+the store an entry of a removed endpoint counts only once it is written again or outlasts its TTL.
 
-An endpoint that drains says so in its answers as well, and may be listed as ready still, or
-again: a late write, one of the life before, or a copy from which the store came back. What it said
-in its answers or its entry holds for the rest of its life.
-
-A copy may also list endpoints that have gone. One that is known to have gone isn't used again on
-the copy's word alone: its entry has to change, or to stand for longer than an endpoint that has
-ended keeps one.
-
-Owns: the listed endpoints, those that said that they drain, and for a while those that have gone.
+Owns: the listed endpoints, those that reported that they drain, and recently removed ones.
 Relies on: :mod:`.view` for each change of the list and for when a missing endpoint is removed.
 """
 
@@ -19,14 +12,14 @@
 import enum
 import typing as t
 
-# for which an endpoint that has gone is remembered
-REMEMBER_GONE_SECONDS = 60.0
-# after which an entry without heartbeats has run out
+# How long a removed endpoint is remembered.
+REMOVED_TTL_SECONDS = 60.0
+# How long an entry stays in the store without heartbeats.
 ENTRY_TTL_SECONDS = 4.0
 
 
 class GroupState(enum.Enum):
-    """What a member says of itself in its group."""
+    """The state that a member reports for itself in its group."""
 
     JOINING = "joining"
     READY = "ready"
@@ -37,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, order=True)
 class GroupId:
-    """A formation of a group; no two formations share both.
+    """Identifies one formation of a group; no two formations share both fields.
 
     :param epoch: rises with each formation.
     """
@@ -48,53 +41,52 @@
 
 @dataclasses.dataclass(frozen=True)
 class Membership:
-    """An endpoint's place in a group; the member of rank 0 leads it and answers."""
+    """An endpoint's place in a group; the member of rank 0 is the leader and answers requests."""
 
     group: GroupId
     rank: int
     state: GroupState
 
     def is_at(self, group: GroupId, rank: int) -> bool:
-        """Return whether it is a certain place in a group."""
+        """Return whether this is the place of a rank in a group."""
         return (self.group, self.rank) == (group, rank)
 
 
 class Incarnation(t.NamedTuple):
     """One run of an endpoint's process.
 
-    An endpoint may start again under its id. Then it knows nothing of before: it is in no group,
-    and has begun no order.
+    An endpoint may restart under its id. Its new incarnation is in no group and has begun no order.
 
-    :param born: Unix milliseconds of its start; None where that isn't told, and each start has an
-        id of its own.
+    :param born: Unix milliseconds of its start; None if the endpoint doesn't report it, and each
+        start then has an id of its own.
     """
 
     endpoint_id: str
     born: int | None
 
     def is_superseded_by(self, seen: "Incarnation") -> bool:
-        """Return whether another life of the same endpoint was seen.
+        """Return whether another incarnation of the same endpoint was seen.
 
-        Which of the two is the later one is not read from the times: the clock of an instance may
-        have been set back in between.
+        The times don't show which of the two is later, since the clock of an instance may be set
+        back.
         """
         return self.born is not None and seen.born is not None and self.born != seen.born
 
 
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-    """A worker as it describes itself in the list.
+    """An endpoint as it describes itself in the list.
 
-    :param id: of the worker, which it may keep when it starts again.
-    :param order_count: as its entry says; the entry's count rises with heartbeats too, so only
-        an :class:`EngineReport` can tell the condition for an order. Unused, kept for
+    :param id: of the endpoint, which may keep it across restarts.
+    :param order_count: of the entry, where it rises with heartbeats too; only the count of an
+        :class:`EngineReport` can be the condition of an order. Unused, kept for
         :mod:`.change_codec`.
-    :param fabric_domain: of the instances that one group may span.
-    :param models: those that it has loaded.
-    :param staged: models that lie on its host.
-    :param slots: requests that it runs at once; unused, since those of a group count, and kept
+    :param fabric_domain: the instances that one group may span.
+    :param models: the loaded ones.
+    :param staged: models that are stored on its host.
+    :param slots: requests that it runs at once; unused, since a group's count applies, and kept
         for :mod:`.change_codec`.
-    :param born: Unix milliseconds of its start; None if it doesn't tell.
+    :param born: Unix milliseconds of its start; None if not reported.
     """
 
     id: str
@@ -131,7 +123,7 @@
 
     @property
     def leader(self) -> Endpoint | None:
-        """The member of rank 0, if it is listed."""
+        """The member of rank 0, or None if it isn't listed."""
         return self.members.get(0)
 
     @property
@@ -144,27 +136,27 @@
 
     @property
     def state(self) -> GroupState | None:
-        """The leader's state, if it is listed."""
+        """The leader's state, or None if the leader isn't listed."""
         leader = self.leader
         return leader.membership.state if leader and leader.membership else None
 
 
 @dataclasses.dataclass(frozen=True)
-class _Doubted:
-    """An entry that came back with a copy, of an endpoint that had gone.
+class _UnconfirmedEntry:
+    """An entry of a removed endpoint that reappeared when the store was restored.
 
-    :param believed_at: when it is believed, unless it has run out by then.
+    :param confirmed_at: time at which the entry counts, unless it has expired by then.
     """
 
     endpoint: Endpoint
-    believed_at: float
+    confirmed_at: float
 
 
 @dataclasses.dataclass(frozen=True)
 class RemovedEndpoint:
     """An endpoint that is no longer listed.
 
-    :param at: when this was learnt, on the reader's own clock.
+    :param at: time of its removal, on this daemon's clock.
     """
 
     endpoint: Endpoint
@@ -172,17 +164,19 @@
 
 
 class Roster:
-    """The endpoints known, by id."""
+    """The known endpoints by id.
+
+    :ivar removed: the endpoints that were removed recently.
+    """
 
     def __init__(self) -> None:
         self._endpoints: dict[str, Endpoint] = {}
         self._groups: dict[GroupId, Group] | None = None
-        # not listed any more, and when they are removed unless they are listed again
-        self._lapsed: dict[str, float] = {}
-        # those that said that they drain, as the list shows them
-        self._said_draining: dict[str, Endpoint] = {}
-        # entries that aren't believed yet
-        self._doubted: dict[str, _Doubted] = {}
+        # Removal times of endpoints that aren't listed at present.
+        self._missing: dict[str, float] = {}
+        # Entries, as the store holds them, of endpoints that reported that they drain.
+        self._reported_draining: dict[str, Endpoint] = {}
+        self._unconfirmed: dict[str, _UnconfirmedEntry] = {}
         self.removed: dict[str, RemovedEndpoint] = {}
 
     @property
@@ -192,56 +186,58 @@
 
     @property
     def stored_entries(self) -> t.Iterable[Endpoint]:
-        """The listed endpoints, without what they have said otherwise."""
+        """The entries as the store holds them, without reported draining.
+
+        Unconfirmed entries are included: a reader of the snapshot gets no change when they are
+        confirmed.
+        """
         for endpoint in self._endpoints.values():
-            yield self._said_draining.get(endpoint.id, endpoint)
-        for doubted in self._doubted.values():
-            # who learns of them here hears of no change when they are believed
-            yield doubted.endpoint
+            yield self._reported_draining.get(endpoint.id, endpoint)
+        for unconfirmed in self._unconfirmed.values():
+            yield unconfirmed.endpoint
 
     @property
     def missing(self) -> t.Collection[str]:
-        """The ids of those that count as listed, and will be removed unless they are again."""
-        return self._lapsed.keys()
+        """The ids of endpoints that aren't listed at present and haven't been removed yet."""
+        return self._missing.keys()
 
     @property
     def next_due(self) -> float:
-        """When :meth:`expire` has something to do next; infinite if never."""
-        believed = (doubted.believed_at for doubted in self._doubted.values())
-        return min((*self._lapsed.values(), *believed), default=float("inf"))
+        """The next time at which :meth:`expire` has something to do; infinite if never."""
+        due = (unconfirmed.confirmed_at for unconfirmed in self._unconfirmed.values())
+        return min((*self._missing.values(), *due), default=float("inf"))
 
     @property
     def groups(self) -> t.Mapping[GroupId, Group]:
         """The groups that listed endpoints name."""
         if self._groups is None:
-            self._groups = _grouped(self._endpoints.values())
+            self._groups = _group_members(self._endpoints.values())
         return self._groups
 
     def put(self, endpoint: Endpoint) -> bool:
-        """Keep an endpoint's newest entry.
+        """Store an endpoint's newest entry.
 
-        It may be one of the life before, since the store may carry out a write seconds after it
-        was sent. It is kept all the same: the endpoint's next heartbeat writes its own again, and
-        an entry that was left out by mistake would come no second time.
+        An entry of an earlier incarnation is stored too, since the store may carry out a write
+        late. The endpoint's next heartbeat corrects it, whereas a skipped entry would not return.
 
-        :returns: whether it is of another life than the entry before.
+        :returns: whether it is of another incarnation than the entry before.
         """
         known = self._endpoints.get(endpoint.id)
-        started_again = known is not None and known.incarnation.is_superseded_by(
-            endpoint.incarnation
+        restarted = known is not None and known.incarnation.is_superseded_by(endpoint.incarnation)
+        self._endpoints[endpoint.id] = self._apply_reported_draining(
+            self._carry_over_draining(endpoint)
         )
-        self._endpoints[endpoint.id] = self._with_said(self._drains_on(endpoint))
-        self._lapsed.pop(endpoint.id, None)
-        self._doubted.pop(endpoint.id, None)
+        self._missing.pop(endpoint.id, None)
+        self._unconfirmed.pop(endpoint.id, None)
         self.removed.pop(endpoint.id, None)
         self._groups = None
-        return started_again
+        return restarted
 
-    def _drains_on(self, listed: Endpoint) -> Endpoint:
-        """Return an entry with the draining that an earlier entry of the same life told."""
-        gone = self.removed.get(listed.id)
-        before = self._endpoints.get(listed.id, gone.endpoint if gone is not None else None)
-        before = self._said_draining.get(listed.id, before)
+    def _carry_over_draining(self, listed: Endpoint) -> Endpoint:
+        """Return an entry with the draining of an earlier entry of the same incarnation."""
+        removed = self.removed.get(listed.id)
+        before = self._endpoints.get(listed.id, removed.endpoint if removed is not None else None)
+        before = self._reported_draining.get(listed.id, before)
         if (
             before is None
             or not before.draining
@@ -250,62 +246,66 @@
             return listed
         return dataclasses.replace(listed, draining=True)
 
-    def _with_said(self, listed: Endpoint) -> Endpoint:
-        """Return an entry with what its endpoint has said in this life."""
-        before = self._said_draining.get(listed.id)
+    def _apply_reported_draining(self, listed: Endpoint) -> Endpoint:
+        """Return an entry with the draining that its incarnation reported in answers."""
+        before = self._reported_draining.get(listed.id)
         if before is None:
             return listed
         if before.incarnation.is_superseded_by(listed.incarnation):
-            del self._said_draining[listed.id]
+            del self._reported_draining[listed.id]
             return listed
-        self._said_draining[listed.id] = listed
+        self._reported_draining[listed.id] = listed
         return dataclasses.replace(listed, draining=True)
 
     def mark_draining(self, incarnation: Incarnation) -> bool:
-        """Note that an endpoint said that it drains; return whether that changes anything.
+        """Record that an incarnation reported that it drains.
+
+        A report of a superseded incarnation is ignored.
 
-        It may have said so in a life that is over.
+        :returns: whether the endpoint wasn't known to drain before.
         """
         endpoint = self._endpoints.get(incarnation.endpoint_id)
         if (
             endpoint is None
             or endpoint.incarnation.is_superseded_by(incarnation)
-            or endpoint.id in self._said_draining
+            or endpoint.id in self._reported_draining
         ):
             return False
-        self._said_draining[endpoint.id] = endpoint
+        self._reported_draining[endpoint.id] = endpoint
         if endpoint.draining:
             return False
         self._endpoints[endpoint.id] = dataclasses.replace(endpoint, draining=True)
         self._groups = None
         return True
 
-    def unlist(self, endpoint_id: str, now: float, removed_at: float | None) -> None:
-        """Note that an endpoint is no longer listed.
+    def unlist(self, endpoint_id: str, now: float, remove_at: float | None) -> None:
+        """Record that an endpoint is no longer listed.
 
-        :param removed_at: before which it may be listed again, and counts as listed; None to
-            remove it at once.
+        :param remove_at: time of its removal, unless it is listed again before; None to remove it
+            at once.
         """
-        self._doubted.pop(endpoint_id, None)
-        if removed_at is None:
+        self._unconfirmed.pop(endpoint_id, None)
+        if remove_at is None:
             self.remove(endpoint_id, now)
         elif endpoint_id in self._endpoints:
-            self._lapsed.setdefault(endpoint_id, removed_at)
+            self._missing.setdefault(endpoint_id, remove_at)
 
     def remove(self, endpoint_id: str, now: float) -> None:
-        """Remove an endpoint, and remember it for a while as gone."""
+        """Remove an endpoint, and remember it as removed for a while."""
         endpoint = self._endpoints.pop(endpoint_id, None)
-        self._lapsed.pop(endpoint_id, None)
+        self._missing.pop(endpoint_id, None)
         if endpoint is None:
             return
         self._groups = None
         self.removed = {
-            key: gone for key, gone in self.removed.items() if now - gone.at < REMEMBER_GONE_SECONDS
+            key: removed
+            for key, removed in self.removed.items()
+            if now - removed.at < REMOVED_TTL_SECONDS
         }
         self.removed[endpoint_id] = RemovedEndpoint(endpoint, now)
-        self._said_draining = {
-            key: said
-            for key, said in self._said_draining.items()
+        self._reported_draining = {
+            key: draining
+            for key, draining in self._reported_draining.items()
             if key in self._endpoints or key in self.removed
         }
 
@@ -313,55 +313,57 @@
         self,
         endpoints: t.Iterable[Endpoint],
         now: float,
-        removed_at: float | None = None,
+        remove_at: float | None = None,
         *,
         restored: bool = False,
     ) -> None:
-        """Put the whole list in place of what was known.
+        """Replace the whole list.
 
-        :param removed_at: for those that are missing, as for :meth:`unlist`.
-        :param restored: whether the store has come back from a copy since.
+        :param remove_at: removal time of endpoints that aren't in it, as for :meth:`unlist`.
+        :param restored: whether the store was restored from a copy since the last list.
         """
         listed = {endpoint.id: endpoint for endpoint in endpoints}
-        for missing in {*self._endpoints, *self._doubted} - set(listed):
-            self.unlist(missing, now, removed_at)
+        for missing in {*self._endpoints, *self._unconfirmed} - set(listed):
+            self.unlist(missing, now, remove_at)
         for endpoint in listed.values():
-            if restored and self._has_gone(endpoint):
-                believed_at = now + ENTRY_TTL_SECONDS
-                self._doubted[endpoint.id] = _Doubted(endpoint, believed_at)
-            elif not self._is_doubted(endpoint):
+            if restored and self._is_removed(endpoint):
+                confirmed_at = now + ENTRY_TTL_SECONDS
+                self._unconfirmed[endpoint.id] = _UnconfirmedEntry(endpoint, confirmed_at)
+            elif not self._is_unconfirmed(endpoint):
                 self.put(endpoint)
 
-    def _has_gone(self, listed: Endpoint) -> bool:
-        """Return whether the life that an entry describes is known to have gone."""
-        gone = self.removed.get(listed.id)
-        return gone is not None and not gone.endpoint.incarnation.is_superseded_by(
+    def _is_removed(self, listed: Endpoint) -> bool:
+        """Return whether the incarnation that an entry describes was removed recently."""
+        removed = self.removed.get(listed.id)
+        return removed is not None and not removed.endpoint.incarnation.is_superseded_by(
             listed.incarnation
         )
 
-    def _is_doubted(self, listed: Endpoint) -> bool:
-        doubted = self._doubted.get(listed.id)
-        return doubted is not None and doubted.endpoint == listed
+    def _is_unconfirmed(self, listed: Endpoint) -> bool:
+        unconfirmed = self._unconfirmed.get(listed.id)
+        return unconfirmed is not None and unconfirmed.endpoint == listed
 
     def expire(self, now: float) -> bool:
-        """Remove the endpoints that weren't listed again in time, and believe what still stands.
+        """Remove endpoints that stayed missing, and confirm entries that outlasted their TTL.
 
-        :returns: whether there were any.
+        :returns: whether anything changed.
         """
-        late = [key for key, removed_at in self._lapsed.items() if removed_at <= now]
-        for endpoint_id in late:
+        overdue = [key for key, remove_at in self._missing.items() if remove_at <= now]
+        for endpoint_id in overdue:
             self.remove(endpoint_id, now)
-        standing = [one.endpoint for one in self._doubted.values() if one.believed_at <= now]
-        for endpoint in standing:
+        confirmed = [
+            entry.endpoint for entry in self._unconfirmed.values() if entry.confirmed_at <= now
+        ]
+        for endpoint in confirmed:
             self.put(endpoint)
-        return bool(late or standing)
+        return bool(overdue or confirmed)
 
     def of_service(self, service: str) -> list[Endpoint]:
         """Return the listed endpoints of a service."""
         return [endpoint for endpoint in self._endpoints.values() if endpoint.service == service]
 
 
-def _grouped(endpoints: t.Iterable[Endpoint]) -> dict[GroupId, Group]:
+def _group_members(endpoints: t.Iterable[Endpoint]) -> dict[GroupId, Group]:
     groups: dict[GroupId, Group] = {}
     for endpoint in endpoints:
         member = endpoint.membership
--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -111,7 +111,7 @@
         return self._group is not None and self._group["state"] in ("open", "closing")
 
     @property
-    def is_serving_leader(self) -> bool:
+    def leads(self) -> bool:
         """Whether it is the open head of a group."""
         return self._group is not None and self._group["state"] == "open"
 
@@ -287,7 +287,7 @@
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         attempt = request.headers[ATTEMPT]
         body = await request.read()
-        if self.domain and not self.is_serving_leader:
+        if self.domain and not self.leads:
             return web.Response(status=421, headers=self.said())
         turned_away = self.turned_away(request)
         if turned_away is not None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -93,9 +93,7 @@
             await self.add(f"desk{number}", "desk")
         for number in range(daemons):
             await self._start_gateway(address, metrics, number + 1)
-        await self.until(
-            lambda: sum(worker.is_serving_leader for worker in self.workers) == domains
-        )
+        await self.until(lambda: sum(worker.leads for worker in self.workers) == domains)
         await self.until(lambda: self._listed_leaders() == domains * daemons)
 
     async def _start_gateway(self, address: str, metrics: str, number: int) -> None:
@@ -220,7 +218,7 @@
 
 
 def _leaders(made):
-    return [worker for worker in made.workers if worker.domain and worker.is_serving_leader]
+    return [worker for worker in made.workers if worker.domain and worker.leads]
 
 
 async def test_stream_goes_on_elsewhere_when_its_group_answers_with_a_failure(tmp_path):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -77,7 +77,7 @@
             roster.mark_draining(Incarnation(name, None))
         roster.remove("a", 1.0)
         roster.remove("b", 100.0)
-        assert list(roster._said_draining) == ["b"]
+        assert list(roster._reported_draining) == ["b"]
 
     def test_endpoint_that_is_not_listed_says_nothing(self):
         assert not Roster().mark_draining(Incarnation("a", None))
