--- a/packages/gateway/src/thorncleat_gateway/store/change_codec.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_codec.py
@@ -1,9 +1,7 @@
-"""How changes are written between daemons: MessagePack, compressed where that is worth it.
+"""Encodes changes between daemons as MessagePack, compressed from a certain size.
 
-Data classes are written as maps of their fields. A field may only be removed from one of them
-once no daemon runs that requires it, and one is added with a default: the daemons of two builds
-relay to each other while a new one is rolled out, and a daemon that can't decode an answer goes
-to the store instead.
+Data classes are encoded as maps of their fields. During a rollout daemons of two builds relay to
+each other, so a new field needs a default, and a field is removed only once no daemon requires it.
 
 Owns: nothing.
 Relies on: :mod:`thorncleat_core.codec` for the versioned form.
@@ -23,39 +21,40 @@
 from .roster import Endpoint
 from .serving import ServingConfiguration
 
-# from which compression is worth its processor time
-COMPRESS_FROM_BYTES = 2_000
-# of zlib, the quickest
-COMPRESSION_LEVEL = 1
-# the first byte of what is sent
+MIN_COMPRESSED_BYTES = 2_000
+ZLIB_LEVEL = 1
+# The first byte of an encoded message.
 PLAIN, COMPRESSED = b"\0", b"\1"
-# that a relay may make this daemon unpack
+# The largest decompressed message that is accepted from a relay.
 MAX_BYTES = 64_000_000
 
 
 def encode(revision: int, changes: t.Sequence[Change]) -> bytes:
-    """Return changes as bytes."""
-    data = codec.pack([revision, [_form(change) for change in changes]])
-    if len(data) < COMPRESS_FROM_BYTES:
+    """Return changes as bytes.
+
+    :param revision: the store's revision with these changes.
+    """
+    data = codec.pack([revision, [_encode_change(change) for change in changes]])
+    if len(data) < MIN_COMPRESSED_BYTES:
         return PLAIN + data
-    return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
+    return COMPRESSED + zlib.compress(data, ZLIB_LEVEL)
 
 
 def decode(data: bytes) -> tuple[int, list[Change]]:
     """Return the revision and the changes that :func:`encode` wrote.
 
-    :raises DecodeError: if it is something else.
+    :raises DecodeError: if the bytes can't be decoded.
     """
     try:
-        match codec.unpack(_unpacked(data)):
+        match codec.unpack(_decompress(data)):
             case [int(revision), list(forms)]:
-                return revision, [_change(form) for form in forms]
+                return revision, [_decode_change(form) for form in forms]
     except (zlib.error, ValueError, TypeError) as error:
         raise DecodeError(f"{len(data)} bytes of changes: {error}") from error
     raise DecodeError(f"{len(data)} bytes that are no changes")
 
 
-def _unpacked(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     if data[:1] != COMPRESSED:
         return data[1:]
     unpacker = zlib.decompressobj()
@@ -65,10 +64,10 @@
     return unpacked
 
 
-def _endpoint_form(endpoint: Endpoint) -> dict[str, t.Any]:
-    """Return an endpoint's form; what it doesn't tell is left out.
+def _encode_endpoint(endpoint: Endpoint) -> dict[str, t.Any]:
+    """Return an endpoint's fields; an unset ``born`` is left out.
 
-    Daemons that know no ``born`` pass over it.
+    Daemons of earlier builds ignore ``born``.
     """
     form: dict[str, t.Any] = codec.plain(endpoint)
     if endpoint.born is None:
@@ -76,19 +75,19 @@
     return form
 
 
-def _form(change: Change) -> list[t.Any]:
+def _encode_change(change: Change) -> list[t.Any]:
     match change:
         case ConfigurationChanged(configuration):
             return ["configuration", configuration]
         case EndpointListed(endpoint):
-            return ["listed", _endpoint_form(endpoint)]
+            return ["listed", _encode_endpoint(endpoint)]
         case EndpointRemoved(endpoint_id):
             return ["gone", endpoint_id]
         case RecordChanged():
             return ["record", change]
 
 
-def _change(form: t.Any) -> Change:
+def _decode_change(form: t.Any) -> Change:
     match form:
         case ["configuration", configuration]:
             return ConfigurationChanged(codec.validated(ServingConfiguration, configuration))
--- a/packages/gateway/src/thorncleat_gateway/store/change_log.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_log.py
@@ -1,4 +1,4 @@
-"""What a daemon has learnt lately, in order, for those that learn it from this daemon.
+"""The changes that a daemon has learnt lately, in order, for daemons that ask it for changes.
 
 Owns: the newest batches of changes.
 Relies on: nothing.
@@ -11,15 +11,15 @@
 from ..ports import Change
 from ..ports import Position
 
-# batches that are kept; a daemon that is further behind is sent to the store
-BATCHES = 256
+# A daemon that is further behind reads a snapshot.
+MAX_BATCHES = 256
 
 
 @dataclasses.dataclass(frozen=True)
 class _Batch:
-    """Changes that came together.
+    """Changes that arrived together.
 
-    :param position: the store's with them.
+    :param position: the store's position with these changes.
     """
 
     position: Position
@@ -29,23 +29,23 @@
 class ChangeLog:
     """The newest batches of changes.
 
-    :param limit: batches that are kept.
+    :param limit: how many batches are retained.
     """
 
-    def __init__(self, limit: int = BATCHES) -> None:
+    def __init__(self, limit: int = MAX_BATCHES) -> None:
         self._limit = limit
         self._batches: collections.deque[_Batch] = collections.deque()
         self._begin = Position(0, 0)
 
     def restart_at(self, position: Position) -> None:
-        """Forget all: what comes next continues a position."""
+        """Discard all batches; later ones continue from a position."""
         self._batches.clear()
         self._begin = position
 
     def add(self, position: Position, changes: t.Sequence[Change]) -> None:
-        """Keep a batch.
+        """Append a batch.
 
-        :param position: the store's with it.
+        :param position: the store's position with the batch.
         """
         if changes:
             self._batches.append(_Batch(position, changes))
@@ -53,11 +53,11 @@
             self._begin = self._batches.popleft().position
 
     def since(self, position: Position) -> list[Change] | None:
-        """Return all changes after a position, and perhaps some that are not newer.
+        """Return all changes after a position, possibly preceded by older ones.
 
-        What is not newer comes before what is, so that taking all of them in order is right.
+        The older ones come first, so applying all of them in order is correct.
 
-        :returns: None if some may be missing.
+        :returns: None if changes after the position may be missing.
         """
         if position < self._begin:
             return None
--- a/packages/gateway/src/thorncleat_gateway/store/fleet_knowledge.py
+++ b/packages/gateway/src/thorncleat_gateway/store/fleet_knowledge.py
@@ -1,12 +1,8 @@
-"""How far a daemon may trust its list of daemons, to share something with all of them.
+"""How far a daemon may rely on its list of daemons when it divides a fixed limit among them.
 
-What a fixed figure allows all daemons together is divided by the list: each works out its own part
-and asks nobody. The parts add up to the whole only if all who use one divide it among lists that
-hold all of them. That is so while each user knows a recent list, is registered for longer than a
-recent list can be old, and is still registered: then any two of them stand in each other's lists,
-whoever else comes, goes or is cut off.
-
-Pure.
+Each daemon computes its own share from its list without asking the others. The shares add up to
+the limit only if every two daemons that use one are in each other's lists. So a daemon uses its
+share only while its list is recent and it has been registered for longer than a recent list's age.
 
 Owns: nothing.
 Relies on: :mod:`.registration` for the lease, and :mod:`.freshness` for the age of the list.
@@ -14,32 +10,31 @@
 
 import enum
 
-# age up to which a list counts as recent: one that is followed is 1.4 s old at most
 RECENT_LIST_MAX_AGE_SECONDS = 2.5
-# for which a daemon is registered until every recent list holds it; more than such a list's age,
-# since clocks run unlike
+# How long a daemon must be registered until every recent list holds it. It exceeds the age of a
+# recent list, since clocks run at different rates.
 MIN_REGISTERED_SECONDS = 3.0
 
 
 class FleetKnowledge(enum.Enum):
-    """What a daemon's list of daemons is good for."""
+    """How reliable a daemon's list of daemons is."""
 
-    # others may divide without this daemon
+    # Others may divide a limit without this daemon.
     NONE = "none"
-    # others may have come or gone since, and may divide by another list
+    # Others may have come or left since, and may divide a limit by another list.
     OLD = "old"
-    # all who know as much divide among each other
+    # All daemons with a recent list divide a limit among each other.
     RECENT = "recent"
 
 
 def fleet_knowledge(
     registered_for: float | None, lease_left: float, list_age: float
 ) -> FleetKnowledge:
-    """Return what a daemon's list of daemons is good for.
+    """Return how reliable a daemon's list of daemons is.
 
-    :param registered_for: seconds for which its record has stood; None if it doesn't.
-    :param lease_left: seconds that its record stands for certain.
-    :param list_age: seconds for which a change may have been made that the list doesn't show.
+    :param registered_for: seconds since the daemon's record was written; None without a record.
+    :param lease_left: seconds for which its record certainly stays.
+    :param list_age: seconds for which a change may be missing from the list.
     """
     if registered_for is None or registered_for < MIN_REGISTERED_SECONDS:
         return FleetKnowledge.NONE
--- a/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
@@ -1,8 +1,7 @@
-"""A relay's answer: how old what it tells is, of which era of the store, what is left of the times
-after which a missing endpoint is gone, and which configuration is in force there; then the changes.
+"""The form of a relay's answer: a head with its age, era, settling times and version, then changes.
 
-Daemons of earlier builds know no eras. They ask by other paths, and get the earlier form; this
-build doesn't ask them, since what they answer may be of any era.
+Daemons of earlier builds don't know eras. They use other paths and get an earlier form, but they
+aren't asked for changes, since their answers may be of any era.
 
 Owns: nothing.
 Relies on: :mod:`.change_codec` for the changes, and on :mod:`thorncleat_core.codec` within it.
@@ -21,38 +20,36 @@
 from ..ports import SettlingTimes
 from . import change_codec
 
-# a daemon of an earlier build answers 404 to these two
+# Daemons of earlier builds answer 404 to these two paths.
 CHANGES_PATH = "/2/changes"
-# for a daemon that knows nothing yet
 SNAPSHOT_PATH = "/2/snapshot"
-# of daemons of earlier builds
+# Daemons of earlier builds request these paths.
 EARLIER_CHANGES_PATH = "/changes"
 EARLIER_SNAPSHOT_PATH = "/snapshot"
 EARLIER_PATHS = (EARLIER_CHANGES_PATH, EARLIER_SNAPSHOT_PATH)
 SNAPSHOT_PATHS = (SNAPSHOT_PATH, EARLIER_SNAPSHOT_PATH)
 PATHS = (CHANGES_PATH, SNAPSHOT_PATH, *EARLIER_PATHS)
 STATUS_OK = 200  # HTTP status
-# the asker has to read all anew: the relay doesn't know so far back, or the asker's era is over
+# The requesting daemon has to read a snapshot: its position is too old, or its era is over.
 HISTORY_GONE = 410  # HTTP status
-# the relay itself is behind the asker's era
+# The relay hasn't read the era of the requesting daemon yet.
 BEHIND = 409  # HTTP status
-# age in seconds, era, seconds until missing endpoints are gone, and until those of an outage are,
-# version of the configuration
+# Age in seconds, era, both settling times in seconds, and version of the configuration.
 _HEAD = struct.Struct("!dqddq")
-# up to which both times are believed, in seconds; more than any daemon gives an entry
-LONGEST_SETTLING_SECONDS = 10.0
-# of the earlier form: age in seconds
+# Answers with longer settling times are rejected.
+MAX_SETTLING_SECONDS = 10.0
+# Age in seconds.
 _EARLIER_HEAD = struct.Struct("!d")
 
 
 @dataclasses.dataclass(frozen=True)
 class RelayAnswer:
-    """What a relay knows of the changes since a position.
+    """A relay's changes since a position.
 
-    :param age: seconds for which a change may have been made that the relay doesn't know.
+    :param age: seconds for which a change may be unknown to the relay.
     :param position: where to continue.
-    :param settling: what is left, at the relay, of the times for missing endpoints.
-    :param configuration: version of the one in force at the relay.
+    :param settling_times: the relay's settling times.
+    :param configuration: version of the configuration in force at the relay.
     """
 
     age: float
@@ -67,9 +64,10 @@
 ) -> bytes:
     """Return the body of an answer.
 
-    :param era: of the store, in which the changes were made.
-    :param configuration: version of the one in force here.
-    :param changes: as :func:`.change_codec.encode` wrote them.
+    :param age: seconds for which a change may be unknown to this daemon.
+    :param era: the store's era in which the changes were made.
+    :param configuration: version of the configuration in force at this daemon.
+    :param changes: as :func:`.change_codec.encode` returned them.
     """
     head = _HEAD.pack(
         age, era, settling_times.settled_in, settling_times.rewritten_in, configuration
@@ -83,11 +81,11 @@
 
 
 def read(relay_id: str, status: int, body: bytes, oldest: float) -> RelayAnswer:
-    """Return a relay's answer.
+    """Return a relay's decoded answer.
 
-    :param oldest: seconds; a relay whose knowledge is older is left.
-    :raises RelayError: if the relay is to be left for the store.
-    :raises HistoryGoneError: if it doesn't know all that was asked for.
+    :param oldest: greatest accepted age in seconds.
+    :raises RelayError: if the answer can't be used, and another source has to be asked.
+    :raises HistoryGoneError: if the relay no longer holds all changes that were asked for.
     """
     if status == HISTORY_GONE:
         raise HistoryGoneError(f"relay {relay_id} does not remember so far back")
@@ -97,7 +95,7 @@
     if not 0.0 <= age <= oldest:
         raise RelayError(f"relay {relay_id} is itself {age:.3f} s behind")
     for seconds in (settled_in, rewritten_in):
-        if not 0.0 <= seconds <= LONGEST_SETTLING_SECONDS:
+        if not 0.0 <= seconds <= MAX_SETTLING_SECONDS:
             raise RelayError(f"relay {relay_id} keeps missing endpoints for {seconds:.3f} s")
     try:
         revision, changes = change_codec.decode(body[_HEAD.size :])
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -1,7 +1,7 @@
-"""A feed that asks a relay in place of the store, and the store when no relay will do.
+"""A feed that asks relays for changes, and falls back to the store.
 
-Owns: the connections to relays, and which of these are avoided until when.
-Relies on: :mod:`.relays` for whom to ask, and on :mod:`.relay_answer` for when a relay is left.
+Owns: the connections to relays, and the times until which failed relays are avoided.
+Relies on: :mod:`.relays` for the order of relays, and on :mod:`.relay_answer` to reject answers.
 """
 
 import typing as t
@@ -23,19 +23,18 @@
 from .store_era import StoreEra
 
 STORE = "store"
-# relays that are asked for everything before the store is: a listing takes a call for each page
-SNAPSHOT_TRIES = 2
-# for a connection to a relay that is asked for everything to come up, in seconds: after a loss of
-# power it may not be back yet
-SNAPSHOT_CONNECT_SECONDS = 0.15
+# How many relays are asked for a snapshot before the store, where it takes a call for each page.
+MAX_SNAPSHOT_RELAYS = 2
+# The timeout is short, since after a power failure a relay may not have started yet.
+SNAPSHOT_CONNECT_TIMEOUT_SECONDS = 0.15
 
 
 class RelayFeed:
-    """Learns from a relay while it answers and is itself up to date.
+    """Reads changes from a relay while it answers and is up to date, and else from the store.
 
     :param sources: returns the relays to ask, the preferred one first; none to ask the store.
-    :param listed_sources: returns relays to ask as the store lists them, before anything else is
-        known.
+    :param listed_sources: returns the relays to ask before the first snapshot, as the store lists
+        them.
     """
 
     def __init__(
@@ -52,9 +51,9 @@
         self._listed_sources = listed_sources
         self._clock = clock
         self._session = LazySession(keep_connections=True)
-        # ids of relays that failed, and until when they are not asked
-        self._avoided: dict[str, float] = {}
-        self._asked = ""
+        # Times until which failed relays aren't asked, by their ids.
+        self._avoided_until: dict[str, float] = {}
+        self._current_source = ""
 
     @property
     def era(self) -> StoreEra:
@@ -64,65 +63,67 @@
     @property
     def asks_store(self) -> bool:
         """Whether the last answer came from the store."""
-        return self._asked in ("", STORE)
+        return self._current_source in ("", STORE)
 
     async def close(self) -> None:
         """Close the connections."""
         await self._session.close()
 
     async def snapshot(self) -> Changes:
-        """Return everything there is, from a relay or from the store."""
-        relays = self._usable() if self._sources() else await self._listed_sources()
-        for relay in relays[:SNAPSHOT_TRIES]:
+        """Return a snapshot from a relay or from the store."""
+        relays = self._available_relays() if self._sources() else await self._listed_sources()
+        for relay in relays[:MAX_SNAPSHOT_RELAYS]:
             try:
-                found = await self._ask_for_everything(relay)
+                found = await self._request_snapshot(relay)
             except RelayError as error:
                 self._avoid(relay)
-                self._note(STORE, str(error))
+                self._record_source(STORE, str(error))
                 continue
-            self._note(relay.id, "answers")
+            self._record_source(relay.id, "answers")
             return found
         return await self._store.snapshot()
 
     async def changes(self, since: Position, wait: float) -> Changes:
-        """Return what has changed since a position, from a relay or from the store."""
-        begun, failure = self._clock(), None
-        for relay in self._usable():
+        """Return the changes since a position, from a relay or from the store."""
+        started_at, failure = self._clock(), None
+        for relay in self._available_relays():
             try:
-                found = await self._ask(relay, since)
+                found = await self._request_changes(relay, since)
             except RelayError as error:
                 self._avoid(relay)
                 failure = error
             else:
-                self._note(relay.id, "answers")
+                self._record_source(relay.id, "answers")
                 return found
-            if self._clock() - begun > self._settings.patience:
-                # it was silent, and the next one may be so too
+            if self._clock() - started_at > self._settings.patience:
+                # The relay timed out, and the next one may do so too.
                 break
-        self._note(STORE, str(failure) if failure else "no relay to ask")
-        # a relay that failed has cost time already
+        self._record_source(STORE, str(failure) if failure else "no relay to ask")
+        # The failed relays have already taken the time to wait.
         return await self._store.changes(since, 0.0 if failure else wait)
 
-    def _usable(self) -> list[Daemon]:
-        """Return the relays that haven't failed lately."""
+    def _available_relays(self) -> list[Daemon]:
+        """Return the relays that haven't failed recently."""
         now = self._clock()
-        return [relay for relay in self._sources() if self._avoided.get(relay.id, 0.0) <= now]
+        return [relay for relay in self._sources() if self._avoided_until.get(relay.id, 0.0) <= now]
 
     def _avoid(self, relay: Daemon) -> None:
         now = self._clock()
-        self._avoided = {name: until for name, until in self._avoided.items() if until > now}
-        self._avoided[relay.id] = now + self._settings.avoid
+        self._avoided_until = {
+            name: until for name, until in self._avoided_until.items() if until > now
+        }
+        self._avoided_until[relay.id] = now + self._settings.avoid
 
-    def _note(self, source: str, cause: str) -> None:
-        if source != self._asked:
-            events.SOURCE_CHANGED.log(source=source, before=self._asked, cause=cause)
-            self._asked = source
+    def _record_source(self, source: str, cause: str) -> None:
+        if source != self._current_source:
+            events.SOURCE_CHANGED.log(source=source, before=self._current_source, cause=cause)
+            self._current_source = source
 
-    async def _ask(self, relay: Daemon, since: Position) -> Changes:
-        """Ask a relay for what has changed.
+    async def _request_changes(self, relay: Daemon, since: Position) -> Changes:
+        """Request the changes since a position from a relay.
 
-        :raises RelayError: if it does not answer, or isn't up to date itself.
-        :raises HistoryGoneError: if it does not remember so far back, or the era is over.
+        :raises RelayError: if the relay doesn't answer or isn't up to date.
+        :raises HistoryGoneError: if it no longer holds the position, or the era is over.
         """
         wait, sent_at = self._settings.wait, self._clock()
         query = {"era": str(since.era), "since": str(since.revision), "wait": str(wait)}
@@ -131,29 +132,28 @@
         if answer.position.era != since.era:
             raise HistoryGoneError(f"relay {relay.id} is in era {answer.position.era} of the store")
         proven_seconds = proven_wait_seconds(wait, took, changed=bool(answer.changes))
-        return _changes(answer, proven_seconds - answer.age)
+        return _to_changes(answer, proven_seconds - answer.age)
 
-    async def _ask_for_everything(self, relay: Daemon) -> Changes:
-        """Ask a relay for all that it knows.
+    async def _request_snapshot(self, relay: Daemon) -> Changes:
+        """Request a snapshot from a relay.
 
-        :raises RelayError: if it does not answer, or isn't up to date itself.
+        :raises RelayError: if the relay doesn't answer or isn't up to date.
         """
-        connect = SNAPSHOT_CONNECT_SECONDS
+        connect = SNAPSHOT_CONNECT_TIMEOUT_SECONDS
         try:
             answer = await self._call(relay, relay_answer.SNAPSHOT_PATH, {}, connect)
         except HistoryGoneError as error:
             raise RelayError(f"relay {relay.id} has read nothing yet") from error
-        return _changes(answer, -answer.age)
+        return _to_changes(answer, -answer.age)
 
     async def _call(
         self, relay: Daemon, path: str, query: t.Mapping[str, str], connect: float | None
     ) -> RelayAnswer:
         """Call a relay.
 
-        :param connect: seconds for the connection to come up; None for as long as the answer may
-            take.
-        :raises RelayError: if it gives no answer that can be used.
-        :raises HistoryGoneError: if it doesn't know all that was asked for.
+        :param connect: connect timeout in seconds; None for only the total timeout.
+        :raises RelayError: if the relay gives no usable answer.
+        :raises HistoryGoneError: if it no longer holds all changes that were asked for.
         """
         url = f"http://{relay.host}:{relay.port}{path}"
         limits = aiohttp.ClientTimeout(
@@ -171,10 +171,11 @@
         return answer
 
 
-def _changes(answer: RelayAnswer, proven_seconds: float) -> Changes:
-    """Return what a relay told.
+def _to_changes(answer: RelayAnswer, proven_seconds: float) -> Changes:
+    """Return a relay's answer as changes.
 
-    :param proven: seconds after the call was sent up to which the answer holds every change.
+    :param proven_seconds: seconds after the call was sent up to which the answer holds every
+        change.
     """
     return Changes(
         answer.position, answer.changes, proven_seconds, answer.settling_times, answer.configuration
--- a/packages/gateway/src/thorncleat_gateway/store/store_era.py
+++ b/packages/gateway/src/thorncleat_gateway/store/store_era.py
@@ -1,28 +1,28 @@
-"""The newest era of the store that this daemon has heard of.
+"""The newest era of the store that this daemon has observed.
 
-The first word of a later era ends what rested on the one before: the position that is followed,
-leases, and the controller's term. Whoever uses one of these asks here whether its era is over.
-Whoever hears of an era says so here, be it from an answer of the store, from a relay or from a
-daemon that asks.
+A later era invalidates positions, leases and the controller's term of the eras before. Every era
+in an answer of the store, of a relay or in a request of another daemon is observed here.
 
-Owns: that era.
-Relies on: eras rising by one each time the store comes back from a copy.
+Owns: the newest era.
+Relies on: eras rising by one each time the store is restored from a copy.
 """
 
 from .. import events
 
 
 class StoreEra:
-    """Keeps the newest era."""
+    """Tracks the newest era.
+
+    :ivar has_ended: whether an era has ended since this daemon started.
+    """
 
     def __init__(self) -> None:
         self._newest: int | None = None
-        # whether an era has ended since this daemon started
         self.has_ended = False
 
     @property
     def newest(self) -> int:
-        """The newest era heard of; 0 before the first."""
+        """The newest observed era; 0 before the first."""
         return 0 if self._newest is None else self._newest
 
     def is_over(self, era: int) -> bool:
@@ -30,7 +30,7 @@
         return era < self.newest
 
     def observe(self, era: int) -> None:
-        """Take in that somebody named an era."""
+        """Record an era that an answer or a request named."""
         before = self._newest
         if before is not None and era <= before:
             return
--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -1,7 +1,7 @@
-"""This daemon's copy of what the platform's store says.
+"""This daemon's copy of the platform's store.
 
-Owns: the endpoints, the gateway's records and the configuration as last read, the position
-they stand at, and how fresh they are.
+Owns: the endpoints, the gateway's records and the configuration as last read, their position in
+the store's order of changes, and their freshness.
 Relies on: a :class:`ChangeFeed` for the changes in the store's order, and on
 :mod:`.freshness` for what its answers and failures mean.
 """
@@ -31,21 +31,21 @@
 from .roster import Roster
 from .serving import ServingConfiguration
 
-# pause after a failed call, doubled with each further one
-FIRST_PAUSE_SECONDS = 0.05
-# up to which that pause is doubled
-LONGEST_PAUSE_SECONDS = 0.4
-# between two looks for endpoints that were not listed again
-EXPIRE_SECONDS = 0.25
-# by which two times of the store's return may differ that are the same one, told on two ways
-SAME_RETURN_SECONDS = 0.5
+# The pause after a failed call doubles with each further one.
+MIN_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 0.4
+MAX_EXPIRY_POLL_SECONDS = 0.25
+# How far two reports of the same return of the store may lie apart.
+RETURN_TOLERANCE_SECONDS = 0.5
 
 
 class StoreView(mode.Service):
     """Follows the store.
 
-    :param wait: seconds that a call for changes waits.
-    :param coalesce: returns the seconds to let changes gather before the next call.
+    :param wait: seconds that a call for changes waits for one.
+    :param coalesce: returns the seconds for which changes are coalesced before the next call.
+    :ivar version: rises with each batch of changes.
+    :ivar records_version: rises with each change of a record.
     """
 
     def __init__(
@@ -60,16 +60,16 @@
         self._clock = clock
         self._wait = wait
         self._coalesce = coalesce
-        # None while all has to be read anew
+        # None while everything has to be read again.
         self._position: Position | None = None
         self.era = feed.era
         self.former_eras = FormerEras()
-        # of the last answer
-        self._read: Position | None = None
-        # until which the configuration may be the one that a restored store has left
-        self._copied_until = float("-inf")
-        # ids of entries that were written since the store's last return
-        self._rewritten: set[str] = set()
+        # The position of the last answer.
+        self._answered_position: Position | None = None
+        # The configuration may be an outdated one of a restored store until this time.
+        self._possibly_outdated_until = float("-inf")
+        # Ids of endpoints whose entries were written since the store's last return.
+        self._rewritten_ids: set[str] = set()
         self._listeners: list[t.Callable[[], None]] = []
         self._batch_listeners: list[t.Callable[[Position | None, Changes], None]] = []
         self._freshness = Freshness()
@@ -77,16 +77,14 @@
         self.records: dict[str, RecordChanged] = {}
         self.configuration: ServingConfiguration | None = None
         self._configured = asyncio.Event()
-        # set by the next batch of changes, and then replaced
+        # Set by the next batch of changes, and then replaced by a new event.
         self._changed = asyncio.Event()
-        # rises with each batch of changes
         self.version = 0
-        # rises with each change of a record
         self.records_version = 0
 
     @property
     def _revision(self) -> int | None:
-        """The revision that it stands at; None while all has to be read anew."""
+        """The store's revision of this copy; None while everything has to be read again."""
         return None if self._position is None else self._position.revision
 
     @property
@@ -96,20 +94,22 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether it was read in the newest era of the store."""
-        return self._read is not None and self._read.era == self.era.newest
+        """Whether this copy was read in the newest era of the store."""
+        return (
+            self._answered_position is not None and self._answered_position.era == self.era.newest
+        )
 
     @property
     def current_as_of(self) -> float:
-        """The time up to which every change is known."""
+        """The time up to which this copy holds every change."""
         return self._freshness.current_as_of
 
     @property
     def is_settled(self) -> bool:
-        """Whether an endpoint that isn't listed is gone.
+        """Whether an endpoint that isn't listed counts as removed.
 
-        For a short time after an outage of the store, or after this daemon's first reading, it
-        may only not have been written anew yet.
+        Shortly after an outage of the store, or after this daemon's first read, its expired entry
+        may still be written again.
         """
         return self._freshness.is_settled(self._clock())
 
@@ -118,43 +118,49 @@
         await self._configured.wait()
 
     async def wait_change(self, seconds: float) -> bool:
-        """Wait for the next batch of changes, for some seconds at most; return whether it came."""
+        """Wait for the next batch of changes.
+
+        :param seconds: the timeout.
+        :returns: whether a batch came in time.
+        """
         with contextlib.suppress(TimeoutError):
             return await asyncio.wait_for(self._changed.wait(), seconds)
         return False
 
     def snapshot_changes(self) -> list[Change]:
-        """Return all that is known, as the changes that lead to it."""
+        """Return this copy as the changes that build it."""
         configured = [ConfigurationChanged(self.configuration)] if self.configuration else []
         listed = [EndpointListed(endpoint) for endpoint in self.roster.stored_entries]
-        lapsed = [EndpointRemoved(endpoint_id) for endpoint_id in self.roster.missing]
-        return [*configured, *listed, *lapsed, *self.records.values()]
+        missing = [EndpointRemoved(endpoint_id) for endpoint_id in self.roster.missing]
+        return [*configured, *listed, *missing, *self.records.values()]
 
     def mark_draining(self, incarnation: Incarnation) -> None:
-        """Take in that an endpoint said in an answer that it drains."""
+        """Record that an endpoint reported in an answer that it drains."""
         if self.roster.mark_draining(incarnation):
             events.SAID_DRAINING.log(endpoint=incarnation.endpoint_id, born=incarnation.born)
-            self._announce()
+            self._notify_listeners()
 
     def position_of(self, record: RecordChanged) -> Position:
         """Return the position of a record's last change."""
-        return Position(self._read.era if self._read else 0, record.revision)
+        return Position(
+            self._answered_position.era if self._answered_position else 0, record.revision
+        )
 
     def configuration_version(self) -> float:
         """Return the version of the configuration, or 0 if none is known."""
         return self.configuration.version if self.configuration else 0
 
     def age(self) -> float:
-        """Return for how many seconds a newer configuration may have been accepted.
+        """Return the seconds for which a newer configuration may have been in force.
 
-        Infinite while this daemon knows only what a restored store holds, and the operator may not
-        have written the newer one again: keys may have been taken away in what was lost.
+        Infinite while this daemon knows only the configuration of a restored store, which may
+        still hold keys that were revoked in the lost changes.
         """
         now = self._clock()
-        return float("inf") if now < self._copied_until else self._freshness.age(now)
+        return float("inf") if now < self._possibly_outdated_until else self._freshness.age(now)
 
     def settling_times(self) -> SettlingTimes:
-        """Return what is left of the times after which a missing endpoint is gone."""
+        """Return the time left until missing endpoints count as removed."""
         return self._freshness.settling_times(self._clock())
 
     def on_change(self, listener: t.Callable[[], None]) -> None:
@@ -164,85 +170,89 @@
     def on_batch(self, listener: t.Callable[[Position | None, Changes], None]) -> None:
         """Call a function with each answer and the position that it continues.
 
-        That is None for one that begins anew.
+        The position is None for an answer that replaces the whole copy.
         """
         self._batch_listeners.append(listener)
 
     @mode.Service.task
     async def _follow_task(self) -> None:
-        pause = FIRST_PAUSE_SECONDS
+        backoff = MIN_BACKOFF_SECONDS
         while not self.should_stop:
             try:
-                changed = await self._step()
+                changed = await self._fetch_changes()
             except HistoryGoneError:
                 events.HISTORY_GONE.log(revision=self._revision, era=self.era.newest)
                 self._position = None
                 continue
             except StoreError as error:
-                if pause == FIRST_PAUSE_SECONDS:
+                if backoff == MIN_BACKOFF_SECONDS:
                     events.STORE_LOST.log(reason=str(error), age=round(self.age(), 3))
                 self._freshness = self._freshness.after_failure(self._clock())
-                await asyncio.sleep(pause)
-                pause = min(pause * 2, LONGEST_PAUSE_SECONDS)
+                await asyncio.sleep(backoff)
+                backoff = min(backoff * 2, MAX_BACKOFF_SECONDS)
                 continue
-            if pause > FIRST_PAUSE_SECONDS:
+            if backoff > MIN_BACKOFF_SECONDS:
                 events.STORE_BACK.log(revision=self._revision, era=self.era.newest)
-            pause = FIRST_PAUSE_SECONDS
+            backoff = MIN_BACKOFF_SECONDS
             if changed:
                 await asyncio.sleep(self._coalesce())
 
     @mode.Service.task
     async def _expire_task(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(self._until_due())
+            await asyncio.sleep(self._seconds_until_due())
             if self.roster.expire(self._clock()):
-                self._announce()
+                self._notify_listeners()
 
-    def _until_due(self) -> float:
-        """Return the seconds until the next look for endpoints that were not listed again."""
+    def _seconds_until_due(self) -> float:
+        """Return the seconds until the roster is checked for expired endpoints."""
         due_in = self.roster.next_due - self._clock()
-        return min(EXPIRE_SECONDS, max(0.0, due_in))
+        return min(MAX_EXPIRY_POLL_SECONDS, max(0.0, due_in))
 
-    async def _step(self) -> bool:
-        """Ask for changes once; return whether there were any."""
+    async def _fetch_changes(self) -> bool:
+        """Ask for changes once, and return whether there were any."""
         sent_at = self._clock()
         if self._position is None:
             answer = await self._feed.snapshot()
-            restored = self._answered(sent_at, answer)
+            restored = self._record_answer(sent_at, answer)
             self._replace(answer.changes, restored=restored)
         else:
             answer = await self._feed.changes(self._position, self._wait)
-            self._answered(sent_at, answer)
+            self._record_answer(sent_at, answer)
             for change in answer.changes:
                 self._apply(change)
         after, self._position = self._position, answer.position
         for listener in self._batch_listeners:
             listener(after, answer)
         if answer.changes:
-            self._announce()
+            self._notify_listeners()
         if answer.configuration > self.configuration_version():
-            # this daemon began with what a restored store held; the relay knows a newer one, and
-            # perhaps keys that were taken away
+            # This daemon started from a restored store. The relay has a newer configuration, in
+            # which keys may have been revoked.
             self._position = None
         return bool(answer.changes)
 
-    def _answered(self, sent_at: float, answer: Changes) -> bool:
-        """Take in when and where the store answered; return whether another era has begun."""
-        before, self._read = self._read, answer.position
+    def _record_answer(self, sent_at: float, answer: Changes) -> bool:
+        """Record the position and the freshness of an answer.
+
+        :param sent_at: time at which the call was sent.
+        :returns: whether a new era has begun.
+        """
+        before, self._answered_position = self._answered_position, answer.position
         if before is None and self.era.has_ended and answer.settling_times is None:
-            self._copied_until = self._clock() + ENTRY_REWRITE_SECONDS
+            self._possibly_outdated_until = self._clock() + ENTRY_REWRITE_SECONDS
         restored = before is not None and before.era != answer.position.era
         if before is not None and restored:
-            self.former_eras.end(before.revision, self.records)
+            self.former_eras.record_end(before.revision, self.records)
         rewritten_at = self._freshness.rewritten_at
         self._freshness = self._freshness.after_answer(
             self._clock(), sent_at + answer.proven_seconds, answer.settling_times, restored=restored
         )
-        if self._freshness.rewritten_at > rewritten_at + SAME_RETURN_SECONDS:
-            self._rewritten.clear()
+        if self._freshness.rewritten_at > rewritten_at + RETURN_TOLERANCE_SECONDS:
+            self._rewritten_ids.clear()
         return restored
 
-    def _announce(self) -> None:
+    def _notify_listeners(self) -> None:
         self.version += 1
         self._changed.set()
         self._changed = asyncio.Event()
@@ -250,14 +260,14 @@
             listener()
 
     def _replace(self, changes: t.Sequence[Change], *, restored: bool) -> None:
-        """Put everything that was read in place of what was known.
+        """Replace this copy with a snapshot.
 
-        :param restored: whether the store has come back from a copy since.
+        :param restored: whether the store was restored from a copy since the last answer.
         """
         listed = [change.endpoint for change in changes if isinstance(change, EndpointListed)]
         now = self._clock()
-        removed_at = self._freshness.removal_time(now)
-        self.roster.replace(listed, now, removed_at, restored=restored)
+        remove_at = self._freshness.removal_time(now)
+        self.roster.replace(listed, now, remove_at, restored=restored)
         self.records.clear()
         self.records_version += 1
         for change in changes:
@@ -267,37 +277,37 @@
     def _apply(self, change: Change) -> None:
         match change:
             case ConfigurationChanged(configuration):
-                self._configure(configuration)
+                self._accept_configuration(configuration)
             case EndpointListed(endpoint):
-                self._rewritten.add(endpoint.id)
+                self._rewritten_ids.add(endpoint.id)
                 if self.roster.put(endpoint):
                     events.STARTED_AGAIN.log(endpoint=endpoint.id, born=endpoint.born)
             case EndpointRemoved(endpoint_id):
                 now = self._clock()
-                self.roster.unlist(endpoint_id, now, self._removed_at(endpoint_id, now))
-                self._rewritten.discard(endpoint_id)
+                self.roster.unlist(endpoint_id, now, self._removal_time(endpoint_id, now))
+                self._rewritten_ids.discard(endpoint_id)
             case RecordChanged(key, value):
                 self.records_version += 1
-                self.former_eras.written(key)
+                self.former_eras.discard_record(key)
                 if value is None:
                     self.records.pop(key, None)
                 else:
                     self.records[key] = change
 
-    def _removed_at(self, endpoint_id: str, now: float) -> float | None:
-        """Return when an endpoint whose entry vanishes is to be removed; None for at once.
+    def _removal_time(self, endpoint_id: str, now: float) -> float | None:
+        """Return the time to remove an endpoint whose entry vanishes; None for at once.
 
-        One whose entry was written since the store's return has taken it out itself.
+        An entry that was written since the store's return was deleted by the endpoint itself.
         """
-        return None if endpoint_id in self._rewritten else self._freshness.removal_time(now)
+        return None if endpoint_id in self._rewritten_ids else self._freshness.removal_time(now)
 
-    def _configure(self, configuration: ServingConfiguration) -> None:
-        """Keep a configuration unless a newer one is known, as after a new snapshot."""
+    def _accept_configuration(self, configuration: ServingConfiguration) -> None:
+        """Put a configuration in force unless a newer one is, as after a new snapshot."""
         known = self.configuration.version if self.configuration else -1
         if configuration.version <= known:
             return
         if self.configuration is not None:
-            self._copied_until = float("-inf")
+            self._possibly_outdated_until = float("-inf")
         self.configuration = configuration
         self._configured.set()
         events.CONFIG_IN_FORCE.log(version=configuration.version, before=known)
