--- a/packages/gateway/src/thorncleat_gateway/ports/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/__init__.py
@@ -1,7 +1,7 @@
-"""The ports: what the gateway needs from the platform, for adapters and stand-ins to provide.
+"""The ports: interfaces to the platform that adapters and stand-ins implement.
 
 Owns: nothing.
-Relies on: the gateway's own data classes only, so that adapters need nothing else of it.
+Relies on: the gateway's data classes only, so that adapters need nothing else of the gateway.
 """
 
 from .engines import Close as Close
--- a/packages/gateway/src/thorncleat_gateway/ports/engines.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/engines.py
@@ -1,8 +1,8 @@
 """Reports from engines and orders to them.
 
 Owns: nothing.
-Relies on: engines counting the orders that they have begun, so that an order can be refused by
-one that has begun another since its report.
+Relies on: engines counting the orders that they have begun, so that an engine can refuse an order
+if it has begun another one since its report.
 """
 
 import dataclasses
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Close:
-    """Let a group's leader take no new requests, and finish those that it has."""
+    """Let a group's leader refuse new requests and finish its running ones."""
 
     group: GroupId
 
@@ -59,29 +59,29 @@
 
 
 class Outcome(enum.Enum):
-    """How an endpoint answered an order.
-
-    Done: it is so already. Begun: it will be. Conflict: the order doesn't fit the engine's state,
-    or it has begun another one. Stale: the order's epoch is older than one it has seen. Invalid:
-    it knows no such order.
-    """
+    """The answer of an endpoint to an order."""
 
+    # The engine is already in the ordered state.
     DONE = "done"
+    # The engine carries out the order.
     BEGUN = "begun"
+    # The order doesn't fit the engine's state, or the engine has begun another order.
     CONFLICT = "conflict"
+    # The order's epoch is older than one that the engine has seen.
     STALE = "stale"
+    # The engine doesn't support the order.
     INVALID = "invalid"
 
 
 @dataclasses.dataclass(frozen=True)
 class EngineReport:
-    """What an engine says of itself when asked.
+    """An engine's report of its state.
 
-    :param models: those that it has loaded.
-    :param staged: those that lie on its host.
-    :param order_count: orders that it has begun since its start.
-    :param born: when that was, in Unix milliseconds; None if it doesn't tell.
-    :param pace: times the usual duration that its steps take.
+    :param models: the loaded models.
+    :param staged: models that are stored on its host.
+    :param order_count: how many orders it has begun since its start.
+    :param born: Unix milliseconds of its start; None if not reported.
+    :param pace: duration of its steps as a multiple of the usual one.
     """
 
     membership: Membership | None
@@ -92,7 +92,7 @@
     pace: float = 1.0
 
     def has_same_order_count(self, other: "EngineReport") -> bool:
-        """Return whether no order was begun between two reports of an engine."""
+        """Return whether the engine has begun no order between two reports."""
         return (self.born, self.order_count) == (other.born, other.order_count)
 
 
@@ -104,22 +104,22 @@
     """
 
     def on_answer(self, listener: t.Callable[[Endpoint, AnswerMeta], None]) -> None:
-        """Call a function with what the headers of each answer say."""
+        """Call a function with the endpoint and the headers' meaning of each answer."""
         ...
 
     async def report(self, endpoint: Endpoint, timeout: float) -> EngineReport:
-        """Ask an engine how it stands.
+        """Return an engine's report.
 
-        :param timeout: seconds.
+        :param timeout: seconds to wait for the answer.
         """
         ...
 
     async def order(
         self, endpoint: Endpoint, order: Order, expected: int | None, timeout: float
     ) -> Outcome:
-        """Give an order.
+        """Send an order, and return the engine's answer.
 
-        :param expected: orders that the engine must have begun before; None for any number.
-        :param timeout: seconds for the answer.
+        :param expected: how many orders the engine must have begun before; None for any number.
+        :param timeout: seconds to wait for the answer.
         """
         ...
--- a/packages/gateway/src/thorncleat_gateway/ports/headers.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/headers.py
@@ -1,7 +1,7 @@
-"""What the headers of callers and endpoints say.
+"""The meaning of the headers of callers and endpoints.
 
 Owns: nothing.
-Relies on: mappings of headers that don't regard the case of names.
+Relies on: mappings of headers that ignore the case of names.
 """
 
 import dataclasses
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class RequestMeta:
-    """What a caller's headers say.
+    """The meaning of a caller's headers.
 
-    :param id: of this try of the caller's, or an empty string.
-    :param key: of its workspace, or None.
+    :param id: id of this attempt of the caller, or an empty string.
+    :param key: key of the caller's workspace, or None.
     :param deadline: seconds that the caller waits, or None.
-    :param last_event_id: of a stream's event that the caller has got, or None.
+    :param last_event_id: id of the last event that the caller received of a stream, or None.
     """
 
     id: str
@@ -29,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class ForwardMeta:
-    """What the gateway says to an endpoint beside the caller's own headers.
+    """What the gateway adds to the caller's own headers for an endpoint.
 
-    :param remaining: seconds left of the caller's deadline.
+    :param remaining: seconds left until the caller's deadline.
     :param priority: 0 is the most urgent.
-    :param last_event_id: after which a stream is to go on, or None.
+    :param last_event_id: id of the event after which a stream resumes, or None.
     """
 
     remaining: float
@@ -45,18 +45,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnswerMeta:
-    """What an endpoint's headers say.
+    """The meaning of an endpoint's headers.
 
-    :param request_id: of the request that it answers, if it says so.
+    :param request_id: id of the answered request, or None if not reported.
     :param signed: whether the answer carries the endpoint's signature.
-    :param not_run: whether the endpoint says that it did not run the request.
-    :param encoded: whether the body is compressed or encoded otherwise.
-    :param retry_after: seconds for which the endpoint wants no requests of this daemon, or None.
-    :param draining: whether the endpoint says that it is about to end.
-    :param speaks_for: the endpoint whose fault the answer is, if it names one.
-    :param rate_limit: requests a second that the endpoint takes from all daemons together, or None
-        if the answer names none that can be read.
-    :param names_rate_limit: whether it names any, readable or not.
+    :param not_run: whether the endpoint reports that it did not run the request.
+    :param encoded: whether the body is compressed or has another encoding.
+    :param retry_after: seconds for which the endpoint accepts no requests of this daemon, or None.
+    :param draining: whether the endpoint reports that it is about to end.
+    :param speaks_for: id of the endpoint that the answer blames, or None.
+    :param rate_limit: requests a second that the endpoint accepts from all daemons together, or
+        None if the answer names no valid limit.
+    :param names_rate_limit: whether the answer names a limit, valid or not.
     :param misdirected: whether another endpoint answers at the address.
     """
 
@@ -76,24 +76,24 @@
     """The names that callers and endpoints use in their headers."""
 
     def read_request(self, headers: t.Mapping[str, str]) -> RequestMeta:
-        """Read a caller's headers."""
+        """Return the meaning of a caller's headers."""
         ...
 
     def for_endpoint(self, headers: Headers, meta: ForwardMeta) -> Headers:
-        """Return the headers to be sent to an endpoint."""
+        """Return the headers to send to an endpoint."""
         ...
 
     def read_answer(self, status: int, headers: t.Mapping[str, str]) -> AnswerMeta:
-        """Read an endpoint's headers."""
+        """Return the meaning of an endpoint's headers."""
         ...
 
     def for_caller(self, status: int, headers: Headers) -> Headers:
-        """Return the headers of an endpoint's answer that the caller gets.
+        """Return the headers of an endpoint's answer that are passed on to the caller.
 
-        What the endpoint says to this daemon alone is not among them.
+        Headers that are meant for this daemon alone are left out.
         """
         ...
 
     def is_readiness(self, method: str, path: str) -> bool:
-        """Return whether a request asks whether this daemon is ready."""
+        """Return whether a request is a readiness probe of this daemon."""
         ...
--- a/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
@@ -1,4 +1,4 @@
-"""What the platform's store says, and the records that the gateway keeps there.
+"""Changes of the platform's store, and the records that the gateway keeps there.
 
 Owns: nothing.
 Relies on: the store having one order of all changes in each of its eras, counted by its revision.
@@ -13,27 +13,27 @@
 from .store_position import Lease
 from .store_position import Position
 
-# part of a wait without a change that had passed at the other side when it answered, however
-# quick its clock is
+# The fraction of a wait that has certainly passed when the other side answers, even if its clock
+# is fast.
 MIN_WAITED_FRACTION = 0.8
 
 
 def proven_wait_seconds(wait: float, took: float, *, changed: bool) -> float:
-    """Return the seconds after a call for changes was sent that its answer proves.
+    """Return the seconds after a call was sent for which its answer rules out further changes.
 
-    An answer that came before the end of the wait, or that brings changes, proves no more than
-    the moment at which the call was sent.
+    An answer that came before the end of the wait, or that has changes, proves nothing beyond the
+    time at which the call was sent.
 
     :param wait: seconds that the other side was asked to wait for a change.
-    :param took: seconds from sending the call to its answer.
-    :param changed: whether the answer brought changes.
+    :param took: seconds from the call to its answer.
+    :param changed: whether the answer has changes.
     """
     return MIN_WAITED_FRACTION * wait if took >= wait and not changed else 0.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ConfigurationChanged:
-    """A configuration is the newest one."""
+    """A new configuration is in force."""
 
     configuration: ServingConfiguration
 
@@ -54,13 +54,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class RecordChanged:
-    """One of the gateway's own records.
+    """One of the gateway's own records was written or deleted.
 
-    Its revisions are of the era of the answer that brought it.
+    Its revisions belong to the era of the answer that holds it.
 
-    :param value: None if it is gone.
-    :param revision: the store's revision at its last change.
-    :param created: the store's revision at which its present life began.
+    :param value: None if the record was deleted.
+    :param revision: the store's revision at the record's last change.
+    :param created: the store's revision at which the record was last created.
     """
 
     key: str
@@ -74,10 +74,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class SettlingTimes:
-    """What is left of the times after which a missing endpoint counts as gone; in seconds.
+    """The seconds left until missing endpoints count as removed.
 
-    :param settled_in: until an endpoint that isn't listed is gone.
-    :param returned_in: until entries that ran out in an outage of the store are back, or gone.
+    :param settled_in: until any endpoint that isn't listed counts as removed.
+    :param rewritten_in: until entries that expired in an outage of the store are written again.
     """
 
     settled_in: float
@@ -89,12 +89,12 @@
     """Changes in the store's order.
 
     :param position: where to continue.
-    :param proven: seconds after the call was sent, before it if negative, up to which there
-        was no other change.
-    :param settling: as the daemon that answered knows it; None if the store itself did.
-    :param configuration: version of the configuration that is in force at the daemon that answered;
-        0 if the store did. It is later than that of the changes where the store came back from a
-        copy, until the operator has written it again.
+    :param proven_seconds: seconds after the call was sent up to which there was no other change;
+        negative for a time before the call.
+    :param settling_times: of the daemon that answered; None if the store did.
+    :param configuration: version of the configuration in force at the daemon that answered; 0 if
+        the store did. After a restore of the store it is later than the stored one until the
+        operator writes that again.
     """
 
     position: Position
@@ -105,10 +105,10 @@
 
 
 class ChangeFeed(t.Protocol):
-    """What the platform's store says of configuration, endpoints and the gateway's records.
+    """Changes of the configuration, the endpoints and the gateway's records in the store.
 
-    Every method raises :class:`StoreUnavailableError` if there is no answer, or only one of an era
-    that is over.
+    Every method raises :class:`StoreUnavailableError` without an answer, or with one of an era that
+    is over.
     """
 
     @property
@@ -117,14 +117,14 @@
         ...
 
     async def snapshot(self) -> Changes:
-        """Return everything there is."""
+        """Return the whole state as changes."""
         ...
 
     async def changes(self, since: Position, wait: float) -> Changes:
-        """Return what has changed since a position, as soon as something has.
+        """Wait for changes, and return those since a position.
 
-        :param wait: seconds after which it returns without a change.
-        :raises HistoryGoneError: if all has to be read again, as after the end of an era.
+        :param wait: timeout in seconds, after which no changes are returned.
+        :raises HistoryGoneError: if a new snapshot is needed, as after the end of an era.
         """
         ...
 
@@ -137,15 +137,15 @@
     """
 
     async def create(self, key: str, value: bytes, lease: Lease) -> Position | None:
-        """Write a record that must not be there.
+        """Write a record that must not exist.
 
-        :returns: the store's position with it, or None if the record is there.
+        :returns: the store's position after the write, or None if the record exists.
         :raises LeaseGoneError: if the lease is of an era that is over.
         """
         ...
 
     async def put(self, key: str, value: bytes, lease: Lease) -> None:
-        """Write a record, whether it is there or not.
+        """Write a record, whether it exists or not.
 
         :raises LeaseGoneError: if the lease is of an era that is over.
         """
@@ -157,36 +157,36 @@
         removals: t.Sequence[str],
         unchanged: t.Mapping[str, Position],
     ) -> bool:
-        """Write and remove records without a lease, all or none.
+        """Write and remove records without a lease in one transaction.
 
-        :param unchanged: the position of the last change of records that must not have changed;
-            one of an era that is over does not hold.
-        :returns: whether that held; nothing is done otherwise.
+        :param unchanged: records that must not have changed, with the positions of their last
+            changes; a position of an era that is over counts as changed.
+        :returns: whether the transaction was carried out.
         """
         ...
 
     async def find(self, key: str) -> RecordChanged | None:
-        """Return a record, or None if it is not there."""
+        """Return a record, or None if it doesn't exist."""
         ...
 
     async def list_records(self, prefix: str) -> t.Sequence[RecordChanged]:
-        """Return the records whose keys begin so."""
+        """Return the records whose keys begin with a prefix."""
         ...
 
     async def grant(self, ttl: float) -> Lease:
         """Return a new lease.
 
-        :param ttl: seconds for which it lasts unless it is renewed.
+        :param ttl: seconds until the lease expires unless it is renewed.
         """
         ...
 
     async def renew(self, lease: Lease) -> None:
         """Renew a lease.
 
-        :raises LeaseGoneError: if it is over, or of an era that is.
+        :raises LeaseGoneError: if the lease has expired, or is of an era that is over.
         """
         ...
 
     async def end(self, lease: Lease) -> None:
-        """End a lease; nothing is done if it is of an era that is over."""
+        """Revoke a lease, unless it is of an era that is over."""
         ...
--- a/packages/gateway/src/thorncleat_gateway/ports/store_position.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_position.py
@@ -1,8 +1,7 @@
-"""Places in the store's order of changes, and leases: numbers that hold in one era only.
+"""Positions in the store's order of changes, and leases; both are valid in one era only.
 
-The store may come back from a copy some seconds old. It then begins a new era, in which it gives
-the numbers that it lost again, for other changes and to others. So a number without its era
-compares with nothing.
+When the store is restored from an older copy, it begins a new era and reuses revisions and lease
+ids, so these can only be compared together with their era.
 
 Owns: nothing.
 Relies on: the store naming its era in each answer.
@@ -13,9 +12,9 @@
 
 @dataclasses.dataclass(frozen=True, order=True)
 class Position:
-    """A place in the store's order of changes; one of a later era is later.
+    """A position in the store's order of changes; a position of a later era is later.
 
-    :param era: rises each time the store comes back from a copy.
+    :param era: rises each time the store is restored from a copy.
     :param revision: rises with each change within an era.
     """
 
@@ -27,7 +26,7 @@
 class Lease:
     """A lease that the store has granted.
 
-    :param era: in which it was granted; in a later one its id may be another's lease.
+    :param era: the era of the grant; in a later era the id may belong to another lease.
     """
 
     era: int
--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -1,10 +1,8 @@
-"""Which daemons run: each keeps a record of its address under a lease in the store.
+"""The registration of daemons: each keeps a record of its address under a lease in the store.
 
-A relay keeps a second one, so that a daemon that starts finds the relays with one call, and need
-not read hundreds of records for that.
+A relay keeps a second record, by which a starting daemon finds the relays with one call.
 
-Owns: this daemon's records and their lease, and the records of all daemons as read last; with both
-it knows what its list of daemons is good for.
+Owns: this daemon's records and their lease, and the records of all daemons as last read.
 Relies on: :class:`RecordStore` for the lease, and on :class:`.view.StoreView` for the records.
 """
 
@@ -31,22 +29,17 @@
 
 DAEMONS = "thorncleat/daemons/"
 RELAYS = "thorncleat/relays/"
-# time to live of a daemon's record
 DAEMON_LEASE_SECONDS = 12.0
-# between two renewals
 RENEWAL_INTERVAL_SECONDS = DAEMON_LEASE_SECONDS / 3
-# after a renewal that got no answer: with the usual pause the record of a daemon that lost the
-# store for 9 s would run out
+# Renewals without an answer are retried sooner, so that the record survives an outage of the store.
 RENEWAL_RETRY_SECONDS = 1.0
-# pause after a failed call
-RETRY_SECONDS = 0.3
-# in which one of all daemons registers anew after the end of an era: two writes, half of what
-# the store takes
+REGISTRATION_RETRY_SECONDS = 0.3
+# Spreads the writes after the end of an era, when all daemons register again.
 SPREAD_SECONDS_PER_DAEMON = 0.01
 
 
 class Registration(mode.Service):
-    """Keeps this daemon's record, by which the others know its address."""
+    """Keeps this daemon's record and reads those of all daemons."""
 
     def __init__(
         self,
@@ -60,24 +53,23 @@
         self._clock = clock
         self._records = records
         self._view = view
-        # of the view's records, at which what follows was made
+        # The version of the view's records from which the next four fields were built.
         self._seen_version = -1
         self._daemons: dict[str, Daemon] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
-        self._neighbours: frozenset[str] = frozenset()
+        self._domain_peers: frozenset[str] = frozenset()
         self._sources: tuple[Daemon, ...] | None = None
-        # whether the present lease holds a relay's record
-        self._told_relay = False
-        # when the store has taken the present record, and when the last renewal was sent that it
-        # answered; None while there is no record
+        # Whether a relay's record was written under the present lease.
+        self._is_registered_as_relay = False
+        # The time at which the present record was written; None without a record.
         self._registered_at: float | None = None
+        # The time at which the last answered renewal was sent.
         self._renewed_at = 0.0
-        # of the present record
         self._lease: Lease | None = None
 
     @property
     def own(self) -> Daemon:
-        """This daemon."""
+        """This daemon as its record describes it."""
         settings = self._settings
         return Daemon(settings.id, *settings.peers, settings.failure_domain, settings.capacity)
 
@@ -85,17 +77,17 @@
         """Return the registered daemons by their ids."""
         if self._seen_version != self._view.records_version:
             self._seen_version = self._view.records_version
-            self._refresh()
+            self._read_records()
         return self._daemons
 
-    def _refresh(self) -> None:
-        """Read the records anew."""
-        self._daemons = _daemons(self._view.records.values(), DAEMONS)
+    def _read_records(self) -> None:
+        """Read the daemons from the view's records."""
+        self._daemons = _read_daemons(self._view.records.values(), DAEMONS)
         self._addresses = {
             name: (daemon.host, daemon.port) for name, daemon in self._daemons.items()
         }
         own_domain = self._settings.failure_domain
-        self._neighbours = frozenset(
+        self._domain_peers = frozenset(
             name
             for name, daemon in self._daemons.items()
             if daemon.failure_domain == own_domain and name != self._settings.id
@@ -103,7 +95,7 @@
         self._sources = None
 
     def fleet_knowledge(self) -> FleetKnowledge:
-        """Return what this daemon's list of daemons is good for."""
+        """Return how reliable this daemon's list of daemons is."""
         now = self._clock()
         if self._registered_at is None or self._lease is None:
             return FleetKnowledge.NONE
@@ -118,19 +110,19 @@
         return self._addresses
 
     def domain_peers(self) -> frozenset[str]:
-        """Return the ids of the other registered daemons in this one's failure domain."""
+        """Return the ids of the other registered daemons in this daemon's failure domain."""
         self.daemons()
-        return self._neighbours
+        return self._domain_peers
 
     def capacities(self) -> dict[str, float]:
-        """Return the capacity of each registered daemon and of this one."""
-        known = {name: daemon.capacity for name, daemon in self.daemons().items()}
-        return known | {self._settings.id: self._settings.capacity}
+        """Return the capacity of each registered daemon and of this daemon, by id."""
+        capacities = {name: daemon.capacity for name, daemon in self.daemons().items()}
+        return capacities | {self._settings.id: self._settings.capacity}
 
     def sources(self, *, is_controller: bool) -> tuple[Daemon, ...]:
-        """Return whom this daemon asks for changes.
+        """Return the daemons that this daemon asks for changes; none if it asks the store.
 
-        :param controls: whether it is the controller.
+        :param is_controller: whether this daemon is the controller.
         """
         if is_controller:
             return sources((), self.own, is_controller=True)
@@ -140,117 +132,123 @@
         return self._sources
 
     def listed_relays(self, records: t.Iterable[RecordChanged]) -> tuple[Daemon, ...]:
-        """Return whom this daemon asks before it has a view of its own, the preferred one first.
+        """Return the relays to ask before the first read of the store, the preferred one first.
 
-        One that was a relay itself asks nobody: the relays that start together would wait for each
+        A daemon that was a relay itself asks none: relays that start together would wait for each
         other.
 
-        :param records: of relays, as the store lists them.
+        :param records: the relays' records, as the store lists them.
         """
-        found = _daemons(records, RELAYS)
-        if self._settings.id in found:
+        relays = _read_daemons(records, RELAYS)
+        if self._settings.id in relays:
             return ()
-        return order_by_proximity(found.values(), self.own)
+        return order_by_proximity(relays.values(), self.own)
 
     @mode.Service.task
     async def _keep_task(self) -> None:
         while not self.should_stop:
             try:
-                await self._hold()
+                await self._hold_lease()
             except StoreError:
-                # not logged: the view logs that the store is lost
-                await asyncio.sleep(RETRY_SECONDS)
+                # The view logs that the store is lost.
+                await asyncio.sleep(REGISTRATION_RETRY_SECONDS)
 
-    async def _hold(self) -> None:
-        """Register under a new lease, and renew that until it is over."""
+    async def _hold_lease(self) -> None:
+        """Register under a new lease, and renew it until it is lost."""
         self._registered_at = None
         if self._lease is not None and self._view.era.is_over(self._lease.era):
-            await asyncio.sleep(random.uniform(0.0, self._spread()))
+            await asyncio.sleep(random.uniform(0.0, self._registration_spread()))
         granted_at = self._clock()
         lease = await self._records.grant(DAEMON_LEASE_SECONDS)
         key = DAEMONS + self._settings.id
-        value = _record(self.own)
-        # over an earlier life's record, which would go with its own lease
+        value = _encode_daemon(self.own)
+        # This replaces the record of an earlier run, which would expire with that run's lease.
         await self._records.put(key, value, lease)
         self._lease = lease
         self._registered_at, self._renewed_at = self._clock(), granted_at
-        self._told_relay = False
+        self._is_registered_as_relay = False
         pause = RENEWAL_INTERVAL_SECONDS
-        while not self.should_stop and await self._is_kept_for(pause, key, lease):
+        while not self.should_stop and await self._wait_while_registered(pause, key, lease):
             try:
-                await self._tell_relay(lease)
+                await self._register_as_relay(lease)
                 renewed_at = self._clock()
                 await self._records.renew(lease)
                 self._renewed_at = renewed_at
                 pause = RENEWAL_INTERVAL_SECONDS
             except LeaseGoneError:
-                # the caller begins anew, with a new lease
+                # The caller registers again under a new lease.
                 return
             except StoreError:
-                # not logged: the view logs that the store is lost
+                # The view logs that the store is lost.
                 pause = RENEWAL_RETRY_SECONDS
 
-    def _spread(self) -> float:
-        """Return the seconds over which all daemons register anew after an era's end.
+    def _registration_spread(self) -> float:
+        """Return the seconds over which all daemons register again after the end of an era.
 
-        The records of the copy stand for longer.
+        The restored records last longer than that.
         """
         return SPREAD_SECONDS_PER_DAEMON * len(self.daemons())
 
-    async def _tell_relay(self, lease: Lease) -> None:
-        """Write the record of a relay, once this daemon is one where there are many daemons."""
+    async def _register_as_relay(self, lease: Lease) -> None:
+        """Write a relay's record if this daemon is a relay of a larger fleet."""
         daemons = self.daemons()
-        relays = len(daemons) > SMALL_FLEET and self._settings.id in daemons
-        if relays and not self._told_relay and not self.sources(is_controller=False):
-            await self._records.put(RELAYS + self._settings.id, _record(self.own), lease)
-            self._told_relay = True
-
-    async def _is_kept_for(self, seconds: float, key: str, lease: Lease) -> bool:
-        """Wait for some seconds; return False as soon as the view shows that the record is gone.
-
-        Relays answer registered daemons only, so the next one has to be written at once. A record
-        that stands in another era is gone too: its lease may be another's there.
+        has_relay_records = len(daemons) > SMALL_FLEET and self._settings.id in daemons
+        if (
+            has_relay_records
+            and not self._is_registered_as_relay
+            and not self.sources(is_controller=False)
+        ):
+            await self._records.put(RELAYS + self._settings.id, _encode_daemon(self.own), lease)
+            self._is_registered_as_relay = True
+
+    async def _wait_while_registered(self, seconds: float, key: str, lease: Lease) -> bool:
+        """Wait for some seconds, or until the view shows that the record is lost.
+
+        Relays answer registered daemons only, so a lost record has to be written at once. The end
+        of its era loses a record too, since its lease may belong to another daemon in the next.
+
+        :returns: whether the record wasn't lost.
         """
         until = self._clock() + seconds
-        shown = key in self._view.records
+        is_shown = key in self._view.records
         while await self._view.wait_change(until - self._clock()):
             if self._view.era.is_over(lease.era):
                 return False
-            if shown and key not in self._view.records:
+            if is_shown and key not in self._view.records:
                 return False
-            shown = shown or key in self._view.records
+            is_shown = is_shown or key in self._view.records
         return True
 
 
-def _record(daemon: Daemon) -> bytes:
+def _encode_daemon(daemon: Daemon) -> bytes:
     packed: bytes = msgpack.packb(
         [daemon.host, daemon.port, daemon.failure_domain, daemon.capacity]
     )
     return packed
 
 
-def _daemons(records: t.Iterable[RecordChanged], prefix: str) -> dict[str, Daemon]:
-    """Return the daemons that records tell of, by their ids.
+def _read_daemons(records: t.Iterable[RecordChanged], prefix: str) -> dict[str, Daemon]:
+    """Return the daemons that records describe, by their ids.
 
-    One that can't be read tells of none: it may be of another writer.
+    A record that can't be decoded is skipped, since another writer may have written it.
 
-    :param prefix: of the records' keys.
+    :param prefix: prefix of the records' keys.
     """
     found: dict[str, Daemon] = {}
     for record in records:
         if not record.key.startswith(prefix) or not record.value:
             continue
         name = record.key.removeprefix(prefix)
-        daemon = _daemon(name, record.value)
+        daemon = _decode_daemon(name, record.value)
         if daemon is not None:
             found[name] = daemon
     return found
 
 
-def _daemon(name: str, value: bytes) -> Daemon | None:
-    """Return the daemon of a record; None if it can't be read.
+def _decode_daemon(name: str, value: bytes) -> Daemon | None:
+    """Return the daemon that a record describes; None if the record can't be decoded.
 
-    Not logged: it is read anew at each change of any record.
+    A failure isn't logged, since the record is decoded again at each change of any record.
     """
     try:
         parts = msgpack.unpackb(value)
--- a/packages/gateway/src/thorncleat_gateway/store/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -1,7 +1,7 @@
-"""Serves what this daemon has learnt from the store to other daemons.
+"""Serves this daemon's copy of the store to other daemons.
 
-Owns: the newest changes (:class:`.change_log.ChangeLog`) and the last encoded answers.
-Relies on: :class:`.view.StoreView` for the changes, the store's era and how old both are.
+Owns: the newest changes (:class:`.change_log.ChangeLog`) and a cache of encoded answers.
+Relies on: :class:`.view.StoreView` for the changes, the store's era and the age of both.
 """
 
 import asyncio
@@ -17,19 +17,18 @@
 from .relays import Daemon
 from .view import StoreView
 
-# however long a daemon asks this one to wait
-LONGEST_WAIT_SECONDS = 5.0
-# for which a daemon that asks for what this one has yet to read waits, in seconds; within the time
-# that the asker gives an answer
-SNAPSHOT_WAIT_SECONDS = 0.5
-# encoded answers that are kept for the next daemon that asks the same
-KEPT_ANSWERS = 8
+MAX_WAIT_SECONDS = 5.0
+# How long a request waits while this daemon has yet to read the store or its newest era. It is
+# shorter than the timeout of the requesting daemon.
+READ_WAIT_SECONDS = 0.5
+MAX_CACHED_ANSWERS = 8
 
 
 class RelayServer:
-    """Answers daemons that ask for everything, or what has changed since a position.
+    """Answers daemons that request a snapshot, or the changes since a position.
 
-    :param daemons: returns the registered daemons; no one else gets an answer.
+    :param daemons: returns the registered daemons; other hosts get no answer.
+    :ivar answered: how many requests were answered.
     """
 
     def __init__(self, view: StoreView, daemons: t.Callable[[], t.Iterable[Daemon]]) -> None:
@@ -37,71 +36,74 @@
         self._daemons = daemons
         self._log = ChangeLog()
         self._position = Position(0, 0)
-        self._news = asyncio.Event()
-        # by the position asked for and this daemon's own
+        self._changed = asyncio.Event()
+        # Encoded answers by the requested position and this daemon's own.
         self._encoded: dict[tuple[Position, Position], bytes] = {}
-        # the last encoded snapshot, and the position at which it was made
+        # The last encoded snapshot, and its position.
         self._snapshot_body = b""
         self._snapshot_position: Position | None = None
         self.answered = 0
-        view.on_batch(self._learnt)
+        view.on_batch(self._record_batch)
 
-    def _learnt(self, after: Position | None, found: Changes) -> None:
+    def _record_batch(self, after: Position | None, batch: Changes) -> None:
         if after is None:
-            self._log.restart_at(found.position)
+            self._log.restart_at(batch.position)
         else:
-            self._log.add(found.position, found.changes)
-        if found.position > self._position or after is None:
-            self._position = found.position
+            self._log.add(batch.position, batch.changes)
+        if batch.position > self._position or after is None:
+            self._position = batch.position
             self._encoded.clear()
-            self._news.set()
-            self._news = asyncio.Event()
+            self._changed.set()
+            self._changed = asyncio.Event()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer as soon as there is something new, or after the time that was asked for."""
+        """Answer as soon as there are changes, or after the requested wait."""
         if request.path not in relay_answer.PATHS:
             return web.Response(status=404)
         if request.path in relay_answer.SNAPSHOT_PATHS and not self._view.is_loaded:
-            # before that nobody is known here; all daemons may have just started together
-            await self._wait(SNAPSHOT_WAIT_SECONDS)
-        if not self._known(request.remote):
+            # Before the first read no registered daemon is known.
+            await self._wait(READ_WAIT_SECONDS)
+        if not self._is_registered(request.remote):
             return web.Response(status=404)
         try:
-            return await self._asked(request)
+            return await self._answer_request(request)
         except (KeyError, ValueError):
             return web.Response(status=400)
 
-    async def _asked(self, request: web.BaseRequest) -> web.Response:
-        """Return what is asked for.
+    async def _answer_request(self, request: web.BaseRequest) -> web.Response:
+        """Return the answer to a registered daemon's request.
 
-        :raises KeyError: if the query lacks a part.
-        :raises ValueError: if a part of it is no number.
+        :raises KeyError: if the query lacks a parameter.
+        :raises ValueError: if a parameter isn't a number.
         """
         if request.path in relay_answer.EARLIER_PATHS:
-            return self._response(await self._earlier(request), earlier=True)
-        since = _position(request.query) if request.path == relay_answer.CHANGES_PATH else None
+            return self._response(await self._earlier_body(request), earlier=True)
+        since = _read_position(request.query) if request.path == relay_answer.CHANGES_PATH else None
         if since is not None:
             self._view.era.observe(since.era)
         if not await self._is_of_newest_era():
             return web.Response(status=relay_answer.BEHIND)
         if since is None:
-            return self._response(self._snapshot())
-        return self._response(await self._changes(since, _wait(request.query)))
+            return self._response(self._encode_snapshot())
+        return self._response(await self._changes_since(since, _read_wait(request.query)))
 
-    async def _earlier(self, request: web.BaseRequest) -> bytes | None:
-        """Return what a daemon of an earlier build asks for; it names no era."""
+    async def _earlier_body(self, request: web.BaseRequest) -> bytes | None:
+        """Return the encoded answer to a daemon of an earlier build, which names no era.
+
+        :returns: None if changes may be missing.
+        """
         if request.path == relay_answer.EARLIER_SNAPSHOT_PATH:
-            return self._snapshot()
-        wait, revision = _wait(request.query), int(request.query["since"])
-        body = await self._changes(Position(self._position.era, revision), wait)
-        # one that is ahead may stand in an era that is over, and would hear of nothing for long
+            return self._encode_snapshot()
+        wait, revision = _read_wait(request.query), int(request.query["since"])
+        body = await self._changes_since(Position(self._position.era, revision), wait)
+        # A daemon that is ahead may be in an era that is over, and would miss changes for long.
         return body if revision <= self._position.revision else None
 
     def _response(self, body: bytes | None, *, earlier: bool = False) -> web.Response:
         """Return an answer.
 
-        :param body: what is known, encoded; None if some of it may be missing.
-        :param earlier: whether it goes to a daemon of an earlier build.
+        :param body: the encoded changes; None if some may be missing.
+        :param earlier: whether the answer goes to a daemon of an earlier build.
         """
         if body is None:
             return web.Response(status=relay_answer.HISTORY_GONE)
@@ -114,38 +116,38 @@
         return web.Response(body=relay_answer.write(age, era, settling_times, version, body))
 
     async def _is_of_newest_era(self) -> bool:
-        """Return whether this daemon has read the store in its newest era, after a short wait."""
+        """Wait shortly for the store's newest era, and return whether this daemon has read it."""
         if self._view.era.is_over(self._position.era):
-            await self._wait(SNAPSHOT_WAIT_SECONDS)
+            await self._wait(READ_WAIT_SECONDS)
         return not self._view.era.is_over(self._position.era)
 
-    async def _changes(self, since: Position, wait: float) -> bytes | None:
+    async def _changes_since(self, since: Position, wait: float) -> bytes | None:
         if self._position <= since:
             await self._wait(wait)
-        return self._answer(since)
+        return self._encode_since(since)
 
-    def _snapshot(self) -> bytes | None:
-        """Return everything, encoded; None if this daemon itself knows nothing yet."""
+    def _encode_snapshot(self) -> bytes | None:
+        """Return the encoded snapshot; None if this daemon hasn't read the store yet."""
         if not self._view.is_loaded:
             return None
         if self._snapshot_position != self._position:
             self._snapshot_position = self._position
-            everything = self._view.snapshot_changes()
-            self._snapshot_body = change_codec.encode(self._position.revision, everything)
+            changes = self._view.snapshot_changes()
+            self._snapshot_body = change_codec.encode(self._position.revision, changes)
         return self._snapshot_body
 
-    def _known(self, host: str | None) -> bool:
+    def _is_registered(self, host: str | None) -> bool:
         return any(daemon.host == host for daemon in self._daemons())
 
     async def _wait(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
-                await self._news.wait()
+                await self._changed.wait()
         except TimeoutError:
-            # nothing new: the answer tells how old that is
+            # There is no change; the answer's age shows how current this copy is.
             pass
 
-    def _answer(self, since: Position) -> bytes | None:
+    def _encode_since(self, since: Position) -> bytes | None:
         """Return the encoded changes; None if some may be missing."""
         key = (since, self._position)
         if key in self._encoded:
@@ -153,17 +155,17 @@
         changes = self._log.since(since)
         if changes is None:
             return None
-        if len(self._encoded) >= KEPT_ANSWERS:
+        if len(self._encoded) >= MAX_CACHED_ANSWERS:
             self._encoded.clear()
         body = change_codec.encode(max(since, self._position).revision, changes)
         self._encoded[key] = body
         return body
 
 
-def _position(query: t.Mapping[str, str]) -> Position:
+def _read_position(query: t.Mapping[str, str]) -> Position:
     return Position(int(query["era"]), int(query["since"]))
 
 
-def _wait(query: t.Mapping[str, str]) -> float:
-    """Return the seconds that an asker wants to wait."""
-    return min(float(query["wait"]), LONGEST_WAIT_SECONDS)
+def _read_wait(query: t.Mapping[str, str]) -> float:
+    """Return the seconds that the requesting daemon waits for a change."""
+    return min(float(query["wait"]), MAX_WAIT_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/store/relays.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relays.py
@@ -1,11 +1,7 @@
-"""Which daemons read the platform's store for the others, and whom a daemon asks.
+"""The choice of relays: daemons that follow the platform's store on behalf of the others.
 
-A few daemons, the relays, follow the store themselves; the others ask one of these. So the
-calls to the store grow with a small part of the fleet. All daemons that know the same members
-choose the same relays, and nothing has to be agreed.
-
-Each reader of the store is answered at each change, and with hundreds of endpoints something
-changes all the time. So the more daemons there are, the longer changes gather before the next call.
+Relays keep the number of calls to the store small. All daemons with the same list of daemons
+choose the same relays without any agreement. In larger fleets changes are coalesced for longer.
 
 Owns: nothing.
 Relies on: the registered daemons (:mod:`.registration`).
@@ -18,28 +14,24 @@
 
 from thorncleat_core import rendezvous
 
-# a relay answers each of them a few times a second, which takes a core's fifth
 DAEMONS_PER_RELAY = 40
-# daemons for each failure domain that has a relay of its own, which costs calls to the store and
-# saves bytes between failure domains
+# A relay of its own saves a failure domain traffic to others, but costs calls to the store.
 DAEMONS_PER_LOCAL_RELAY = 16
-# daemons that are asked when no relay will do, where there are many daemons: if all of them went to
-# the store themselves, one relay that has lost it would cost a call of each
+# The daemons to ask when no relay answers; otherwise a failed relay would send all its daemons to
+# the store at once.
 FALLBACK_RELAYS = 2
-# daemons up to which there are no fallback relays, and changes gather for the shortest time
+# Up to this number of daemons there are no fallback relays, and the shortest coalescing applies.
 SMALL_FLEET = 16
-# for which changes gather before the next call to the store where there are more, in
-# seconds: with the pause below a change is known everywhere in 0.5 s at most
+# In larger fleets changes are coalesced for this long before the next call.
 STORE_COALESCING_SECONDS = 0.2
-# likewise before the next call to a relay
 RELAY_COALESCING_SECONDS = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Daemon:
-    """What a daemon's record says of it.
+    """A registered daemon as its record describes it.
 
-    :param capacity: what it can carry; only compared with that of others.
+    :param capacity: relative to that of other daemons.
     """
 
     id: str
@@ -50,41 +42,41 @@
 
 
 def _by_preference(daemons: t.Iterable[Daemon]) -> tuple[list[Daemon], int]:
-    """Return the daemons in the order in which they relay, and the number of relays.
+    """Return the daemons in the order in which they become relays, and the number of relays.
 
-    Of each failure domain those that can carry most come first, and the failure domains in turn.
+    The failure domains take turns, each with its daemon of the highest capacity first.
     """
 
     def preference(daemon: Daemon) -> tuple[float, int, str]:
         return -daemon.capacity, rendezvous.score("relay", daemon.id), daemon.id
 
-    known = sorted(daemons, key=preference)
-    places: collections.Counter[str] = collections.Counter()
+    ordered = sorted(daemons, key=preference)
+    domain_sizes: collections.Counter[str] = collections.Counter()
     turns: dict[str, int] = {}
-    for daemon in known:
-        turns[daemon.id] = places[daemon.failure_domain]
-        places[daemon.failure_domain] += 1
-    known.sort(key=lambda daemon: turns[daemon.id])
-    return known, relay_count(len(known), len(places))
+    for daemon in ordered:
+        turns[daemon.id] = domain_sizes[daemon.failure_domain]
+        domain_sizes[daemon.failure_domain] += 1
+    ordered.sort(key=lambda daemon: turns[daemon.id])
+    return ordered, relay_count(len(ordered), len(domain_sizes))
 
 
 def relays(daemons: t.Iterable[Daemon]) -> list[Daemon]:
-    """Return the relays."""
-    known, count = _by_preference(daemons)
-    return known[:count]
+    """Return the relays of a fleet."""
+    ordered, count = _by_preference(daemons)
+    return ordered[:count]
 
 
 def relay_count(daemons: int, failure_domains: int) -> int:
-    """Return how many relays there are."""
+    """Return how many relays a fleet has."""
     local = min(failure_domains, daemons // DAEMONS_PER_LOCAL_RELAY)
     return max(math.ceil(daemons / DAEMONS_PER_RELAY), local)
 
 
 def coalescing_seconds(shortest: float, daemons: int, *, asks_store: bool) -> float:
-    """Return the seconds for which a daemon lets changes gather before its next call.
+    """Return the seconds for which a daemon coalesces changes before its next call.
 
-    :param shortest: where there are few daemons.
-    :param asks_store: whether that call goes to the store, and not to a relay.
+    :param shortest: seconds in a small fleet.
+    :param asks_store: whether the call goes to the store, and not to a relay.
     """
     if daemons <= SMALL_FLEET:
         return shortest
@@ -94,29 +86,32 @@
 def sources(
     daemons: t.Iterable[Daemon], own: Daemon, *, is_controller: bool = False
 ) -> tuple[Daemon, ...]:
-    """Return whom a daemon asks, the preferred one first; none if it asks the store.
+    """Return the daemons that a daemon asks, the preferred one first; none if it asks the store.
 
-    The controller and the relays ask the store. The others prefer relays of their own failure
-    domain, and spread over them. After all relays come the fallback relays: each asks only those
-    before it, so if no relay will do, the first of them goes to the store and the others to it.
+    The controller and the relays ask the store. Other daemons ask the relays, those of their own
+    failure domain first, and then the fallback relays. Each fallback relay asks only those before
+    it, so the first one asks the store if no relay answers.
 
-    :param controls: whether the daemon is the controller.
+    :param is_controller: whether the daemon is the controller.
     """
     if is_controller:
         return ()
-    known, count = _by_preference(daemons)
-    chosen = known[: count + FALLBACK_RELAYS] if len(known) > SMALL_FLEET else known[:count]
-    place = next((at for at, daemon in enumerate(chosen) if daemon.id == own.id), len(chosen))
-    if place < count:
+    ordered, count = _by_preference(daemons)
+    chosen = ordered[: count + FALLBACK_RELAYS] if len(ordered) > SMALL_FLEET else ordered[:count]
+    own_index = next(
+        (index for index, daemon in enumerate(chosen) if daemon.id == own.id), len(chosen)
+    )
+    if own_index < count:
         return ()
-    return (*order_by_proximity(chosen[:count], own), *chosen[count:place])
+    return (*order_by_proximity(chosen[:count], own), *chosen[count:own_index])
 
 
-def order_by_proximity(asked: t.Iterable[Daemon], own: Daemon) -> tuple[Daemon, ...]:
+def order_by_proximity(candidates: t.Iterable[Daemon], own: Daemon) -> tuple[Daemon, ...]:
     """Return relays in the order in which a daemon asks them.
 
-    Those of its failure domain come first; among them the order differs from daemon to daemon.
+    Relays of its own failure domain come first. The order differs between daemons, which spreads
+    the load.
     """
-    by_id = {daemon.id: daemon for daemon in asked}
+    by_id = {daemon.id: daemon for daemon in candidates}
     ranked = [by_id[name] for name in rendezvous.ranked(own.id, by_id)]
     return tuple(sorted(ranked, key=lambda daemon: daemon.failure_domain != own.failure_domain))
--- a/packages/gateway/src/thorncleat_gateway/store/serving.py
+++ b/packages/gateway/src/thorncleat_gateway/store/serving.py
@@ -1,9 +1,9 @@
-"""What is served: routes, services, engines and the keys of workspaces, as one configuration.
+"""The serving configuration: routes, services, engines and the keys of workspaces.
 
-The operators' documents are translated into these data classes at the border. A version is
-only ever replaced by a higher one.
+The platform's adapter translates the operators' documents into these data classes. A
+configuration is only replaced by one of a higher version.
 
-Owns: nothing; a configuration keeps the tables by which it finds routes and workspaces.
+Owns: the lookup tables of each configuration.
 Relies on: nothing.
 """
 
@@ -15,7 +15,7 @@
 
 
 class RouteKind(enum.Enum):
-    """How often a request on a route may run."""
+    """Whether a request on a route may run more than once, and whether its answer is a stream."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -24,9 +24,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Split:
-    """A part of a route's traffic.
+    """A service's share of a route's traffic.
 
-    :param weight: relative to the other parts of the route.
+    :param weight: relative to the other splits of the route.
     """
 
     service: str
@@ -35,15 +35,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """Where requests of one host and path prefix go, and within which bounds.
-
-    :param prefix: begins and ends with a slash.
-    :param timeout: seconds a request may be held at most.
-    :param target: seconds to the answer, or to a stream's first event, that earn full credit.
-    :param gap_target: seconds between a stream's events.
-    :param max_attempts: endpoints one request may be sent to.
-    :param public: whether no key is asked for.
-    :param resumable: whether a stream may go on at another endpoint.
+    """The services and the limits for requests of one host and path prefix.
+
+    :param prefix: path prefix that begins and ends with a slash.
+    :param timeout: greatest duration of a request in seconds.
+    :param target: target in seconds until the answer, or until a stream's first event.
+    :param gap_target: target in seconds between two events of a stream.
+    :param max_attempts: how many endpoints one request may be sent to.
+    :param public: whether requests need no key.
+    :param resumable: whether a stream may resume at another endpoint.
     """
 
     name: str
@@ -61,7 +61,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may have run may be sent again."""
         return self.kind is RouteKind.REPEATABLE
 
 
@@ -69,12 +69,11 @@
 class EngineModel:
     """A model that the engines of a service can serve.
 
-    :param size: instances of one group.
-    :param share: part of the service's work, from 0 to 1.
-    :param pace: factor on all of the engine's times, lower is faster; unused, kept for
-        :mod:`.change_codec`.
-    :param load: seconds to load it from the weight store.
-    :param warm: seconds to load it from the host.
+    :param size: number of instances in a group.
+    :param share: the model's share of the service's work, from 0 to 1.
+    :param pace: factor on all of the engine's times; unused, kept for :mod:`.change_codec`.
+    :param load: seconds to load the model from the weight store.
+    :param warm: seconds to load the model from the host.
     """
 
     name: str
@@ -89,9 +88,9 @@
 class Engine:
     """The cost model of a service's engines.
 
-    :param slots: requests that a group runs at once.
-    :param loads_per_second: loads from the weight store that may begin in a second.
-    :param loads_at_once: loads that run together without slowing each other down.
+    :param slots: how many requests a group runs at once.
+    :param loads_per_second: how many loads from the weight store may begin in a second.
+    :param loads_at_once: how many loads run at once without slowing each other down.
     """
 
     slots: int
@@ -100,13 +99,13 @@
     loads_at_once: int = 1
 
     def model(self, name: str) -> EngineModel | None:
-        """Return a model by name."""
+        """Return the model of a name, or None."""
         return next((model for model in self.models if model.name == name), None)
 
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """A service that routes lead to; with an engine its endpoints form groups.
+    """A service that routes send requests to; with an engine its endpoints form groups.
 
     :param health_path: path of the health check; unused, kept for :mod:`.change_codec`.
     """
@@ -118,14 +117,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """What callers may send; sizes in bytes, times in seconds.
+    """The limits on callers' requests; sizes in bytes, times in seconds.
 
     Only ``body_bytes`` is enforced (docs/FINDINGS.md, Open).
 
-    :param header_bytes: of a request's headers.
-    :param body_bytes: of a request's body.
-    :param header_timeout: for the headers to arrive.
-    :param idle_timeout: that a connection may rest between two requests.
+    :param header_bytes: greatest size of a request's headers.
+    :param body_bytes: greatest size of a request's body.
+    :param header_timeout: timeout for a request's headers to arrive.
+    :param idle_timeout: timeout of an idle connection between two requests.
     """
 
     header_bytes: int = 16_384
@@ -136,7 +135,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Workspace:
-    """A workspace as the request path sees it: its keys and its rank.
+    """A workspace's keys and its priority.
 
     :param priority: 0 is the highest.
     """
@@ -148,7 +147,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServingConfiguration:
-    """Everything that decides where a request goes, at one version."""
+    """The routes, services, workspaces and limits of one version."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -157,7 +156,7 @@
     limits: Limits = Limits()
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route of the host whose prefix is the longest that begins the path."""
+        """Return the host's route with the longest prefix of a path, or None."""
         prefixes = self._routes.get(host.lower())
         if prefixes is None:
             return None
@@ -171,15 +170,15 @@
                 return route
 
     def workspace_for(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key.
+        """Return the workspace that holds a key, or None.
 
-        The key that the table finds is compared in constant time.
+        The key in the table is compared in constant time.
         """
-        found = self._by_key.get(key)
+        found = self._workspaces_by_key.get(key)
         if found is None:
             return None
-        known, workspace = found
-        return workspace if hmac.compare_digest(known.encode(), key.encode()) else None
+        stored_key, workspace = found
+        return workspace if hmac.compare_digest(stored_key.encode(), key.encode()) else None
 
     @functools.cached_property
     def _routes(self) -> dict[str, dict[str, Route]]:
@@ -189,5 +188,5 @@
         return table
 
     @functools.cached_property
-    def _by_key(self) -> dict[str, tuple[str, Workspace]]:
+    def _workspaces_by_key(self) -> dict[str, tuple[str, Workspace]]:
         return {key: (key, workspace) for workspace in self.workspaces for key in workspace.keys}
