--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -192,9 +192,9 @@
     async def _register_as_relay(self, lease: Lease) -> None:
         """Write a relay's record if this daemon is a relay of a larger fleet."""
         daemons = self.daemons()
-        has_relay_records = len(daemons) > SMALL_FLEET and self._settings.id in daemons
+        is_in_large_fleet = len(daemons) > SMALL_FLEET and self._settings.id in daemons
         if (
-            has_relay_records
+            is_in_large_fleet
             and not self._is_registered_as_relay
             and not self.sources(is_controller=False)
         ):
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -156,11 +156,11 @@
         :raises HistoryGoneError: if it no longer holds all changes that were asked for.
         """
         url = f"http://{relay.host}:{relay.port}{path}"
-        limits = aiohttp.ClientTimeout(
+        timeout = aiohttp.ClientTimeout(
             total=self._settings.wait + self._settings.patience, sock_connect=connect
         )
         try:
-            async with self._session.get().get(url, params=query, timeout=limits) as response:
+            async with self._session.get().get(url, params=query, timeout=timeout) as response:
                 body = await response.read()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise RelayError(f"relay {relay.id}: {error!r}") from error
--- a/packages/gateway/src/thorncleat_gateway/store/roster.py
+++ b/packages/gateway/src/thorncleat_gateway/store/roster.py
@@ -81,7 +81,7 @@
     :param order_count: of the entry, where it rises with heartbeats too; only the count of an
         :class:`EngineReport` can be the condition of an order. Unused, kept for
         :mod:`.change_codec`.
-    :param fabric_domain: the instances that one group may span.
+    :param fabric_domain: the domain whose instances one group may span.
     :param models: the loaded ones.
     :param staged: models that are stored on its host.
     :param slots: requests that it runs at once; unused, since a group's count applies, and kept
