--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -1,9 +1,7 @@
-"""Daemons that learn from the store and from each other, in virtual time.
+"""A fleet of daemons that read the store and each other, in virtual time.
 
-The way from the store to each daemon is the real one: view, relay feed, relay server and
-registration. What lies around it is played: the store, and the network between the daemons.
-
-The oracle looks at every daemon whether it would still send requests to an endpoint that leaves.
+The view, relay feed, relay server and registration are real; the store and the network between
+the daemons are simulated.
 """
 
 import asyncio
@@ -30,26 +28,24 @@
 from .group_store import Store
 from .group_store import StoreClient
 
-# between two daemons, in seconds
-WAY = 0.002
-# between two looks of the oracle, in seconds
-LOOK_SECONDS = 0.02
-# for the daemons of a new world to be registered, and to know their relays
-CALM_SECONDS = 15.0
-# between two heartbeats of an endpoint, and without one until its entry runs out, in seconds
-HEARTBEAT = 1.2
-UNLISTED_AFTER = 3 * HEARTBEAT
+# The latency between two daemons.
+LATENCY_SECONDS = 0.002
+POLL_INTERVAL_SECONDS = 0.02
+# How long the daemons of a new world take to register and to find their relays.
+STARTUP_SECONDS = 15.0
+HEARTBEAT_INTERVAL_SECONDS = 1.2
+ENTRY_TTL_SECONDS = 3 * HEARTBEAT_INTERVAL_SECONDS
 FAILURE_DOMAINS = 4
-# that a copy is old from which the store comes back, in seconds, and configurations that it lacks
+# The age of the copy from which the store is restored, and the configurations that it lacks.
 LOST_SECONDS = 5.0
 LOST_VERSIONS = 50
-# until the operator and the endpoints have written again, in seconds
+# How long the operator and the endpoints take to write again.
 REWRITE_SECONDS = 0.5
 
 
 @dataclasses.dataclass
 class _Request:
-    """What a relay server reads of a request."""
+    """The parts of a request that a relay server reads."""
 
     path: str
     query: dict[str, str]
@@ -59,26 +55,26 @@
 class _Call:
     """One call to another daemon."""
 
-    def __init__(self, world, asker, url, params, timeout) -> None:
+    def __init__(self, world, caller, url, params, timeout) -> None:
         self._world = world
-        self._asker = asker
+        self._caller = caller
         self._url = yarl.URL(url)
         self._params = params
-        self._limits = timeout
+        self._timeout = timeout
         self.status = 0
         self._body = b""
 
     async def __aenter__(self):
-        async with asyncio.timeout(self._limits.total):
-            await asyncio.sleep(WAY)
-            asked = self._world.at_host(self._url.host)
-            if asked is None or not asked.runs:
+        async with asyncio.timeout(self._timeout.total):
+            await asyncio.sleep(LATENCY_SECONDS)
+            relay = self._world.at_host(self._url.host)
+            if relay is None or not relay.runs:
                 raise aiohttp.ClientConnectionError("nobody listens")
-            if asked.silent:
+            if relay.silent:
                 await asyncio.Event().wait()
-            request = _Request(self._url.path, dict(self._params), self._asker.host)
-            response = await asked.server.handle(request)
-            await asyncio.sleep(WAY)
+            request = _Request(self._url.path, dict(self._params), self._caller.host)
+            response = await relay.server.handle(request)
+            await asyncio.sleep(LATENCY_SECONDS)
             self.status, self._body = response.status, bytes(response.body or b"")
         return self
 
@@ -92,21 +88,21 @@
 class _Connections:
     """The connections of one daemon to the others."""
 
-    def __init__(self, world, asker) -> None:
+    def __init__(self, world, caller) -> None:
         self._world = world
-        self._asker = asker
+        self._caller = caller
 
     def get(self, url=None, *, params=None, timeout=None):
-        return self if url is None else _Call(self._world, self._asker, url, params, timeout)
+        return self if url is None else _Call(self._world, self._caller, url, params, timeout)
 
     async def close(self) -> None:
         pass
 
 
 class FleetDaemon:
-    """One daemon, over all its lives.
+    """One daemon across restarts.
 
-    :ivar silent: whether it gives no answer to other daemons.
+    :ivar silent: whether it doesn't answer other daemons.
     """
 
     def __init__(self, world: "FleetWorld", number: int) -> None:
@@ -116,7 +112,7 @@
         self.domain = f"z{number % FAILURE_DOMAINS}"
         self.runs = False
         self.silent = False
-        # what the store's client asks of it
+        # The store's client reads these.
         self.cut = self.reads_refused = self.end_unanswered = False
         self.grant_delay = 0.0
         self.started_at = float("-inf")
@@ -125,7 +121,7 @@
         pass
 
     async def start(self) -> None:
-        """Begin a life that knows nothing."""
+        """Start with an empty copy of the store."""
         retry = RetryBudgetSettings(0.2, 10, 10)
         settings = GatewaySettings(self.id, self.domain, ("", 0), ("", 0), (self.host, 7000), retry)
         self._settings = settings
@@ -143,7 +139,7 @@
         await self.registration.start()
 
     async def kill(self) -> None:
-        """End without a word."""
+        """Stop without notifying other daemons."""
         if self.runs:
             self.runs = False
             await self.registration.stop()
@@ -151,7 +147,7 @@
 
     @property
     def sources(self):
-        """Whom it asks for changes; nobody but the store if it is a relay."""
+        """The daemons that it asks for changes; none if it is a relay."""
         return self.registration.sources(is_controller=False)
 
     async def _listed(self):
@@ -173,7 +169,7 @@
 
 
 class FleetWorld:
-    """Daemons, a store, and endpoints of a plain service."""
+    """Daemons, a store, and the endpoints of a service without groups."""
 
     def __init__(self, daemons: int, endpoints: int = 4, seed: int = 1) -> None:
         self.random = random.Random(seed)
@@ -199,7 +195,7 @@
     def at_host(self, host: str) -> FleetDaemon | None:
         return self._by_host.get(host)
 
-    # what the operator and the endpoints write
+    # Writes of the operator and the endpoints.
 
     def configure(self, version: int) -> None:
         self.configuration = ConfigurationChanged(ServingConfiguration(version))
@@ -221,31 +217,31 @@
         self.publish(dataclasses.replace(self.endpoints[endpoint_id], draining=True))
 
     def leave(self, endpoint_id: str) -> None:
-        """Take an entry out of the list, with no word before."""
+        """Delete an endpoint's entry without draining."""
         del self.endpoints[endpoint_id]
         self.store.delete(endpoint_id, EndpointRemoved(endpoint_id))
 
     def lapse(self, endpoint_id: str) -> None:
-        """Let the entry of an endpoint that lives run out."""
+        """Let the entry of a running endpoint expire."""
         self.store.delete(endpoint_id, EndpointRemoved(endpoint_id))
 
     def write_again(self) -> None:
-        """Have the operator and the endpoints write what the store lacks."""
+        """Write what the store lacks of the operator's and the endpoints' data."""
         if self.store.items.get("config") != self.configuration:
             self.store.put("config", self.configuration)
         for endpoint in self.endpoints.values():
             if self.store.items.get(endpoint.id) != EndpointListed(endpoint):
                 self.publish(endpoint)
         for key in [
-            key for key, one in self.store.items.items() if isinstance(one, EndpointListed)
+            key for key, item in self.store.items.items() if isinstance(item, EndpointListed)
         ]:
             if key not in self.endpoints:
                 self.store.delete(key, EndpointRemoved(key))
 
     async def restore(self, away: float) -> None:
-        """Have the store come back from an old copy, and all but the daemons write again.
+        """Restore the store from an old copy; the operator and the endpoints write again.
 
-        :param away: seconds for which it is away before that.
+        :param away: seconds for which the store is down before.
         """
         copy = self.store.copy()
         for version in range(2, 2 + LOST_VERSIONS):
@@ -258,11 +254,11 @@
         await self.pass_time(REWRITE_SECONDS)
         self.write_again()
 
-    # moving on
+    # Progress of time.
 
     async def start(self) -> None:
         await asyncio.gather(*(daemon.start() for daemon in self.daemons))
-        await self.pass_time(CALM_SECONDS)
+        await self.pass_time(STARTUP_SECONDS)
 
     async def stop(self) -> None:
         await asyncio.gather(*(daemon.kill() for daemon in self.daemons))
@@ -270,25 +266,27 @@
     async def pass_time(self, seconds: float) -> None:
         until = self.now() + seconds
         while self.now() < until:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             if not self.store.down:
                 self.store.expire()
 
     async def restart_all(self, longest: float) -> list[asyncio.Task]:
-        """Kill all daemons; each is back within some seconds."""
+        """Kill all daemons, and return tasks that start each within some seconds."""
         await asyncio.gather(*(daemon.kill() for daemon in self.daemons))
-        return [asyncio.ensure_future(self._back(daemon, longest)) for daemon in self.daemons]
+        return [
+            asyncio.ensure_future(self._start_later(daemon, longest)) for daemon in self.daemons
+        ]
 
-    async def _back(self, daemon: FleetDaemon, longest: float) -> None:
+    async def _start_later(self, daemon: FleetDaemon, longest: float) -> None:
         await asyncio.sleep(self.random.uniform(0.0, longest))
         await daemon.start()
 
     async def seconds_in_use(self, endpoint_id: str, seconds: float) -> list[float]:
-        """Return for how long from now each daemon would use an endpoint, the shortest first."""
-        begun, last = self.now(), {daemon.id: 0.0 for daemon in self.daemons}
-        while self.now() - begun < seconds:
+        """Return the seconds for which each daemon would still use an endpoint, sorted."""
+        started_at, last = self.now(), {daemon.id: 0.0 for daemon in self.daemons}
+        while self.now() - started_at < seconds:
             for daemon in self.daemons:
                 if daemon.uses(endpoint_id):
-                    last[daemon.id] = self.now() - begun
-            await self.pass_time(LOOK_SECONDS)
+                    last[daemon.id] = self.now() - started_at
+            await self.pass_time(POLL_INTERVAL_SECONDS)
         return sorted(last[daemon.id] for daemon in self.daemons if not daemon.cut)
--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -1,6 +1,6 @@
-"""What one daemon tells another of the store's changes.
+"""The encoded form of the store's changes between daemons.
 
-The earlier form, as at b7c2758, is what daemons of earlier builds ask for and get.
+Daemons of earlier builds request and get an earlier form.
 """
 
 import struct
@@ -28,7 +28,7 @@
 from .wire_forms import CHANGES
 from .wire_forms import FixedFeed
 
-# one change at revision 9 each, written by b7c2758
+# Each holds one change at revision 9, encoded by an earlier build.
 WRITTEN = {
     "configuration": (
         "0082a17601a16492099192ad636f6e66696775726174696f6e85a776657273696f6e07a6726f7574"
@@ -75,7 +75,7 @@
         "7565c0a87265766973696f6e1fa76372656174656400"
     ),
 }
-# all changes eight times, written by b7c2758
+# Holds all changes eight times, encoded by an earlier build.
 COMPRESSED = (
     "017801ed5a3f73d330144f5a3860ef0c2b4b9a262cbd2eedc0cc57c829d68bad8b2cf924397f3aa6"
     "850586d61b4cb4b59d344d7a7c845ecbc2e5b8e303303076646403d9b243ff0cec9cec3b9f9e253d"
@@ -103,19 +103,19 @@
 
 
 def of_size(bytes_wanted):
-    """Return a change whose packed answer has a length."""
-    # a value of this length adds itself and a head of three bytes
+    """Return a change whose packed answer has a certain length."""
+    # A value of this length has a head of three bytes.
     bare = len(change_codec.encode(9, [RecordChanged("k", bytes(300), 3, 2)])) - 1 - 300
     return [RecordChanged("k", bytes(bytes_wanted - bare), 3, 2)]
 
 
 class TestCodec:
     @pytest.mark.parametrize("name", CHANGES)
-    def test_written_as_before(self, name):
+    def test_encoded_as_by_an_earlier_build(self, name):
         assert change_codec.encode(9, [CHANGES[name]]).hex() == WRITTEN[name]
 
     @pytest.mark.parametrize("name", CHANGES)
-    def test_read_as_before(self, name):
+    def test_changes_of_an_earlier_build_are_decoded(self, name):
         found = change_codec.decode(bytes.fromhex(WRITTEN[name]))
         assert found == (9, [CHANGES[name]])
 
@@ -123,11 +123,11 @@
     def test_plain_form(self, name, snapshot):
         assert wire_forms.plain(wire_forms.wire_form(CHANGES[name])) == snapshot
 
-    def test_compressed_is_read_as_before(self):
+    def test_compressed_changes_of_an_earlier_build_are_decoded(self):
         assert change_codec.decode(bytes.fromhex(COMPRESSED)) == (9, MANY)
 
-    def test_compressed_holds_what_it_held(self):
-        # the compressor's own bytes may differ from one build of it to another
+    def test_compressed_changes_are_unchanged(self):
+        # The compressed bytes may differ between versions of zlib.
         found = change_codec.encode(9, MANY)
         assert found[:1] == b"\1"
         assert zlib.decompress(found[1:]) == zlib.decompress(bytes.fromhex(COMPRESSED)[1:])
@@ -150,11 +150,11 @@
             b"\0" + msgpack.packb({"v": 1, "d": [9, [["listed", {"id": "i-1"}]]]}),
         ],
     )
-    def test_other_bytes_are_refused(self, data):
+    def test_undecodable_bytes_are_refused(self, data):
         with pytest.raises(DecodeError):
             change_codec.decode(data)
 
-    def test_unknown_field_of_a_newer_daemon_is_read_over(self):
+    def test_unknown_field_of_a_newer_daemon_is_ignored(self):
         form = wire_forms.wire_form(CHANGES["loner"])
         form[1]["something_new"] = 1
         data = b"\0" + msgpack.packb({"v": 1, "d": [9, [form]]})
@@ -166,16 +166,16 @@
 
 
 async def asked(path, changes, daemons=(HERE,), proven_seconds=-0.25):
-    """Return what a relay answers that began at revision 9 and then learnt changes."""
+    """Return the answer of a relay that read a snapshot at revision 9 and then some changes."""
     feed = FixedFeed([], proven_seconds=proven_seconds)
     mirror = wire_forms.mirror(feed, lambda: 100.0)
     server = RelayServer(mirror, lambda: daemons)
     await wire_forms.read_once(mirror)
     if changes:
-        learnt = []
-        mirror.on_batch(lambda after, found: learnt.append(after))
+        batches = []
+        mirror.on_batch(lambda after, found: batches.append(after))
         feed.next.put_nowait(Changes(Position(0, 12), changes, proven_seconds))
-        await wire_forms.until(lambda: learnt)
+        await wire_forms.until(lambda: batches)
     try:
         async with (
             recording.serving(server.handle) as address,
@@ -189,7 +189,7 @@
 
 
 class TestServer:
-    """What daemons of earlier builds are answered."""
+    """Answers to daemons of earlier builds."""
 
     async def test_answer(self, snapshot):
         status, headers, body = await asked("/changes?since=9&wait=0.01", [*CHANGES.values()])
@@ -206,8 +206,8 @@
         status, headers, body = await asked("/changes?since=9&wait=0.01", [])
         assert (status, headers, body.hex()) == snapshot
 
-    async def test_asker_that_is_ahead_reads_all_anew(self):
-        """It names no era: its number may be of one that is over."""
+    async def test_daemon_that_is_ahead_reads_a_snapshot(self):
+        """The request names no era, so its revision may belong to an earlier one."""
         status, _, body = await asked("/changes?since=50&wait=0.01", [CHANGES["gone"]])
         assert (status, body) == (410, b"")
 
@@ -242,7 +242,7 @@
         assert body[:40] == _head(0.25, 2.0)
         assert body[40:] == change_codec.encode(12, [*CHANGES.values()])
 
-    async def test_asker_that_is_ahead_hears_of_nothing_new(self):
+    async def test_daemon_that_is_ahead_gets_no_changes(self):
         status, _, body = await asked("/2/changes?era=0&since=50&wait=0.01", [CHANGES["gone"]])
         assert (status, body[40:]) == (200, change_codec.encode(50, []))
 
@@ -268,12 +268,12 @@
         assert found == status
 
 
-async def _nobody():
+async def _no_relays():
     return ()
 
 
 class TestAsking:
-    """What a daemon asks of a relay, and what it makes of the answer."""
+    """The requests of a daemon to a relay, and its handling of the answers."""
 
     async def _ask(self, answer):
         async with recording.recorder() as server:
@@ -281,7 +281,7 @@
             host, port = server.address.split(":")
             relay = Daemon("edge-2", host, int(port))
             settings = RelaySettings(wait=0.05, patience=5.0, oldest=0.4, avoid=0.2)
-            feed = RelayFeed(settings, _Refusing(), lambda: [relay], _nobody, lambda: 0.0)
+            feed = RelayFeed(settings, _Refusing(), lambda: [relay], _no_relays, lambda: 0.0)
             try:
                 return server.calls, await feed.changes(Position(0, 9), 0.4)
             finally:
@@ -313,11 +313,11 @@
             Answer(body=_head(0.25, 0.5) + b"\0\xc1"),
         ],
     )
-    async def test_answer_that_will_not_do_sends_it_to_the_store(self, answer):
+    async def test_store_is_asked_after_an_unusable_answer(self, answer):
         with pytest.raises(StoreUnavailableError, match="the store was asked"):
             await self._ask(answer)
 
-    async def test_relay_that_does_not_remember_has_it_read_all_anew(self):
+    async def test_missing_history_requires_a_snapshot(self):
         with pytest.raises(HistoryGoneError):
             await self._ask(Answer(410))
 
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -1,4 +1,4 @@
-"""What goes to the platform's store and what is read from it, as at b7c2758."""
+"""The requests to the platform's store, and the decoding of its answers."""
 
 import base64
 import json
@@ -36,7 +36,7 @@
 
 LEASE = Lease(0, 77)
 GROUP = GroupId(41, "narrator-0")
-# written by b7c2758
+# These records were written by an earlier build.
 OWN_DAEMON = bytes.fromhex("94a93132372e302e302e31cd1bbca27a31cb4004000000000000")
 OTHER_DAEMON = bytes.fromhex("94a831302e302e302e39cd1c20a27a32cb3ff8000000000000")
 GROUP_RECORD = bytes.fromhex("93a3692d31a86e61727261746f72ab31302e302e302e313a3831")
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("name", CALLS)
 async def test_call(name, snapshot):
-    found, calls = await ask(name, *(Answer(document=one) for one in ANSWERS[name]))
+    found, calls = await ask(name, *(Answer(document=document) for document in ANSWERS[name]))
     assert calls == snapshot(name="call")
     if name in ("snapshot", "changes"):
         found = wire_forms.changes_form(found)
@@ -242,13 +242,13 @@
     assert wire_forms.changes_form(found) == snapshot
 
 
-async def test_configuration_that_cannot_be_read_is_left_out():
+async def test_invalid_configuration_is_skipped():
     answer = {"timestamp": 43, "events": [entry("op/config", {"version": "x"})]}
     found, _ = await ask("changes", Answer(document=answer))
     assert found.changes == []
 
 
-async def test_entry_that_cannot_be_read_names_no_endpoint():
+async def test_invalid_entry_removes_its_endpoint():
     answer = {"timestamp": 43, "events": [entry("servers/i-1", {"version": "x"})]}
     found, _ = await ask("changes", Answer(document=answer))
     assert found.changes == [EndpointRemoved("i-1")]
@@ -267,7 +267,7 @@
         assert records.calls == snapshot
         assert records.calls[1][2] == {"hex": OWN_DAEMON.hex()}
 
-    async def test_daemons_that_b7c2758_registered(self):
+    async def test_daemon_records_of_an_earlier_build_are_decoded(self):
         written = [
             RecordChanged("thorncleat/daemons/edge-1", OWN_DAEMON, 3, 3),
             RecordChanged("thorncleat/daemons/edge-2", OTHER_DAEMON, 4, 4),
@@ -296,23 +296,23 @@
         async with wire_forms.mirror_of(FixedFeed(written), lambda: 0.0) as mirror:
             election = Election(OWN, records, mirror, lambda: 0.0, lambda: {OWN.id: 1.0})
             election.term = Position(0, 40)
-            kept = GroupRecords(records, mirror, election)
-            kept.end(old, Detached.LEFT)
-            assert await kept.begin(
+            group_records = GroupRecords(records, mirror, election)
+            group_records.end(old, Detached.LEFT)
+            assert await group_records.begin(
                 GROUP, GroupPlan("d1", EngineModel("large", 2), (MEMBER, LONER))
             )
         assert records.calls == snapshot
         assert records.calls[0][1]["thorncleat/groups/41/narrator-0"] == {"hex": GROUP_RECORD.hex()}
 
-    async def test_groups_that_b7c2758_recorded(self):
+    async def test_group_records_of_an_earlier_build_are_decoded(self):
         written = [RecordChanged("thorncleat/groups/40/narrator-1", GROUP_RECORD, 5, 5)]
         async with wire_forms.mirror_of(FixedFeed(written), lambda: 0.0) as mirror:
             election = Election(OWN, RecordedRecords(), mirror, lambda: 0.0, lambda: {OWN.id: 1.0})
-            kept = GroupRecords(RecordedRecords(), mirror, election)
+            group_records = GroupRecords(RecordedRecords(), mirror, election)
             group = GroupId(40, "narrator-1")
-            assert kept.groups == [group]
-            assert kept.may_answer(group)
-            leader = kept.leader(group)
+            assert group_records.groups == [group]
+            assert group_records.may_answer(group)
+            leader = group_records.leader(group)
         assert isinstance(leader, Endpoint)
         assert (leader.id, leader.service, leader.address) == ("i-1", "narrator", "10.0.0.1:81")
         assert leader.membership.group == group
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""How much an answer proves, how old what is known is, and whether a missing endpoint is gone."""
+"""The proven time of an answer, the age of a copy, and the removal of missing endpoints."""
 
 import pytest
 
@@ -30,19 +30,19 @@
         "was not to wait",
     ],
 )
-def test_only_a_whole_wait_without_a_change_proves_more_than_its_beginning(
+def test_only_a_whole_wait_without_changes_proves_more_than_its_beginning(
     wait, took, changed, proven
 ):
     assert proven_wait_seconds(wait, took, changed=changed) == pytest.approx(proven)
 
 
-# whether an endpoint that isn't listed is gone, or may return
-GONE, MAY_RETURN = True, False
-RETURN, LAPSING = ENTRY_REWRITE_SECONDS, MIN_EXPIRING_OUTAGE_SECONDS
+# Whether an endpoint that isn't listed counts as removed.
+REMOVED, MAY_RETURN = True, False
+REWRITE, OUTAGE = ENTRY_REWRITE_SECONDS, MIN_EXPIRING_OUTAGE_SECONDS
 
 
 def _after(*steps):
-    """Return what is known after answers ``(now, proven at)`` and failures ``(now,)``."""
+    """Return the freshness after answers ``(now, proven at)`` and failures ``(now,)``."""
     known = Freshness()
     for step in steps:
         known = known.after_answer(*step) if len(step) == 2 else known.after_failure(*step)
@@ -66,7 +66,7 @@
         "a failure proves nothing",
     ],
 )
-def test_age_runs_from_the_newest_moment_that_an_answer_proves(steps, now, age):
+def test_age_starts_at_the_latest_proven_time(steps, now, age):
     assert _after(*steps).age(now) == age
 
 
@@ -75,20 +75,20 @@
     [
         ([], 5.0, MAY_RETURN, None),
         ([(10.0, 10.0)], 10.0, MAY_RETURN, None),
-        ([(10.0, 10.0)], 10.0 + RETURN, GONE, None),
-        ([(3.0,), (10.0, 10.0)], 11.0, MAY_RETURN, 10.0 + RETURN),
+        ([(10.0, 10.0)], 10.0 + REWRITE, REMOVED, None),
+        ([(3.0,), (10.0, 10.0)], 11.0, MAY_RETURN, 10.0 + REWRITE),
         ([(10.0, 10.0), (11.0, 11.0)], 11.5, MAY_RETURN, None),
-        ([(10.0, 10.0), (20.0,)], 30.0, GONE, None),
+        ([(10.0, 10.0), (20.0,)], 30.0, REMOVED, None),
         (
-            [(10.0, 10.0), (20.0,), (20.0 + LAPSING, 20.0)],
+            [(10.0, 10.0), (20.0,), (20.0 + OUTAGE, 20.0)],
             21.0,
             MAY_RETURN,
-            20.0 + LAPSING + RETURN,
+            20.0 + OUTAGE + REWRITE,
         ),
-        ([(10.0, 10.0), (20.0,), (19.99 + LAPSING, 20.0)], 21.0, GONE, None),
-        ([(0.0, 0.0), (20.0,), (20.9,), (21.0, 21.0)], 21.0, MAY_RETURN, 21.0 + RETURN),
-        ([(0.0, 0.0), (20.0,), (25.0, 25.0), (26.0, 26.0)], 26.5, MAY_RETURN, 25.0 + RETURN),
-        ([(0.0, 0.0), (20.0,), (25.0, 25.0)], 25.0 + RETURN, GONE, None),
+        ([(10.0, 10.0), (20.0,), (19.99 + OUTAGE, 20.0)], 21.0, REMOVED, None),
+        ([(0.0, 0.0), (20.0,), (20.9,), (21.0, 21.0)], 21.0, MAY_RETURN, 21.0 + REWRITE),
+        ([(0.0, 0.0), (20.0,), (25.0, 25.0), (26.0, 26.0)], 26.5, MAY_RETURN, 25.0 + REWRITE),
+        ([(0.0, 0.0), (20.0,), (25.0, 25.0)], 25.0 + REWRITE, REMOVED, None),
     ],
     ids=[
         "nothing was read",
@@ -104,43 +104,41 @@
         "some time after an outage",
     ],
 )
-def test_an_unlisted_endpoint_is_gone_unless_it_may_not_be_written_yet(
-    steps, now, gone, removed_at
-):
+def test_unlisted_endpoint_is_removed_unless_it_may_be_rewritten(steps, now, gone, removed_at):
     known = _after(*steps)
     assert known.is_settled(now) is gone
     assert known.removal_time(now) == removed_at
 
 
-TOLD_SETTLED, TOLD_ALL = SettlingTimes(0.0, 0.0), SettlingTimes(1.5, 1.2)
+SETTLED_TIMES, OPEN_TIMES = SettlingTimes(0.0, 0.0), SettlingTimes(1.5, 1.2)
 
 
-def test_start_is_no_outage_whoever_answers_first():
-    """An entry that vanishes right after the first reading has been taken out."""
+def test_first_answer_does_not_end_an_outage():
+    """An entry that vanishes right after the first read was deleted."""
     assert Freshness().after_answer(10.0, 10.0).removal_time(10.1) is None
-    assert Freshness().after_answer(10.0, 9.8, TOLD_SETTLED).removal_time(10.1) is None
+    assert Freshness().after_answer(10.0, 9.8, SETTLED_TIMES).removal_time(10.1) is None
 
 
-def test_daemon_that_starts_takes_over_what_is_left_and_begins_no_time_of_its_own():
-    known = Freshness().after_answer(10.0, 9.8, TOLD_ALL)
+def test_starting_daemon_takes_over_the_reported_times():
+    known = Freshness().after_answer(10.0, 9.8, OPEN_TIMES)
     assert known.settled_at == 11.5
     assert known.removal_time(10.0) == 11.2
-    # and so does the next one
-    told = known.settling_times(11.0)
-    assert Freshness().after_answer(11.0, 10.9, told).removal_time(11.0) == pytest.approx(11.2)
+    # A daemon that asks this one takes them over as well.
+    reported = known.settling_times(11.0)
+    assert Freshness().after_answer(11.0, 10.9, reported).removal_time(11.0) == pytest.approx(11.2)
 
 
-def test_daemon_that_starts_from_a_settled_one_is_settled():
-    assert Freshness().after_answer(10.0, 9.8, TOLD_SETTLED).is_settled(10.0)
+def test_daemon_that_starts_from_a_settled_relay_is_settled():
+    assert Freshness().after_answer(10.0, 9.8, SETTLED_TIMES).is_settled(10.0)
 
 
-def test_outage_that_ends_with_a_relays_answer_ended_at_what_that_proves():
-    """It may have ended long before this daemon heard."""
-    known = _after((10.0, 10.0), (20.0,)).after_answer(25.0, 24.0, TOLD_SETTLED)
-    assert known.removal_time(25.0) == 24.0 + RETURN
+def test_outage_ends_at_the_proven_time_of_a_relays_answer():
+    """The outage may have ended long before the answer."""
+    known = _after((10.0, 10.0), (20.0,)).after_answer(25.0, 24.0, SETTLED_TIMES)
+    assert known.removal_time(25.0) == 24.0 + REWRITE
 
 
-def test_return_from_a_copy_counts_as_the_end_of_an_outage():
+def test_restore_counts_as_the_end_of_an_outage():
     known = _after((10.0, 10.0)).after_answer(20.0, 20.0, restored=True)
-    assert known.removal_time(20.0) == 20.0 + RETURN
+    assert known.removal_time(20.0) == 20.0 + REWRITE
     assert not known.is_settled(20.0)
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -1,4 +1,4 @@
-"""A daemon's record: kept through an outage of the store, and written anew once it is gone."""
+"""A daemon's record outlives an outage of the store and is rewritten when it is lost."""
 
 import asyncio
 import contextlib
@@ -27,18 +27,18 @@
 
 
 class View:
-    """A view of records alone, which the store below keeps up to date."""
+    """A view of records only, which the store below updates."""
 
     def __init__(self) -> None:
         self.records: dict[str, RecordChanged] = {}
         self.records_version = 0
         self.changed = asyncio.Event()
-        self.known_until = float("inf")
+        self.current_as_of = float("inf")
         self.era = StoreEra()
 
     def age(self) -> float:
-        """Return how old it is: that of one that is followed until it is lost."""
-        return max(0.4, asyncio.get_running_loop().time() - self.known_until)
+        """Return the view's age in seconds; it grows once the store is lost."""
+        return max(0.4, asyncio.get_running_loop().time() - self.current_as_of)
 
     async def wait_change(self, seconds: float) -> bool:
         with contextlib.suppress(TimeoutError):
@@ -56,7 +56,7 @@
 
 
 class Store:
-    """Leases that run out, and times at which it refuses all calls."""
+    """A store with expiring leases and outages."""
 
     def __init__(self, view: View) -> None:
         self.view = view
@@ -97,44 +97,43 @@
 
 
 async def _outage(seconds: float):
-    """Return the store, and for how long the record was gone, after an outage at its worst time."""
+    """Return the store, and the seconds without a record, after an outage before a renewal."""
     view = View()
     store = Store(view)
     clock = asyncio.get_running_loop().time
-    registered = Registration(SETTINGS, store, view, clock)
+    service = Registration(SETTINGS, store, view, clock)
     expiring = asyncio.ensure_future(store.expire())
-    await registered.start()
-    # just before a renewal
+    await service.start()
     await asyncio.sleep(2 * registration.RENEWAL_INTERVAL_SECONDS - 0.05)
     store.down = True
-    gone = 0.0
+    lost_seconds = 0.0
     for tick in range(300):
         if tick * 0.1 >= seconds:
             store.down = False
         await asyncio.sleep(0.1)
-        gone += 0.0 if KEY in view.records else 0.1
-    await registered.stop()
+        lost_seconds += 0.0 if KEY in view.records else 0.1
+    await service.stop()
     expiring.cancel()
-    return store, gone
+    return store, lost_seconds
 
 
 @pytest.mark.parametrize("seconds", [0.5, 3.0, 6.5])
 def test_record_outlives_an_outage(seconds):
-    store, gone = virtual_time.run(_outage(seconds))
-    assert gone == 0.0
+    store, lost_seconds = virtual_time.run(_outage(seconds))
+    assert lost_seconds == 0.0
     assert store.granted == 1
 
 
-def test_record_that_ran_out_is_written_anew_at_once():
-    store, gone = virtual_time.run(_outage(11.0))
-    # it runs out after 8 s of the outage
-    assert gone < 3.0 + registration.RENEWAL_RETRY_SECONDS + 0.5
+def test_expired_record_is_rewritten_at_once():
+    store, lost_seconds = virtual_time.run(_outage(11.0))
+    # The record expires 8 s after the start of the outage.
+    assert lost_seconds < 3.0 + registration.RENEWAL_RETRY_SECONDS + 0.5
     assert store.granted == 2
 
 
 def test_outage_costs_a_call_a_second():
     store, _ = virtual_time.run(_outage(6.5))
-    # a lease, a record, and a renewal each 4 s beside those that fail
+    # Besides the failed calls there are a grant, a write, and a renewal every 4 s.
     assert store.calls < 6.5 + 2 + 36 / registration.RENEWAL_INTERVAL_SECONDS + 1
 
 
@@ -163,7 +162,7 @@
         pytest.param("e0", 16, False, id="a relay of few daemons, who read the store in a page"),
     ],
 )
-def test_relay_tells_that_it_is_one(own, count, told):
+def test_relay_of_a_large_fleet_writes_a_relay_record(own, count, told):
     async def registered():
         view = View()
         for key in list(FLEET)[:count]:
@@ -172,10 +171,10 @@
         settings = dataclasses.replace(SETTINGS, id=own, capacity=9.0 if own == "e0" else 1.0)
         clock = asyncio.get_running_loop().time
         service = Registration(settings, store, view, clock)
-        # the record of a former life
-        kept = view.records[registration.DAEMONS + own]
+        # This is the record of an earlier run.
+        earlier = view.records[registration.DAEMONS + own]
         await service.start()
-        view.set(registration.DAEMONS + own, kept)
+        view.set(registration.DAEMONS + own, earlier)
         await asyncio.sleep(2 * registration.RENEWAL_INTERVAL_SECONDS + 0.1)
         await service.stop()
         return registration.RELAYS + own in view.records
@@ -191,54 +190,54 @@
         pytest.param("e0", ["e0", "e1"], [], id="one that was a relay asks nobody"),
     ],
 )
-def test_whom_a_daemon_asks_that_knows_nothing(own, listed, asked):
+def test_relays_that_a_starting_daemon_asks(own, listed, asked):
     settings = dataclasses.replace(SETTINGS, id=own, failure_domain="ab"[int(own[1:]) % 2])
     service = Registration(settings, None, None, None)
     found = service.listed_relays(_relay_records(listed))
     assert [daemon.id for daemon in found] == asked
 
 
-def test_record_that_the_store_lost_is_written_anew_at_once():
+def test_record_that_the_store_lost_is_rewritten_at_once():
     async def lost():
         view = View()
         store = Store(view)
         clock = asyncio.get_running_loop().time
-        registered = Registration(SETTINGS, store, view, clock)
-        await registered.start()
+        service = Registration(SETTINGS, store, view, clock)
+        await service.start()
         await asyncio.sleep(1.0)
         view.set(KEY, None)
         await asyncio.sleep(0.1)
         found = KEY in view.records
-        await registered.stop()
+        await service.stop()
         return found
 
     assert virtual_time.run(lost())
 
 
-def test_what_the_list_of_daemons_is_good_for_through_an_outage():
-    """A share is used by no daemon that others may not list, and in part while the list is old."""
+def test_fleet_knowledge_during_an_outage():
+    """A daemon that others may not list must not use a share of a limit."""
 
     async def play():
         view = View()
         store = Store(view)
         clock = asyncio.get_running_loop().time
         service = Registration(SETTINGS, store, view, clock)
-        begun, seen = clock(), {}
+        started_at, seen = clock(), {}
         expiring = asyncio.ensure_future(store.expire())
 
         async def at(seconds):
-            await asyncio.sleep(begun + seconds - clock())
+            await asyncio.sleep(started_at + seconds - clock())
             seen[seconds] = service.fleet_knowledge()
 
         before = service.fleet_knowledge()
         await service.start()
         await at(1.0)
         await at(4.0)
-        store.down, view.known_until = True, clock()
+        store.down, view.current_as_of = True, clock()
         await at(6.0)
         await at(7.0)
         await at(20.0)
-        store.down, view.known_until = False, float("inf")
+        store.down, view.current_as_of = False, float("inf")
         await at(22.0)
         await at(25.5)
         await service.stop()
@@ -252,14 +251,14 @@
         4.0: FleetKnowledge.RECENT,
         6.0: FleetKnowledge.RECENT,
         7.0: FleetKnowledge.OLD,
-        # its record has run out, and it knows
+        # The record has expired.
         20.0: FleetKnowledge.NONE,
         22.0: FleetKnowledge.NONE,
         25.5: FleetKnowledge.RECENT,
     }
 
 
-def test_daemon_that_can_read_but_not_renew_trusts_its_list_as_long_as_its_lease():
+def test_list_is_recent_without_renewals_until_the_lease_expires():
     async def play():
         view = View()
         store = Store(view)
@@ -268,7 +267,7 @@
         await service.start()
         await asyncio.sleep(registration.RENEWAL_INTERVAL_SECONDS + 0.1)
         store.down = True
-        # sent just before the outage
+        # The last renewal was sent just before the outage.
         renewed_at = clock() - 0.1
         await asyncio.sleep(registration.DAEMON_LEASE_SECONDS - 1.0)
         early = service.fleet_knowledge()
--- a/tests/test_relay_choice.py
+++ b/tests/test_relay_choice.py
@@ -1,4 +1,4 @@
-"""Which daemons relay, whom each asks, and for how long changes gather."""
+"""The choice of relays, the daemons that each daemon asks, and the coalescing times."""
 
 import pytest
 from hypothesis import given
@@ -44,25 +44,25 @@
     assert relay_count(daemons, failure_domains) <= -(-daemons // DAEMONS_PER_LOCAL_RELAY)
 
 
-def test_those_that_can_carry_most_relay():
+def test_daemons_of_the_highest_capacity_become_relays():
     daemons = fleet(48, lambda number: 10.0 if number in (7, 8, 9) else 1.0)
-    assert {one.id for one in relays(daemons)} == {"e7", "e8", "e9"}
+    assert {relay.id for relay in relays(daemons)} == {"e7", "e8", "e9"}
 
 
-def test_each_failure_domain_has_a_relay_though_another_could_carry_more():
+def test_each_failure_domain_has_a_relay_despite_higher_capacities_elsewhere():
     daemons = fleet(48, lambda number: 10.0 if number % 3 == 0 else 1.0)
-    assert {one.failure_domain for one in relays(daemons)} == {"a", "b", "c"}
+    assert {relay.failure_domain for relay in relays(daemons)} == {"a", "b", "c"}
 
 
-def test_relay_asks_nobody():
+def test_relay_asks_no_daemon():
     daemons = fleet(48)
-    assert [sources(daemons, one) for one in relays(daemons)] == [()] * 3
+    assert [sources(daemons, relay) for relay in relays(daemons)] == [()] * 3
 
 
 def test_own_failure_domain_comes_first():
     daemons = fleet(48, lambda number: 10.0 if number in (0, 1, 2) else 1.0)
-    for one in daemons[3:]:
-        assert sources(daemons, one)[0].failure_domain == one.failure_domain
+    for daemon in daemons[3:]:
+        assert sources(daemons, daemon)[0].failure_domain == daemon.failure_domain
 
 
 def test_daemon_that_is_not_registered_yet_asks_a_relay():
@@ -71,46 +71,50 @@
     assert len(found) == 1
 
 
-def test_controller_asks_nobody():
+def test_controller_asks_no_daemon():
     daemons = fleet(40)
     for daemon in daemons:
         assert sources(daemons, daemon, is_controller=True) == ()
 
 
-def test_daemon_that_knows_no_other_asks_nobody():
+def test_daemon_without_others_asks_no_daemon():
     assert sources([], fleet(1)[0]) == ()
 
 
 @given(st.integers(1, 200), st.integers(1, 5))
-def test_who_asks_whom_has_no_circle(count, failure_domains):
+def test_daemons_do_not_ask_each_other_in_a_cycle(count, failure_domains):
     daemons = [
         Daemon(f"e{number}", "127.0.0.1", number, f"d{number % failure_domains}")
         for number in range(count)
     ]
-    left = {own.id: {one.id for one in sources(daemons, own)} for own in daemons}
-    while left:
-        ask_nobody_left = [name for name, asked in left.items() if not asked & left.keys()]
-        assert ask_nobody_left
-        for name in ask_nobody_left:
-            del left[name]
+    remaining = {own.id: {source.id for source in sources(daemons, own)} for own in daemons}
+    while remaining:
+        ask_no_remaining = [
+            name for name, asked in remaining.items() if not asked & remaining.keys()
+        ]
+        assert ask_no_remaining
+        for name in ask_no_remaining:
+            del remaining[name]
 
 
 @given(st.integers(1, SMALL_FLEET))
-def test_few_daemons_ask_relays_only(count):
+def test_daemons_of_a_small_fleet_ask_relays_only(count):
     daemons = fleet(count)
-    asked = {one.id for own in daemons for one in sources(daemons, own)}
-    assert asked <= {one.id for one in daemons if not sources(daemons, one)}
+    asked = {source.id for own in daemons for source in sources(daemons, own)}
+    assert asked <= {daemon.id for daemon in daemons if not sources(daemons, daemon)}
 
 
 def test_without_the_relays_only_one_fallback_asks_the_store():
     daemons = fleet(48)
-    gone = {relay.id for relay in relays(daemons)}
-    left = [own for own in daemons if own.id not in gone]
-    at_store = [own.id for own in left if all(one.id in gone for one in sources(daemons, own))]
+    failed = {relay.id for relay in relays(daemons)}
+    running = [own for own in daemons if own.id not in failed]
+    at_store = [
+        own.id for own in running if all(source.id in failed for source in sources(daemons, own))
+    ]
     assert len(at_store) == 1
     assert all(
-        any(one.id not in gone for one in sources(daemons, own))
-        for own in left
+        any(source.id not in failed for source in sources(daemons, own))
+        for own in running
         if own.id not in at_store
     )
 
@@ -127,5 +131,5 @@
         (980, False, RELAY_COALESCING_SECONDS),
     ],
 )
-def test_changes_gather_for_longer_where_there_are_more_daemons(daemons, asks_store, seconds):
+def test_larger_fleets_coalesce_changes_for_longer(daemons, asks_store, seconds):
     assert coalescing_seconds(0.05, daemons, asks_store=asks_store) == pytest.approx(seconds)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Learning what the store says from other daemons."""
+"""Reading the store's changes from other daemons: the log, the codec, the server and the feed."""
 
 import asyncio
 import contextlib
@@ -67,7 +67,7 @@
 
 class TestLog:
     @given(st.lists(st.integers(0, 3), max_size=30), st.integers(1, 12), st.integers(0, 40))
-    def test_taking_what_it_returns_leads_to_the_newest_state(self, sizes, limit, since):
+    def test_applying_the_returned_changes_yields_the_newest_state(self, sizes, limit, since):
         log, revision, written = ChangeLog(limit), 5, []
         log.restart_at(Position(2, revision))
         for size in sizes:
@@ -82,25 +82,25 @@
         if found is None:
             assert since < 5 or len(sizes) > limit
             return
-        newest = {one.key: one.revision for one in written}
-        state = {one.key: one.revision for one in written if one.revision <= since}
-        state.update({one.key: one.revision for one in found})
+        newest = {change.key: change.revision for change in written}
+        state = {change.key: change.revision for change in written if change.revision <= since}
+        state.update({change.key: change.revision for change in found})
         assert state == newest
 
-    def test_what_was_before_its_beginning_is_not_known(self):
+    def test_changes_before_its_beginning_are_unknown(self):
         log = ChangeLog()
         log.restart_at(Position(2, 10))
         assert log.since(Position(2, 9)) is None
         assert log.since(Position(2, 10)) == []
 
-    def test_what_was_dropped_is_not_known(self):
+    def test_dropped_changes_are_unknown(self):
         log = ChangeLog(limit=2)
         for revision in (1, 2, 3):
             log.add(Position(2, revision), [EndpointRemoved(str(revision))])
         assert log.since(Position(2, 0)) is None
         assert log.since(Position(2, 1)) == [EndpointRemoved("2"), EndpointRemoved("3")]
 
-    def test_higher_number_of_an_era_that_is_over_is_not_known(self):
+    def test_higher_revision_of_an_earlier_era_is_unknown(self):
         log = ChangeLog()
         log.restart_at(Position(2, 10))
         assert log.since(Position(1, 40)) is None
@@ -108,51 +108,51 @@
 
 class TestCodec:
     @pytest.mark.parametrize("copies", [1, 200], ids=["plain", "compressed"])
-    def test_changes_come_back_as_they_were(self, copies):
+    def test_decoding_restores_the_changes(self, copies):
         assert change_codec.decode(change_codec.encode(9, CHANGES * copies)) == (
             9,
             CHANGES * copies,
         )
 
     @given(st.binary(max_size=60))
-    def test_other_bytes_are_an_error(self, data):
+    def test_undecodable_bytes_are_an_error(self, data):
         with pytest.raises(DecodeError):
             change_codec.decode(data)
 
-    def test_too_much_to_unpack_is_an_error(self, monkeypatch):
+    def test_too_many_decompressed_bytes_are_an_error(self, monkeypatch):
         monkeypatch.setattr(change_codec, "MAX_BYTES", 1000)
         with pytest.raises(DecodeError, match="more than 1000 bytes"):
             change_codec.decode(change_codec.encode(1, CHANGES * 200))
 
 
-def _written(age, body, settling_times=SETTLED):
+def _encoded(age, body, settling_times=SETTLED):
     return relay_answer.write(age, 3, settling_times, 7, body)
 
 
-class TestLeaving:
-    """When a relay is left for the store."""
+class TestRejectedAnswers:
+    """The answers of relays after which the store is asked."""
 
     BODY = change_codec.encode(9, CHANGES)
 
     @pytest.mark.parametrize(
         ("status", "body", "fault"),
         [
-            (200, _written(0.0, BODY), None),
-            (200, _written(1.1, BODY), None),
-            (200, _written(1.11, BODY), "relay e1 is itself 1.110 s behind"),
-            (200, _written(-0.1, BODY), "is itself -0.100 s behind"),
-            (200, _written(float("inf"), BODY), "is itself inf s behind"),
-            (200, _written(float("nan"), BODY), "is itself nan s behind"),
-            (200, _written(0.0, BODY[:-1]), "relay e1: .+"),
-            (200, _written(0.0, b""), "relay e1: .+"),
+            (200, _encoded(0.0, BODY), None),
+            (200, _encoded(1.1, BODY), None),
+            (200, _encoded(1.11, BODY), "relay e1 is itself 1.110 s behind"),
+            (200, _encoded(-0.1, BODY), "is itself -0.100 s behind"),
+            (200, _encoded(float("inf"), BODY), "is itself inf s behind"),
+            (200, _encoded(float("nan"), BODY), "is itself nan s behind"),
+            (200, _encoded(0.0, BODY[:-1]), "relay e1: .+"),
+            (200, _encoded(0.0, b""), "relay e1: .+"),
             (
                 200,
-                _written(0.0, BODY, SettlingTimes(10.1, 0.0)),
+                _encoded(0.0, BODY, SettlingTimes(10.1, 0.0)),
                 "keeps missing endpoints for 10.1",
             ),
-            (200, _written(0.0, BODY, SettlingTimes(0.0, float("nan"))), "endpoints for nan s"),
+            (200, _encoded(0.0, BODY, SettlingTimes(0.0, float("nan"))), "endpoints for nan s"),
             (200, b"short", "relay e1 answered 200"),
-            (404, _written(0.0, BODY), "relay e1 answered 404"),
+            (404, _encoded(0.0, BODY), "relay e1 answered 404"),
             (409, b"", "relay e1 answered 409"),
         ],
         ids=[
@@ -171,7 +171,7 @@
             "is behind",
         ],
     )
-    def test_relay_that_gives_no_fresh_answer_is_left(self, status, body, fault):
+    def test_relay_without_a_current_answer_is_rejected(self, status, body, fault):
         if fault is None:
             found = relay_answer.read("e1", status, body, 1.1)
             assert (found.position, found.changes) == (Position(3, 9), CHANGES)
@@ -187,7 +187,7 @@
 
 
 class _Store:
-    """A store whose changes a test makes; it counts who asks."""
+    """A store that a test changes; it counts the calls."""
 
     def __init__(self) -> None:
         self.down = False
@@ -199,24 +199,24 @@
     def position(self) -> Position:
         return Position(self.era.newest, len(self.written))
 
-    def _called(self) -> None:
+    def _count_call(self) -> None:
         self.calls += 1
         if self.down:
             raise StoreUnavailableError("down")
 
     async def snapshot(self) -> Changes:
-        self._called()
+        self._count_call()
         return Changes(self.position, list(self.written))
 
     async def changes(self, since: Position, wait: float) -> Changes:
-        self._called()
+        self._count_call()
         if self.position == since:
             await asyncio.sleep(wait)
         return Changes(self.position, self.written[since.revision :])
 
 
 class _Site:
-    """A relay and a daemon that asks it, each with its own way to the store."""
+    """A relay and a daemon that asks it, each with a store of its own."""
 
     def __init__(self) -> None:
         self.relay_store, self.own_store = _Store(), _Store()
@@ -227,7 +227,7 @@
         self._read = asyncio.Event()
         self.view.on_change(self._read.set)
         self.ahead = 0.0
-        # who is registered is a part of what the relay has read
+        # A relay knows the registered daemons only after its first read.
         self.server = RelayServer(self.view, lambda: self.registered if self.view.version else [])
         self.known = [self.relay]
         self.listed: list[Daemon] = []
@@ -277,16 +277,16 @@
         await made.stop()
 
 
-async def _until(true) -> None:
-    """Wait until something is so, which a test brings about itself."""
+async def _until(condition) -> None:
+    """Wait until a condition holds."""
     end = time.monotonic() + 10.0
-    while not true():
+    while not condition():
         assert time.monotonic() < end
         await asyncio.sleep(0.005)
 
 
 class TestAsking:
-    async def test_changes_come_from_the_relay_and_cost_no_call(self):
+    async def test_changes_come_from_the_relay_without_a_call_to_the_store(self):
         async with site() as made:
             made.relay_store.written += CHANGES
             found = await made.feed.changes(FIRST, STORE_WAIT)
@@ -294,7 +294,7 @@
             assert found.position == Position(0, 1 + len(CHANGES))
             assert made.own_store.calls == 0
 
-    async def test_what_is_proven_is_never_later_than_what_the_relay_knew(self):
+    async def test_proven_time_is_never_later_than_that_of_the_relay(self):
         async with site() as made:
             sent_at = time.monotonic()
             found = await made.feed.changes(FIRST, STORE_WAIT)
@@ -303,18 +303,18 @@
             assert sent_at + found.proven_seconds <= made.view.current_as_of
             assert found.proven_seconds < answered_at - sent_at
 
-    async def test_silent_relay_is_left_for_the_store(self):
+    async def test_store_is_asked_after_a_relay_timed_out(self):
         async with site() as made:
             made.hang = True
             made.own_store.written += CHANGES
-            begun = time.monotonic()
+            started_at = time.monotonic()
             found = await made.feed.changes(FIRST, STORE_WAIT)
             assert list(found.changes) == CHANGES
-            assert time.monotonic() - begun < 1.0
+            assert time.monotonic() - started_at < 1.0
             await made.feed.changes(FIRST, STORE_WAIT)
             assert made.own_store.calls == 2
 
-    async def test_relay_that_has_lost_the_store_is_left(self):
+    async def test_store_is_asked_after_the_relay_lost_it(self):
         async with site() as made:
             made.relay_store.down = True
             for _ in range(100):
@@ -323,7 +323,7 @@
                     break
             assert made.own_store.calls == 1
 
-    async def test_where_a_relay_does_not_remember_all_is_read_anew_and_costs_no_call(self):
+    async def test_relay_without_the_history_is_asked_for_a_snapshot(self):
         async with site() as made:
             made.relay_store.written += CHANGES
             await _until(lambda: made.view.configuration is not None)
@@ -333,7 +333,7 @@
             assert found.position == Position(0, 1 + len(CHANGES))
             assert made.own_store.calls == 0
 
-    async def test_relay_that_failed_is_asked_again_later(self):
+    async def test_failed_relay_is_retried_later(self):
         async with site() as made:
             made.hang = True
             await made.feed.changes(FIRST, STORE_WAIT)
@@ -342,7 +342,7 @@
             await made.feed.changes(FIRST, STORE_WAIT)
             assert made.own_store.calls == 1
 
-    async def test_next_relay_is_asked_at_once_where_one_is_behind(self):
+    async def test_next_relay_is_asked_at_once_if_the_first_is_behind(self):
         async with site() as made, site() as behind:
             behind.relay_store.down = True
             await _until(lambda: behind.view.age() > SETTINGS.oldest)
@@ -355,7 +355,7 @@
             assert list(found.changes) == CHANGES
             assert made.own_store.calls == 0
 
-    async def test_answer_of_a_later_era_does_not_continue_the_one_before(self):
+    async def test_answer_of_a_later_era_does_not_continue_an_earlier_one(self):
         async with site() as made:
             made.relay_store.era.observe(1)
             made.relay_store.written += CHANGES
@@ -366,17 +366,17 @@
             assert made.own_store.calls == 0
             assert made.feed.era.newest == 1
 
-    async def test_relay_of_an_era_that_is_over_is_left(self):
+    async def test_store_is_asked_if_the_relay_is_in_an_earlier_era(self):
         async with site() as made:
             made.own_store.era.observe(1)
-            # the relay hears of the era here, and has not read the store in it
+            # The relay observes the era here, but can't read the store in it.
             made.relay_store.down = True
             found = await made.feed.changes(Position(1, 1), STORE_WAIT)
             assert found.position == Position(1, 1)
             assert made.own_store.calls == 1
             assert made.relay_store.era.newest == 1
 
-    async def test_late_answer_of_an_era_that_is_over_is_left(self):
+    async def test_late_answer_of_an_earlier_era_is_rejected(self):
         async with site() as made:
             made.own_store.era.observe(1)
             await made.feed.snapshot()
@@ -389,7 +389,7 @@
             assert made.own_store.calls == 1
             assert made.server.answered == 0
 
-    async def test_everything_comes_from_a_relay_that_the_records_name(self):
+    async def test_snapshot_comes_from_a_relay_that_the_records_name(self):
         async with site() as made:
             made.known, made.listed = [], [made.relay]
             made.relay_store.written += CHANGES
@@ -397,33 +397,33 @@
             found = await made.feed.snapshot()
             assert made.own_store.calls == 0
             assert found.position == Position(0, 1 + len(CHANGES))
-            # the record that was written and removed again is not there
+            # The snapshot lacks the record that was written and removed.
             assert found.changes == CHANGES[:2]
             assert found.proven_seconds <= 0.0
 
-    async def test_relay_that_started_at_the_same_time_answers_once_it_has_read(self):
+    async def test_relay_that_starts_at_the_same_time_answers_after_its_first_read(self):
         async with site(reads=False) as made:
             made.relay_store.written += CHANGES
-            asked = asyncio.ensure_future(made.feed.snapshot())
+            request = asyncio.ensure_future(made.feed.snapshot())
             await asyncio.sleep(0.02)
             await made.read()
-            found = await asked
+            found = await request
             assert made.own_store.calls == 0
             assert found.changes == CHANGES[:2]
 
-    async def test_everything_comes_from_the_store_where_no_relay_is_known(self):
+    async def test_snapshot_comes_from_the_store_without_a_known_relay(self):
         async with site() as made:
             made.known = []
             await made.feed.snapshot()
             assert made.own_store.calls == 1
 
-    async def test_relay_that_knows_nothing_yet_is_left_for_the_store(self):
+    async def test_store_is_asked_if_the_relay_has_read_nothing(self):
         async with site() as made:
             found = await made.feed.snapshot()
             assert list(found.changes) == made.own_store.written
             assert made.own_store.calls == 1
 
-    async def test_relay_that_is_away_is_left_for_the_next_one(self):
+    async def test_next_relay_is_asked_if_the_first_is_unreachable(self):
         async with site() as made:
             made.relay_store.written += CHANGES
             await _until(lambda: made.view.configuration is not None)
@@ -431,9 +431,9 @@
             await made.feed.snapshot()
             assert made.own_store.calls == 0
 
-    async def test_endpoint_that_has_lapsed_at_the_relay_is_not_listed_for_good(self):
+    async def test_endpoint_that_is_missing_at_the_relay_stays_missing_in_a_snapshot(self):
         async with site() as made:
-            # the store comes back from a copy: entries may be missing that are written again
+            # After a restore of the store, missing entries may still be written again.
             made.relay_store.era.observe(1)
             made.relay_store.written += [CHANGES[0], EndpointRemoved(MEMBER.id)]
             await _until(lambda: made.view.configuration is not None)
@@ -443,7 +443,7 @@
             left = made.view.settling_times().rewritten_in
             assert left <= found.settling_times.rewritten_in <= ENTRY_REWRITE_SECONDS
 
-    async def test_store_that_fails_too_is_an_error(self):
+    async def test_failure_of_relay_and_store_is_an_error(self):
         async with site() as made:
             made.hang = made.own_store.down = True
             with pytest.raises(StoreUnavailableError):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""The listed endpoints and the groups that they name."""
+"""The listed endpoints, the groups that they name, and entries of a restored store."""
 
 import dataclasses
 
@@ -23,7 +23,7 @@
         place = Membership(GroupId(5, "g5"), rank, GroupState.READY)
         return endpoint(name, models=("large",), membership=place)
 
-    def test_groups_are_read_from_their_members(self):
+    def test_groups_are_built_from_their_members(self):
         roster = Roster()
         for rank, name in enumerate("abcd"):
             roster.put(self.member(name, rank))
@@ -34,7 +34,7 @@
         roster.remove("c", 1.0)
         assert sorted(roster.groups[group.id].members) == [0, 1, 3]
 
-    def test_those_that_have_gone_are_remembered_for_a_while(self):
+    def test_removed_endpoints_are_remembered_for_a_while(self):
         roster = Roster()
         roster.put(endpoint("a"))
         roster.put(endpoint("b"))
@@ -44,7 +44,7 @@
         assert "a" not in roster.removed
 
     @pytest.mark.parametrize("listed", [{}, {"staged": ("m",)}, {"draining": True}])
-    def test_what_an_endpoint_says_of_draining_holds_beside_later_entries(self, listed):
+    def test_reported_draining_outweighs_later_entries(self, listed):
         roster = Roster()
         roster.put(endpoint("a", born=5))
         assert roster.mark_draining(Incarnation("a", 5))
@@ -53,7 +53,7 @@
         assert roster.endpoints["a"].draining
         assert list(roster.stored_entries) == [endpoint("a", born=5, **listed)]
 
-    def test_what_an_endpoint_says_of_draining_outlives_its_entry(self):
+    def test_reported_draining_outlives_the_entry(self):
         roster = Roster()
         roster.put(endpoint("a", born=5))
         roster.mark_draining(Incarnation("a", 5))
@@ -62,7 +62,7 @@
         assert roster.endpoints["a"].draining
 
     @pytest.mark.parametrize("late", [False, True], ids=["another life", "said in a life before"])
-    def test_another_life_does_not_drain(self, late):
+    def test_another_incarnation_does_not_drain(self, late):
         roster = Roster()
         roster.put(endpoint("a", born=6 if late else 5))
         roster.mark_draining(Incarnation("a", 5))
@@ -70,7 +70,7 @@
         assert not roster.endpoints["a"].draining
         assert list(roster.stored_entries) == [endpoint("a", born=6)]
 
-    def test_endpoints_that_drained_are_forgotten(self):
+    def test_draining_of_removed_endpoints_is_forgotten(self):
         roster = Roster()
         for name in "ab":
             roster.put(endpoint(name))
@@ -79,10 +79,10 @@
         roster.remove("b", 100.0)
         assert list(roster._reported_draining) == ["b"]
 
-    def test_endpoint_that_is_not_listed_says_nothing(self):
+    def test_report_of_an_unlisted_endpoint_is_ignored(self):
         assert not Roster().mark_draining(Incarnation("a", None))
 
-    def test_a_whole_list_replaces_what_was_known(self):
+    def test_whole_list_replaces_the_earlier_one(self):
         roster = Roster()
         roster.put(endpoint("a"))
         roster.replace([endpoint("b")], 2.0)
@@ -91,44 +91,44 @@
 
 
 class TestCopies:
-    """What a store that came back from a copy lists again."""
+    """Entries of removed endpoints that reappear when the store is restored."""
 
     READY = Endpoint("i-9", "desk", "a:9", "z", order_count=4)
 
-    def _gone(self):
+    def _with_removed(self):
         roster = Roster()
         roster.put(self.READY)
         roster.remove("i-9", 10.0)
         return roster
 
-    def test_entry_that_drained_drains_on_in_an_older_copy(self):
+    def test_draining_entry_stays_draining_in_an_older_copy(self):
         roster = Roster()
         roster.put(dataclasses.replace(self.READY, draining=True))
         roster.put(self.READY)
         assert roster.endpoints["i-9"].draining
-        assert [one.draining for one in roster.stored_entries] == [True]
+        assert [entry.draining for entry in roster.stored_entries] == [True]
 
-    def test_next_life_does_not_drain_on(self):
+    def test_next_incarnation_does_not_stay_draining(self):
         roster = Roster()
         roster.put(dataclasses.replace(self.READY, draining=True, born=1))
         roster.put(dataclasses.replace(self.READY, born=2))
         assert not roster.endpoints["i-9"].draining
 
-    def test_entry_that_had_gone_is_not_used_on_a_copys_word(self):
-        roster = self._gone()
+    def test_reappeared_entry_is_unconfirmed(self):
+        roster = self._with_removed()
         roster.replace([self.READY], 11.0, restored=True)
         assert not roster.endpoints
-        # whoever learns from here hears of no change when it is believed
+        # A snapshot includes the entry, since its confirmation is no change of the store.
         assert list(roster.stored_entries) == [self.READY]
 
-    def test_it_is_used_once_its_entry_changes(self):
-        roster = self._gone()
+    def test_reappeared_entry_is_confirmed_by_a_change(self):
+        roster = self._with_removed()
         roster.replace([self.READY], 11.0, restored=True)
         roster.put(dataclasses.replace(self.READY, order_count=5))
         assert "i-9" in roster.endpoints
 
-    def test_it_is_used_once_it_would_have_run_out(self):
-        roster = self._gone()
+    def test_reappeared_entry_is_confirmed_after_its_ttl(self):
+        roster = self._with_removed()
         roster.replace([self.READY], 11.0, restored=True)
         roster.replace([self.READY], 12.0)
         assert roster.next_due == 11.0 + ENTRY_TTL_SECONDS
@@ -136,21 +136,21 @@
         assert roster.expire(11.0 + ENTRY_TTL_SECONDS)
         assert "i-9" in roster.endpoints
 
-    def test_it_is_forgotten_once_it_runs_out(self):
-        roster = self._gone()
+    def test_reappeared_entry_is_forgotten_when_it_expires(self):
+        roster = self._with_removed()
         roster.replace([self.READY], 11.0, restored=True)
         roster.unlist("i-9", 12.0, None)
         assert roster.next_due == float("inf")
         assert not list(roster.stored_entries)
 
-    def test_another_life_is_used_at_once(self):
+    def test_another_incarnation_is_listed_at_once(self):
         roster = Roster()
         roster.put(dataclasses.replace(self.READY, born=1))
         roster.remove("i-9", 10.0)
         roster.replace([dataclasses.replace(self.READY, born=2)], 11.0, restored=True)
         assert "i-9" in roster.endpoints
 
-    def test_without_a_copy_an_entry_that_is_listed_again_is_used_at_once(self):
-        roster = self._gone()
+    def test_reappeared_entry_is_listed_at_once_without_a_restore(self):
+        roster = self._with_removed()
         roster.replace([self.READY], 11.0)
         assert "i-9" in roster.endpoints
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Which route and which workspace a request belongs to."""
+"""The lookup of a request's route and workspace."""
 
 import pytest
 
@@ -39,7 +39,7 @@
         found = self.CONFIGURATION.route_for(host, path)
         assert (found.name if found else None) == wanted
 
-    def test_keys_lead_to_their_workspace(self):
+    def test_workspace_is_found_by_its_key(self):
         assert self.CONFIGURATION.workspace_for("k2").name == "growers"
         assert self.CONFIGURATION.workspace_for("k3").name == "chains"
         assert self.CONFIGURATION.workspace_for("k") is None
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of the era that each of the store's answers names."""
+"""The adapter's handling of the era that each answer of the store names."""
 
 import pytest
 
@@ -22,14 +22,14 @@
 
 
 class _Asked:
-    """A store that answers as a test tells it, and the adapter's client of it."""
+    """A store with prepared answers, and the adapter's client of it."""
 
     def __init__(self, server) -> None:
         self.server = server
         self.store = KeyValueStore(server.address)
 
     async def after(self, *answers):
-        """Have the client hear of an era, and set what is answered next."""
+        """Have the client observe an era, and set the next answers."""
         self.server.answers = [answer(3, PAGE), *answers]
         await self.store.snapshot()
         self.server.calls.clear()
@@ -43,25 +43,25 @@
         await made.store.close()
 
 
-async def test_position_is_of_the_era_that_the_same_answer_names(asked):
+async def test_position_has_the_era_of_its_answer(asked):
     asked.server.answers = [answer(3, PAGE), answer(3, WATCHED)]
     assert (await asked.store.snapshot()).position == Position(3, 9)
     assert (await asked.store.changes(Position(3, 9), 0.0)).position == Position(3, 43)
 
 
-async def test_store_that_names_no_era_has_one(asked):
+async def test_store_without_a_named_era_keeps_one_era(asked):
     asked.server.answers = [Answer(document=PAGE), Answer(document=WATCHED)]
     first = (await asked.store.snapshot()).position
     assert (await asked.store.changes(first, 0.0)).position == Position(first.era, 43)
 
 
-async def test_changes_of_a_later_era_do_not_continue_the_one_before(asked):
+async def test_changes_of_a_later_era_do_not_continue_an_earlier_one(asked):
     await asked.after(answer(4, WATCHED))
     with pytest.raises(HistoryGoneError, match="era 4"):
         await asked.store.changes(Position(3, 9), 0.0)
 
 
-async def test_position_of_an_era_that_is_over_is_not_asked_with(asked):
+async def test_position_of_an_earlier_era_is_not_sent(asked):
     await asked.after(answer(4, {"lease_id": 7}))
     await asked.store.grant(2.0)
     asked.server.calls.clear()
@@ -70,13 +70,13 @@
     assert asked.server.calls == []
 
 
-async def test_late_answer_of_an_era_that_is_over_is_none(asked):
+async def test_late_answer_of_an_earlier_era_is_rejected(asked):
     await asked.after(answer(2, PAGE))
     with pytest.raises(StoreUnavailableError, match="era 2"):
         await asked.store.snapshot()
 
 
-async def test_pages_of_two_eras_are_no_listing(asked):
+async def test_pages_of_two_eras_are_rejected(asked):
     more = {"timestamp": 9, "entries": [_entry("other/x")], "has_more": True}
     asked.server.answers = [answer(3, more), answer(4, PAGE)]
     with pytest.raises(StoreUnavailableError, match="era"):
@@ -88,38 +88,38 @@
 
 
 @pytest.mark.parametrize("era", ["x", "-1", "", "1.5"])
-async def test_era_that_cannot_be_read_is_no_answer(asked, era):
+async def test_answer_with_an_invalid_era_is_rejected(asked, era):
     asked.server.answers = [Answer(document=PAGE, headers={"Store-Era": era})]
     with pytest.raises(StoreUnavailableError, match="Store-Era"):
         await asked.store.snapshot()
 
 
 class TestLeases:
-    async def test_lease_is_of_the_era_in_which_it_was_granted(self, asked):
+    async def test_lease_has_the_era_of_its_grant(self, asked):
         asked.server.answers = [answer(3, {"lease_id": 7})]
         assert await asked.store.grant(2.0) == Lease(3, 7)
 
-    async def test_renewal_that_another_era_answers_renews_nothing(self, asked):
-        """The same id may be another daemon's lease there."""
+    async def test_renewal_answered_in_another_era_fails(self, asked):
+        """In another era the id may belong to another daemon's lease."""
         await asked.after(answer(4, {"ttl_ms": 1}))
         with pytest.raises(LeaseGoneError, match="era"):
             await asked.store.renew(Lease(3, 7))
 
     @pytest.mark.parametrize("call", ["renew", "put", "create"])
-    async def test_lease_of_an_era_that_is_over_is_not_used(self, asked, call):
+    async def test_lease_of_an_earlier_era_is_not_used(self, asked, call):
         await asked.after(answer(4, PAGE))
         await asked.store.snapshot()
         asked.server.calls.clear()
-        work = {
+        send = {
             "renew": lambda: asked.store.renew(Lease(3, 7)),
             "put": lambda: asked.store.put("thorncleat/a", b"", Lease(3, 7)),
             "create": lambda: asked.store.create("thorncleat/a", b"", Lease(3, 7)),
         }[call]
         with pytest.raises(LeaseGoneError):
-            await work()
+            await send()
         assert asked.server.calls == []
 
-    async def test_lease_of_an_era_that_is_over_is_not_ended(self, asked):
+    async def test_lease_of_an_earlier_era_is_not_revoked(self, asked):
         await asked.after(answer(4, PAGE))
         await asked.store.snapshot()
         asked.server.calls.clear()
@@ -128,15 +128,15 @@
 
 
 class TestConditions:
-    async def test_revision_of_an_era_that_is_over_is_no_condition(self, asked):
-        """Another item may have got the same number."""
+    async def test_revision_of_an_earlier_era_never_matches(self, asked):
+        """In another era the revision may belong to another item."""
         await asked.after(answer(4, PAGE))
         await asked.store.snapshot()
         asked.server.calls.clear()
         assert not await asked.store.commit({"a": b""}, [], {"b": Position(3, 5)})
         assert asked.server.calls == []
 
-    async def test_write_that_another_era_answers_may_have_met_anothers_record(self, asked):
+    async def test_outcome_of_a_write_answered_in_another_era_is_unknown(self, asked):
         await asked.after(answer(4, {"revision": 40}))
         with pytest.raises(StoreOutcomeUnknownError, match="era"):
             await asked.store.commit({"a": b""}, [], {"b": Position(3, 5)})
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy some seconds old, and gives its revisions again."""
+"""The store is restored from an older copy and reuses its revisions."""
 
 import asyncio
 
@@ -10,50 +10,50 @@
 from . import virtual_time
 from .fleet_world import FleetWorld
 
-KNOWN_EVERYWHERE = 1.0
-WATCHED = 8.0
+PROPAGATION_SECONDS = 1.0
+WATCH_SECONDS = 8.0
 FLEETS = [8, 24]
 
 
 async def _restored(daemons: int, away: float) -> FleetWorld:
-    """Return a world whose store came back from a copy, and in which all was written again."""
+    """Return a world whose store was restored, and in which all entries were written again."""
     world = FleetWorld(daemons)
     await world.start()
     await world.restore(away)
     return world
 
 
-async def _leaving(daemons: int) -> float:
+async def _seconds_until_unused(daemons: int) -> float:
     world = await _restored(daemons, 0.1)
     await world.pass_time(0.5)
     world.say_draining("w000")
-    used = await world.seconds_in_use("w000", WATCHED)
+    used = await world.seconds_in_use("w000", WATCH_SECONDS)
     await world.stop()
     return used[-1]
 
 
-async def _configured(daemons: int) -> set[int]:
+async def _configuration_versions(daemons: int) -> set[int]:
     world = await _restored(daemons, 0.1)
     world.configure(60)
-    await world.pass_time(KNOWN_EVERYWHERE)
+    await world.pass_time(PROPAGATION_SECONDS)
     found = {daemon.view.configuration.version for daemon in world.daemons}
     await world.stop()
     return found
 
 
 @pytest.mark.parametrize("daemons", FLEETS)
-def test_leaving_is_known_while_the_revisions_are_given_again(daemons):
-    """Daemons that stand at the old number hear of nothing below it."""
-    assert virtual_time.run(_leaving(daemons)) <= KNOWN_EVERYWHERE
+def test_draining_propagates_while_revisions_are_reused(daemons):
+    """Daemons at a position of the earlier era would miss changes of lower revisions."""
+    assert virtual_time.run(_seconds_until_unused(daemons)) <= PROPAGATION_SECONDS
 
 
 @pytest.mark.parametrize("daemons", FLEETS)
-def test_configuration_is_known_while_the_revisions_are_given_again(daemons):
-    assert virtual_time.run(_configured(daemons)) == {60}
+def test_configuration_propagates_while_revisions_are_reused(daemons):
+    assert virtual_time.run(_configuration_versions(daemons)) == {60}
 
 
-async def _daemon_starts_before_the_operator_has_written_again() -> float:
-    """Return the configuration of a daemon that starts from the restored store."""
+async def _version_of_a_daemon_that_starts_after_a_restore() -> float:
+    """Return the version at a daemon that starts before the operator writes again."""
     world = FleetWorld(24)
     await world.start()
     copy = world.store.copy()
@@ -64,26 +64,26 @@
     late = next(daemon for daemon in world.daemons if daemon.sources)
     await late.kill()
     for record in [key for key in world.store.items if key.startswith(RELAYS)]:
-        # it finds no relay to begin with, and reads the store
+        # Without relays' records the daemon reads the store.
         del world.store.items[record]
     await late.start()
-    await world.pass_time(KNOWN_EVERYWHERE)
+    await world.pass_time(PROPAGATION_SECONDS)
     found = late.view.configuration_version()
     await world.stop()
     return found
 
 
-def test_daemon_that_starts_from_a_copy_takes_the_newer_configuration_from_a_relay():
-    assert virtual_time.run(_daemon_starts_before_the_operator_has_written_again()) == 2
+def test_daemon_that_starts_from_a_restored_store_gets_the_newer_configuration_from_a_relay():
+    assert virtual_time.run(_version_of_a_daemon_that_starts_after_a_restore()) == 2
 
 
 SEEDS = range(6)
-# for what was written last to be known everywhere, with what a restore lets it wait
-SETTLED_SECONDS = 4.0
+# How long the last write takes to propagate after a restore.
+SETTLING_SECONDS = 4.0
 
 
 async def _restores_at_random(seed: int, daemons: int) -> FleetWorld:
-    """Restore the store again and again, while endpoints come and go and daemons start."""
+    """Restore the store several times while endpoints come and go and daemons restart."""
     world = FleetWorld(daemons, seed=seed)
     draw = world.random
     await world.start()
@@ -102,7 +102,7 @@
         if draw.random() < 0.5:
             await asyncio.gather(*await world.restart_all(longest=1.5))
     world.configure(50)
-    await world.pass_time(SETTLED_SECONDS)
+    await world.pass_time(SETTLING_SECONDS)
     return world
 
 
@@ -119,15 +119,15 @@
             world.say_draining(draw.choice(sorted(world.endpoints)))
 
 
-def _unlike(world: FleetWorld) -> list[str]:
-    """Return what single daemons know otherwise than the store, which holds all by now."""
-    taking = {one.id for one in world.endpoints.values() if not one.draining}
+def _differences(world: FleetWorld) -> list[str]:
+    """Return where daemons differ from the store, in which all entries are written again."""
+    accepting = {endpoint.id for endpoint in world.endpoints.values() if not endpoint.draining}
     records = {key for key in world.store.items if key.startswith(DAEMONS)}
     faults = []
     for daemon in world.daemons:
-        used = {one for one in daemon.view.roster.endpoints if daemon.uses(one)}
-        if used != taking:
-            faults.append(f"{daemon.id} uses {sorted(used)}, not {sorted(taking)}")
+        used = {name for name in daemon.view.roster.endpoints if daemon.uses(name)}
+        if used != accepting:
+            faults.append(f"{daemon.id} uses {sorted(used)}, not {sorted(accepting)}")
         if daemon.view.configuration_version() != 50:
             faults.append(f"{daemon.id} has version {daemon.view.configuration_version()}")
         if {key for key in daemon.view.records if key.startswith(DAEMONS)} != records:
@@ -139,10 +139,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("daemons", FLEETS)
-def test_all_daemons_know_the_same_after_restores_at_random(seed, daemons):
+def test_all_daemons_agree_after_restores_at_random(seed, daemons):
     async def play():
         world = await _restores_at_random(seed, daemons)
-        faults = _unlike(world)
+        faults = _differences(world)
         await world.stop()
         return faults
 
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -1,4 +1,4 @@
-"""A daemon's copy of the store: how old it may be, and what an outage does to it."""
+"""The age of a daemon's copy of the store, and the effect of outages on it."""
 
 import asyncio
 import dataclasses
@@ -21,11 +21,11 @@
 
 WAIT_SECONDS = 1.0
 ANSWER_SECONDS = 0.004
-LOOK_SECONDS = 0.01
+POLL_INTERVAL_SECONDS = 0.01
 
 
 class _Feed:
-    """A store whose changes a test makes."""
+    """A store that a test changes."""
 
     def __init__(self) -> None:
         self.down = False
@@ -54,17 +54,18 @@
     async def snapshot(self) -> Changes:
         await self._call()
         return Changes(
-            Position(0, self.revision), [EndpointListed(one) for one in self.listed.values()]
+            Position(0, self.revision),
+            [EndpointListed(endpoint) for endpoint in self.listed.values()],
         )
 
     async def changes(self, since: Position, wait: float) -> Changes:
         await self._call()
-        for _ in range(round(wait / LOOK_SECONDS)):
+        for _ in range(round(wait / POLL_INTERVAL_SECONDS)):
             if self.revision != since.revision:
                 break
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         await self._call()
-        found = [one for rev, one in self.changes_made if rev > since.revision]
+        found = [change for rev, change in self.changes_made if rev > since.revision]
         return Changes(
             Position(self.era.newest, self.revision), found, 0.0 if found else 0.8 * wait
         )
@@ -77,7 +78,7 @@
     return view
 
 
-async def _ages_on_a_calm_day():
+async def _ages_without_changes():
     feed = _Feed()
     view = await _view(feed)
     await asyncio.sleep(5.0)
@@ -89,10 +90,10 @@
     return ages
 
 
-def test_a_wait_without_a_change_proves_more_than_its_beginning():
-    ages = virtual_time.run(_ages_on_a_calm_day())
+def test_wait_without_changes_proves_more_than_its_beginning():
+    ages = virtual_time.run(_ages_without_changes())
     assert max(ages) < 1.25 * WAIT_SECONDS + 4 * ANSWER_SECONDS
-    # the part of the wait that a quick clock of the store's may have left out
+    # A fast clock of the store may have skipped this part of the wait.
     assert min(ages) >= 0.2 * WAIT_SECONDS
 
 
@@ -100,24 +101,24 @@
     feed = _Feed()
     view = await _view(feed)
     await asyncio.sleep(5.0)
-    begun = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     feed.list("one")
     seen = asyncio.Event()
     view.on_change(seen.set)
     await seen.wait()
     age = view.age()
-    waited = asyncio.get_running_loop().time() - begun
+    waited = asyncio.get_running_loop().time() - started_at
     await view.stop()
     return age, waited
 
 
-def test_an_answer_with_changes_proves_only_when_it_was_asked_for():
+def test_answer_with_changes_proves_nothing_beyond_its_call():
     age, waited = virtual_time.run(_age_after_an_early_answer())
     assert age >= waited
 
 
 async def _after_an_outage():
-    """Return a store and a view of it at the end of an outage in which an entry ran out."""
+    """Return a store and its view at the end of an outage in which an entry expired."""
     feed = _Feed()
     feed.list("one")
     view = await _view(feed)
@@ -129,13 +130,13 @@
     return feed, view
 
 
-async def _outage(back: bool, moment: float):
-    """Entries run out in an outage; return whether one is listed some time after it."""
+async def _is_listed_after_an_outage(is_rewritten: bool, seconds: float):
+    """Return whether an entry that expired in an outage is listed some time after it."""
     feed, view = await _after_an_outage()
     await asyncio.sleep(1.0)
-    if back:
+    if is_rewritten:
         feed.list("one")
-    await asyncio.sleep(moment - 1.0)
+    await asyncio.sleep(seconds - 1.0)
     listed = "one" in view.roster.endpoints
     await view.stop()
     return listed
@@ -146,11 +147,11 @@
     [(False, 1.2, True), (False, 3.0, False), (True, 3.0, True)],
     ids=["may come back", "has not come back", "has come back"],
 )
-def test_entries_that_ran_out_in_an_outage_have_some_time_to_come_back(back, moment, listed):
-    assert virtual_time.run(_outage(back, moment)) is listed
+def test_entries_that_expired_in_an_outage_may_be_rewritten_for_a_while(back, moment, listed):
+    assert virtual_time.run(_is_listed_after_an_outage(back, moment)) is listed
 
 
-async def _gone_without_an_outage():
+async def _is_listed_without_an_outage():
     feed = _Feed()
     feed.list("one")
     view = await _view(feed)
@@ -162,33 +163,33 @@
     return listed
 
 
-def test_without_an_outage_a_missing_entry_is_gone_at_once():
-    assert not virtual_time.run(_gone_without_an_outage())
+def test_missing_entry_is_removed_at_once_without_an_outage():
+    assert not virtual_time.run(_is_listed_without_an_outage())
 
 
-async def _said_draining():
+async def _reported_draining():
     feed = _Feed()
     feed.list("one")
     view = await _view(feed)
     await asyncio.sleep(1.0)
-    woken = asyncio.Event()
-    view.on_change(woken.set)
+    notified = asyncio.Event()
+    view.on_change(notified.set)
     version = view.version
     view.mark_draining(Incarnation("one", None))
-    found = view.roster.endpoints["one"].draining, woken.is_set(), view.version > version
-    told = view.snapshot_changes()
+    found = view.roster.endpoints["one"].draining, notified.is_set(), view.version > version
+    snapshot = view.snapshot_changes()
     await view.stop()
-    return found, told, feed.listed["one"]
+    return found, snapshot, feed.listed["one"]
 
 
-def test_what_an_endpoint_says_is_noticed_here_and_not_told_to_others_as_the_list():
-    found, told, listed = virtual_time.run(_said_draining())
+def test_reported_draining_is_applied_here_but_not_sent_in_a_snapshot():
+    found, snapshot, listed = virtual_time.run(_reported_draining())
     assert found == (True, True, True)
-    assert told == [EndpointListed(listed)]
+    assert snapshot == [EndpointListed(listed)]
 
 
-async def _gone_after_it_was_written_again():
-    """Return whether an endpoint is listed that came back after an outage and then left."""
+async def _is_listed_after_rewrite_and_removal():
+    """Return whether an endpoint is listed whose entry was rewritten and then removed."""
     feed, view = await _after_an_outage()
     await asyncio.sleep(0.5)
     feed.list("one")
@@ -200,12 +201,12 @@
     return listed
 
 
-def test_entry_that_was_written_since_the_stores_return_is_gone_at_once():
-    assert not virtual_time.run(_gone_after_it_was_written_again())
+def test_entry_that_was_rewritten_since_the_stores_return_is_removed_at_once():
+    assert not virtual_time.run(_is_listed_after_rewrite_and_removal())
 
 
-class _ToldFeed(_Feed):
-    """A relay that tells what is left of its times."""
+class _SettlingFeed(_Feed):
+    """A relay that reports its settling times."""
 
     async def snapshot(self) -> Changes:
         found = await super().snapshot()
@@ -213,33 +214,33 @@
 
 
 async def _started_from_a_relay():
-    feed = _ToldFeed()
+    feed = _SettlingFeed()
     feed.list("one")
     view = await _view(feed)
     await asyncio.sleep(0.1)
-    known = view.is_settled, view.settling_times().rewritten_in
+    settling = view.is_settled, view.settling_times().rewritten_in
     feed.remove("one")
     await asyncio.sleep(0.2)
-    kept = "one" in view.roster.endpoints
+    early = "one" in view.roster.endpoints
     await asyncio.sleep(0.4)
-    left = "one" in view.roster.endpoints
+    late = "one" in view.roster.endpoints
     await view.stop()
-    return known, kept, left
+    return settling, early, late
 
 
-def test_daemon_that_starts_keeps_missing_entries_for_what_is_left_at_its_relay():
-    (settled, rewritten_in), kept, left = virtual_time.run(_started_from_a_relay())
-    assert not settled
+def test_starting_daemon_takes_over_the_settling_times_of_its_relay():
+    (is_settled, rewritten_in), early, late = virtual_time.run(_started_from_a_relay())
+    assert not is_settled
     assert 0.4 < rewritten_in <= 0.6
-    assert kept
-    assert not left
+    assert early
+    assert not late
 
 
-async def _first_reading_of_a_restored_store():
-    """Return how old a daemon's configuration counts that it first read after a restore."""
+async def _age_after_the_first_read_of_a_restored_store():
+    """Return the age of a daemon's copy that it first read after a restore."""
     feed = _Feed()
     feed.list("one")
-    # this daemon has called the store before that came back from a copy, and read nothing yet
+    # The daemon has observed the eras before and after the restore, but has read nothing yet.
     feed.era.observe(1)
     feed.era.observe(2)
     view = await _view(feed)
@@ -249,6 +250,6 @@
     return age
 
 
-def test_keys_of_a_copy_are_not_trusted_before_the_operator_can_have_written_again():
-    """A key may have been taken away in what the store lost, and nobody knows better."""
-    assert virtual_time.run(_first_reading_of_a_restored_store()) > ENTRY_REWRITE_SECONDS
+def test_restored_keys_are_not_trusted_until_the_operator_may_have_written_again():
+    """The store may have lost the revocation of a key."""
+    assert virtual_time.run(_age_after_the_first_read_of_a_restored_store()) > ENTRY_REWRITE_SECONDS
