--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -221,7 +221,7 @@
         del self.endpoints[endpoint_id]
         self.store.delete(endpoint_id, EndpointRemoved(endpoint_id))
 
-    def lapse(self, endpoint_id: str) -> None:
+    def expire_entry(self, endpoint_id: str) -> None:
         """Let the entry of a running endpoint expire."""
         self.store.delete(endpoint_id, EndpointRemoved(endpoint_id))
 
--- a/tests/leaving_figures.py
+++ b/tests/leaving_figures.py
@@ -49,7 +49,7 @@
     await world.pass_time(OUTAGE_SECONDS)
     world.store.down = False
     for endpoint_id in world.endpoints:
-        world.lapse(endpoint_id)
+        world.expire_entry(endpoint_id)
     await world.pass_time(REWRITE_SECONDS)
     world.write_again()
 
