--- a/packages/gateway/src/thorncleat_gateway/store/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -81,7 +81,7 @@
         since = _read_position(request.query) if request.path == relay_answer.CHANGES_PATH else None
         if since is not None:
             self._view.era.observe(since.era)
-        if not await self._is_of_newest_era():
+        if not await self._wait_for_newest_era():
             return web.Response(status=relay_answer.BEHIND)
         if since is None:
             return self._response(self._encode_snapshot())
@@ -115,8 +115,8 @@
         version = int(self._view.configuration_version())
         return web.Response(body=relay_answer.write(age, era, settling_times, version, body))
 
-    async def _is_of_newest_era(self) -> bool:
-        """Wait shortly for the store's newest era, and return whether this daemon has read it."""
+    async def _wait_for_newest_era(self) -> bool:
+        """Wait shortly for the newest era, and return whether the store was read in it."""
         if self._view.era.is_over(self._position.era):
             await self._wait(READ_WAIT_SECONDS)
         return not self._view.era.is_over(self._position.era)
--- a/packages/gateway/src/thorncleat_gateway/store/relays.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relays.py
@@ -15,10 +15,10 @@
 from thorncleat_core import rendezvous
 
 DAEMONS_PER_RELAY = 40
-# A relay of its own saves a failure domain traffic to others, but costs calls to the store.
+# A relay per failure domain reduces traffic between domains, but costs calls to the store.
 DAEMONS_PER_LOCAL_RELAY = 16
-# The daemons to ask when no relay answers; otherwise a failed relay would send all its daemons to
-# the store at once.
+# How many further daemons are asked when no relay answers; otherwise all daemons of a failed relay
+# would call the store at once.
 FALLBACK_RELAYS = 2
 # Up to this number of daemons there are no fallback relays, and the shortest coalescing applies.
 SMALL_FLEET = 16
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -164,8 +164,8 @@
         """Return whether it would send new requests to an endpoint."""
         if not self.runs:
             return False
-        known = self.view.roster.endpoints.get(endpoint_id)
-        return known is not None and not known.draining
+        endpoint = self.view.roster.endpoints.get(endpoint_id)
+        return endpoint is not None and not endpoint.draining
 
 
 class FleetWorld:
@@ -238,17 +238,17 @@
             if key not in self.endpoints:
                 self.store.delete(key, EndpointRemoved(key))
 
-    async def restore(self, away: float) -> None:
+    async def restore(self, down_seconds: float) -> None:
         """Restore the store from an old copy; the operator and the endpoints write again.
 
-        :param away: seconds for which the store is down before.
+        :param down_seconds: seconds for which the store is down before.
         """
         copy = self.store.copy()
         for version in range(2, 2 + LOST_VERSIONS):
             await self.pass_time(LOST_SECONDS / LOST_VERSIONS)
             self.configure(version)
         self.store.down = True
-        await self.pass_time(away)
+        await self.pass_time(down_seconds)
         self.store.down = False
         self.store.restore(copy)
         await self.pass_time(REWRITE_SECONDS)
--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -229,8 +229,8 @@
         assert (status, headers, body.hex()) == snapshot
 
     async def test_stranger(self, snapshot):
-        stranger = (Daemon("edge-2", "10.0.0.9", 0),)
-        status, headers, body = await asked("/changes?since=9&wait=0", [], stranger)
+        unregistered = (Daemon("edge-2", "10.0.0.9", 0),)
+        status, headers, body = await asked("/changes?since=9&wait=0", [], unregistered)
         assert (status, headers, body.hex()) == snapshot
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -43,10 +43,12 @@
 
 def _after(*steps):
     """Return the freshness after answers ``(now, proven at)`` and failures ``(now,)``."""
-    known = Freshness()
+    freshness = Freshness()
     for step in steps:
-        known = known.after_answer(*step) if len(step) == 2 else known.after_failure(*step)
-    return known
+        freshness = (
+            freshness.after_answer(*step) if len(step) == 2 else freshness.after_failure(*step)
+        )
+    return freshness
 
 
 @pytest.mark.parametrize(
@@ -105,9 +107,9 @@
     ],
 )
 def test_unlisted_endpoint_is_removed_unless_it_may_be_rewritten(steps, now, gone, removed_at):
-    known = _after(*steps)
-    assert known.is_settled(now) is gone
-    assert known.removal_time(now) == removed_at
+    freshness = _after(*steps)
+    assert freshness.is_settled(now) is gone
+    assert freshness.removal_time(now) == removed_at
 
 
 SETTLED_TIMES, OPEN_TIMES = SettlingTimes(0.0, 0.0), SettlingTimes(1.5, 1.2)
@@ -120,11 +122,11 @@
 
 
 def test_starting_daemon_takes_over_the_reported_times():
-    known = Freshness().after_answer(10.0, 9.8, OPEN_TIMES)
-    assert known.settled_at == 11.5
-    assert known.removal_time(10.0) == 11.2
+    freshness = Freshness().after_answer(10.0, 9.8, OPEN_TIMES)
+    assert freshness.settled_at == 11.5
+    assert freshness.removal_time(10.0) == 11.2
     # A daemon that asks this one takes them over as well.
-    reported = known.settling_times(11.0)
+    reported = freshness.settling_times(11.0)
     assert Freshness().after_answer(11.0, 10.9, reported).removal_time(11.0) == pytest.approx(11.2)
 
 
@@ -134,11 +136,11 @@
 
 def test_outage_ends_at_the_proven_time_of_a_relays_answer():
     """The outage may have ended long before the answer."""
-    known = _after((10.0, 10.0), (20.0,)).after_answer(25.0, 24.0, SETTLED_TIMES)
-    assert known.removal_time(25.0) == 24.0 + REWRITE
+    freshness = _after((10.0, 10.0), (20.0,)).after_answer(25.0, 24.0, SETTLED_TIMES)
+    assert freshness.removal_time(25.0) == 24.0 + REWRITE
 
 
 def test_restore_counts_as_the_end_of_an_outage():
-    known = _after((10.0, 10.0)).after_answer(20.0, 20.0, restored=True)
-    assert known.removal_time(20.0) == 20.0 + REWRITE
-    assert not known.is_settled(20.0)
+    freshness = _after((10.0, 10.0)).after_answer(20.0, 20.0, restored=True)
+    assert freshness.removal_time(20.0) == 20.0 + REWRITE
+    assert not freshness.is_settled(20.0)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -229,10 +229,10 @@
         self.ahead = 0.0
         # A relay knows the registered daemons only after its first read.
         self.server = RelayServer(self.view, lambda: self.registered if self.view.version else [])
-        self.known = [self.relay]
+        self.sources = [self.relay]
         self.listed: list[Daemon] = []
         self.feed = RelayFeed(
-            SETTINGS, self.own_store, lambda: self.known, self._listed, self._clock
+            SETTINGS, self.own_store, lambda: self.sources, self._listed, self._clock
         )
 
     async def start(self, *, reads: bool = True) -> None:
@@ -242,7 +242,7 @@
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", 0).start()
         self.relay = Daemon("relay", "127.0.0.1", self.runner.addresses[0][1])
-        self.known = [self.relay]
+        self.sources = [self.relay]
         if reads:
             await self.read()
 
@@ -346,7 +346,7 @@
         async with site() as made, site() as behind:
             behind.relay_store.down = True
             await _until(lambda: behind.view.age() > SETTINGS.oldest)
-            made.known = [
+            made.sources = [
                 Daemon("behind", behind.relay.host, behind.relay.port),
                 made.relay,
             ]
@@ -391,7 +391,7 @@
 
     async def test_snapshot_comes_from_a_relay_that_the_records_name(self):
         async with site() as made:
-            made.known, made.listed = [], [made.relay]
+            made.sources, made.listed = [], [made.relay]
             made.relay_store.written += CHANGES
             await _until(lambda: made.view.configuration is not None)
             found = await made.feed.snapshot()
@@ -413,7 +413,7 @@
 
     async def test_snapshot_comes_from_the_store_without_a_known_relay(self):
         async with site() as made:
-            made.known = []
+            made.sources = []
             await made.feed.snapshot()
             assert made.own_store.calls == 1
 
@@ -427,7 +427,7 @@
         async with site() as made:
             made.relay_store.written += CHANGES
             await _until(lambda: made.view.configuration is not None)
-            made.known = [Daemon("away", "127.0.0.1", 1), made.relay]
+            made.sources = [Daemon("away", "127.0.0.1", 1), made.relay]
             await made.feed.snapshot()
             assert made.own_store.calls == 0
 
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -15,11 +15,11 @@
 FLEETS = [8, 24]
 
 
-async def _restored(daemons: int, away: float) -> FleetWorld:
+async def _restored(daemons: int, down_seconds: float) -> FleetWorld:
     """Return a world whose store was restored, and in which all entries were written again."""
     world = FleetWorld(daemons)
     await world.start()
-    await world.restore(away)
+    await world.restore(down_seconds)
     return world
 
 
