--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -114,7 +114,7 @@
 
     def _listed_leaders(self) -> int:
         return sum(
-            endpoint.leads
+            endpoint.is_serving_leader
             for gateway in self.gateways
             for endpoint in gateway.view.roster.endpoints.values()
         )
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,7 +13,7 @@
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
-from thorncleat_gateway.store.roster import Life
+from thorncleat_gateway.store.roster import Incarnation
 from thorncleat_gateway.store.roster import Membership
 from thorncleat_gateway.store.roster import Roster
 
@@ -40,7 +40,7 @@
 )
 def test_life_is_over_once_another_one_was_seen(born, seen, over):
     """A clock may have been set back, and an earlier build's relay doesn't tell."""
-    assert Life("a", born).is_over(Life("a", seen)) is over
+    assert Incarnation("a", born).is_superseded_by(Incarnation("a", seen)) is over
 
 
 class TestRoster:
@@ -71,7 +71,10 @@
 def test_orders_are_compared_within_a_life(born, count, same):
     """A refused order is given again once a report shows other orders begun, or none of a life."""
     assert (
-        EngineReport(None, (), (), 3, 1).counts_as(EngineReport(None, (), (), count, born)) is same
+        EngineReport(None, (), (), 3, 1).has_same_order_count(
+            EngineReport(None, (), (), count, born)
+        )
+        is same
     )
 
 
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -18,8 +18,8 @@
 from thorncleat_gateway.ports import Change
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import ConfigurationChanged
-from thorncleat_gateway.ports import EndpointGone
 from thorncleat_gateway.ports import EndpointListed
+from thorncleat_gateway.ports import EndpointRemoved
 from thorncleat_gateway.ports import Lease
 from thorncleat_gateway.ports import Position
 from thorncleat_gateway.ports import RecordChanged
@@ -97,7 +97,7 @@
     "configuration": ConfigurationChanged(CONFIGURATION),
     "member": EndpointListed(GROUP_MEMBER),
     "loner": EndpointListed(PLAIN_ENDPOINT),
-    "gone": EndpointGone("i-3"),
+    "gone": EndpointRemoved("i-3"),
     "record": RecordChanged("thorncleat/a", b"\x01\xff", 30, 20),
     "record gone": RecordChanged("thorncleat/a", None, 31),
 }
@@ -124,7 +124,7 @@
 def changes_form(found: Changes) -> t.Any:
     return {
         "revision": found.position.revision,
-        "proven": found.proven,
+        "proven": found.proven_seconds,
         "changes": plain([wire_form(change) for change in found.changes]),
     }
 
@@ -143,11 +143,11 @@
 class FixedFeed:
     """A feed with a fixed snapshot and no later changes but those put into ``next``.
 
-    :param proven: the value of the snapshot's ``proven`` field.
+    :param proven: the value of the snapshot's ``proven_seconds`` field.
     """
 
-    def __init__(self, changes: t.Sequence[Change], revision: int = 9, proven: float = 0.0):
-        self._first = Changes(Position(0, revision), list(changes), proven)
+    def __init__(self, changes: t.Sequence[Change], revision: int = 9, proven_seconds: float = 0.0):
+        self._first = Changes(Position(0, revision), list(changes), proven_seconds)
         self.era = StoreEra()
         self.next: asyncio.Queue[Changes] = asyncio.Queue()
 
