--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -135,12 +135,12 @@
             settings.control,
             engines,
             view,
-            lambda: self._election.leads,
+            lambda: self._election.is_controller,
             lambda endpoint_id: self._detector.heard(endpoint_id, clock()),
             self._calls,
             clock,
         )
-        self._probe_answers = ProbeAnswers(view, self._peers, self._reporter, orders.answers)
+        self._probe_answers = ProbeAnswers(view, self._peers, self._reporter, orders.is_responding)
         terms = TermFactory(
             settings.control,
             view,
@@ -163,8 +163,12 @@
         add("requests_running", "Requests being answered", self._running)
         add("endpoints_listed", "Endpoints known", lambda: len(self.view.roster.endpoints))
         add("daemons_registered", "Daemons known", lambda: self._peers.daemons)
-        add("controls_groups", "1 if this daemon does", lambda: float(self._election.leads))
-        add("controller_lease_seconds", "Left of the lease", lambda: self._election.left)
+        add("controls_groups", "1 if this daemon does", lambda: float(self._election.is_controller))
+        add(
+            "controller_lease_seconds",
+            "Left of the lease",
+            lambda: self._election.lease_seconds_left,
+        )
         add("endpoint_calls_allowed", "At once, by the controller", lambda: self._calls.limit)
         add("endpoint_calls_waiting", "For their turn", lambda: self._calls.waiting)
         add("loop_late_seconds", "At most, of the last second", self._lateness)
@@ -201,7 +205,7 @@
 
     def _relays(self) -> t.Sequence[Daemon]:
         """Return the relays to learn from."""
-        return self._registration.sources(controls=self._election.leads)
+        return self._registration.sources(controls=self._election.is_controller)
 
     async def _listed_relays(self) -> t.Sequence[Daemon]:
         """Return the relays as the store lists their records."""
--- a/packages/gateway/src/thorncleat_gateway/groups/call_window.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/call_window.py
@@ -21,13 +21,13 @@
 from ..store.roster import GroupId
 
 # calls under way at first
-FIRST_LIMIT = 16
+INITIAL_LIMIT = 16
 # which are always allowed, so that a daemon that is late goes on
-LEAST_LIMIT = 4
+MIN_LIMIT = 4
 # which are never exceeded: a connection each, of the thousands that a process may have open
-MOST_LIMIT = 128
+MAX_LIMIT = 128
 # by which the limit shrinks when the own loop is late
-SHRINK = 0.7
+SHRINK_FACTOR = 0.7
 
 
 class Urgency(t.NamedTuple):
@@ -42,12 +42,12 @@
 
 
 # what a group that serves, or should no longer, waits for
-AT_ONCE = Urgency(0)
+IMMEDIATE = Urgency(0)
 # what nobody waits for: hosts that load, endpoints that were silent before
-LAST = Urgency(2)
+BACKGROUND = Urgency(2)
 
 
-def forming(group: GroupId) -> Urgency:
+def forming_urgency(group: GroupId) -> Urgency:
     """Return the urgency of calls that form a group.
 
     The group that was begun first is whole first: it serves while later ones still wait.
@@ -55,12 +55,12 @@
     return Urgency(1, group.epoch)
 
 
-class _Waiting(t.NamedTuple):
+class _WaitingCall(t.NamedTuple):
     """A call that waits for its turn."""
 
     urgency: Urgency
     number: int
-    turn: asyncio.Future[None]
+    slot: asyncio.Future[None]
 
 
 class CallWindow:
@@ -69,10 +69,10 @@
     def __init__(self, lateness: OwnLateness, clock: t.Callable[[], float]) -> None:
         self._lateness = lateness
         self._clock = clock
-        self._limit = float(FIRST_LIMIT)
+        self._limit = float(INITIAL_LIMIT)
         self._shrunk_at = float("-inf")
         self._under_way = 0
-        self._waiting: list[_Waiting] = []
+        self._waiting: list[_WaitingCall] = []
         self._numbers = itertools.count()
 
     @property
@@ -83,53 +83,53 @@
     @property
     def waiting(self) -> int:
         """The number of calls that wait for their turn."""
-        return sum(not waiting.turn.done() for waiting in self._waiting)
+        return sum(not waiting.slot.done() for waiting in self._waiting)
 
-    def was_late_since(self, moment: float) -> bool:
+    def was_late_since(self, instant: float) -> bool:
         """Return whether the own loop was late since a moment, so that silence proves nothing."""
-        return self._lateness.worst_since(moment) > LATE_SECONDS
+        return self._lateness.worst_since(instant) > LATE_SECONDS
 
     @contextlib.asynccontextmanager
-    async def turn(self, urgency: Urgency) -> t.AsyncIterator[None]:
+    async def slot(self, urgency: Urgency) -> t.AsyncIterator[None]:
         """Wait until a call may be sent, and count it until the block ends."""
-        await self._wait(urgency)
+        await self._acquire(urgency)
         begun = self._clock()
         try:
             yield
         finally:
             self._under_way -= 1
-            self._adapt(begun)
-            self._wake()
+            self._adapt_limit(begun)
+            self._start_waiting()
 
-    async def _wait(self, urgency: Urgency) -> None:
+    async def _acquire(self, urgency: Urgency) -> None:
         if self._under_way < self.limit and not self._waiting:
             self._under_way += 1
             return
         turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, _Waiting(urgency, next(self._numbers), turn))
+        heapq.heappush(self._waiting, _WaitingCall(urgency, next(self._numbers), turn))
         try:
             await turn
         except asyncio.CancelledError:
             if turn.done() and not turn.cancelled():
                 # the turn had come: the next one gets it
                 self._under_way -= 1
-                self._wake()
+                self._start_waiting()
             raise
 
-    def _wake(self) -> None:
+    def _start_waiting(self) -> None:
         while self._waiting and self._under_way < self.limit:
-            turn = heapq.heappop(self._waiting).turn
+            turn = heapq.heappop(self._waiting).slot
             if not turn.done():
                 self._under_way += 1
                 turn.set_result(None)
 
-    def _adapt(self, begun: float) -> None:
+    def _adapt_limit(self, begun: float) -> None:
         """Change the limit by how late the own loop was during a call.
 
         :param begun: when the call began; one that began before the limit shrank says nothing new.
         """
         if not self.was_late_since(begun):
-            self._limit = min(MOST_LIMIT, self._limit + 1 / self._limit)
+            self._limit = min(MAX_LIMIT, self._limit + 1 / self._limit)
         elif begun >= self._shrunk_at:
-            self._limit = max(LEAST_LIMIT, self._limit * SHRINK)
+            self._limit = max(MIN_LIMIT, self._limit * SHRINK_FACTOR)
             self._shrunk_at = self._clock()
--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -27,10 +27,10 @@
 from .term import TermFactory
 
 # between two plans while the list doesn't change, in seconds
-PLAN_SECONDS = 0.25
+PLAN_INTERVAL_SECONDS = 0.25
 # pauses between plans, in times the last one's duration: with hundreds of endpoints a plan at each
 # change of the list would leave a small instance no time for its orders
-REST_FACTOR = 3.0
+PLAN_PAUSE_FACTOR = 3.0
 
 
 class Controller(mode.Service):
@@ -61,7 +61,7 @@
         self._growth = ListGrowth(clock)
         self._planner: Planner | None = None
         view.on_change(self._wake.set)
-        detector.on_suspicion(self._suspected)
+        detector.on_suspicion(self._on_suspicion)
 
     @property
     def term(self) -> Term | None:
@@ -72,22 +72,22 @@
     async def _plan_task(self) -> None:
         while not self.should_stop:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._wake.wait(), PLAN_SECONDS)
+                await asyncio.wait_for(self._wake.wait(), PLAN_INTERVAL_SECONDS)
             self._wake.clear()
-            controls = self._election.leads and self._election.caught_up
-            if controls or self._clock() - self._observed_at >= PLAN_SECONDS:
-                self._observe()
-            if not controls:
+            is_active = self._election.is_controller and self._election.is_caught_up
+            if is_active or self._clock() - self._observed_at >= PLAN_INTERVAL_SECONDS:
+                self._observe_sizes()
+            if not is_active:
                 continue
             begun = self._clock()
-            planner = self._present_planner()
+            planner = self._current_planner()
             try:
                 self._plan(planner)
             except Exception as error:
                 events.TASK_FAILED.log(task="plan", reason=repr(error))
-            await asyncio.sleep(REST_FACTOR * (self._clock() - begun))
+            await asyncio.sleep(PLAN_PAUSE_FACTOR * (self._clock() - begun))
 
-    def _observe(self) -> None:
+    def _observe_sizes(self) -> None:
         self._observed_at = self._clock()
         self._sizes.observe(self._view.roster.endpoints.values())
 
@@ -99,7 +99,7 @@
         if self.term is not None:
             self.term.jobs.cancel()
 
-    def _present_planner(self) -> Planner:
+    def _current_planner(self) -> Planner:
         """Return the planner of the present term, a new one if the term has just begun."""
         planner, begun = self._planner, self._election.term
         assert begun is not None
@@ -119,9 +119,9 @@
             return
         planner.plan(configuration)
 
-    def _suspected(self, suspicion: Suspicion) -> None:
+    def _on_suspicion(self, suspicion: Suspicion) -> None:
         planner = self._planner
-        if planner is None or not self._election.leads:
+        if planner is None or not self._election.is_controller:
             return
         if planner.term.begun == self._election.term:
             planner.inspector.examine(suspicion.group)
--- a/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
@@ -14,7 +14,7 @@
 from ..store.roster import Endpoint
 
 # after which a domain that has become smaller gets the layout of its new size, in seconds
-REMEMBER_SIZE_SECONDS = 15.0
+SIZE_TTL_SECONDS = 15.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -44,8 +44,12 @@
             if endpoint.fabric_domain
         )
         for (service, domain, failure_domain), count in counts.items():
-            known = self._sizes.get(domain)
-            if known is None or count >= known.size or now - known.at > REMEMBER_SIZE_SECONDS:
+            size_record = self._sizes.get(domain)
+            if (
+                size_record is None
+                or count >= size_record.size
+                or now - size_record.at > SIZE_TTL_SECONDS
+            ):
                 self._sizes[domain] = DomainSize(domain, service, failure_domain, count, now)
 
     def of_service(self, service: str, present: t.Container[str]) -> list[DomainSize]:
@@ -55,8 +59,8 @@
         """
         now = self._clock()
         return [
-            known
-            for known in self._sizes.values()
-            if known.service == service
-            and (known.domain in present or now - known.at < REMEMBER_SIZE_SECONDS)
+            size_record
+            for size_record in self._sizes.values()
+            if size_record.service == service
+            and (size_record.domain in present or now - size_record.at < SIZE_TTL_SECONDS)
         ]
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -7,7 +7,7 @@
 daemon's record, and its revision may be that of another's by then.
 
 Owns: this daemon's lease, and until when it may act as controller.
-Relies on: the store's leases; a steady clock here that drifts by :data:`MAX_DRIFT` at most from
+Relies on: the store's leases; a steady clock here that drifts by :data:`MAX_CLOCK_DRIFT` at most from
 the store's.
 """
 
@@ -28,21 +28,21 @@
 from ..settings import GatewaySettings
 from ..store.view import StoreView
 
-CONTROLLER = "thorncleat/controller"
+CONTROLLER_KEY = "thorncleat/controller"
 # after a failed call to the store, in seconds
-RETRY_SECONDS = 0.3
+RETRY_INTERVAL_SECONDS = 0.3
 # between two looks at whether there is a controller, in seconds
-CHECK_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 # how much later each further candidate tries to become controller, in seconds
-TURN_SECONDS = 0.15
+CANDIDATE_DELAY_SECONDS = 0.15
 # part of the largest capacity of all daemons from which on a candidate is preferred
-STRONG_PART = 0.5
+PREFERRED_CAPACITY_SHARE = 0.5
 # without a change of the store's view, for which a daemon rests that sees a controller, in seconds
-REST_SECONDS = 0.25
+CHANGE_WAIT_SECONDS = 0.25
 # times that a lease is renewed before it could run out
 RENEWALS_PER_LEASE = 4
 # how much faster one instance's clock may run than another's, as a part
-MAX_DRIFT = 0.01
+MAX_CLOCK_DRIFT = 0.01
 
 
 def lease_deadline(sent_at: float, lease: float, margin: float) -> float:
@@ -55,10 +55,10 @@
     :param lease: the lease's time to live, in seconds.
     :param margin: seconds before its end.
     """
-    return sent_at + (lease - margin) * (1 - MAX_DRIFT)
+    return sent_at + (lease - margin) * (1 - MAX_CLOCK_DRIFT)
 
 
-def candidate_place(candidate: str, capacities: t.Mapping[str, float], version: int) -> int:
+def candidate_rank(candidate: str, capacities: t.Mapping[str, float], version: int) -> int:
     """Return a daemon's place among those that may become controller; 0 is the first.
 
     Those with much capacity come first: to form the groups of hundreds of endpoints takes a small
@@ -67,12 +67,12 @@
 
     :param capacities: of all daemons that are known, with the candidate.
     """
-    enough = STRONG_PART * max(capacities.values())
+    enough = PREFERRED_CAPACITY_SHARE * max(capacities.values())
     ranked = rendezvous.ranked(f"controller/{version}", capacities)
     return sorted(ranked, key=lambda name: capacities[name] < enough).index(candidate)
 
 
-def may_campaign(absent_for: float, place: int) -> bool:
+def can_campaign(absent_seconds: float, rank: int) -> bool:
     """Return whether a candidate tries to become controller now.
 
     They take turns, since each attempt costs a write and only one can succeed.
@@ -80,7 +80,7 @@
     :param absent_for: seconds for which there has been no controller.
     :param place: the candidate's place.
     """
-    return absent_for >= TURN_SECONDS * place
+    return absent_seconds >= CANDIDATE_DELAY_SECONDS * rank
 
 
 class Election(mode.Service):
@@ -111,24 +111,24 @@
         self.stopping = False
 
     @property
-    def leads(self) -> bool:
+    def is_controller(self) -> bool:
         """Whether this daemon is the controller now."""
         if self.term is None or self._view.era.is_over(self.term.era):
             return False
         return self._clock() < self._deadline
 
     @property
-    def caught_up(self) -> bool:
+    def is_caught_up(self) -> bool:
         """Whether the view shows this term's record, and so all that was recorded before it.
 
         A daemon may see that there is no controller, and get the lease only after another one
         came and went; then its view still lacks the groups which that one recorded.
         """
-        record = self._view.records.get(CONTROLLER)
+        record = self._view.records.get(CONTROLLER_KEY)
         return record is not None and self._view.position_of(record) == self.term
 
     @property
-    def left(self) -> float:
+    def lease_seconds_left(self) -> float:
         """Seconds for which this daemon may act as controller, unless the lease is renewed."""
         return max(0.0, self._deadline - self._clock())
 
@@ -136,56 +136,56 @@
     async def _campaign_task(self) -> None:
         while not self.should_stop:
             try:
-                await self._turn()
+                await self._poll()
             except StoreError:
                 # the store is away; the next turn tries again
-                await asyncio.sleep(RETRY_SECONDS)
-            await asyncio.sleep(CHECK_SECONDS)
+                await asyncio.sleep(RETRY_INTERVAL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
-    async def _turn(self) -> None:
+    async def _poll(self) -> None:
         if not self._view.loaded or not self._view.is_current or self.stopping:
             return
-        if CONTROLLER in self._view.records:
+        if CONTROLLER_KEY in self._view.records:
             self._absent_since = None
-            await self._view.wait_change(REST_SECONDS)
+            await self._view.wait_change(CHANGE_WAIT_SECONDS)
             return
         now = self._clock()
         if self._absent_since is None:
             self._absent_since = now
-        place = candidate_place(self._settings.id, self._capacities(), self._view.version)
-        if may_campaign(now - self._absent_since, place):
+        rank = candidate_rank(self._settings.id, self._capacities(), self._view.version)
+        if can_campaign(now - self._absent_since, rank):
             await self._campaign()
 
     async def _campaign(self) -> None:
         control = self._settings.control
         sent_at = self._clock()
         lease = await self._records.grant(control.lease)
-        term = await self._create(lease)
+        term = await self._create_record(lease)
         if term is None:
             return
         self.term = term
-        self._extend(sent_at)
+        self._extend_deadline(sent_at)
         events.LEADING.log(term=term.revision, lease=lease.id)
         try:
-            await self._keep(lease, term)
+            await self._keep_lease(lease, term)
         finally:
             self._deadline = float("-inf")
             events.NOT_LEADING.log(term=term.revision)
             self._absent_since = None
 
-    async def _create(self, lease: Lease) -> Position | None:
+    async def _create_record(self, lease: Lease) -> Position | None:
         """Return the term if the record was written under a lease, None otherwise.
 
         A record that is found after a call without an answer may be that of a former life of this
         daemon, so it isn't looked for: the lease ends, and the record with it if it was written.
         """
         try:
-            return await self._records.create(CONTROLLER, self._settings.id.encode(), lease)
+            return await self._records.create(CONTROLLER_KEY, self._settings.id.encode(), lease)
         except StoreOutcomeUnknownError:
             await self._records.end(lease)
             return None
 
-    async def _keep(self, lease: Lease, term: Position) -> None:
+    async def _keep_lease(self, lease: Lease, term: Position) -> None:
         control = self._settings.control
         while not self.should_stop:
             await asyncio.sleep(control.lease / RENEWALS_PER_LEASE)
@@ -204,20 +204,20 @@
                 return
             except StoreError:
                 # the lease may be over; once it could be, the record says whether it is
-                if not self.leads and await self._is_over(term):
+                if not self.is_controller and await self._is_term_over(term):
                     return
                 continue
-            self._extend(sent_at)
+            self._extend_deadline(sent_at)
 
-    async def _is_over(self, term: Position) -> bool:
+    async def _is_term_over(self, term: Position) -> bool:
         """Return whether the store shows that this term is over."""
         try:
-            found = await self._records.find(CONTROLLER)
+            found = await self._records.find(CONTROLLER_KEY)
         except StoreError:
             # not known; it is asked again after the next renewal that fails
             return False
         return found is None or found.created != term.revision
 
-    def _extend(self, sent_at: float) -> None:
+    def _extend_deadline(self, sent_at: float) -> None:
         control = self._settings.control
         self._deadline = lease_deadline(sent_at, control.lease, control.margin)
--- a/packages/gateway/src/thorncleat_gateway/groups/ended.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -5,7 +5,7 @@
 suspicion had run out, and all at once, since that leader has the least load.
 
 Owns: until when each group that is being ended is left alone, and when the others were told.
-Relies on: the controller's repeating itself (:meth:`.GroupEnding.tell`); datagrams are lost.
+Relies on: the controller's repeating itself (:meth:`.GroupEnding.broadcast`); datagrams are lost.
 """
 
 import dataclasses
@@ -18,13 +18,13 @@
 
 # after the controller's last message, in seconds; if it was wrong, or another controls by now,
 # the group is used again
-KEEP_SECONDS = 3.0
+ENDED_TTL_SECONDS = 3.0
 # between two messages on a group, in seconds
-REPEAT_SECONDS = 0.5
+BROADCAST_INTERVAL_SECONDS = 0.5
 
 
 @dataclasses.dataclass
-class _Ended:
+class _EndedGroup:
     """What is kept of a group that is being ended.
 
     :param until: when it may be used again.
@@ -32,7 +32,7 @@
     """
 
     until: float
-    told_at: float = float("-inf")
+    sent_at: float = float("-inf")
 
 
 class EndedGroups:
@@ -41,34 +41,34 @@
     def __init__(self, peers: PeerChannel, clock: t.Callable[[], float]) -> None:
         self._peers = peers
         self._clock = clock
-        self._groups: dict[GroupId, _Ended] = {}
-        peers.on_message(self._message)
+        self._groups: dict[GroupId, _EndedGroup] = {}
+        peers.on_message(self._on_message)
 
     def __contains__(self, group: GroupId) -> bool:
-        kept = self._groups.get(group)
-        return kept is not None and kept.until > self._clock()
+        entry = self._groups.get(group)
+        return entry is not None and entry.until > self._clock()
 
-    def tell(self, group: GroupId) -> None:
+    def broadcast(self, group: GroupId) -> None:
         """Tell the other daemons that this one, the controller, is ending a group."""
         now = self._clock()
-        kept = self._keep(group)
-        if now - kept.told_at >= REPEAT_SECONDS:
-            kept.told_at = now
+        entry = self._refresh(group)
+        if now - entry.sent_at >= BROADCAST_INTERVAL_SECONDS:
+            entry.sent_at = now
             self._peers.tell_all(GroupEnded(group))
 
-    def _message(self, sender: str, message: Message) -> None:
+    def _on_message(self, sender: str, message: Message) -> None:
         if isinstance(message, GroupEnded):
-            self._keep(message.group)
+            self._refresh(message.group)
 
-    def _keep(self, group: GroupId) -> _Ended:
-        until = self._clock() + KEEP_SECONDS
-        kept = self._groups.get(group)
-        if kept is None:
+    def _refresh(self, group: GroupId) -> _EndedGroup:
+        until = self._clock() + ENDED_TTL_SECONDS
+        entry = self._groups.get(group)
+        if entry is None:
             self._forget_expired()
-            kept = self._groups[group] = _Ended(until)
-        kept.until = until
-        return kept
+            entry = self._groups[group] = _EndedGroup(until)
+        entry.until = until
+        return entry
 
     def _forget_expired(self) -> None:
         now = self._clock()
-        self._groups = {group: kept for group, kept in self._groups.items() if kept.until > now}
+        self._groups = {group: entry for group, entry in self._groups.items() if entry.until > now}
--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -26,14 +26,14 @@
 from .jobs import Start
 from .leader_liveness import LeaderLiveness
 from .orders import ACCEPTED
-from .orders import ASK_SECONDS
-from .orders import LOOK_SECONDS
+from .orders import POLL_INTERVAL_SECONDS
+from .orders import PROBE_INTERVAL_SECONDS
 from .orders import Orders
 from .records import Detached
 from .records import GroupRecords
 
 # for the requests of a draining group to end, in seconds
-CLOSE_SECONDS = 6.0
+DRAIN_TIMEOUT_SECONDS = 6.0
 
 
 class GroupEnding:
@@ -62,10 +62,10 @@
     def __contains__(self, group: GroupId) -> bool:
         return group in self._under_way
 
-    def tell(self) -> None:
+    def broadcast(self) -> None:
         """Tell the other daemons which groups are being ended."""
         for group in self._under_way:
-            self._ended.tell(group)
+            self._ended.broadcast(group)
 
     def end(self, group: GroupId, reason: EndReason, members: t.Sequence[Endpoint]) -> None:
         """Begin to end a group.
@@ -73,16 +73,16 @@
         :param members: those that are known, for the log.
         """
         self._under_way.add(group)
-        self._ended.tell(group)
+        self._ended.broadcast(group)
         events.GROUP_ENDED.log(
             group=group.name,
             cause=reason.value,
             members=[member.id for member in members],
-            graceful=reason.graceful,
+            graceful=reason.is_graceful,
         )
-        self._start(self._detach(group, reason.graceful))
+        self._start(self._detach(group, reason.is_graceful))
 
-    async def _detach(self, group: GroupId, graceful: bool) -> None:
+    async def _detach(self, group: GroupId, is_graceful: bool) -> None:
         """Make sure that a group answers no more, and set its members free.
 
         :param graceful: let the requests end that it has.
@@ -92,7 +92,7 @@
             how = Detached.NO_RECORD
             leader = self._records.leader(group)
             if leader is not None:
-                if graceful:
+                if is_graceful:
                     await self._drain(leader, group)
                 how = await self._detach_leader(leader, group)
             self._records.end(group, how)
@@ -103,26 +103,26 @@
 
     async def _drain(self, leader: Endpoint, group: GroupId) -> None:
         """Let a leader finish its requests."""
-        until = self._clock() + CLOSE_SECONDS
+        until = self._clock() + DRAIN_TIMEOUT_SECONDS
         try:
-            await self._orders.give(leader, Close(group))
+            await self._orders.send(leader, Close(group))
         except EndpointError:
             # the order to leave that follows finds out what has become of it
             return
         while self._clock() < until:
-            member = self._orders.listed(leader)
+            member = self._orders.listed_membership(leader)
             if member is None or member.group != group or member.state is GroupState.READY:
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _detach_leader(self, leader: Endpoint, group: GroupId) -> Detached:
         """Make a leader leave, or wait until it is dead."""
         while True:
             try:
-                outcome = await self._orders.give(leader, Leave(group))
+                outcome = await self._orders.send(leader, Leave(group))
                 if outcome in ACCEPTED:
                     return Detached.LEFT
-                if not await self._orders.is_in(leader, group):
+                if not await self._orders.is_member(leader, group):
                     return Detached.ELSEWHERE
             except EndpointGoneError:
                 return Detached.PROCESS_ENDED
@@ -132,4 +132,4 @@
             except EndpointError:
                 if await self._liveness.wait_dead(leader):
                     return Detached.DEAD
-            await asyncio.sleep(ASK_SECONDS)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -18,11 +18,11 @@
 from ..store.serving import EngineModel
 
 # part of a domain's endpoints that is kept free where it carries several models
-SPARE_SHARE = 0.2
+MIXED_SPARE_SHARE = 0.2
 # domains for each model from which on each domain carries one model
-DOMAINS_PER_MODEL = 2
+MIN_DOMAINS_PER_MODEL = 2
 # part of a domain's hosts that hold a model, for the domain to go on carrying it
-KEEP_MODEL_SHARE = 0.5
+MIN_HOLDING_SHARE = 0.5
 
 Layout = dict[str, collections.Counter[str]]
 # higher for a model that lacks more groups over all domains
@@ -41,7 +41,7 @@
     members: tuple[Endpoint, ...]
 
     @property
-    def cold(self) -> list[Endpoint]:
+    def cold_members(self) -> list[Endpoint]:
         """The members whose hosts have to load the model from the weight store."""
         return [member for member in self.members if self.model.name not in member.staged]
 
@@ -70,11 +70,13 @@
     name: str
     size: int
     failure_domain: str = ""
-    standing: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
+    active_groups: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
     free: list[Endpoint] = dataclasses.field(default_factory=list)
-    weak: list[Endpoint] = dataclasses.field(default_factory=list)
+    expiring: list[Endpoint] = dataclasses.field(default_factory=list)
     slow: list[Endpoint] = dataclasses.field(default_factory=list)
-    holding: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
+    hosts_by_model: collections.Counter[str] = dataclasses.field(
+        default_factory=collections.Counter
+    )
     staging: t.Mapping[str, str] = dataclasses.field(default_factory=dict)
 
 
@@ -89,7 +91,7 @@
     HOST_LOADS_OTHER = 5
 
 
-def layout(views: t.Sequence[DomainView], models: t.Sequence[EngineModel]) -> Layout:
+def compute_layout(views: t.Sequence[DomainView], models: t.Sequence[EngineModel]) -> Layout:
     """Return how many groups of each model each domain should carry.
 
     Where there are domains enough, each carries one model: then every free endpoint there is
@@ -98,16 +100,16 @@
     useful = [model for model in models if model.share > 0]
     # a domain that has lost most of its endpoints must not change what the others carry
     largest = max((view.size for view in views), default=0)
-    roomy = all(model.size <= largest for model in useful)
-    if useful and roomy and len(views) >= DOMAINS_PER_MODEL * len(useful):
+    all_models_fit = all(model.size <= largest for model in useful)
+    if useful and all_models_fit and len(views) >= MIN_DOMAINS_PER_MODEL * len(useful):
         return {
             view.name: collections.Counter({model.name: view.size // model.size})
-            for view, model in _dedicated(views, useful)
+            for view, model in _assign_models(views, useful)
         }
-    return _mixed(views, useful)
+    return _mix_models(views, useful)
 
 
-def _dedicated(
+def _assign_models(
     views: t.Sequence[DomainView], models: t.Sequence[EngineModel]
 ) -> list[tuple[DomainView, EngineModel]]:
     """Give each domain one model, by the models' shares of all endpoints.
@@ -118,49 +120,53 @@
     total = sum(view.size for view in views)
     shares = sum(model.share for model in models)
     # endpoints that a model still lacks for its share
-    lacking = {model.name: total * model.share / shares for model in models}
-    spread: collections.Counter[tuple[str, str]] = collections.Counter()
-    chosen: list[tuple[DomainView, EngineModel]] = []
-    left = sorted(views, key=lambda view: (-max(view.holding.values(), default=0), view.name))
-
-    def give(view: DomainView, model: EngineModel) -> None:
-        chosen.append((view, model))
-        lacking[model.name] -= view.size
-        spread[model.name, view.failure_domain] += 1
-        left.remove(view)
-
-    for view in list(left):
+    shortfall = {model.name: total * model.share / shares for model in models}
+    domains_by_place: collections.Counter[tuple[str, str]] = collections.Counter()
+    assigned: list[tuple[DomainView, EngineModel]] = []
+    unassigned = sorted(
+        views, key=lambda view: (-max(view.hosts_by_model.values(), default=0), view.name)
+    )
+
+    def assign(view: DomainView, model: EngineModel) -> None:
+        assigned.append((view, model))
+        shortfall[model.name] -= view.size
+        domains_by_place[model.name, view.failure_domain] += 1
+        unassigned.remove(view)
+
+    for view in list(unassigned):
         for model in models:
-            keeps = view.holding[model.name] >= KEEP_MODEL_SHARE * view.size
-            if keeps and lacking[model.name] >= view.size / 2:
-                give(view, model)
+            keeps = view.hosts_by_model[model.name] >= MIN_HOLDING_SHARE * view.size
+            if keeps and shortfall[model.name] >= view.size / 2:
+                assign(view, model)
                 break
-    while left:
-        model = max(models, key=lambda model: (lacking[model.name], model.name))
+    while unassigned:
+        model = max(models, key=lambda model: (shortfall[model.name], model.name))
         name = model.name
-        view = min(left, key=lambda view: (spread[name, view.failure_domain], view.name))
-        give(view, model)
-    return chosen
+        view = min(
+            unassigned, key=lambda view: (domains_by_place[name, view.failure_domain], view.name)
+        )
+        assign(view, model)
+    return assigned
 
 
-def _mixed(views: t.Sequence[DomainView], models: t.Sequence[EngineModel]) -> Layout:
+def _mix_models(views: t.Sequence[DomainView], models: t.Sequence[EngineModel]) -> Layout:
     """Give each domain several models, and keep some of its endpoints as spares.
 
     Each step goes to the model that has the fewest endpoints for its share over all domains.
     """
-    given: collections.Counter[str] = collections.Counter()
+    assigned_endpoints: collections.Counter[str] = collections.Counter()
 
-    def served(model: EngineModel) -> tuple[float, str]:
-        return (given[model.name] + model.size) / model.share, model.name
+    def coverage(model: EngineModel) -> tuple[float, str]:
+        return (assigned_endpoints[model.name] + model.size) / model.share, model.name
 
     result: Layout = {}
     for view in sorted(views, key=lambda view: view.name):
         counts: collections.Counter[str] = collections.Counter()
-        room = view.size - int(view.size * SPARE_SHARE)
+        room = view.size - int(view.size * MIXED_SPARE_SHARE)
         while fitting := [model for model in models if model.size <= room]:
-            model = min(fitting, key=served)
+            model = min(fitting, key=coverage)
             counts[model.name] += 1
-            given[model.name] += model.size
+            assigned_endpoints[model.name] += model.size
             room -= model.size
         result[view.name] = counts
     return result
@@ -179,7 +185,7 @@
     return _Cost.HOST_HAS_OTHERS if endpoint.staged else _Cost.HOST_EMPTY
 
 
-def _members(model: EngineModel, view: DomainView) -> list[Endpoint]:
+def _choose_members(model: EngineModel, view: DomainView) -> list[Endpoint]:
     """Return members for a group, those with the model on their host first.
 
     Weak ones come before those that would have to load it, and never lead. Slow ones come last of
@@ -188,12 +194,12 @@
     name = model.name
     free = sorted(view.free, key=lambda free: (_cost(free, name, view.staging), free.id))
     warm = [endpoint for endpoint in free if name in endpoint.staged]
-    cold = [endpoint for endpoint in free if name not in endpoint.staged]
-    weak = [endpoint for endpoint in view.weak if name in endpoint.staged] if warm else []
+    cold_members = [endpoint for endpoint in free if name not in endpoint.staged]
+    expiring = [endpoint for endpoint in view.expiring if name in endpoint.staged] if warm else []
     slow = sorted(view.slow, key=lambda slow: (_cost(slow, name, view.staging), slow.id))
     slow_warm = [endpoint for endpoint in slow if name in endpoint.staged]
     slow_cold = [endpoint for endpoint in slow if name not in endpoint.staged]
-    return [*warm, *weak, *slow_warm, *cold, *slow_cold][: model.size]
+    return [*warm, *expiring, *slow_warm, *cold_members, *slow_cold][: model.size]
 
 
 def groups_to_form(
@@ -209,28 +215,31 @@
 
     :param target: groups by model that the layout gives this domain.
     """
-    rest = dataclasses.replace(
-        view, free=list(view.free), weak=list(view.weak), slow=list(view.slow)
+    remaining = dataclasses.replace(
+        view, free=list(view.free), expiring=list(view.expiring), slow=list(view.slow)
     )
-    missing = target - view.standing
+    missing = target - view.active_groups
     result: list[GroupPlan] = []
     while True:
         options: list[GroupPlan] = []
         for model in models:
-            members = _members(model, rest)
+            members = _choose_members(model, remaining)
             if missing[model.name] > 0 and len(members) == model.size:
                 options.append(GroupPlan(view.name, model, tuple(members)))
         if not options:
             return result
-        chosen = min(
-            options, key=lambda plan: (len(plan.cold), -scarcity(plan.model), plan.model.name)
+        assigned = min(
+            options,
+            key=lambda plan: (len(plan.cold_members), -scarcity(plan.model), plan.model.name),
         )
-        result.append(chosen)
-        missing[chosen.model.name] -= 1
-        used = {member.id for member in chosen.members}
-        rest.free = [endpoint for endpoint in rest.free if endpoint.id not in used]
-        rest.weak = [endpoint for endpoint in rest.weak if endpoint.id not in used]
-        rest.slow = [endpoint for endpoint in rest.slow if endpoint.id not in used]
+        result.append(assigned)
+        missing[assigned.model.name] -= 1
+        used = {member.id for member in assigned.members}
+        remaining.free = [endpoint for endpoint in remaining.free if endpoint.id not in used]
+        remaining.expiring = [
+            endpoint for endpoint in remaining.expiring if endpoint.id not in used
+        ]
+        remaining.slow = [endpoint for endpoint in remaining.slow if endpoint.id not in used]
 
 
 def models_to_load(
@@ -250,21 +259,21 @@
     names = {model.name for model in carried}
     # the larger a model's groups are, the likelier it is to lose a member
     risk = {model.name: model.size * target[model.name] for model in carried}
-    holding: collections.Counter[str] = collections.Counter()
+    hosts_by_model: collections.Counter[str] = collections.Counter()
     for endpoint in spares:
-        holding.update(names.intersection(endpoint.staged))
+        hosts_by_model.update(names.intersection(endpoint.staged))
         if endpoint.id in view.staging:
-            holding[view.staging[endpoint.id]] += 1
+            hosts_by_model[view.staging[endpoint.id]] += 1
 
-    def covered(model: EngineModel) -> tuple[float, str]:
-        return (holding[model.name] + 1) / risk[model.name], model.name
+    def spare_coverage(model: EngineModel) -> tuple[float, str]:
+        return (hosts_by_model[model.name] + 1) / risk[model.name], model.name
 
     result: list[LoadPlan] = []
     for endpoint in spares:
         held = names.intersection(endpoint.staged)
         if held or endpoint.id in view.staging or not carried:
             continue
-        model = min(carried, key=covered)
-        holding[model.name] += 1
+        model = min(carried, key=spare_coverage)
+        hosts_by_model[model.name] += 1
         result.append(LoadPlan(endpoint, model))
     return result
--- a/packages/gateway/src/thorncleat_gateway/groups/forming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming.py
@@ -66,7 +66,7 @@
             model=plan.model.name,
             domain=plan.domain,
             members=[member.id for member in plan.members],
-            cold=[member.id for member in plan.cold],
+            cold=[member.id for member in plan.cold_members],
         )
         self._start(self._run(group, plan))
 
@@ -106,7 +106,7 @@
         joined = await asyncio.gather(*(self._steps.join(member, order) for member in plan.members))
         for member, is_in in zip(plan.members, joined, strict=True):
             if not is_in:
-                self._state.refuse(member.id)
+                self._state.record_refusal(member.id)
         return joined
 
     async def _open(self, group: GroupId, plan: GroupPlan, begun: float) -> None:
--- a/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
@@ -12,12 +12,12 @@
 from .term_number import EPOCHS_PER_TERM
 
 # in which no group is formed in a domain after a failure there, in seconds
-PAUSE_SECONDS = 0.3
+DOMAIN_PAUSE_SECONDS = 0.3
 # terms that are passed over when an endpoint has seen a higher epoch: several seconds of the
 # store's changes
 SKIPPED_TERMS = 1_000
 # in which an endpoint that did not join a group is not asked again, in seconds
-REFUSED_SECONDS = 2.0
+JOIN_REFUSAL_PAUSE_SECONDS = 2.0
 
 
 class FormingState:
@@ -49,19 +49,19 @@
 
     def pause(self, domain: str) -> None:
         """Leave a domain alone for a while."""
-        self._paused[domain] = self._clock() + PAUSE_SECONDS
+        self._paused[domain] = self._clock() + DOMAIN_PAUSE_SECONDS
 
-    def refuse(self, endpoint_id: str) -> None:
+    def record_refusal(self, endpoint_id: str) -> None:
         """Leave an endpoint alone that did not join a group."""
-        self._refused[endpoint_id] = self._clock() + REFUSED_SECONDS
+        self._refused[endpoint_id] = self._clock() + JOIN_REFUSAL_PAUSE_SECONDS
 
-    def number(self) -> GroupId:
+    def next_group(self) -> GroupId:
         """Return the name of a new group."""
         self._formed += 1
         epoch = self._term * EPOCHS_PER_TERM + self._formed
         return GroupId(epoch, f"g{epoch}")
 
-    def skip(self) -> None:
+    def skip_epochs(self) -> None:
         """Go on with higher epochs, since an endpoint refused one of this term as too low.
 
         The store may have lost more changes than anybody here knows of.
@@ -70,7 +70,7 @@
 
     def begin(self, plan: GroupPlan) -> GroupId:
         """Number a new group, and keep its members from being used twice."""
-        group = self.number()
+        group = self.next_group()
         self.under_way[group] = plan
         self._busy.update(member.id for member in plan.members)
         return group
--- a/packages/gateway/src/thorncleat_gateway/groups/group_health.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_health.py
@@ -14,9 +14,9 @@
 
 # how long the controller has known a group before a missing member counts, in seconds: a list
 # that is being read may lack some members for a moment
-MISSING_MEMBER_SECONDS = 0.25
+MISSING_MEMBER_GRACE_SECONDS = 0.25
 # how long a group that an earlier controller began may take to open, in seconds
-LEFT_OVER_SECONDS = 2.5
+LEFT_OVER_TIMEOUT_SECONDS = 2.5
 
 
 class EndReason(enum.Enum):
@@ -39,7 +39,7 @@
     NOT_OPENED = "not opened"
 
     @property
-    def graceful(self) -> bool:
+    def is_graceful(self) -> bool:
         """Whether the group still works, so that its requests may end first."""
         return self is EndReason.LEADER_DRAINING
 
@@ -66,7 +66,7 @@
 
 def end_reason(health: GroupHealth) -> EndReason | None:
     """Return why a group with listed members is to be ended; None if it stands."""
-    reason = _failure(health)
+    reason = _failure_reason(health)
     if reason is None and health.leader_draining:
         return EndReason.LEADER_DRAINING
     return reason
@@ -77,15 +77,15 @@
 
     :param age: seconds for which the controller has known the group in this term.
     """
-    return EndReason.NO_MEMBER_LISTED if age > LEFT_OVER_SECONDS else None
+    return EndReason.NO_MEMBER_LISTED if age > LEFT_OVER_TIMEOUT_SECONDS else None
 
 
-def _failure(health: GroupHealth) -> EndReason | None:
+def _failure_reason(health: GroupHealth) -> EndReason | None:
     """Return why a group can't serve, now or soon."""
     if health.member_lost:
         return EndReason.MEMBER_UNREACHABLE
     if health.member_missing:
-        confirmed = health.age > MISSING_MEMBER_SECONDS and health.list_settled
+        confirmed = health.age > MISSING_MEMBER_GRACE_SECONDS and health.list_settled
         return EndReason.MEMBER_NOT_LISTED if confirmed else None
     match health.leader_state:
         case None:
@@ -96,4 +96,4 @@
             return EndReason.LEADER_CLOSING
         case GroupState.OPEN:
             return None
-    return EndReason.LEFT_OVER if health.age > LEFT_OVER_SECONDS else None
+    return EndReason.LEFT_OVER if health.age > LEFT_OVER_TIMEOUT_SECONDS else None
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -22,11 +22,11 @@
 from .term import Term
 
 # between two examinations of a suspected group, in seconds
-EXAMINE_AGAIN_SECONDS = 0.3
+EXAMINE_INTERVAL_SECONDS = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
-class StandingGroup:
+class RunningGroup:
     """A group that serves, or may soon.
 
     :param slow: the group with its slow members; None if it has none.
@@ -44,49 +44,49 @@
         self._view = view
         self._term = term
         self._clock = clock
-        self._first_seen: dict[GroupId, float] = {}
-        self._examined: dict[GroupId, float] = {}
+        self._first_seen_at: dict[GroupId, float] = {}
+        self._examined_at: dict[GroupId, float] = {}
 
-    def inspect(self, service: str, engine: Engine) -> list[StandingGroup]:
+    def inspect(self, service: str, engine: Engine) -> list[RunningGroup]:
         """Return the groups of a service that stand, and begin to end the others.
 
         Groups that are being formed or ended are left out.
         """
-        standing = []
+        running = []
         for group in self._view.roster.groups.values():
             first = next(iter(group.members.values()))
             if first.service != service:
                 continue
             if group.id in self._term.warming:
                 continue
-            if self._term.records.is_back(group):
-                self._end_again(group)
-            if not self._is_to_judge(group.id):
+            if self._term.records.has_returned(group):
+                self._end_returned(group)
+            if not self._can_be_evaluated(group.id):
                 continue
             model = engine.model(group.model)
-            if model is not None and self._stands(group, model):
-                slow = self._slow(group, model)
-                standing.append(StandingGroup(first.fabric_domain, model.name, slow))
+            if model is not None and self._check_health(group, model):
+                slow = self._slow_group(group, model)
+                running.append(RunningGroup(first.fabric_domain, model.name, slow))
         self._end_unlisted(service)
-        return standing
+        return running
 
-    def _slow(self, group: Group, model: EngineModel) -> SlowGroup | None:
+    def _slow_group(self, group: Group, model: EngineModel) -> SlowGroup | None:
         members = tuple(group.members.values())
         slow = sum(member in self._term.slow for member in members)
         return SlowGroup(group.id, model.name, slow, members) if slow else None
 
-    def _is_to_judge(self, group: GroupId) -> bool:
+    def _can_be_evaluated(self, group: GroupId) -> bool:
         """Return whether a group is neither being formed nor being ended, nor over."""
         if group in self._term.forming_state or group in self._term.ending:
             return False
-        return self._term.records.may_answer(group)
+        return self._term.records.can_answer(group)
 
-    def _end_again(self, group: Group) -> None:
+    def _end_returned(self, group: Group) -> None:
         """End a group whose leader wasn't asked to leave, since it could not be reached."""
-        self._term.records.reopen(group)
+        self._term.records.restore(group)
         self._term.ending.end(group.id, EndReason.LEADER_IS_BACK, list(group.members.values()))
 
-    def _stands(self, group: Group, model: EngineModel) -> bool:
+    def _check_health(self, group: Group, model: EngineModel) -> bool:
         reason = group_health.end_reason(self._health(group, model))
         if reason is not None:
             self._term.ending.end(group.id, reason, list(group.members.values()))
@@ -96,18 +96,20 @@
         leader, members = group.leader, group.members
         missing = (rank for rank in range(model.size) if rank not in members)
         return GroupHealth(
-            age=self._age(group.id),
+            age=self._age_seconds(group.id),
             leader_state=group.state,
             leader_draining=leader is not None and leader.draining,
             member_lost=any(member in self._term.lost for member in members.values()),
-            member_missing=any(not self._term.unlisted.holds(group.id, rank) for rank in missing),
+            member_missing=any(
+                not self._term.unlisted.has_member(group.id, rank) for rank in missing
+            ),
             list_settled=self._view.settled,
         )
 
-    def _age(self, group: GroupId) -> float:
+    def _age_seconds(self, group: GroupId) -> float:
         """Return for how many seconds this term has known a group that it isn't forming."""
         now = self._clock()
-        return now - self._first_seen.setdefault(group, now)
+        return now - self._first_seen_at.setdefault(group, now)
 
     def _end_unlisted(self, service: str) -> None:
         """End groups of which no member is listed any more."""
@@ -115,9 +117,9 @@
             leader = self._term.records.leader(group)
             if leader is None or leader.service != service or group in self._view.roster.groups:
                 continue
-            if not self._is_to_judge(group):
+            if not self._can_be_evaluated(group):
                 continue
-            reason = group_health.end_reason_unlisted(self._age(group))
+            reason = group_health.end_reason_unlisted(self._age_seconds(group))
             if reason is not None:
                 self._term.ending.end(group, reason, [])
 
@@ -125,10 +127,10 @@
         """Ask the members of a group that some daemon suspects, but not too often."""
         now = self._clock()
         group = self._view.roster.groups.get(group_id)
-        if group is None or now - self._examined.get(group_id, 0.0) < EXAMINE_AGAIN_SECONDS:
+        if group is None or now - self._examined_at.get(group_id, 0.0) < EXAMINE_INTERVAL_SECONDS:
             return
-        if group_id in self._term.ending or not self._term.records.may_answer(group_id):
+        if group_id in self._term.ending or not self._term.records.can_answer(group_id):
             return
-        self._examined[group_id] = now
+        self._examined_at[group_id] = now
         members: list[Endpoint] = list(group.members.values())
         self._term.jobs.start(self._term.examination.examine(members))
--- a/packages/gateway/src/thorncleat_gateway/groups/jobs.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/jobs.py
@@ -30,7 +30,7 @@
 
     def start(self, work: Work) -> None:
         """Run a coroutine beside the others."""
-        task = asyncio.get_running_loop().create_task(self._guarded(work))
+        task = asyncio.get_running_loop().create_task(self._run_logged(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -39,7 +39,7 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _guarded(self, work: Work) -> None:
+    async def _run_logged(self, work: Work) -> None:
         try:
             await work
         except LeaseError:
--- a/packages/gateway/src/thorncleat_gateway/groups/join_rules.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/join_rules.py
@@ -21,14 +21,14 @@
 from .orders import ACCEPTED
 
 
-class Place(enum.Enum):
+class Availability(enum.Enum):
     """Where an endpoint stands that is to join a group."""
 
     FREE = enum.auto()
     TAKEN = enum.auto()
 
 
-class JoinAnswer(enum.Enum):
+class JoinResult(enum.Enum):
     """What an answer to an order to join means."""
 
     JOINED = enum.auto()
@@ -36,7 +36,9 @@
     STATE_CHANGED = enum.auto()
 
 
-def place(member: Membership | None, group: GroupId, is_over: t.Callable[[GroupId], bool]) -> Place:
+def availability(
+    member: Membership | None, group: GroupId, is_over: t.Callable[[GroupId], bool]
+) -> Availability:
     """Return where an endpoint stands, from its own report.
 
     :param member: its place as it reports it.
@@ -44,12 +46,12 @@
     :param is_over: returns whether a former group answers no more requests.
     """
     if member is None or member.group == group:
-        return Place.FREE
-    return Place.FREE if is_over(member.group) else Place.TAKEN
+        return Availability.FREE
+    return Availability.FREE if is_over(member.group) else Availability.TAKEN
 
 
-def join_answer(outcome: Outcome) -> JoinAnswer:
+def join_result(outcome: Outcome) -> JoinResult:
     """Return what an endpoint's answer to an order to join means."""
     if outcome in ACCEPTED:
-        return JoinAnswer.JOINED
-    return JoinAnswer.STATE_CHANGED if outcome is Outcome.CONFLICT else JoinAnswer.REFUSED
+        return JoinResult.JOINED
+    return JoinResult.STATE_CHANGED if outcome is Outcome.CONFLICT else JoinResult.REFUSED
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -23,22 +23,22 @@
 from ..peers.load_table import LoadTable
 from ..store.roster import Endpoint
 from ..store.view import StoreView
-from .orders import ASK_SECONDS
+from .orders import PROBE_INTERVAL_SECONDS
 from .orders import Orders
 
 # how old the list may be for an endpoint that is missing from it to count as unlisted, in
 # seconds
-LIST_AGE_SECONDS = 2.0
+MAX_LIST_AGE_SECONDS = 2.0
 # how long before a probe an answer to any daemon still counts as one to it, in seconds
-HEARD_BEFORE_SECONDS = 1.0
+CONTACT_LOOKBACK_SECONDS = 1.0
 # for the other daemons to probe an endpoint and to report, in seconds
-PROBED_SECONDS = 2 * ASK_SECONDS
+PROBE_ROUND_SECONDS = 2 * PROBE_INTERVAL_SECONDS
 # for the other daemons to report what they have under way, in seconds: a datagram each way and
 # one turn of the other daemon's loop
-REPORTED_SECONDS = 0.1
+REPORT_ROUND_SECONDS = 0.1
 # that answers from before a question are waited out, in seconds; where many daemons report rarely
 # that takes longer, and the list shows sooner that an endpoint is gone
-LONGEST_FADE_SECONDS = 1.0
+MAX_CONTACT_TTL_SECONDS = 1.0
 
 
 def is_unlisted(listed: bool, list_age: float) -> bool:
@@ -46,16 +46,16 @@
 
     :param list_age: seconds for which the list may have changed unnoticed.
     """
-    return not listed and list_age < LIST_AGE_SECONDS
+    return not listed and list_age < MAX_LIST_AGE_SECONDS
 
 
-def is_dead(*, listed: bool, heard: bool) -> bool:
+def is_dead(*, listed: bool, has_contact: bool) -> bool:
     """Return whether an endpoint that all daemons were asked for, and that is silent here, is dead.
 
     :param listed: whether it is listed again.
-    :param heard: whether it answered any daemon since :data:`HEARD_BEFORE_SECONDS` before.
+    :param heard: whether it answered any daemon since :data:`CONTACT_LOOKBACK_SECONDS` before.
     """
-    return not (listed or heard)
+    return not (listed or has_contact)
 
 
 def is_idle(*, requests: int, silent_daemons: t.Collection[str]) -> bool:
@@ -68,13 +68,13 @@
     return requests == 0 and not silent_daemons
 
 
-def may_be_leaving(listed: Endpoint | None, list_age: float) -> bool:
+def is_possibly_leaving(listed: Endpoint | None, list_age: float) -> bool:
     """Return whether an endpoint may have stopped listening without having ended.
 
     :param listed: its entry; None without one, as for some that leave.
     :param list_age: seconds for which the list may have changed unnoticed.
     """
-    return listed is None or listed.draining or list_age >= LIST_AGE_SECONDS
+    return listed is None or listed.draining or list_age >= MAX_LIST_AGE_SECONDS
 
 
 class LeaderLiveness:
@@ -102,16 +102,16 @@
         :returns: True once it is dead, False as soon as it answers.
         """
         while True:
-            if is_unlisted(self._listed(leader), self._view.age()):
-                asked_at = self._ask_others(leader)
-                if await self._orders.answers(leader):
+            if is_unlisted(self._is_listed(leader), self._view.age()):
+                asked_at = self._request_probes(leader)
+                if await self._orders.is_responding(leader):
                     return False
-                await asyncio.sleep(PROBED_SECONDS)
+                await asyncio.sleep(PROBE_ROUND_SECONDS)
                 if self._is_dead(leader, asked_at):
                     return True
-            elif await self._orders.answers(leader):
+            elif await self._orders.is_responding(leader):
                 return False
-            await asyncio.sleep(ASK_SECONDS)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def has_ended(self, leader: Endpoint) -> bool:
         """Return whether a leader that refuses connections has ended.
@@ -120,31 +120,31 @@
         doesn't report that may have some, only the list and the silence towards all daemons count,
         as for a leader that doesn't answer at all.
         """
-        asked_at = self._ask_others(leader)
-        await asyncio.sleep(REPORTED_SECONDS)
+        asked_at = self._request_probes(leader)
+        await asyncio.sleep(REPORT_ROUND_SECONDS)
         silent = self._peers.others - self._load_table.reporters_since(asked_at)
         requests = self._load_table.of(leader.id)
         listed = self._view.roster.endpoints.get(leader.id)
         idle = is_idle(requests=requests, silent_daemons=silent)
-        if idle and not may_be_leaving(listed, self._view.age()):
-            return not await self._answers_others(leader)
+        if idle and not is_possibly_leaving(listed, self._view.age()):
+            return not await self._is_responding_to_others(leader)
         if requests or not is_unlisted(listed is not None, self._view.age()):
             return False
-        await asyncio.sleep(PROBED_SECONDS)
+        await asyncio.sleep(PROBE_ROUND_SECONDS)
         return self._is_dead(leader, asked_at)
 
-    async def _answers_others(self, leader: Endpoint) -> bool:
+    async def _is_responding_to_others(self, leader: Endpoint) -> bool:
         """Return whether a leader that refuses this daemon's connections answers another one's.
 
         Reports go on naming an endpoint for some time after its last answer, which may have come
         before its end; so the question is asked only after that time.
         """
-        await asyncio.sleep(min(heard_seconds(self._peers.interval()), LONGEST_FADE_SECONDS))
-        asked_at = self._ask_others(leader)
-        await asyncio.sleep(PROBED_SECONDS)
+        await asyncio.sleep(min(heard_seconds(self._peers.interval()), MAX_CONTACT_TTL_SECONDS))
+        asked_at = self._request_probes(leader)
+        await asyncio.sleep(PROBE_ROUND_SECONDS)
         return self._detector.heard_since(leader.id, asked_at)
 
-    def _ask_others(self, leader: Endpoint) -> float:
+    def _request_probes(self, leader: Endpoint) -> float:
         """Ask the other daemons for a leader; return the time at which they were asked."""
         self._peers.tell_all(Probe(leader.id))
         return self._clock()
@@ -154,8 +154,8 @@
 
         :param asked_at: when the other daemons were asked for it.
         """
-        heard = self._detector.heard_since(leader.id, asked_at - HEARD_BEFORE_SECONDS)
-        return is_dead(listed=self._listed(leader), heard=heard)
+        has_contact = self._detector.heard_since(leader.id, asked_at - CONTACT_LOOKBACK_SECONDS)
+        return is_dead(listed=self._is_listed(leader), has_contact=has_contact)
 
-    def _listed(self, leader: Endpoint) -> bool:
+    def _is_listed(self, leader: Endpoint) -> bool:
         return leader.id in self._view.roster.endpoints
--- a/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
@@ -10,7 +10,7 @@
 import typing as t
 
 # without a new endpoint for so long the list is whole, in seconds
-GROWING_SECONDS = 1.0
+GROWTH_TIMEOUT_SECONDS = 1.0
 
 
 class ListGrowth:
@@ -18,7 +18,7 @@
 
     def __init__(self, clock: t.Callable[[], float]) -> None:
         self._clock = clock
-        self._most = 0
+        self._max_listed = 0
         self._grown_at = clock()
 
     def is_growing(self, listed: int) -> bool:
@@ -27,6 +27,6 @@
         :param listed: how many endpoints are listed now.
         """
         now = self._clock()
-        if listed > self._most:
-            self._most, self._grown_at = listed, now
-        return now - self._grown_at < GROWING_SECONDS
+        if listed > self._max_listed:
+            self._max_listed, self._grown_at = listed, now
+        return now - self._grown_at < GROWTH_TIMEOUT_SECONDS
--- a/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
@@ -13,20 +13,20 @@
 from ..store.serving import Engine
 
 # part of the weight store's rate that is used
-RATE_PART = 0.9
+RATE_SHARE = 0.9
 # loads that may begin in a window beside those that its rate gives; from the users' rules
-EXTRA_LOADS = 3
+BURST_LOADS = 3
 
 
-def loads_per_second(engine: Engine, settings: ControlSettings) -> float:
+def refill_rate(engine: Engine, settings: ControlSettings) -> float:
     """Return how many loads a second are used."""
-    return engine.loads_per_second * min(RATE_PART, settings.load_overage)
+    return engine.loads_per_second * min(RATE_SHARE, settings.load_overage)
 
 
-def most_saved(engine: Engine, settings: ControlSettings) -> float:
+def bucket_capacity(engine: Engine, settings: ControlSettings) -> float:
     """Return how many loads may begin at the same moment after a pause."""
     allowed = engine.loads_per_second * settings.load_overage
-    return EXTRA_LOADS + settings.load_window * (allowed - loads_per_second(engine, settings))
+    return BURST_LOADS + settings.load_window * (allowed - refill_rate(engine, settings))
 
 
 class LoadRate:
@@ -36,19 +36,19 @@
     """
 
     def __init__(self, now: float, settings: ControlSettings) -> None:
-        self._saved = 0.0
+        self._tokens = 0.0
         self._filled_at = now
         self._settings = settings
 
-    def take(self, engine: Engine, now: float) -> bool:
+    def reserve(self, engine: Engine, now: float) -> bool:
         """Use up one load, if there is one; return whether there was.
 
         :param now: in seconds, on the clock of ``__init__``.
         """
-        added = (now - self._filled_at) * loads_per_second(engine, self._settings)
-        self._saved = min(most_saved(engine, self._settings), self._saved + added)
+        refilled = (now - self._filled_at) * refill_rate(engine, self._settings)
+        self._tokens = min(bucket_capacity(engine, self._settings), self._tokens + refilled)
         self._filled_at = now
-        if self._saved < 1:
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -12,12 +12,12 @@
 from ..store.roster import Endpoint
 from ..store.roster import Life
 from ..store.view import StoreView
-from .call_window import LAST
+from .call_window import BACKGROUND
 from .jobs import Start
 from .orders import Orders
 
 # between two questions to a lost endpoint, in seconds
-ASK_AGAIN_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 
 
 class LostCause(enum.Enum):
@@ -46,31 +46,33 @@
         self._orders = orders
         self._start = start
         self._wake = wake
-        self._lives: dict[str, Life] = {}
+        self._incarnations: dict[str, Life] = {}
 
     def __contains__(self, endpoint: Endpoint) -> bool:
-        life = self._lives.get(endpoint.id)
+        life = self._incarnations.get(endpoint.id)
         return life is not None and not life.is_over(endpoint.life)
 
     def forget_unlisted(self) -> None:
         """Forget those that are no longer listed."""
         listed = self._view.roster.endpoints
-        self._lives = {name: life for name, life in self._lives.items() if name in listed}
+        self._incarnations = {
+            name: life for name, life in self._incarnations.items() if name in listed
+        }
 
-    def lose(self, endpoint: Endpoint, cause: LostCause) -> None:
+    def mark_lost(self, endpoint: Endpoint, cause: LostCause) -> None:
         """Use an endpoint no more until it answers."""
         if endpoint in self:
             return
-        self._lives[endpoint.id] = endpoint.life
+        self._incarnations[endpoint.id] = endpoint.life
         events.ENDPOINT_LOST.log(endpoint=endpoint.id, cause=cause.value)
         self._wake()
-        self._start(self._await_return(endpoint))
+        self._start(self._poll_until_responding(endpoint))
 
-    async def _await_return(self, endpoint: Endpoint) -> None:
+    async def _poll_until_responding(self, endpoint: Endpoint) -> None:
         """Use an endpoint again when it answers."""
         while endpoint.id in self._view.roster.endpoints:
-            await asyncio.sleep(ASK_AGAIN_SECONDS)
-            if await self._orders.answers(endpoint, LAST):
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            if await self._orders.is_responding(endpoint, BACKGROUND):
                 break
-        if self._lives.get(endpoint.id) == endpoint.life:
-            del self._lives[endpoint.id]
+        if self._incarnations.get(endpoint.id) == endpoint.life:
+            del self._incarnations[endpoint.id]
--- a/packages/gateway/src/thorncleat_gateway/groups/member_examination.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/member_examination.py
@@ -28,11 +28,11 @@
         They don't answer, or have started again. The list may show that late: an entry runs out
         3.6 s after its last heartbeat, and an endpoint that is cut off from the store writes none.
         """
-        reports = await asyncio.gather(*(self._orders.report(member) for member in members))
+        reports = await asyncio.gather(*(self._orders.probe(member) for member in members))
         for member, report in zip(members, reports, strict=True):
             if report is None:
-                self._lost.lose(member, LostCause.SILENT_UNDER_SUSPICION)
+                self._lost.mark_lost(member, LostCause.SILENT_UNDER_SUSPICION)
             elif self._orders.has_restarted(member, report):
-                self._lost.lose(member, LostCause.STARTED_AGAIN)
+                self._lost.mark_lost(member, LostCause.STARTED_AGAIN)
             else:
-                self._slow.note(member, report)
+                self._slow.record_report(member, report)
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -20,7 +20,7 @@
 from ..store.serving import Engine
 from ..store.serving import EngineModel
 from ..store.view import StoreView
-from .call_window import LAST
+from .call_window import BACKGROUND
 from .formation import LoadPlan
 from .jobs import Start
 from .load_rate import LoadRate
@@ -29,9 +29,9 @@
 from .orders import Orders
 
 # orders that one endpoint is given for a load
-LOAD_TRIES = 6
+MAX_LOAD_ATTEMPTS = 6
 # times its usual duration after which a load counts as failed
-LOAD_PATIENCE = 3.0
+LOAD_TIMEOUT_FACTOR = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -76,24 +76,24 @@
         self._loading = {
             endpoint_id: load
             for endpoint_id, load in self._loading.items()
-            if load.until > now and not self._is_over(load)
+            if load.until > now and not self._has_ended(load)
         }
         return {endpoint_id: load.model for endpoint_id, load in self._loading.items()}
 
-    def _is_over(self, load: _Loading) -> bool:
+    def _has_ended(self, load: _Loading) -> bool:
         listed = self._view.roster.endpoints.get(load.life.endpoint_id)
         if listed is None:
             return False
         return load.model in listed.staged or load.life.is_over(listed.life)
 
-    def may_load(self, engine: Engine) -> bool:
+    def reserve_load(self, engine: Engine) -> bool:
         """Count a load against the weight store's rate; return whether it may begin."""
-        return self._rate.take(engine, self._clock())
+        return self._rate.reserve(engine, self._clock())
 
     def load(self, plan: LoadPlan) -> None:
         """Begin to load a model onto a host."""
         endpoint, model = plan.endpoint, plan.model
-        until = self._clock() + LOAD_PATIENCE * model.load
+        until = self._clock() + LOAD_TIMEOUT_FACTOR * model.load
         self._loading[endpoint.id] = _Loading(model.name, endpoint.life, until)
         events.ENDPOINT_STAGED.log(
             endpoint=endpoint.id, model=model.name, domain=endpoint.fabric_domain
@@ -101,16 +101,16 @@
         self._start(self._order(endpoint, model))
 
     async def _order(self, endpoint: Endpoint, model: EngineModel) -> None:
-        for _ in range(LOAD_TRIES):
+        for _ in range(MAX_LOAD_ATTEMPTS):
             try:
-                await self._orders.give(endpoint, Load(model.name))
+                await self._orders.send(endpoint, Load(model.name))
             except EndpointGoneError:
-                self._lost.lose(endpoint, LostCause.PROCESS_ENDED)
+                self._lost.mark_lost(endpoint, LostCause.PROCESS_ENDED)
             except EndpointRefusedError:
-                self._lost.lose(endpoint, LostCause.REFUSED)
+                self._lost.mark_lost(endpoint, LostCause.REFUSED)
             except EndpointError:
                 # the order got no answer; it is repeated if the endpoint lives
-                if await self._orders.answers(endpoint, LAST):
+                if await self._orders.is_responding(endpoint, BACKGROUND):
                     continue
-                self._lost.lose(endpoint, LostCause.SILENT)
+                self._lost.mark_lost(endpoint, LostCause.SILENT)
             return
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -33,20 +33,20 @@
 from ..store.roster import Life
 from ..store.roster import Membership
 from ..store.view import StoreView
-from .call_window import AT_ONCE
-from .call_window import LAST
+from .call_window import BACKGROUND
+from .call_window import IMMEDIATE
 from .call_window import CallWindow
 from .call_window import Urgency
-from .call_window import forming
+from .call_window import forming_urgency
 
 # how often a silent endpoint is asked before it counts as not answering
-PROBES = 2
+MAX_PROBES = 2
 # how often it is asked beside these while this daemon is late itself
-PROBES_WHILE_LATE = 10
+MAX_PROBES_WHILE_LATE = 10
 # between two questions to an endpoint that is waited for, in seconds
-ASK_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 # between two looks at what is already known here, in seconds
-LOOK_SECONDS = 0.02
+POLL_INTERVAL_SECONDS = 0.02
 # states in which a member has loaded the model
 READY_STATES = (GroupState.READY, GroupState.OPEN)
 # outcomes by which the endpoint carries an order out, or had done so before
@@ -57,10 +57,10 @@
     """Return the place of an order among the calls that wait."""
     match order:
         case Join(group):
-            return forming(group)
+            return forming_urgency(group)
         case Load():
-            return LAST
-    return AT_ONCE
+            return BACKGROUND
+    return IMMEDIATE
 
 
 class Orders:
@@ -76,16 +76,16 @@
         settings: ControlSettings,
         engines: Engines,
         view: StoreView,
-        leads: t.Callable[[], bool],
-        heard: t.Callable[[str], None],
+        is_controller: t.Callable[[], bool],
+        record_contact: t.Callable[[str], None],
         calls: CallWindow,
         clock: t.Callable[[], float],
     ) -> None:
         self._settings = settings
         self._engines = engines
         self._view = view
-        self._leads = leads
-        self._heard = heard
+        self._is_controller = is_controller
+        self._record_contact = record_contact
         self._calls = calls
         self._clock = clock
         self._reports: dict[str, EngineReport] = {}
@@ -94,11 +94,11 @@
         """Forget all reports; the list is newer."""
         self._reports.clear()
 
-    def listed(self, endpoint: Endpoint) -> Membership | None:
+    def listed_membership(self, endpoint: Endpoint) -> Membership | None:
         """Return an endpoint's place in a group, as listed."""
         return self._view.roster.endpoints.get(endpoint.id, endpoint).membership
 
-    def seen_ready(self, endpoint: Endpoint, group: GroupId, rank: int) -> bool:
+    def was_seen_ready(self, endpoint: Endpoint, group: GroupId, rank: int) -> bool:
         """Return whether an endpoint was listed or reported ready in its place in a group.
 
         The rank tells its report from that of another member that has its address by now.
@@ -107,7 +107,7 @@
         if report is not None and self.has_restarted(endpoint, report):
             # one of both is about a life that is over, and lags behind
             return False
-        places = (self.listed(endpoint), report.membership if report else None)
+        places = (self.listed_membership(endpoint), report.membership if report else None)
         return any(
             place is not None and place.is_at(group, rank) and place.state in READY_STATES
             for place in places
@@ -118,15 +118,15 @@
         listed = self._view.roster.endpoints.get(endpoint.id, endpoint)
         return listed.life.is_over(Life(endpoint.id, report.born))
 
-    async def give(self, endpoint: Endpoint, order: Order, expected: int | None = None) -> Outcome:
+    async def send(self, endpoint: Endpoint, order: Order, expected: int | None = None) -> Outcome:
         """Give an order once.
 
         :param expected: orders that the engine must have begun before; None for any number.
         :raises LeaseError: if this daemon may no longer be the controller.
         :raises EndpointError: if there is no answer; the order may be carried out all the same.
         """
-        async with self._calls.turn(order_urgency(order)):
-            if not self._leads():
+        async with self._calls.slot(order_urgency(order)):
+            if not self._is_controller():
                 raise LeaseError(f"{type(order).__name__} for {endpoint.id!r}: the lease is over")
             try:
                 outcome = await self._engines.order(
@@ -135,7 +135,7 @@
             except EndpointSilentError:
                 events.ORDER_UNANSWERED.log(endpoint=endpoint.id, order=type(order).__name__)
                 raise
-        self._heard(endpoint.id)
+        self._record_contact(endpoint.id)
         events.ORDER_GIVEN.log(
             endpoint=endpoint.id,
             order=type(order).__name__,
@@ -144,36 +144,36 @@
         )
         return outcome
 
-    async def ask(self, endpoint: Endpoint, urgency: Urgency = AT_ONCE) -> EngineReport:
+    async def fetch_report(self, endpoint: Endpoint, urgency: Urgency = IMMEDIATE) -> EngineReport:
         """Ask an endpoint for its report.
 
         :raises EndpointError: if there is no answer.
         """
-        async with self._calls.turn(urgency):
+        async with self._calls.slot(urgency):
             report = await self._engines.report(endpoint, self._settings.probe_timeout)
-        self._heard(endpoint.id)
+        self._record_contact(endpoint.id)
         self._reports[endpoint.id] = report
         return report
 
-    async def is_in(self, endpoint: Endpoint, group: GroupId) -> bool:
+    async def is_member(self, endpoint: Endpoint, group: GroupId) -> bool:
         """Ask an endpoint whether it is in a group.
 
         :raises EndpointError: if there is no answer.
         """
-        member = (await self.ask(endpoint)).membership
+        member = (await self.fetch_report(endpoint)).membership
         return member is not None and member.group == group
 
-    async def report(self, endpoint: Endpoint, urgency: Urgency = AT_ONCE) -> EngineReport | None:
+    async def probe(self, endpoint: Endpoint, urgency: Urgency = IMMEDIATE) -> EngineReport | None:
         """Return an endpoint's report; None if it is silent.
 
-        It is asked :data:`PROBES` times at most, and more often while this daemon is late itself:
+        It is asked :data:`MAX_PROBES` times at most, and more often while this daemon is late itself:
         then it may have missed the answer.
         """
         silent = silent_while_late = 0
-        while silent < PROBES and silent_while_late < PROBES_WHILE_LATE:
+        while silent < MAX_PROBES and silent_while_late < MAX_PROBES_WHILE_LATE:
             asked_at = self._clock()
             try:
-                return await self.ask(endpoint, urgency)
+                return await self.fetch_report(endpoint, urgency)
             except (EndpointGoneError, EndpointRefusedError):
                 return None
             except EndpointError:
@@ -184,6 +184,6 @@
                     silent += 1
         return None
 
-    async def answers(self, endpoint: Endpoint, urgency: Urgency = AT_ONCE) -> bool:
+    async def is_responding(self, endpoint: Endpoint, urgency: Urgency = IMMEDIATE) -> bool:
         """Return whether an endpoint answers, asked as :meth:`report` says."""
-        return await self.report(endpoint, urgency) is not None
+        return await self.probe(endpoint, urgency) is not None
--- a/packages/gateway/src/thorncleat_gateway/groups/planner.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/planner.py
@@ -24,7 +24,7 @@
 from .group_inspector import GroupInspector
 from .slow_endpoints import SlowGroup
 from .slow_endpoints import groups_to_replace
-from .spare_warming import to_warm
+from .spare_warming import spares_to_warm
 from .term import Term
 
 Views = dict[str, DomainView]
@@ -49,39 +49,39 @@
         self._sizes = sizes
         self._before_requests = before_requests
         # groups that are being ended for their slow members, by domain
-        self._replaced: dict[str, set[GroupId]] = collections.defaultdict(set)
+        self._groups_being_replaced: dict[str, set[GroupId]] = collections.defaultdict(set)
         self.term = term
         self.inspector = inspector
 
     def plan(self, configuration: ServingConfiguration) -> None:
         """Plan for all services that have engines, and begin what has to be done."""
-        self.term.ending.tell()
-        self.term.unlisted.look()
+        self.term.ending.broadcast()
+        self.term.unlisted.watch_removed()
         for service in configuration.services.values():
             if service.engine is not None:
-                movable = _can_move(configuration, service.name)
-                self._plan_service(service.name, service.engine, movable=movable)
+                can_migrate = _can_migrate(configuration, service.name)
+                self._plan_service(service.name, service.engine, can_migrate=can_migrate)
         self.term.lost.forget_unlisted()
 
-    def _plan_service(self, service: str, engine: Engine, *, movable: bool) -> None:
+    def _plan_service(self, service: str, engine: Engine, *, can_migrate: bool) -> None:
         """Plan for a service.
 
         :param movable: whether its streams can go on in another group.
         """
         endpoints = self._view.roster.of_service(service)
-        views = self._views(service, endpoints)
-        slow = self._count_standing(service, engine, views)
+        views = self._domain_views(service, endpoints)
+        slow = self._collect_active_groups(service, engine, views)
         self._add_available(service, endpoints, views)
-        layout = formation.layout(list(views.values()), engine.models)
+        layout = formation.compute_layout(list(views.values()), engine.models)
         scarcity = _scarcity(views, layout)
         for view in sorted(views.values(), key=lambda view: view.name):
             if self._is_replacing(view.name):
                 continue
             spares = self._plan_domain(view, layout[view.name], engine, scarcity)
-            if movable:
+            if can_migrate:
                 self._replace_slow(view, slow[view.name], spares, engine)
 
-    def _views(self, service: str, endpoints: t.Sequence[Endpoint]) -> Views:
+    def _domain_views(self, service: str, endpoints: t.Sequence[Endpoint]) -> Views:
         """Return a view of each domain, with what its hosts hold."""
         staging = self.term.loader.staging()
         present = {endpoint.fabric_domain for endpoint in endpoints}
@@ -92,10 +92,10 @@
             for known in self._sizes.of_service(service, present)
         }
         for endpoint in endpoints:
-            views[endpoint.fabric_domain].holding.update(endpoint.staged)
+            views[endpoint.fabric_domain].hosts_by_model.update(endpoint.staged)
         return views
 
-    def _count_standing(
+    def _collect_active_groups(
         self, service: str, engine: Engine, views: Views
     ) -> t.Mapping[str, list[SlowGroup]]:
         """Count the groups that stand or are being formed, and end those that don't.
@@ -105,9 +105,9 @@
         slow: dict[str, list[SlowGroup]] = collections.defaultdict(list)
         for group, plan in self.term.forming_state.under_way.items():
             if group not in self.term.ending and plan.domain in views:
-                views[plan.domain].standing[plan.model.name] += 1
+                views[plan.domain].active_groups[plan.model.name] += 1
         for standing in self.inspector.inspect(service, engine):
-            views[standing.domain].standing[standing.model] += 1
+            views[standing.domain].active_groups[standing.model] += 1
             if standing.slow is not None:
                 slow[standing.domain].append(standing.slow)
         return slow
@@ -116,16 +116,16 @@
         """Sort the endpoints that are in no group into those that may lead and the weak ones."""
         for endpoint in endpoints:
             if self._is_available(endpoint):
-                self._sort_in(endpoint, views[endpoint.fabric_domain])
+                self._add_listed(endpoint, views[endpoint.fabric_domain])
         for endpoint in self.term.unlisted.of_service(service):
             if endpoint.fabric_domain in views and self._is_available(endpoint):
-                views[endpoint.fabric_domain].weak.append(endpoint)
+                views[endpoint.fabric_domain].expiring.append(endpoint)
 
-    def _sort_in(self, endpoint: Endpoint, view: DomainView) -> None:
+    def _add_listed(self, endpoint: Endpoint, view: DomainView) -> None:
         if endpoint in self.term.slow:
             view.slow.append(endpoint)
         elif endpoint.draining:
-            view.weak.append(endpoint)
+            view.expiring.append(endpoint)
         else:
             view.free.append(endpoint)
 
@@ -133,7 +133,7 @@
         term = self.term
         if endpoint in term.lost or not term.forming_state.is_available(endpoint.id):
             return False
-        member = term.orders.listed(endpoint)
+        member = term.orders.listed_membership(endpoint)
         return member is None or term.records.is_over(member.group)
 
     def _plan_domain(
@@ -153,19 +153,19 @@
         used: set[str] = set()
         for plan in formation.groups_to_form(view, target, engine.models, scarcity):
             used.update(member.id for member in plan.members)
-            if not plan.cold or self._before_requests():
+            if not plan.cold_members or self._before_requests():
                 self.term.forming.form(plan)
                 continue
             # hosts load first, so that the others stay free for whoever is back sooner
-            for member in plan.cold:
-                if member.id not in view.staging and self._may_load(engine):
+            for member in plan.cold_members:
+                if member.id not in view.staging and self._reserve_load(engine):
                     self.term.loader.load(LoadPlan(member, plan.model))
         spares = [endpoint for endpoint in view.free if endpoint.id not in used]
         for load in formation.models_to_load(view, target, engine.models, spares):
-            if self._may_load(engine):
+            if self._reserve_load(engine):
                 self.term.loader.load(load)
         carried = [model for model in engine.models if target[model.name] > 0]
-        for spare, model in to_warm(spares, carried):
+        for spare, model in spares_to_warm(spares, carried):
             self.term.warming.warm(spare, model)
         return spares
 
@@ -180,9 +180,9 @@
         for model in engine.models:
             of_model = [group for group in groups if group.model == model.name]
             for group in groups_to_replace(of_model, spares, model):
-                self._replaced[view.name].add(group.id)
+                self._groups_being_replaced[view.name].add(group.id)
                 self.term.ending.end(group.id, EndReason.MEMBER_SLOW, group.members)
-            if self._replaced[view.name]:
+            if self._groups_being_replaced[view.name]:
                 # the spares are those of all models
                 return
 
@@ -191,28 +191,28 @@
 
         What is formed before all of them have ended would take in the slow ones again.
         """
-        replaced = self._replaced[domain]
+        replaced = self._groups_being_replaced[domain]
         replaced.intersection_update(group for group in replaced if group in self.term.ending)
         return bool(replaced)
 
-    def _may_load(self, engine: Engine) -> bool:
+    def _reserve_load(self, engine: Engine) -> bool:
         """Return whether a load may begin; those before the first request are not counted."""
-        return self._before_requests() or self.term.loader.may_load(engine)
+        return self._before_requests() or self.term.loader.reserve_load(engine)
 
 
-def _can_move(configuration: ServingConfiguration, service: str) -> bool:
+def _can_migrate(configuration: ServingConfiguration, service: str) -> bool:
     """Return whether all streams of a service can go on in another group."""
-    leading = (
+    routes = (
         route
         for route in configuration.routes
         if any(split.service == service for split in route.splits)
     )
-    return all(route.resumable for route in leading)
+    return all(route.resumable for route in routes)
 
 
 def _scarcity(views: Views, layout: formation.Layout) -> formation.Scarcity:
     """Return a function that gives the part of a model's groups that all domains lack."""
-    standing = sum((view.standing for view in views.values()), collections.Counter[str]())
+    standing = sum((view.active_groups for view in views.values()), collections.Counter[str]())
     target = sum(layout.values(), collections.Counter[str]())
 
     def scarcity(model: EngineModel) -> float:
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -7,12 +7,12 @@
 
 The view lags behind the store, so a record that it doesn't show proves nothing by itself. What a
 term knows is whole all the same: it begins once the view shows the term's own record
-(:attr:`.Election.caught_up`), and with it all that earlier controllers wrote; from then on only
+(:attr:`.Election.is_caught_up`), and with it all that earlier controllers wrote; from then on only
 this controller writes, and remembers what.
 
 A record may also be gone though its group answers: a leader that was neither listed nor heard may
 have been cut off and come back. So a leader that is listed in a group that should be over has to be
-asked (:meth:`GroupRecords.is_back`).
+asked (:meth:`GroupRecords.has_returned`).
 
 The store may come back from a copy that lacks records. A controller that knows such a group writes
 its record again; where nobody does, what its members say has to do, once the list is settled.
@@ -37,26 +37,26 @@
 from ..store.roster import GroupState
 from ..store.roster import Membership
 from ..store.view import StoreView
-from .election import CONTROLLER
+from .election import CONTROLLER_KEY
 from .election import Election
 from .formation import GroupPlan
 
-GROUPS = "thorncleat/groups/"
+GROUPS_PREFIX = "thorncleat/groups/"
 # keys that one write may remove beside what it writes
-REMOVED_AT_ONCE = 24
+MAX_REMOVALS_PER_WRITE = 24
 # that one write may hold
-WRITTEN_AT_ONCE = 24
+MAX_RECORDS_PER_WRITE = 24
 # after a write that got no answer, in seconds
-RETRY_SECONDS = 0.3
+RETRY_INTERVAL_SECONDS = 0.3
 
 
 def _key(group: GroupId) -> str:
-    return f"{GROUPS}{group.epoch}/{group.name}"
+    return f"{GROUPS_PREFIX}{group.epoch}/{group.name}"
 
 
-def _group(key: str) -> GroupId | None:
+def _group_of(key: str) -> GroupId | None:
     """Return the group of a record; None if its key names none."""
-    epoch, _, name = key.removeprefix(GROUPS).partition("/")
+    epoch, _, name = key.removeprefix(GROUPS_PREFIX).partition("/")
     return GroupId(int(epoch), name) if epoch.isdecimal() and name else None
 
 
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Leader:
+class _LeaderRecord:
     """What is kept of a group's leader."""
 
     id: str
@@ -79,7 +79,7 @@
     address: str
 
     @classmethod
-    def of(cls, endpoint: Endpoint) -> "_Leader":
+    def of(cls, endpoint: Endpoint) -> "_LeaderRecord":
         return cls(endpoint.id, endpoint.service, endpoint.address)
 
     def encode(self) -> bytes:
@@ -87,7 +87,7 @@
         return packed
 
     @classmethod
-    def decode(cls, data: bytes) -> "_Leader | None":
+    def decode(cls, data: bytes) -> "_LeaderRecord | None":
         """Return what :meth:`encode` wrote; None for something else."""
         try:
             parts = msgpack.unpackb(data)
@@ -107,7 +107,7 @@
         self._view = view
         self._election = election
         # of groups that were begun in this term, or found, whether the view shows a record or not
-        self._leaders: dict[GroupId, _Leader] = {}
+        self._leaders: dict[GroupId, _LeaderRecord] = {}
         self._ended: dict[GroupId, Detached] = {}
         # those whose records the store lost
         self._unwritten: set[GroupId] = set()
@@ -118,25 +118,25 @@
         self._ended.clear()
         self._unwritten.clear()
         for key, record in self._view.former_eras.lost_records.items():
-            group = _group(key) if key.startswith(GROUPS) else None
-            kept = _Leader.decode(record.value) if record.value is not None else None
-            if group is not None and kept is not None:
-                self._leaders[group] = kept
+            group = _group_of(key) if key.startswith(GROUPS_PREFIX) else None
+            leader_record = _LeaderRecord.decode(record.value) if record.value is not None else None
+            if group is not None and leader_record is not None:
+                self._leaders[group] = leader_record
                 self._unwritten.add(group)
 
-    async def write_lost(self) -> None:
+    async def rewrite_lost_records(self) -> None:
         """Write the records again that the store lost, while this daemon is the controller."""
-        while self._unwritten and self._election.leads:
-            groups = sorted(self._unwritten)[:WRITTEN_AT_ONCE]
+        while self._unwritten and self._election.is_controller:
+            groups = sorted(self._unwritten)[:MAX_RECORDS_PER_WRITE]
             puts = {_key(group): self._leaders[group].encode() for group in groups}
             term = self._election.term
             assert term is not None
             try:
-                written = await self._records.commit(puts, [], {CONTROLLER: term})
+                written = await self._records.commit(puts, [], {CONTROLLER_KEY: term})
             except StoreError as error:
                 # not known to be written: the same records are written once more
                 events.LOST_RECORDS.log(groups=len(groups), problem=str(error))
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_INTERVAL_SECONDS)
                 continue
             if not written:
                 return
@@ -146,10 +146,10 @@
     @property
     def groups(self) -> list[GroupId]:
         """The groups that have a record, be it one that the view doesn't show yet."""
-        shown = (_group(key) for key in self._view.records if key.startswith(GROUPS))
+        shown = (_group_of(key) for key in self._view.records if key.startswith(GROUPS_PREFIX))
         return list(dict.fromkeys([*filter(None, shown), *self._leaders]))
 
-    def may_answer(self, group: GroupId) -> bool:
+    def can_answer(self, group: GroupId) -> bool:
         """Return whether a group has a record and was not ended in this term."""
         if group in self._ended:
             return False
@@ -162,7 +162,7 @@
         """
         if group in self._ended:
             return True
-        return self._view.settled and not self.may_answer(group)
+        return self._view.settled and not self.can_answer(group)
 
     def how_ended(self, group: GroupId) -> Detached | None:
         """Return how a group ended in this term; None if it didn't."""
@@ -173,20 +173,22 @@
 
         A record that another writer spoilt names none; then the list does.
         """
-        kept = self._leaders.get(group) or self._shown(group)
-        if kept is None:
+        leader_record = self._leaders.get(group) or self._recorded_leader(group)
+        if leader_record is None:
             named = self._view.roster.groups.get(group)
-            return named.leader if named is not None and self.may_answer(group) else None
-        listed = self._view.roster.endpoints.get(kept.id)
+            return named.leader if named is not None and self.can_answer(group) else None
+        listed = self._view.roster.endpoints.get(leader_record.id)
         place = Membership(group, 0, GroupState.OPEN)
-        return listed or Endpoint(kept.id, kept.service, kept.address, "", membership=place)
+        return listed or Endpoint(
+            leader_record.id, leader_record.service, leader_record.address, "", membership=place
+        )
 
-    def _shown(self, group: GroupId) -> _Leader | None:
+    def _recorded_leader(self, group: GroupId) -> _LeaderRecord | None:
         """Return what the view shows of a group's leader."""
         record = self._view.records.get(_key(group))
         if record is None or record.value is None:
             return None
-        return _Leader.decode(record.value)
+        return _LeaderRecord.decode(record.value)
 
     async def begin(self, group: GroupId, plan: GroupPlan) -> bool:
         """Write a group's record, and remove those of groups that have ended.
@@ -194,34 +196,34 @@
         :returns: False if this daemon is no longer the controller.
         :raises StoreError: if it is not known to be written.
         """
-        kept = _Leader.of(plan.members[0])
+        leader_record = _LeaderRecord.of(plan.members[0])
         term = self._election.term
         if term is None:
             return False
         gone = [ended for ended in self._ended if _key(ended) in self._view.records]
         written = await self._records.commit(
-            {_key(group): kept.encode()},
-            [_key(ended) for ended in gone[:REMOVED_AT_ONCE]],
-            {CONTROLLER: term},
+            {_key(group): leader_record.encode()},
+            [_key(ended) for ended in gone[:MAX_REMOVALS_PER_WRITE]],
+            {CONTROLLER_KEY: term},
         )
         if written:
-            self._leaders[group] = kept
+            self._leaders[group] = leader_record
         return written
 
-    def is_back(self, group: Group) -> bool:
+    def has_returned(self, group: Group) -> bool:
         """Return whether a group that should be over is listed with its leader.
 
         That leader may not have ended when the group did. One that left says so in its next entry,
         and one whose process ended doesn't write another.
         """
         unsure = self._ended.get(group.id) in (None, Detached.DEAD)
-        return unsure and group.leader is not None and not self.may_answer(group.id)
+        return unsure and group.leader is not None and not self.can_answer(group.id)
 
-    def reopen(self, group: Group) -> None:
+    def restore(self, group: Group) -> None:
         """Count a group that is back as one that may answer, until it is ended again."""
         assert group.leader is not None
         self._ended.pop(group.id, None)
-        self._leaders[group.id] = _Leader.of(group.leader)
+        self._leaders[group.id] = _LeaderRecord.of(group.leader)
 
     def end(self, group: GroupId, how: Detached) -> None:
         """Count a group as ended; its leader answers no more."""
--- a/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
@@ -25,7 +25,7 @@
 from ..store.roster import Life
 from ..store.serving import EngineModel
 from ..store.view import StoreView
-from .call_window import LAST
+from .call_window import BACKGROUND
 from .jobs import Start
 from .orders import Orders
 
@@ -33,7 +33,7 @@
 # makes a pause of 2 s, which a stream at twice its duration seldom lasts
 SLOW_PACE = 3.0
 # between two questions to a slow endpoint, in seconds
-ASK_AGAIN_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -61,12 +61,12 @@
     :param groups: of one model.
     :param spares: free endpoints of the domain that aren't slow.
     """
-    quick = sum(model.name in spare.staged for spare in spares)
+    available = sum(model.name in spare.staged for spare in spares)
     chosen: list[SlowGroup] = []
     for group in sorted(groups, key=lambda group: (group.slow, group.id)):
         chosen.append(group)
-        quick += len(group.members) - group.slow
-        if quick >= model.size:
+        available += len(group.members) - group.slow
+        if available >= model.size:
             return chosen
     return []
 
@@ -85,27 +85,27 @@
         self._orders = orders
         self._start = start
         self._wake = wake
-        self._lives: set[Life] = set()
+        self._incarnations: set[Life] = set()
 
     def __contains__(self, endpoint: Endpoint) -> bool:
-        return endpoint.life in self._lives
+        return endpoint.life in self._incarnations
 
-    def note(self, endpoint: Endpoint, report: EngineReport) -> None:
+    def record_report(self, endpoint: Endpoint, report: EngineReport) -> None:
         """Take notice of what an endpoint says of its pace."""
         if report.pace < SLOW_PACE or endpoint in self:
             return
-        self._lives.add(endpoint.life)
+        self._incarnations.add(endpoint.life)
         events.ENDPOINT_SLOW.log(endpoint=endpoint.id, pace=report.pace)
         self._wake()
-        self._start(self._await_normal(endpoint))
+        self._start(self._poll_until_normal(endpoint))
 
-    async def _await_normal(self, endpoint: Endpoint) -> None:
+    async def _poll_until_normal(self, endpoint: Endpoint) -> None:
         """Count an endpoint as slow until it says otherwise, or its life is over."""
         pace: float | None = SLOW_PACE
         while pace is not None and pace >= SLOW_PACE:
-            await asyncio.sleep(ASK_AGAIN_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             pace = await self._pace(endpoint)
-        self._lives.discard(endpoint.life)
+        self._incarnations.discard(endpoint.life)
         events.ENDPOINT_NORMAL.log(endpoint=endpoint.id, pace=pace)
 
     async def _pace(self, endpoint: Endpoint) -> float | None:
@@ -113,5 +113,5 @@
         listed = self._view.roster.endpoints.get(endpoint.id)
         if listed is None or listed.life != endpoint.life:
             return None
-        report = await self._orders.report(endpoint, LAST)
+        report = await self._orders.probe(endpoint, BACKGROUND)
         return report.pace if report is not None else None
--- a/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
@@ -24,23 +24,23 @@
 from ..store.serving import EngineModel
 from ..store.view import StoreView
 from . import join_rules
-from .call_window import LAST
+from .call_window import BACKGROUND
 from .forming_state import FormingState
-from .group_steps import WARM_PATIENCE
+from .group_steps import WARM_TIMEOUT_FACTOR
 from .jobs import Start
-from .join_rules import Place
+from .join_rules import Availability
 from .orders import ACCEPTED
 from .orders import Orders
 from .records import GroupRecords
 
 # after an endpoint was warmed, or wasn't, until it is tried again, in seconds: the list shows its
 # model long before
-TRY_AGAIN_SECONDS = 10.0
+RETRY_INTERVAL_SECONDS = 10.0
 # without a change of the list, for which a wait for the endpoint rests, in seconds
-REST_SECONDS = 0.25
+CHANGE_WAIT_SECONDS = 0.25
 
 
-def to_warm(
+def spares_to_warm(
     spares: t.Iterable[Endpoint], models: t.Iterable[EngineModel]
 ) -> list[tuple[Endpoint, EngineModel]]:
     """Return the spares of a domain to warm, each with the model that its host holds.
@@ -79,7 +79,7 @@
         self._start = start
         # with the time until which the list may not show them yet
         self._groups: dict[GroupId, float] = {}
-        self._tried: dict[Life, float] = {}
+        self._retry_at: dict[Life, float] = {}
 
     def __contains__(self, group: GroupId) -> bool:
         return group in self._groups
@@ -87,18 +87,18 @@
     def warm(self, endpoint: Endpoint, model: EngineModel) -> None:
         """Begin to warm an endpoint, unless it was tried lately."""
         now = self._clock()
-        if self._tried.get(endpoint.life, now) > now:
+        if self._retry_at.get(endpoint.life, now) > now:
             return
         self._forget(now)
-        self._tried[endpoint.life] = now + TRY_AGAIN_SECONDS
-        group = self._state.number()
-        self._groups[group] = now + TRY_AGAIN_SECONDS
+        self._retry_at[endpoint.life] = now + RETRY_INTERVAL_SECONDS
+        group = self._state.next_group()
+        self._groups[group] = now + RETRY_INTERVAL_SECONDS
         events.SPARE_WARMED.log(endpoint=endpoint.id, group=group.name, model=model.name)
         self._start(self._run(endpoint, group, model))
 
     def _forget(self, now: float) -> None:
         """Forget the endpoints tried long ago, and the groups that the list shows no more."""
-        self._tried = {life: until for life, until in self._tried.items() if until > now}
+        self._retry_at = {life: until for life, until in self._retry_at.items() if until > now}
         listed = self._view.roster.groups
         self._groups = {
             group: until for group, until in self._groups.items() if until > now or group in listed
@@ -107,23 +107,23 @@
     async def _run(self, endpoint: Endpoint, group: GroupId, model: EngineModel) -> None:
         try:
             if await self._join(endpoint, group, model):
-                await self._wait_ready(endpoint, group, WARM_PATIENCE * model.warm)
+                await self._wait_ready(endpoint, group, WARM_TIMEOUT_FACTOR * model.warm)
                 # refused if the endpoint has been ordered into another group meanwhile
-                await self._orders.give(endpoint, Leave(group))
+                await self._orders.send(endpoint, Leave(group))
         except EndpointError:
             # it is lost, or it stays in a group that is never opened: it is free in either case
             pass
 
     async def _join(self, endpoint: Endpoint, group: GroupId, model: EngineModel) -> bool:
         """Order an endpoint into its own group if it is free; return whether it took the order."""
-        report = await self._orders.ask(endpoint, LAST)
-        place = join_rules.place(report.membership, group, self._records.is_over)
-        if place is not Place.FREE:
+        report = await self._orders.fetch_report(endpoint, BACKGROUND)
+        place = join_rules.availability(report.membership, group, self._records.is_over)
+        if place is not Availability.FREE:
             return False
         order = Join(group, model.name, (endpoint.id,))
-        return await self._orders.give(endpoint, order, report.order_count) in ACCEPTED
+        return await self._orders.send(endpoint, order, report.order_count) in ACCEPTED
 
     async def _wait_ready(self, endpoint: Endpoint, group: GroupId, seconds: float) -> None:
         until = self._clock() + seconds
-        while self._clock() < until and not self._orders.seen_ready(endpoint, group, 0):
-            await self._view.wait_change(REST_SECONDS)
+        while self._clock() < until and not self._orders.was_seen_ready(endpoint, group, 0):
+            await self._view.wait_change(CHANGE_WAIT_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/term.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -96,9 +96,9 @@
             view, orders, self._detector, self._load_table, self._peers, clock
         )
         ending = GroupEnding(orders, records, self._ended, liveness, clock, jobs.start)
-        state = FormingState(self._number(begun), clock)
-        steps = GroupSteps(self._settings, view, orders, records, lost, clock, state.skip)
-        jobs.start(records.write_lost())
+        state = FormingState(self._term_number(begun), clock)
+        steps = GroupSteps(self._settings, view, orders, records, lost, clock, state.skip_epochs)
+        jobs.start(records.rewrite_lost_records())
         return Term(
             begun=begun,
             jobs=jobs,
@@ -115,11 +115,11 @@
             warming=SpareWarming(view, orders, records, state, clock, jobs.start),
         )
 
-    def _number(self, begun: Position) -> int:
+    def _term_number(self, begun: Position) -> int:
         """Return the number of a term that has just begun."""
         roster = self._view.roster
-        gone = (one.endpoint for one in roster.gone.values())
-        places = (one.membership for one in (*roster.endpoints.values(), *gone))
+        gone = (removed.endpoint for removed in roster.gone.values())
+        places = (removed.membership for removed in (*roster.endpoints.values(), *gone))
         epochs = [place.group.epoch for place in places if place is not None]
         epochs += [group.epoch for group in self._records.groups]
         return term_number(begun.revision, epochs, self._view.former_eras.revisions)
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -22,14 +22,14 @@
 from .orders import Orders
 
 # between two questions to an unlisted endpoint, in seconds
-WATCH_AGAIN_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 # for which an unlisted endpoint is asked at most, in seconds
-WATCH_SECONDS = 30.0
+MAX_WATCH_SECONDS = 30.0
 # in which an endpoint that was just unlisted counts as answering, in seconds
-BENEFIT_SECONDS = 0.4
+UNLISTED_GRACE_SECONDS = 0.4
 
 
-def _is_place(member: Membership | None, group: GroupId, rank: int) -> bool:
+def _is_at(member: Membership | None, group: GroupId, rank: int) -> bool:
     return member is not None and member.is_at(group, rank)
 
 
@@ -67,24 +67,24 @@
             and endpoint.id not in listed
         ]
 
-    def holds(self, group: GroupId, rank: int) -> bool:
+    def has_member(self, group: GroupId, rank: int) -> bool:
         """Return whether a member that isn't listed may still be in its place.
 
         One that is listed again is not in it, or its entry would say so: it has started again.
         """
         listed = self._view.roster.endpoints
         watched = (known for name, known in self._watched.items() if name not in listed)
-        if any(_is_place(known.membership, group, rank) for known in watched):
+        if any(_is_at(known.membership, group, rank) for known in watched):
             return True
-        begin = self._clock() - BENEFIT_SECONDS
+        begin = self._clock() - UNLISTED_GRACE_SECONDS
         return any(
-            gone.at >= begin and _is_place(gone.endpoint.membership, group, rank)
+            gone.at >= begin and _is_at(gone.endpoint.membership, group, rank)
             for gone in self._view.roster.gone.values()
         )
 
-    def look(self) -> None:
+    def watch_removed(self) -> None:
         """Begin to ask those that were unlisted lately; at first all that are remembered."""
-        begin = self._clock() - BENEFIT_SECONDS if self._begun else float("-inf")
+        begin = self._clock() - UNLISTED_GRACE_SECONDS if self._begun else float("-inf")
         self._begun = True
         for endpoint_id, gone in self._view.roster.gone.items():
             lately = gone.at >= begin
@@ -93,10 +93,10 @@
                 self._start(self._watch(gone.endpoint))
 
     async def _watch(self, endpoint: Endpoint) -> None:
-        until = self._clock() + WATCH_SECONDS
+        until = self._clock() + MAX_WATCH_SECONDS
         try:
             while endpoint.id not in self._view.roster.endpoints and self._clock() < until:
-                report = await self._orders.report(endpoint)
+                report = await self._orders.probe(endpoint)
                 if report is None:
                     return
                 self._watched[endpoint.id] = dataclasses.replace(
@@ -106,7 +106,7 @@
                     models=report.models,
                 )
                 self._answering.add(endpoint.id)
-                await asyncio.sleep(WATCH_AGAIN_SECONDS)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
         finally:
             self._answering.discard(endpoint.id)
             self._watched.pop(endpoint.id, None)
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -124,7 +124,7 @@
             settings.control,
             WorldEngines(world, self),
             self.view,
-            lambda: self.election.leads,
+            lambda: self.election.is_controller,
             lambda endpoint_id: self.detector.heard(endpoint_id, world.now()),
             self.calls,
             world.now,
@@ -173,7 +173,7 @@
                 self.world.spawn(self._probe(listed or gone.endpoint))
 
     async def _probe(self, endpoint: Endpoint) -> None:
-        if await self.orders.answers(endpoint):
+        if await self.orders.is_responding(endpoint):
             for other in self.world.nodes:
                 other.detector.heard(endpoint.id, self.world.now())
 
@@ -330,7 +330,7 @@
     def drain_and_work_on(self, worker: Worker, seconds: float, requests: int) -> None:
         """Let a worker stop listening, with some requests of a daemon, until it ends."""
         worker.refuses = True
-        node = next(node for node in self.nodes if not node.election.leads)
+        node = next(node for node in self.nodes if not node.election.is_controller)
         if requests:
             self._requests[node.name][worker.id] = requests
 
@@ -426,4 +426,4 @@
 
 def leading(world: World) -> Node:
     """Return the daemon that is the controller."""
-    return next(node for node in world.nodes if node.election.leads)
+    return next(node for node in world.nodes if node.election.is_controller)
--- a/tests/test_call_window.py
+++ b/tests/test_call_window.py
@@ -5,11 +5,11 @@
 import pytest
 
 from thorncleat_gateway.groups import call_window
-from thorncleat_gateway.groups.call_window import AT_ONCE
-from thorncleat_gateway.groups.call_window import FIRST_LIMIT
-from thorncleat_gateway.groups.call_window import LAST
-from thorncleat_gateway.groups.call_window import LEAST_LIMIT
-from thorncleat_gateway.groups.call_window import MOST_LIMIT
+from thorncleat_gateway.groups.call_window import BACKGROUND
+from thorncleat_gateway.groups.call_window import IMMEDIATE
+from thorncleat_gateway.groups.call_window import INITIAL_LIMIT
+from thorncleat_gateway.groups.call_window import MAX_LIMIT
+from thorncleat_gateway.groups.call_window import MIN_LIMIT
 from thorncleat_gateway.groups.call_window import CallWindow
 from thorncleat_gateway.groups.orders import order_urgency
 from thorncleat_gateway.peers.own_lateness import LATE_SECONDS
@@ -45,8 +45,8 @@
         self.order: list[object] = []
         self.under_way = self.most = 0
 
-    async def call(self, name, urgency=AT_ONCE, seconds=0.1) -> None:
-        async with self.window.turn(urgency):
+    async def call(self, name, urgency=IMMEDIATE, seconds=0.1) -> None:
+        async with self.window.slot(urgency):
             self.order.append(name)
             self.under_way += 1
             self.most = max(self.most, self.under_way)
@@ -64,7 +64,7 @@
         return calls
 
     calls = virtual_time.run(many())
-    assert calls.most == FIRST_LIMIT
+    assert calls.most == INITIAL_LIMIT
     assert len(calls.order) == 200
     assert calls.window.waiting == 0
 
@@ -78,41 +78,41 @@
         low = calls.window.limit
         calls.lateness.seconds = 0.0
         for _ in range(50):
-            await asyncio.gather(*(calls.call(0) for _ in range(MOST_LIMIT)))
+            await asyncio.gather(*(calls.call(0) for _ in range(MAX_LIMIT)))
         return low, calls.window.limit
 
     low, high = virtual_time.run(late())
-    assert low == LEAST_LIMIT
-    assert FIRST_LIMIT < high <= MOST_LIMIT
+    assert low == MIN_LIMIT
+    assert INITIAL_LIMIT < high <= MAX_LIMIT
 
 
 def test_calls_sent_together_shrink_the_limit_once():
     async def late():
         calls = Calls()
         calls.lateness.seconds = 2 * LATE_SECONDS
-        await asyncio.gather(*(calls.call(number) for number in range(FIRST_LIMIT)))
+        await asyncio.gather(*(calls.call(number) for number in range(INITIAL_LIMIT)))
         return calls.window.limit
 
-    assert virtual_time.run(late()) == int(FIRST_LIMIT * call_window.SHRINK)
+    assert virtual_time.run(late()) == int(INITIAL_LIMIT * call_window.SHRINK_FACTOR)
 
 
 def test_the_first_group_is_whole_before_the_second_and_what_serves_goes_before_both():
     async def contended():
         calls = Calls()
         calls.lateness.seconds = 2 * LATE_SECONDS
-        holding = [asyncio.ensure_future(calls.call("before")) for _ in range(FIRST_LIMIT)]
+        holding = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
         await asyncio.sleep(0)
         waiting = [
             asyncio.ensure_future(calls.call(name, urgency))
             for name, urgency in (
-                ("load", LAST),
-                ("second", call_window.forming(SECOND)),
-                ("first", call_window.forming(FIRST)),
-                ("leave", AT_ONCE),
+                ("load", BACKGROUND),
+                ("second", call_window.forming_urgency(SECOND)),
+                ("first", call_window.forming_urgency(FIRST)),
+                ("leave", IMMEDIATE),
             )
         ]
         await asyncio.gather(*holding, *waiting)
-        return calls.order[FIRST_LIMIT:]
+        return calls.order[INITIAL_LIMIT:]
 
     assert virtual_time.run(contended()) == ["leave", "first", "second", "load"]
 
@@ -122,7 +122,7 @@
     async def cancelled():
         calls = Calls()
         calls.lateness.seconds = 2 * LATE_SECONDS
-        holding = [asyncio.ensure_future(calls.call("before")) for _ in range(FIRST_LIMIT)]
+        holding = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
         await asyncio.sleep(0)
         dropped = asyncio.ensure_future(calls.call("dropped"))
         kept = asyncio.ensure_future(calls.call("kept"))
@@ -133,7 +133,7 @@
         else:
             dropped.cancel()
         await asyncio.gather(*holding, kept)
-        for _ in range(FIRST_LIMIT):
+        for _ in range(INITIAL_LIMIT):
             await calls.call("after")
         return calls
 
@@ -146,11 +146,11 @@
 @pytest.mark.parametrize(
     ("order", "urgency"),
     [
-        (Leave(FIRST), AT_ONCE),
-        (Open(FIRST), AT_ONCE),
-        (Close(FIRST), AT_ONCE),
-        (Join(FIRST, "m", ("a",)), call_window.forming(FIRST)),
-        (Load("m"), LAST),
+        (Leave(FIRST), IMMEDIATE),
+        (Open(FIRST), IMMEDIATE),
+        (Close(FIRST), IMMEDIATE),
+        (Join(FIRST, "m", ("a",)), call_window.forming_urgency(FIRST)),
+        (Load("m"), BACKGROUND),
     ],
     ids=["leave", "open", "close", "join", "load"],
 )
--- a/tests/test_domain_sizes.py
+++ b/tests/test_domain_sizes.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from thorncleat_gateway.groups.domain_sizes import REMEMBER_SIZE_SECONDS
+from thorncleat_gateway.groups.domain_sizes import SIZE_TTL_SECONDS
 from thorncleat_gateway.groups.domain_sizes import DomainSizes
 from thorncleat_gateway.store.roster import Endpoint
 
-LATER = REMEMBER_SIZE_SECONDS + 0.1
+LATER = SIZE_TTL_SECONDS + 0.1
 
 
 class Clock:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -3,7 +3,7 @@
 import pytest
 
 from thorncleat_gateway.groups import election
-from thorncleat_gateway.groups.election import TURN_SECONDS
+from thorncleat_gateway.groups.election import CANDIDATE_DELAY_SECONDS
 
 DAEMONS = [f"edge-{number}" for number in range(8)]
 
@@ -25,29 +25,29 @@
     [
         pytest.param(0.0, 0, True, id="the first tries at once"),
         pytest.param(0.0, 1, False, id="the second waits"),
-        pytest.param(TURN_SECONDS, 1, True, id="for one turn"),
-        pytest.param(TURN_SECONDS, 2, False, id="the third waits longer"),
-        pytest.param(2 * TURN_SECONDS, 2, True, id="for two turns"),
+        pytest.param(CANDIDATE_DELAY_SECONDS, 1, True, id="for one turn"),
+        pytest.param(CANDIDATE_DELAY_SECONDS, 2, False, id="the third waits longer"),
+        pytest.param(2 * CANDIDATE_DELAY_SECONDS, 2, True, id="for two turns"),
     ],
 )
 def test_turns(absent_for, place, may):
-    assert election.may_campaign(absent_for, place) is may
+    assert election.can_campaign(absent_for, place) is may
 
 
 CAPACITIES = dict.fromkeys(DAEMONS, 1.0)
 
 
 def test_each_candidate_has_a_place_of_its_own():
-    places = [election.candidate_place(name, CAPACITIES, 7) for name in DAEMONS]
+    places = [election.candidate_rank(name, CAPACITIES, 7) for name in DAEMONS]
     assert sorted(places) == list(range(len(DAEMONS)))
 
 
 def test_candidate_with_much_capacity_comes_before_all_small_ones():
     capacities = CAPACITIES | {"edge-2": 9.0, "edge-5": 6.0}
     for version in range(20):
-        first = {election.candidate_place(name, capacities, version) for name in capacities}
+        first = {election.candidate_rank(name, capacities, version) for name in capacities}
         strong = {
-            election.candidate_place(name, capacities, version) for name in ("edge-2", "edge-5")
+            election.candidate_rank(name, capacities, version) for name in ("edge-2", "edge-5")
         }
         assert strong == {0, 1}
         assert first == set(range(len(DAEMONS)))
@@ -58,6 +58,6 @@
         name
         for version in range(20)
         for name in DAEMONS
-        if election.candidate_place(name, CAPACITIES, version) == 0
+        if election.candidate_rank(name, CAPACITIES, version) == 0
     }
     assert len(firsts) > 1
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from thorncleat_gateway.groups.ended import KEEP_SECONDS
-from thorncleat_gateway.groups.ended import REPEAT_SECONDS
+from thorncleat_gateway.groups.ended import BROADCAST_INTERVAL_SECONDS
+from thorncleat_gateway.groups.ended import ENDED_TTL_SECONDS
 from thorncleat_gateway.groups.ended import EndedGroups
 from thorncleat_gateway.peers.datagrams import GroupEnded
 from thorncleat_gateway.peers.failure_detector import FailureDetector
@@ -108,17 +108,17 @@
 
 def test_group_is_used_again_if_nobody_says_so_any_more(daemon):
     daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
-    daemon.now += KEEP_SECONDS + 0.1
+    daemon.now += ENDED_TTL_SECONDS + 0.1
     assert daemon.chosen() == {"w0", "w1"}
 
 
 def test_word_is_repeated_but_not_each_time(daemon):
     group = FIRST.membership.group
     for _ in range(5):
-        daemon.ended.tell(group)
+        daemon.ended.broadcast(group)
     assert daemon.peers.sent == [GroupEnded(group)]
-    daemon.now += REPEAT_SECONDS
-    daemon.ended.tell(group)
+    daemon.now += BROADCAST_INTERVAL_SECONDS
+    daemon.ended.broadcast(group)
     assert daemon.peers.sent == [GroupEnded(group)] * 2
     assert daemon.chosen() == {"w1"}
 
@@ -131,7 +131,7 @@
     lost = next(worker for worker in world.workers.values() if worker.state is GroupState.OPEN)
     group = lost.group
     world.kill(lost, dark=True)
-    others = [node for node in world.nodes if not node.election.leads]
+    others = [node for node in world.nodes if not node.election.is_controller]
     known = 0
     for _ in range(30):
         await world.pass_time(0.1)
--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -59,7 +59,7 @@
     ],
 )
 def test_weak_members(free, weak, members):
-    view = DomainView("d0", 8, free=free, weak=weak, staging=STAGING)
+    view = DomainView("d0", 8, free=free, expiring=weak, staging=STAGING)
     (plan,) = formation.groups_to_form(view, collections.Counter(big=1), [BIG], lambda _: 0)
     assert [member.id for member in plan.members] == list(members)
 
@@ -97,7 +97,7 @@
 )
 def test_number_of_groups(standing, target, formed):
     view = DomainView(
-        "d0", 8, standing=collections.Counter(standing), free=[endpoint(n) for n in "abcd"]
+        "d0", 8, active_groups=collections.Counter(standing), free=[endpoint(n) for n in "abcd"]
     )
     plans = formation.groups_to_form(view, collections.Counter(target), [LITTLE], lambda _: 0)
     assert len(plans) == formed
@@ -134,36 +134,36 @@
 
 class TestLayout:
     def test_domains_carry_one_model_each_where_there_are_enough(self):
-        found = formation.layout(views(8, 8, 8, 8, 8, 8), [LARGE, SMALL])
+        found = formation.compute_layout(views(8, 8, 8, 8, 8, 8), [LARGE, SMALL])
         assert all(len(counts) == 1 for counts in found.values())
         assert total(found) == {"large": 8, "small": 8}
 
     def test_a_model_is_spread_over_failure_domains(self):
         made = views(8, 8, 8, 8, 8, 8)
-        found = formation.layout(made, [LARGE, SMALL])
+        found = formation.compute_layout(made, [LARGE, SMALL])
         failure_domains = {view.failure_domain for view in made if "small" in found[view.name]}
         assert len(failure_domains) == 2
 
     def test_domains_keep_the_model_that_their_hosts_hold(self):
         made = views(8, 8, 8, 8, 8, 8)
         for view in made[:2]:
-            view.holding["small"] = 8
+            view.hosts_by_model["small"] = 8
         for view in made[2:]:
-            view.holding["large"] = 7
-        found = formation.layout(made, [LARGE, SMALL])
+            view.hosts_by_model["large"] = 7
+        found = formation.compute_layout(made, [LARGE, SMALL])
         assert [name for name in found if "small" in found[name]] == ["d0", "d1"]
 
     def test_a_domain_that_is_almost_gone_changes_nothing_for_the_others(self):
         made = views(1, 8, 8, 8, 8, 8)
         for view in made[1:4]:
-            view.holding["large"] = 8
+            view.hosts_by_model["large"] = 8
         for view in made[4:]:
-            view.holding["small"] = 8
-        found = formation.layout(made, [LARGE, SMALL])
+            view.hosts_by_model["small"] = 8
+        found = formation.compute_layout(made, [LARGE, SMALL])
         assert [set(found[view.name]) for view in made[1:]] == [{"large"}] * 3 + [{"small"}] * 2
 
     def test_few_domains_carry_several_models_and_keep_spares(self):
-        found = formation.layout(views(8, 8), [LARGE, SMALL])
+        found = formation.compute_layout(views(8, 8), [LARGE, SMALL])
         assert total(found) == {"large": 2, "small": 2}
 
     @given(
@@ -173,7 +173,7 @@
     )
     def test_no_domain_is_asked_for_more_than_it_has(self, sizes, large, small):
         models = [EngineModel("large", large, share=0.6), EngineModel("small", small, share=0.4)]
-        found = formation.layout(views(*sizes), models)
+        found = formation.compute_layout(views(*sizes), models)
         for view in views(*sizes):
             counts = found[view.name]
             assert sum(counts[model.name] * model.size for model in models) <= view.size
@@ -185,18 +185,18 @@
         view = DomainView("d0", 8, free=[endpoint("a0"), *warm])
         (plan,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
         assert set(plan.members) == set(warm)
-        assert plan.cold == []
+        assert plan.cold_members == []
 
     def test_weak_members_help_out_but_never_lead(self):
         warm = [endpoint(f"w{n}", staged=("large",)) for n in range(3)]
         weak = endpoint("a0", staged=("large",), draining=True)
-        view = DomainView("d0", 8, free=[*warm, endpoint("x")], weak=[weak])
+        view = DomainView("d0", 8, free=[*warm, endpoint("x")], expiring=[weak])
         (plan,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
         assert plan.members[-1] == weak
 
     def test_no_group_of_weak_members_alone(self):
         weak = [endpoint(f"a{n}", staged=("small",)) for n in range(2)]
-        view = DomainView("d0", 8, weak=weak)
+        view = DomainView("d0", 8, expiring=weak)
         assert (
             formation.groups_to_form(view, collections.Counter(small=1), [SMALL], lambda _: 0) == []
         )
--- a/tests/test_forming_state.py
+++ b/tests/test_forming_state.py
@@ -3,11 +3,11 @@
 import pytest
 
 from thorncleat_gateway.groups.formation import GroupPlan
+from thorncleat_gateway.groups.forming_state import DOMAIN_PAUSE_SECONDS
 from thorncleat_gateway.groups.forming_state import EPOCHS_PER_TERM
-from thorncleat_gateway.groups.forming_state import PAUSE_SECONDS
-from thorncleat_gateway.groups.forming_state import REFUSED_SECONDS
+from thorncleat_gateway.groups.forming_state import JOIN_REFUSAL_PAUSE_SECONDS
 from thorncleat_gateway.groups.forming_state import FormingState
-from thorncleat_gateway.groups.group_steps import ready_limit
+from thorncleat_gateway.groups.group_steps import ready_timeout
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.serving import EngineModel
@@ -48,8 +48,8 @@
 
 
 def test_endpoint_that_did_not_join_is_left_alone_for_a_while(state, daemon):
-    state.refuse("w0")
-    daemon.now += REFUSED_SECONDS - 0.1
+    state.record_refusal("w0")
+    daemon.now += JOIN_REFUSAL_PAUSE_SECONDS - 0.1
     assert not state.is_available("w0")
     daemon.now += 0.1
     assert state.is_available("w0")
@@ -59,7 +59,7 @@
     state.pause("d0")
     assert state.is_paused("d0")
     assert not state.is_paused("d1")
-    daemon.now += PAUSE_SECONDS
+    daemon.now += DOMAIN_PAUSE_SECONDS
     assert not state.is_paused("d0")
 
 
@@ -71,4 +71,4 @@
     ],
 )
 def test_seconds_for_members_to_get_ready(group, seconds):
-    assert ready_limit(group, 5.0) == pytest.approx(seconds)
+    assert ready_timeout(group, 5.0) == pytest.approx(seconds)
--- a/tests/test_forms_events.py
+++ b/tests/test_forms_events.py
@@ -125,9 +125,9 @@
     orders = Orders(
         ControlSettings(), _Answering(), mirror, lambda: True, heard.append, calls, lambda: 0.0
     )
-    await orders.give(wire_forms.LONER, ORDERS[name], expected=7)
+    await orders.send(wire_forms.LONER, ORDERS[name], expected=7)
     with pytest.raises(EndpointSilentError):
-        await orders.give(wire_forms.LONER, ORDERS[name])
+        await orders.send(wire_forms.LONER, ORDERS[name])
     assert lines == snapshot
 
 
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -283,7 +283,7 @@
         async with wire_forms.mirror_of(feed, lambda: 0.0) as mirror:
             election = Election(OWN, records, mirror, lambda: 0.0, lambda: {OWN.id: 1.0})
             await election.start()
-            await wire_forms.until(lambda: election.leads)
+            await wire_forms.until(lambda: election.is_controller)
             assert election.term == Position(0, 40)
             election.stopping = True
             await wire_forms.until(lambda: ["end", 77] in records.calls)
@@ -311,7 +311,7 @@
             kept = GroupRecords(RecordedRecords(), mirror, election)
             group = GroupId(40, "narrator-1")
             assert kept.groups == [group]
-            assert kept.may_answer(group)
+            assert kept.can_answer(group)
             leader = kept.leader(group)
         assert isinstance(leader, Endpoint)
         assert (leader.id, leader.service, leader.address) == ("i-1", "narrator", "10.0.0.1:81")
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from thorncleat_gateway.groups.election import CONTROLLER
+from thorncleat_gateway.groups.election import CONTROLLER_KEY
 from thorncleat_gateway.groups.formation import GroupPlan
 from thorncleat_gateway.groups.forming_state import EPOCHS_PER_TERM
 from thorncleat_gateway.groups.group_steps import GroupSteps
-from thorncleat_gateway.groups.list_growth import GROWING_SECONDS
+from thorncleat_gateway.groups.list_growth import GROWTH_TIMEOUT_SECONDS
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.settings import ControlSettings
@@ -50,7 +50,7 @@
     world.before_requests = True
     await world.start()
     for _ in range(4):
-        await world.pass_time(GROWING_SECONDS - 0.3)
+        await world.pass_time(GROWTH_TIMEOUT_SECONDS - 0.3)
         world.add_worker("d1")
         world.add_worker("d1")
     joined = sum(worker.order_count for worker in world.workers.values())
@@ -127,7 +127,7 @@
 def _strike(world: World, rng) -> None:
     alive = [worker for worker in world.workers.values() if worker.alive]
     node = rng.choice(world.nodes)
-    controllers = [other for other in world.nodes if other.election.leads] or [node]
+    controllers = [other for other in world.nodes if other.election.is_controller] or [node]
     kind = rng.randrange(9)
     if 3 <= kind <= 6:
         _strike_daemon(world, rng, kind, node, controllers[0])
@@ -243,7 +243,7 @@
     node = leading(world)
     free = next(worker for worker in world.workers.values() if worker.group is None)
     opened = next(worker for worker in world.workers.values() if worker.state is GroupState.OPEN)
-    ask = node.orders.ask
+    ask = node.orders.fetch_report
 
     async def ask_and_be_late(endpoint, *urgency):
         report = await ask(endpoint, *urgency)
@@ -252,7 +252,7 @@
             free.state, free.order_count = GroupState.READY, free.order_count + 1
         return report
 
-    node.orders.ask = ask_and_be_late
+    node.orders.fetch_report = ask_and_be_late
     order = Join(GroupId(10**9, "g"), "large", (free.id,))
     lost = node.controller.term.lost
     steps = GroupSteps(
@@ -274,10 +274,12 @@
     await world.start()
     await world.pass_time(CALM_SECONDS)
     node = leading(world)
-    world.store.delete(CONTROLLER, RecordChanged(CONTROLLER, None, world.store.revision + 1))
+    world.store.delete(
+        CONTROLLER_KEY, RecordChanged(CONTROLLER_KEY, None, world.store.revision + 1)
+    )
     created = world.store.revision + 1
-    world.store.put(CONTROLLER, RecordChanged(CONTROLLER, b"another", created, created))
-    assert node.election.leads
+    world.store.put(CONTROLLER_KEY, RecordChanged(CONTROLLER_KEY, b"another", created, created))
+    assert node.election.is_controller
     members = tuple(worker.entry() for worker in world.workers.values())[:2]
     group = GroupId(10**9, "g")
     written = await node.records.begin(group, GroupPlan("d0", MODELS[1], members))
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -6,7 +6,7 @@
 import pytest
 
 from thorncleat_gateway.exceptions import StoreOutcomeUnknownError
-from thorncleat_gateway.groups.election import CONTROLLER
+from thorncleat_gateway.groups.election import CONTROLLER_KEY
 from thorncleat_gateway.groups.formation import GroupPlan
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.store.roster import GroupId
@@ -64,16 +64,16 @@
     # time for both to see the new endpoints, and for a whole term of the second
     second.grant_delay, late.grant_delay = 0.5, 6.0
     first.election.stopping = True
-    while CONTROLLER in late.view.records:
+    while CONTROLLER_KEY in late.view.records:
         await world.pass_time(0.1)
     for _ in range(8):
         world.add_worker("d1", staged=STAGED)
     await world.pass_time(0.3)
     late.reads_refused = True
     await world.pass_time(5.0)
-    assert second.election.leads
+    assert second.election.is_controller
     second.election.stopping = True
-    while not late.election.leads:
+    while not late.election.is_controller:
         await world.pass_time(0.1)
     await world.pass_time(1.5)
     late.reads_refused = False
@@ -96,7 +96,7 @@
     members = tuple(worker.entry() for worker in world.workers.values())[:2]
     group = GroupId(10**9, "g")
     written = await node.records.begin(group, GroupPlan("d0", MODELS[1], members))
-    leader, may_answer = node.records.leader(group), node.records.may_answer(group)
+    leader, may_answer = node.records.leader(group), node.records.can_answer(group)
     await world.stop()
     return written, leader, may_answer, members[0].id
 
@@ -190,7 +190,7 @@
     both = 0
     for _ in range(200):
         await world.pass_time(0.01)
-        both += sum(other.election.leads for other in world.nodes) > 1
+        both += sum(other.election.is_controller for other in world.nodes) > 1
     await world.stop()
     return both
 
@@ -211,13 +211,13 @@
     # the former life's lease has a second left
     former = world.store.revision + 7_000_000
     world.store.leases[former] = (world.now() + 1.0, 2.0)
-    world.store.end(world.store.owners[CONTROLLER])
-    while CONTROLLER in node.view.records:
+    world.store.end(world.store.owners[CONTROLLER_KEY])
+    while CONTROLLER_KEY in node.view.records:
         await world.pass_time(0.001)
     created = world.store.revision + 1
     value = node.name.encode()
-    world.store.put(CONTROLLER, RecordChanged(CONTROLLER, value, created, created))
-    world.store.owners[CONTROLLER] = former
+    world.store.put(CONTROLLER_KEY, RecordChanged(CONTROLLER_KEY, value, created, created))
+    world.store.owners[CONTROLLER_KEY] = former
     return world, node, created
 
 
@@ -231,7 +231,7 @@
         raise StoreOutcomeUnknownError("answer lost")
 
     node.election._records.create = unanswered
-    term = await node.election._create(lease)
+    term = await node.election._create_record(lease)
     await world.stop()
     return term, created
 
@@ -271,7 +271,7 @@
 
 
 def _controllers(world: World) -> list[Node]:
-    return [node for node in world.nodes if node.election.leads]
+    return [node for node in world.nodes if node.election.is_controller]
 
 
 def _for_some_time(world: World, thing, name: str, seconds: float) -> None:
--- a/tests/test_group_health.py
+++ b/tests/test_group_health.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from thorncleat_gateway.groups.group_health import LEFT_OVER_SECONDS
-from thorncleat_gateway.groups.group_health import MISSING_MEMBER_SECONDS
+from thorncleat_gateway.groups.group_health import LEFT_OVER_TIMEOUT_SECONDS
+from thorncleat_gateway.groups.group_health import MISSING_MEMBER_GRACE_SECONDS
 from thorncleat_gateway.groups.group_health import EndReason
 from thorncleat_gateway.groups.group_health import GroupHealth
 from thorncleat_gateway.groups.group_health import end_reason
 from thorncleat_gateway.groups.group_health import end_reason_unlisted
 from thorncleat_gateway.store.roster import GroupState
 
-YOUNG = MISSING_MEMBER_SECONDS
-OLDER = MISSING_MEMBER_SECONDS + 0.01
-OLD = LEFT_OVER_SECONDS + 0.01
+YOUNG = MISSING_MEMBER_GRACE_SECONDS
+OLDER = MISSING_MEMBER_GRACE_SECONDS + 0.01
+OLD = LEFT_OVER_TIMEOUT_SECONDS + 0.01
 
 
 def health(age=OLD, state=GroupState.OPEN, **more):
@@ -56,7 +56,9 @@
             health(state=GroupState.READY), EndReason.LEFT_OVER, id="never opened, left over"
         ),
         pytest.param(
-            health(state=GroupState.READY, age=LEFT_OVER_SECONDS), None, id="may yet be opened"
+            health(state=GroupState.READY, age=LEFT_OVER_TIMEOUT_SECONDS),
+            None,
+            id="may yet be opened",
         ),
         pytest.param(health(leader_draining=True), EndReason.LEADER_DRAINING, id="leader draining"),
     ],
@@ -102,7 +104,7 @@
 @pytest.mark.parametrize(
     ("age", "reason"),
     [
-        pytest.param(LEFT_OVER_SECONDS, None, id="just seen"),
+        pytest.param(LEFT_OVER_TIMEOUT_SECONDS, None, id="just seen"),
         pytest.param(OLD, EndReason.NO_MEMBER_LISTED, id="old"),
     ],
 )
@@ -111,7 +113,7 @@
 
 
 def test_only_a_group_that_works_may_finish_its_requests():
-    assert [reason for reason in EndReason if reason.graceful] == [EndReason.LEADER_DRAINING]
+    assert [reason for reason in EndReason if reason.is_graceful] == [EndReason.LEADER_DRAINING]
 
 
 def test_reasons_are_logged_in_these_words():
--- a/tests/test_group_repair.py
+++ b/tests/test_group_repair.py
@@ -92,7 +92,7 @@
 async def _leader_ends_while_a_daemon_says_nothing():
     """Return the world, and how long a leader's group took to be replaced."""
     world = await calm_world()
-    mute = next(node for node in world.nodes if not node.election.leads)
+    mute = next(node for node in world.nodes if not node.election.is_controller)
     mute.freeze(60.0)
     world.kill(large_leader(world), dark=False)
     replaced = await _seconds_until(world, lambda: world.standing()["large"] == 1)
--- a/tests/test_join_rules.py
+++ b/tests/test_join_rules.py
@@ -3,8 +3,8 @@
 import pytest
 
 from thorncleat_gateway.groups import join_rules
-from thorncleat_gateway.groups.join_rules import JoinAnswer
-from thorncleat_gateway.groups.join_rules import Place
+from thorncleat_gateway.groups.join_rules import Availability
+from thorncleat_gateway.groups.join_rules import JoinResult
 from thorncleat_gateway.ports import Outcome
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.roster import GroupState
@@ -16,33 +16,33 @@
 @pytest.mark.parametrize(
     ("group", "over", "place"),
     [
-        pytest.param(None, set(), Place.FREE, id="in no group"),
-        pytest.param(NEW, set(), Place.FREE, id="in this group: it takes the order again"),
-        pytest.param(FORMER, set(), Place.TAKEN, id="in a group that may answer"),
-        pytest.param(FORMER, {FORMER}, Place.FREE, id="in a group that is over"),
+        pytest.param(None, set(), Availability.FREE, id="in no group"),
+        pytest.param(NEW, set(), Availability.FREE, id="in this group: it takes the order again"),
+        pytest.param(FORMER, set(), Availability.TAKEN, id="in a group that may answer"),
+        pytest.param(FORMER, {FORMER}, Availability.FREE, id="in a group that is over"),
     ],
 )
 @pytest.mark.parametrize("state", list(GroupState))
 def test_place(group, over, place, state):
     member = Membership(group, 1, state) if group else None
-    assert join_rules.place(member, NEW, over.__contains__) is place
+    assert join_rules.availability(member, NEW, over.__contains__) is place
 
 
 @pytest.mark.parametrize(
     ("outcome", "answer"),
     [
-        (Outcome.BEGUN, JoinAnswer.JOINED),
-        (Outcome.DONE, JoinAnswer.JOINED),
-        (Outcome.CONFLICT, JoinAnswer.STATE_CHANGED),
-        (Outcome.STALE, JoinAnswer.REFUSED),
-        (Outcome.INVALID, JoinAnswer.REFUSED),
+        (Outcome.BEGUN, JoinResult.JOINED),
+        (Outcome.DONE, JoinResult.JOINED),
+        (Outcome.CONFLICT, JoinResult.STATE_CHANGED),
+        (Outcome.STALE, JoinResult.REFUSED),
+        (Outcome.INVALID, JoinResult.REFUSED),
     ],
     ids=lambda value: value.name.lower(),
 )
 def test_answer(outcome, answer):
-    assert join_rules.join_answer(outcome) is answer
+    assert join_rules.join_result(outcome) is answer
 
 
 def test_every_outcome_has_a_meaning():
     for outcome in Outcome:
-        assert join_rules.join_answer(outcome) in JoinAnswer
+        assert join_rules.join_result(outcome) in JoinResult
--- a/tests/test_large_control.py
+++ b/tests/test_large_control.py
@@ -44,7 +44,7 @@
 def lost(monkeypatch):
     found = []
     monkeypatch.setattr(
-        LostEndpoints, "lose", lambda self, endpoint, cause: found.append((endpoint.id, cause))
+        LostEndpoints, "mark_lost", lambda self, endpoint, cause: found.append((endpoint.id, cause))
     )
     return found
 
--- a/tests/test_leader_liveness.py
+++ b/tests/test_leader_liveness.py
@@ -3,7 +3,7 @@
 import pytest
 
 from thorncleat_gateway.groups import leader_liveness
-from thorncleat_gateway.groups.leader_liveness import LIST_AGE_SECONDS
+from thorncleat_gateway.groups.leader_liveness import MAX_LIST_AGE_SECONDS
 from thorncleat_gateway.store.roster import Endpoint
 
 
@@ -12,7 +12,7 @@
     [
         pytest.param(False, 0.1, True, id="a recent list lacks it"),
         pytest.param(True, 0.1, False, id="listed"),
-        pytest.param(False, LIST_AGE_SECONDS, False, id="an old list proves nothing"),
+        pytest.param(False, MAX_LIST_AGE_SECONDS, False, id="an old list proves nothing"),
         pytest.param(False, float("inf"), False, id="nor does one that was never read"),
     ],
 )
@@ -39,12 +39,12 @@
         pytest.param(False, 0.1, False, id="a recent list shows that it isn't"),
         pytest.param(True, 0.1, True, id="it says so"),
         pytest.param(None, 0.1, True, id="some leave without a word: the entry goes"),
-        pytest.param(False, LIST_AGE_SECONDS, True, id="an old list may not show it"),
+        pytest.param(False, MAX_LIST_AGE_SECONDS, True, id="an old list may not show it"),
     ],
 )
 def test_may_be_leaving(draining, list_age, leaving):
     entry = None if draining is None else Endpoint("w0", "narrator", "", "a", draining=draining)
-    assert leader_liveness.may_be_leaving(entry, list_age) is leaving
+    assert leader_liveness.is_possibly_leaving(entry, list_age) is leaving
 
 
 @pytest.mark.parametrize(
@@ -56,4 +56,4 @@
     ],
 )
 def test_dead(listed, heard, dead):
-    assert leader_liveness.is_dead(listed=listed, heard=heard) is dead
+    assert leader_liveness.is_dead(listed=listed, has_contact=heard) is dead
--- a/tests/test_list_growth.py
+++ b/tests/test_list_growth.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from thorncleat_gateway.groups.list_growth import GROWING_SECONDS
+from thorncleat_gateway.groups.list_growth import GROWTH_TIMEOUT_SECONDS
 from thorncleat_gateway.groups.list_growth import ListGrowth
 
 
@@ -10,14 +10,16 @@
     ("listed", "growing"),
     [
         pytest.param([(0.1, 4)], True, id="endpoints are new"),
-        pytest.param([(0.1, 4), (GROWING_SECONDS + 0.1, 4)], False, id="none was added for long"),
         pytest.param(
-            [(0.1, 4), (GROWING_SECONDS + 0.1, 5)], True, id="added after it seemed whole"
+            [(0.1, 4), (GROWTH_TIMEOUT_SECONDS + 0.1, 4)], False, id="none was added for long"
+        ),
+        pytest.param(
+            [(0.1, 4), (GROWTH_TIMEOUT_SECONDS + 0.1, 5)], True, id="added after it seemed whole"
         ),
         pytest.param(
             [(0.1, 4), (0.9, 3), (0.2, 4)], False, id="one that comes back does not count"
         ),
-        pytest.param([(GROWING_SECONDS + 0.1, 0)], False, id="an empty list does not grow"),
+        pytest.param([(GROWTH_TIMEOUT_SECONDS + 0.1, 0)], False, id="an empty list does not grow"),
     ],
 )
 def test_list_growth(listed, growing):
--- a/tests/test_load_rate.py
+++ b/tests/test_load_rate.py
@@ -14,7 +14,7 @@
 
 def _begun(rate, now):
     count = 0
-    while rate.take(ENGINE, now):
+    while rate.reserve(ENGINE, now):
         count += 1
     return count
 
@@ -38,8 +38,8 @@
 
 
 def test_bounds_of_an_engine():
-    assert load_rate.loads_per_second(ENGINE, SETTINGS) == pytest.approx(3.6)
-    assert load_rate.most_saved(ENGINE, SETTINGS) == pytest.approx(7.0)
+    assert load_rate.refill_rate(ENGINE, SETTINGS) == pytest.approx(3.6)
+    assert load_rate.bucket_capacity(ENGINE, SETTINGS) == pytest.approx(7.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -125,10 +125,10 @@
     world = await calm_world()
     node, worker = leading(world), large_leader(world)
     group, former = worker.group, worker.entry()
-    await node.orders.ask(former)
-    seen = node.orders.seen_ready(former, group, former.membership.rank)
+    await node.orders.fetch_report(former)
+    seen = node.orders.was_seen_ready(former, group, former.membership.rank)
     node.view.roster.put(dataclasses.replace(former, born=former.born + 1, membership=None))
-    again = node.orders.seen_ready(former, group, former.membership.rank)
+    again = node.orders.was_seen_ready(former, group, former.membership.rank)
     await world.stop()
     return seen, again
 
@@ -185,7 +185,7 @@
     world.cut_from_store(member, 8.0)
     await world.pass_time(6.0)
     stands = leader.group == group
-    holds = leading(world).controller.term.unlisted.holds
+    holds = leading(world).controller.term.unlisted.has_member
     before = holds(group, 1)
     member.cut_from_store = False
     world.start_again(member)
--- a/tests/test_restored_groups.py
+++ b/tests/test_restored_groups.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from thorncleat_gateway.groups.records import GROUPS
+from thorncleat_gateway.groups.records import GROUPS_PREFIX
 from thorncleat_gateway.groups.term_number import EPOCHS_PER_TERM
 
 from . import virtual_time
@@ -79,7 +79,7 @@
 
 async def _records():
     world, standing, opened, _ = await _store_comes_back_from_before_the_first_term(forget=False)
-    written = [key for key in world.store.items if key.startswith(GROUPS)]
+    written = [key for key in world.store.items if key.startswith(GROUPS_PREFIX)]
     found = world.standing() == standing, world.opened == opened, len(written)
     await world.stop()
     return world, found
@@ -140,9 +140,9 @@
     await world.start()
     await world.pass_time(CALM_SECONDS)
     node = leading(world)
-    lease = node.election.left
+    lease = node.election.lease_seconds_left
     node.view.era.heard(world.store.era + 1)
-    led = node.election.leads
+    led = node.election.is_controller
     await world.stop()
     return lease, led
 
--- a/tests/test_spare_warming.py
+++ b/tests/test_spare_warming.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from thorncleat_gateway.groups.spare_warming import to_warm
+from thorncleat_gateway.groups.spare_warming import spares_to_warm
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.serving import EngineModel
 
@@ -30,7 +30,9 @@
     ],
 )
 def test_spare_is_warmed_with_what_its_host_holds(endpoint, model):
-    assert [found.name for _, found in to_warm([endpoint], [LARGE, SMALL])] == [model] * bool(model)
+    assert [found.name for _, found in spares_to_warm([endpoint], [LARGE, SMALL])] == [
+        model
+    ] * bool(model)
 
 
 async def _lose_a_member(warmed_for: float):
--- a/tests/test_spoilt_records.py
+++ b/tests/test_spoilt_records.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thorncleat_gateway.groups.records import GROUPS
+from thorncleat_gateway.groups.records import GROUPS_PREFIX
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.store.registration import DAEMONS
 from thorncleat_gateway.store.registration import Registration
@@ -63,7 +63,11 @@
         world.add_worker("d0", staged=("large",))
     leader = large_leader(world)
     former = leader.group
-    for key in (f"{GROUPS}{former.epoch}/{former.name}", f"{GROUPS}x/y", f"{GROUPS}7"):
+    for key in (
+        f"{GROUPS_PREFIX}{former.epoch}/{former.name}",
+        f"{GROUPS_PREFIX}x/y",
+        f"{GROUPS_PREFIX}7",
+    ):
         revision = world.store.revision + 1
         world.store.put(key, RecordChanged(key, b"\xc1", revision, revision))
     await world.pass_time(4.0)
--- a/tests/test_taken_addresses.py
+++ b/tests/test_taken_addresses.py
@@ -44,8 +44,8 @@
     joined = await steps.join(ended.entry(), order)
     await world.pass_time(3.0)
     assert other.state is GroupState.READY
-    await node.orders.ask(ended.entry())
-    ready = node.orders.seen_ready(ended.entry(), order.group, 0)
+    await node.orders.fetch_report(ended.entry())
+    ready = node.orders.was_seen_ready(ended.entry(), order.group, 0)
     await world.stop()
     return joined, ready
 
@@ -73,7 +73,7 @@
         world.successors[ended.id] = world.random.choice(free)
         world.add_worker("d0", staged=("large", "small"))
         if world.random.random() < 0.3:
-            leading_now = [node for node in world.nodes if node.election.leads]
+            leading_now = [node for node in world.nodes if node.election.is_controller]
             for node in leading_now:
                 node.freeze(4.0)
         await world.pass_time(world.random.uniform(0.5, 4.0))
