--- a/packages/gateway/src/thorncleat_gateway/groups/call_window.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/call_window.py
@@ -1,13 +1,12 @@
-"""How many calls to endpoints may be under way at once, and which go first.
+"""Limits how many calls to endpoints are under way, and decides which go first.
 
-The load pattern: a controller that forms all groups at once has to call each endpoint several
-times. Sent side by side, the calls wait for the processor longer than for the endpoints, and all of
-them run into their time-outs. So a call begins, and with it its time-out, only when it is its turn,
-and the number under way follows how late the own event loop runs: on a small instance few calls
-fill the processor, on a large one many.
+Calls of a controller that forms many groups at once would wait longer for its processor than for
+the endpoints and run into their timeouts. So a call, and its timeout, begins only when it gets a
+slot, and the number of slots follows the lateness of this daemon's event loop.
 
-Owns: the limit, the calls under way and those that wait.
-Relies on: :class:`.OwnLateness`; each call's own time-out, which bounds how long it is under way.
+Owns: the limit, the number of calls under way, and the waiting calls.
+Relies on: :class:`.OwnLateness`, and each call's own timeout, which bounds how long it holds its
+slot.
 """
 
 import asyncio
@@ -20,43 +19,42 @@
 from ..peers.own_lateness import OwnLateness
 from ..store.roster import GroupId
 
-# calls under way at first
 INITIAL_LIMIT = 16
-# which are always allowed, so that a daemon that is late goes on
+# Always allowed, so that a daemon whose event loop is late still makes progress.
 MIN_LIMIT = 4
-# which are never exceeded: a connection each, of the thousands that a process may have open
+# Each call needs a connection, and a process may open only so many.
 MAX_LIMIT = 128
-# by which the limit shrinks when the own loop is late
+# Factor by which the limit shrinks when this daemon's event loop is late.
 SHRINK_FACTOR = 0.7
 
 
 class Urgency(t.NamedTuple):
-    """The place of a call among those that wait; the least goes first.
+    """Priority of a waiting call; the smallest goes first.
 
-    :param rank: of its kind.
-    :param order: among calls of the same kind.
+    :param rank: rank of the call's kind.
+    :param order: order among calls of the same kind.
     """
 
     rank: int
     order: int = 0
 
 
-# what a group that serves, or should no longer, waits for
+# Calls for groups that serve or must end.
 IMMEDIATE = Urgency(0)
-# what nobody waits for: hosts that load, endpoints that were silent before
+# Calls that nobody waits for: loads, and probes of silent or slow endpoints.
 BACKGROUND = Urgency(2)
 
 
 def forming_urgency(group: GroupId) -> Urgency:
     """Return the urgency of calls that form a group.
 
-    The group that was begun first is whole first: it serves while later ones still wait.
+    Groups that were began_at earlier go first, so that they serve while later ones still wait.
     """
     return Urgency(1, group.epoch)
 
 
 class _WaitingCall(t.NamedTuple):
-    """A call that waits for its turn."""
+    """A call that waits for a slot."""
 
     urgency: Urgency
     number: int
@@ -64,7 +62,7 @@
 
 
 class CallWindow:
-    """Lets calls go when it is their turn."""
+    """Limits the calls under way and orders the waiting ones by urgency."""
 
     def __init__(self, lateness: OwnLateness, clock: t.Callable[[], float]) -> None:
         self._lateness = lateness
@@ -82,23 +80,23 @@
 
     @property
     def waiting(self) -> int:
-        """The number of calls that wait for their turn."""
+        """The number of calls that wait for a slot."""
         return sum(not waiting.slot.done() for waiting in self._waiting)
 
-    def was_late_since(self, instant: float) -> bool:
-        """Return whether the own loop was late since a moment, so that silence proves nothing."""
-        return self._lateness.worst_since(instant) > LATE_SECONDS
+    def was_late_since(self, since: float) -> bool:
+        """Return whether the event loop was late since a time, so that silence proves nothing."""
+        return self._lateness.worst_since(since) > LATE_SECONDS
 
     @contextlib.asynccontextmanager
     async def slot(self, urgency: Urgency) -> t.AsyncIterator[None]:
-        """Wait until a call may be sent, and count it until the block ends."""
+        """Wait for a slot and hold it until the block ends."""
         await self._acquire(urgency)
-        begun = self._clock()
+        began_at = self._clock()
         try:
             yield
         finally:
             self._under_way -= 1
-            self._adapt_limit(begun)
+            self._adapt_limit(began_at)
             self._start_waiting()
 
     async def _acquire(self, urgency: Urgency) -> None:
@@ -111,7 +109,7 @@
             await turn
         except asyncio.CancelledError:
             if turn.done() and not turn.cancelled():
-                # the turn had come: the next one gets it
+                # The slot was already granted, so the next call gets it.
                 self._under_way -= 1
                 self._start_waiting()
             raise
@@ -123,13 +121,14 @@
                 self._under_way += 1
                 turn.set_result(None)
 
-    def _adapt_limit(self, begun: float) -> None:
-        """Change the limit by how late the own loop was during a call.
+    def _adapt_limit(self, began_at: float) -> None:
+        """Adjust the limit by the event loop's lateness during a call.
 
-        :param begun: when the call began; one that began before the limit shrank says nothing new.
+        :param began_at: when the call began. The limit shrinks only for calls that began after it
+            last shrank.
         """
-        if not self.was_late_since(begun):
+        if not self.was_late_since(began_at):
             self._limit = min(MAX_LIMIT, self._limit + 1 / self._limit)
-        elif begun >= self._shrunk_at:
+        elif began_at >= self._shrunk_at:
             self._limit = max(MIN_LIMIT, self._limit * SHRINK_FACTOR)
             self._shrunk_at = self._clock()
--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -1,11 +1,11 @@
-"""Keeping the groups of all fabric domains as the layout wants them.
+"""Keeps the groups of all fabric domains as the layout requires.
 
-The daemon that holds the controller's lease plans a few times a second and on each change of the
-list. All daemons observe the domains' sizes, for when one of them becomes the controller.
+The daemon that holds the controller's lease plans at a fixed interval and on each change of the
+list. All daemons observe the domains' sizes, since each may become the controller.
 
-Owns: the present term, and the sizes of the fabric domains.
-Relies on: :class:`.Election` for whether this daemon controls and knows what was recorded before
-its term, :class:`.Planner` for each plan.
+Owns: the current term, and the sizes of the fabric domains.
+Relies on: :class:`.Election` for whether this daemon is the controller and its view has caught up,
+:class:`.Planner` for each plan.
 """
 
 import asyncio
@@ -26,18 +26,17 @@
 from .term import Term
 from .term import TermFactory
 
-# between two plans while the list doesn't change, in seconds
+# Interval between two plans while the list doesn't change.
 PLAN_INTERVAL_SECONDS = 0.25
-# pauses between plans, in times the last one's duration: with hundreds of endpoints a plan at each
-# change of the list would leave a small instance no time for its orders
+# Pause after a plan, as a multiple of its duration, which leaves a small instance time for orders.
 PLAN_PAUSE_FACTOR = 3.0
 
 
 class Controller(mode.Service):
-    """Plans, and carries plans out, while this daemon holds the controller's lease.
+    """Plans and carries out plans while this daemon holds the controller's lease.
 
-    :param before_requests: returns whether no caller has sent anything since the very first
-        start of the whole system.
+    :param before_requests: returns whether no caller has sent a request yet since the system's
+        first start.
     """
 
     def __init__(
@@ -65,7 +64,7 @@
 
     @property
     def term(self) -> Term | None:
-        """The newest term of this daemon; None before the first."""
+        """The latest term of this daemon; None before the first."""
         return self._planner.term if self._planner is not None else None
 
     @mode.Service.task
@@ -79,20 +78,20 @@
                 self._observe_sizes()
             if not is_active:
                 continue
-            begun = self._clock()
+            started_at = self._clock()
             planner = self._current_planner()
             try:
                 self._plan(planner)
             except Exception as error:
                 events.TASK_FAILED.log(task="plan", reason=repr(error))
-            await asyncio.sleep(PLAN_PAUSE_FACTOR * (self._clock() - begun))
+            await asyncio.sleep(PLAN_PAUSE_FACTOR * (self._clock() - started_at))
 
     def _observe_sizes(self) -> None:
         self._observed_at = self._clock()
         self._sizes.observe(self._view.roster.endpoints.values())
 
     async def on_stop(self) -> None:
-        """End what is under way."""
+        """Cancel the jobs of the latest term."""
         self._cancel()
 
     def _cancel(self) -> None:
@@ -100,12 +99,12 @@
             self.term.jobs.cancel()
 
     def _current_planner(self) -> Planner:
-        """Return the planner of the present term, a new one if the term has just begun."""
-        planner, begun = self._planner, self._election.term
-        assert begun is not None
-        if planner is None or planner.term.begun != begun:
+        """Return the planner of the current term; create it if the term has just begun."""
+        planner, position = self._planner, self._election.term
+        assert position is not None
+        if planner is None or planner.term.position != position:
             self._cancel()
-            term = self._terms.begin(begun, self._wake.set)
+            term = self._terms.begin(position, self._wake.set)
             inspector = GroupInspector(self._view, term, self._clock)
             planner = Planner(self._view, self._sizes, term, inspector, self._before_requests)
             self._planner = planner
@@ -123,5 +122,5 @@
         planner = self._planner
         if planner is None or not self._election.is_controller:
             return
-        if planner.term.begun == self._election.term:
+        if planner.term.position == self._election.term:
             planner.inspector.examine(suspicion.group)
--- a/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
@@ -1,10 +1,10 @@
-"""How large each fabric domain is, remembered beyond a loss of endpoints.
+"""The size of each fabric domain, held for some time after a loss of endpoints.
 
-A layout for the endpoints that are left after a loss would change with each of them, so a domain
-keeps the size that it had lately.
+A layout that followed each loss would change with every endpoint, so a domain keeps its recent
+size for a while.
 
 Owns: the largest recent size of each fabric domain.
-Relies on: being shown the list often, on each daemon, so that a new controller knows the sizes.
+Relies on: frequent calls with the list on each daemon, so that a new controller has the sizes.
 """
 
 import collections
@@ -13,13 +13,16 @@
 
 from ..store.roster import Endpoint
 
-# after which a domain that has become smaller gets the layout of its new size, in seconds
+# How long a domain that has shrunk keeps the layout of its former size.
 SIZE_TTL_SECONDS = 15.0
 
 
 @dataclasses.dataclass(frozen=True)
 class DomainSize:
-    """How many endpoints a fabric domain had at most, and when."""
+    """The largest recent number of endpoints of a fabric domain.
+
+    :param at: when the domain last had that size.
+    """
 
     domain: str
     service: str
@@ -29,7 +32,7 @@
 
 
 class DomainSizes:
-    """Remembers the largest recent size of each fabric domain."""
+    """Holds the largest recent size of each fabric domain."""
 
     def __init__(self, clock: t.Callable[[], float]) -> None:
         self._clock = clock
@@ -53,7 +56,7 @@
                 self._sizes[domain] = DomainSize(domain, service, failure_domain, count, now)
 
     def of_service(self, service: str, present: t.Container[str]) -> list[DomainSize]:
-        """Return the domains of a service that have endpoints or had some lately.
+        """Return the sizes of a service's domains that have endpoints or had some recently.
 
         :param present: the domains that have listed endpoints now.
         """
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -1,14 +1,12 @@
-"""Which daemon controls the groups: a record under a lease in the store.
+"""Election of the daemon that controls the groups, by a record under a lease in the store.
 
-The controller's term is the store's position at which its record was created. It rises with
-each controller, so nothing has to be counted in the store.
-
-A term ends with the era of the store in which it began: what the store lost may have been this
-daemon's record, and its revision may be that of another's by then.
+The controller's term is the store's position at which its record was created, so it rises with
+each controller. A term ends with the store's era in which it began, because a restored store may
+have lost this daemon's record.
 
 Owns: this daemon's lease, and until when it may act as controller.
-Relies on: the store's leases; a steady clock here that drifts by :data:`MAX_CLOCK_DRIFT` at most from
-the store's.
+Relies on: the store's leases, and a steady clock whose rate differs from the store's by at most
+:data:`MAX_CLOCK_DRIFT`.
 """
 
 import asyncio
@@ -29,43 +27,43 @@
 from ..store.view import StoreView
 
 CONTROLLER_KEY = "thorncleat/controller"
-# after a failed call to the store, in seconds
+# Pause after a failed call to the store.
 RETRY_INTERVAL_SECONDS = 0.3
-# between two looks at whether there is a controller, in seconds
+# Interval between two checks whether there is a controller.
 POLL_INTERVAL_SECONDS = 0.05
-# how much later each further candidate tries to become controller, in seconds
+# Delay between the attempts of two successive candidates.
 CANDIDATE_DELAY_SECONDS = 0.15
-# part of the largest capacity of all daemons from which on a candidate is preferred
+# Share of the largest capacity of all daemons from which a candidate is preferred.
 PREFERRED_CAPACITY_SHARE = 0.5
-# without a change of the store's view, for which a daemon rests that sees a controller, in seconds
+# Longest wait for a change of the view while there is a controller.
 CHANGE_WAIT_SECONDS = 0.25
-# times that a lease is renewed before it could run out
 RENEWALS_PER_LEASE = 4
-# how much faster one instance's clock may run than another's, as a part
+# Largest relative difference between the clock rates of two instances.
 MAX_CLOCK_DRIFT = 0.01
 
 
 def lease_deadline(sent_at: float, lease: float, margin: float) -> float:
-    """Return the moment on this daemon's clock at which it stops acting as controller.
+    """Return the time on this daemon's clock at which it stops acting as controller.
 
-    The store counts the lease from a moment after the call was sent, on a clock that may run
-    faster, so this daemon stops before anybody else can become controller.
+    The store's lease starts after the call was sent, on a clock that may run faster, so this
+    daemon stops before another one can become controller.
 
-    :param sent_at: when the call was sent that granted or renewed the lease.
-    :param lease: the lease's time to live, in seconds.
-    :param margin: seconds before its end.
+    :param sent_at: when the call that granted or renewed the lease was sent.
+    :param lease: the lease's TTL in seconds.
+    :param margin: seconds by which this daemon stops before the lease expires.
     """
     return sent_at + (lease - margin) * (1 - MAX_CLOCK_DRIFT)
 
 
 def candidate_rank(candidate: str, capacities: t.Mapping[str, float], version: int) -> int:
-    """Return a daemon's place among those that may become controller; 0 is the first.
+    """Return a daemon's rank among the candidates; 0 tries first.
 
-    Those with much capacity come first: to form the groups of hundreds of endpoints takes a small
-    instance longer than its calls may take. Among them the order differs from one version of the
-    list to the next, so that it isn't always the same daemon that tries first.
+    Daemons with much capacity come first, since a small instance may not form the groups of
+    hundreds of endpoints within its calls' timeouts. Otherwise the order changes with the version
+    of the list, so that different daemons try first.
 
-    :param capacities: of all daemons that are known, with the candidate.
+    :param capacities: capacity by daemon, including the candidate.
+    :param version: version of the view.
     """
     enough = PREFERRED_CAPACITY_SHARE * max(capacities.values())
     ranked = rendezvous.ranked(f"controller/{version}", capacities)
@@ -73,20 +71,20 @@
 
 
 def can_campaign(absent_seconds: float, rank: int) -> bool:
-    """Return whether a candidate tries to become controller now.
+    """Return whether a candidate may try to become controller now.
 
-    They take turns, since each attempt costs a write and only one can succeed.
+    Candidates try one after the other, since each attempt costs a write and only one can succeed.
 
-    :param absent_for: seconds for which there has been no controller.
-    :param place: the candidate's place.
+    :param absent_seconds: seconds for which there has been no controller.
+    :param rank: the candidate's rank.
     """
     return absent_seconds >= CANDIDATE_DELAY_SECONDS * rank
 
 
 class Election(mode.Service):
-    """Tries to become controller whenever there is none, and keeps the lease.
+    """Tries to become controller whenever there is none, and renews the lease.
 
-    :param capacities: returns the capacity of each daemon that is known, this one among them.
+    :param capacities: returns the capacity of each known daemon, including this one.
     """
 
     def __init__(
@@ -104,10 +102,10 @@
         self._clock = clock
         self._capacities = capacities
         self._deadline = float("-inf")
-        # None while there is a controller
+        # None while there is a controller.
         self._absent_since: float | None = None
         self.term: Position | None = None
-        # set by a daemon that stops, to give the control away
+        # Set when this daemon stops, to hand over control.
         self.stopping = False
 
     @property
@@ -119,17 +117,17 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the view shows this term's record, and so all that was recorded before it.
+        """Whether the view shows this term's record, and so all earlier records.
 
-        A daemon may see that there is no controller, and get the lease only after another one
-        came and went; then its view still lacks the groups which that one recorded.
+        Another controller may have come and gone before this daemon got the lease; until the view
+        has caught up it lacks the groups which that controller recorded.
         """
         record = self._view.records.get(CONTROLLER_KEY)
         return record is not None and self._view.position_of(record) == self.term
 
     @property
     def lease_seconds_left(self) -> float:
-        """Seconds for which this daemon may act as controller, unless the lease is renewed."""
+        """Seconds until this daemon stops acting as controller unless it renews the lease."""
         return max(0.0, self._deadline - self._clock())
 
     @mode.Service.task
@@ -138,7 +136,7 @@
             try:
                 await self._poll()
             except StoreError:
-                # the store is away; the next turn tries again
+                # The store is unavailable; the next poll tries again.
                 await asyncio.sleep(RETRY_INTERVAL_SECONDS)
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
@@ -174,10 +172,11 @@
             self._absent_since = None
 
     async def _create_record(self, lease: Lease) -> Position | None:
-        """Return the term if the record was written under a lease, None otherwise.
+        """Create the controller's record under a lease; return the term, or None on failure.
 
-        A record that is found after a call without an answer may be that of a former life of this
-        daemon, so it isn't looked for: the lease ends, and the record with it if it was written.
+        After a call without an answer, a record with this daemon's id may be from an earlier
+        process of this daemon. So the lease is revoked, which also deletes the record if it was
+        written.
         """
         try:
             return await self._records.create(CONTROLLER_KEY, self._settings.id.encode(), lease)
@@ -192,7 +191,7 @@
             if self._view.era.is_over(term.era):
                 return
             if self.stopping:
-                # the next controller may act before the store's answer comes, or without it
+                # The next controller may act before the store's answer arrives here.
                 self._deadline = float("-inf")
                 await self._records.end(lease)
                 return
@@ -200,10 +199,10 @@
             try:
                 await self._records.renew(lease)
             except LeaseGoneError:
-                # the term is over, and its end is logged
+                # The term is over; the caller logs its end.
                 return
             except StoreError:
-                # the lease may be over; once it could be, the record says whether it is
+                # The lease may have expired; after the deadline the record shows whether it has.
                 if not self.is_controller and await self._is_term_over(term):
                     return
                 continue
@@ -214,7 +213,7 @@
         try:
             found = await self._records.find(CONTROLLER_KEY)
         except StoreError:
-            # not known; it is asked again after the next renewal that fails
+            # Unknown; checked again after the next renewal that fails.
             return False
         return found is None or found.created != term.revision
 
--- a/packages/gateway/src/thorncleat_gateway/groups/ended.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -1,11 +1,11 @@
-"""Groups that the controller is ending: no daemon sends them requests.
+"""The groups that the controller is ending; no daemon sends them requests.
 
-A group that is ended never serves again, so what the controller says of it is kept until the
-list shows the same. Without it each daemon would try a dead leader anew whenever its own
-suspicion had run out, and all at once, since that leader has the least load.
+Without the controller's message each daemon would try a dead leader again whenever its own
+suspicion ran out.
 
-Owns: until when each group that is being ended is left alone, and when the others were told.
-Relies on: the controller's repeating itself (:meth:`.GroupEnding.broadcast`); datagrams are lost.
+Owns: until when each group that is being ended gets no requests, and when it was last broadcast.
+Relies on: the controller's repeated messages (:meth:`.GroupEnding.broadcast`), since datagrams may
+be lost.
 """
 
 import dataclasses
@@ -16,19 +16,19 @@
 from ..peers.datagrams import PeerChannel
 from ..store.roster import GroupId
 
-# after the controller's last message, in seconds; if it was wrong, or another controls by now,
-# the group is used again
+# How long a group stays excluded after the controller's last message; after that it is used again,
+# in case that controller has been replaced.
 ENDED_TTL_SECONDS = 3.0
-# between two messages on a group, in seconds
+# Interval between two messages about the same group.
 BROADCAST_INTERVAL_SECONDS = 0.5
 
 
 @dataclasses.dataclass
 class _EndedGroup:
-    """What is kept of a group that is being ended.
+    """State of a group that is being ended.
 
-    :param until: when it may be used again.
-    :param told_at: when this daemon last told the others.
+    :param until: when the group may be used again.
+    :param sent_at: when this daemon last broadcast the message about it.
     """
 
     until: float
@@ -36,7 +36,7 @@
 
 
 class EndedGroups:
-    """Tells the other daemons, and remembers what they told."""
+    """Broadcasts which groups are being ended, and holds those reported by other daemons."""
 
     def __init__(self, peers: PeerChannel, clock: t.Callable[[], float]) -> None:
         self._peers = peers
@@ -49,7 +49,7 @@
         return entry is not None and entry.until > self._clock()
 
     def broadcast(self, group: GroupId) -> None:
-        """Tell the other daemons that this one, the controller, is ending a group."""
+        """Broadcast that this daemon, the controller, is ending a group."""
         now = self._clock()
         entry = self._refresh(group)
         if now - entry.sent_at >= BROADCAST_INTERVAL_SECONDS:
--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -1,12 +1,12 @@
-"""Ending groups: making sure that a group answers no more before its members are free.
+"""Ends groups: ensures that a group no longer answers before its members are released.
 
-Only leaders are ordered to leave. A group counts as ended when its leader has left, its process
-has ended, or it is dead (:mod:`.leader_liveness`). Which groups are ended, and why, is decided in
-:mod:`.group_health`.
+Only leaders are ordered to leave. A group has ended when its leader has left, its leader's process
+has ended, or its leader is dead (:mod:`.leader_liveness`). :mod:`.group_health` decides which
+groups are ended and why.
 
 Owns: which groups are being ended.
-Relies on: the group's record for its leader, and on endpoints that refuse an order to leave a
-group that they are not in.
+Relies on: the group's record for its leader, and on endpoints to refuse an order to leave a group
+that they are not in.
 """
 
 import asyncio
@@ -32,14 +32,14 @@
 from .records import Detached
 from .records import GroupRecords
 
-# for the requests of a draining group to end, in seconds
+# How long the requests of a draining group may take to finish.
 DRAIN_TIMEOUT_SECONDS = 6.0
 
 
 class GroupEnding:
-    """Ends groups, and knows which are being ended.
+    """Ends groups and holds those that are being ended.
 
-    :param start: runs a coroutine beside the others of the controller.
+    :param start: starts a background job of the term.
     """
 
     def __init__(
@@ -63,14 +63,14 @@
         return group in self._under_way
 
     def broadcast(self) -> None:
-        """Tell the other daemons which groups are being ended."""
+        """Broadcast to the other daemons which groups are being ended."""
         for group in self._under_way:
             self._ended.broadcast(group)
 
     def end(self, group: GroupId, reason: EndReason, members: t.Sequence[Endpoint]) -> None:
         """Begin to end a group.
 
-        :param members: those that are known, for the log.
+        :param members: the members that are listed, for the log.
         """
         self._under_way.add(group)
         self._ended.broadcast(group)
@@ -83,11 +83,11 @@
         self._start(self._detach(group, reason.is_graceful))
 
     async def _detach(self, group: GroupId, is_graceful: bool) -> None:
-        """Make sure that a group answers no more, and set its members free.
+        """Ensure that a group no longer answers, and release its members.
 
-        :param graceful: let the requests end that it has.
+        :param graceful: whether to let its requests finish first.
         """
-        begun = self._clock()
+        started_at = self._clock()
         try:
             how = Detached.NO_RECORD
             leader = self._records.leader(group)
@@ -96,27 +96,27 @@
                     await self._drain(leader, group)
                 how = await self._detach_leader(leader, group)
             self._records.end(group, how)
-            seconds = round(self._clock() - begun, 3)
+            seconds = round(self._clock() - started_at, 3)
             events.GROUP_DETACHED.log(group=group.name, how=how.value, seconds=seconds)
         finally:
             self._under_way.discard(group)
 
     async def _drain(self, leader: Endpoint, group: GroupId) -> None:
-        """Let a leader finish its requests."""
-        until = self._clock() + DRAIN_TIMEOUT_SECONDS
+        """Order a leader to finish its requests, and wait until it has or the timeout passes."""
+        deadline = self._clock() + DRAIN_TIMEOUT_SECONDS
         try:
             await self._orders.send(leader, Close(group))
         except EndpointError:
-            # the order to leave that follows finds out what has become of it
+            # The order to leave that follows determines the leader's state.
             return
-        while self._clock() < until:
+        while self._clock() < deadline:
             member = self._orders.listed_membership(leader)
             if member is None or member.group != group or member.state is GroupState.READY:
                 return
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _detach_leader(self, leader: Endpoint, group: GroupId) -> Detached:
-        """Make a leader leave, or wait until it is dead."""
+        """Order a leader to leave its group until it has left, has ended, or is dead."""
         while True:
             try:
                 outcome = await self._orders.send(leader, Leave(group))
--- a/packages/gateway/src/thorncleat_gateway/groups/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -1,9 +1,7 @@
-"""The rules for which endpoints of a fabric domain form which groups, and what spares load.
+"""Rules for which endpoints of a fabric domain form which groups, and which models spares load.
 
-Pure. The layout says how many groups of each model a domain should carry; compared with what
-stands there, that gives the groups to form and the models to load now. A group takes seconds
-if its hosts hold the model, and a load from the weight store takes many times as long; so hosts
-that hold the model are what all rules here save.
+A load from the weight store takes far longer than forming a group from hosts that hold the model,
+so the rules prefer such hosts.
 
 Owns: no state.
 Relies on: :mod:`.planner` for the views of the domains.
@@ -17,15 +15,15 @@
 from ..store.roster import Endpoint
 from ..store.serving import EngineModel
 
-# part of a domain's endpoints that is kept free where it carries several models
+# Share of a domain's endpoints that stays free if the domain carries several models.
 MIXED_SPARE_SHARE = 0.2
-# domains for each model from which on each domain carries one model
+# Number of domains per model from which each domain carries a single model.
 MIN_DOMAINS_PER_MODEL = 2
-# part of a domain's hosts that hold a model, for the domain to go on carrying it
+# Share of a domain's hosts that must hold a model for the domain to keep it.
 MIN_HOLDING_SHARE = 0.5
 
 Layout = dict[str, collections.Counter[str]]
-# higher for a model that lacks more groups over all domains
+# Returns the share of a model's groups that is missing over all domains.
 Scarcity = t.Callable[[EngineModel], float]
 
 
@@ -33,7 +31,7 @@
 class GroupPlan:
     """A group to be formed.
 
-    :param members: the leader first.
+    :param members: the members by rank, the leader first.
     """
 
     domain: str
@@ -42,7 +40,7 @@
 
     @property
     def cold_members(self) -> list[Endpoint]:
-        """The members whose hosts have to load the model from the weight store."""
+        """The members whose hosts must load the model from the weight store."""
         return [member for member in self.members if self.model.name not in member.staged]
 
 
@@ -56,14 +54,14 @@
 
 @dataclasses.dataclass
 class DomainView:
-    """What is known of one fabric domain.
-
-    :param size: endpoints that it has had lately.
-    :param standing: groups by model that serve or are being formed.
-    :param free: endpoints that may join a group.
-    :param weak: endpoints that may, but will probably end soon; they never lead.
-    :param slow: endpoints that may, after all others that hold the model; before those that don't.
-    :param holding: hosts by the model that they hold.
+    """The state of one fabric domain, as a plan sees it.
+
+    :param size: largest recent number of endpoints.
+    :param active_groups: number of groups that serve or are being formed, by model.
+    :param free: endpoints that may lead or join a group.
+    :param expiring: endpoints that may join a group but will probably end soon; they never lead.
+    :param slow: endpoints that may join a group only after the others that hold the model.
+    :param hosts_by_model: number of hosts that hold each model.
     :param staging: model that is being loaded onto the host, by endpoint id.
     """
 
@@ -81,7 +79,7 @@
 
 
 class _Cost(enum.IntEnum):
-    """What it costs to use an endpoint for a model, the least first."""
+    """Cost of using an endpoint for a model, from lowest to highest."""
 
     ENGINE_HAS_MODEL = 0
     HOST_HAS_MODEL = 1
@@ -94,11 +92,11 @@
 def compute_layout(views: t.Sequence[DomainView], models: t.Sequence[EngineModel]) -> Layout:
     """Return how many groups of each model each domain should carry.
 
-    Where there are domains enough, each carries one model: then every free endpoint there is
-    a spare that holds what the next loss needs.
+    With enough domains, each carries a single model, so that every free endpoint of a domain can
+    replace any lost member there.
     """
     useful = [model for model in models if model.share > 0]
-    # a domain that has lost most of its endpoints must not change what the others carry
+    # The largest domain decides, so that a loss in one domain doesn't change all the others.
     largest = max((view.size for view in views), default=0)
     all_models_fit = all(model.size <= largest for model in useful)
     if useful and all_models_fit and len(views) >= MIN_DOMAINS_PER_MODEL * len(useful):
@@ -112,16 +110,16 @@
 def _assign_models(
     views: t.Sequence[DomainView], models: t.Sequence[EngineModel]
 ) -> list[tuple[DomainView, EngineModel]]:
-    """Give each domain one model, by the models' shares of all endpoints.
+    """Assign one model to each domain, by the models' shares of all endpoints.
 
-    A domain keeps the model that most of its hosts hold; the others are spread over the
-    failure domains.
+    A domain keeps the model that most of its hosts hold. The remaining domains of a model are
+    spread over the failure domains.
     """
     total = sum(view.size for view in views)
     shares = sum(model.share for model in models)
-    # endpoints that a model still lacks for its share
+    # Number of endpoints that each model still needs to reach its share.
     shortfall = {model.name: total * model.share / shares for model in models}
-    domains_by_place: collections.Counter[tuple[str, str]] = collections.Counter()
+    domain_counts: collections.Counter[tuple[str, str]] = collections.Counter()
     assigned: list[tuple[DomainView, EngineModel]] = []
     unassigned = sorted(
         views, key=lambda view: (-max(view.hosts_by_model.values(), default=0), view.name)
@@ -130,29 +128,29 @@
     def assign(view: DomainView, model: EngineModel) -> None:
         assigned.append((view, model))
         shortfall[model.name] -= view.size
-        domains_by_place[model.name, view.failure_domain] += 1
+        domain_counts[model.name, view.failure_domain] += 1
         unassigned.remove(view)
 
     for view in list(unassigned):
         for model in models:
-            keeps = view.hosts_by_model[model.name] >= MIN_HOLDING_SHARE * view.size
-            if keeps and shortfall[model.name] >= view.size / 2:
+            holds_model = view.hosts_by_model[model.name] >= MIN_HOLDING_SHARE * view.size
+            if holds_model and shortfall[model.name] >= view.size / 2:
                 assign(view, model)
                 break
     while unassigned:
         model = max(models, key=lambda model: (shortfall[model.name], model.name))
         name = model.name
         view = min(
-            unassigned, key=lambda view: (domains_by_place[name, view.failure_domain], view.name)
+            unassigned, key=lambda view: (domain_counts[name, view.failure_domain], view.name)
         )
         assign(view, model)
     return assigned
 
 
 def _mix_models(views: t.Sequence[DomainView], models: t.Sequence[EngineModel]) -> Layout:
-    """Give each domain several models, and keep some of its endpoints as spares.
+    """Assign several models to each domain and keep some of its endpoints as spares.
 
-    Each step goes to the model that has the fewest endpoints for its share over all domains.
+    Each group goes to the model that has the fewest endpoints for its share over all domains.
     """
     assigned_endpoints: collections.Counter[str] = collections.Counter()
 
@@ -161,19 +159,19 @@
 
     result: Layout = {}
     for view in sorted(views, key=lambda view: view.name):
-        counts: collections.Counter[str] = collections.Counter()
-        room = view.size - int(view.size * MIXED_SPARE_SHARE)
-        while fitting := [model for model in models if model.size <= room]:
+        groups: collections.Counter[str] = collections.Counter()
+        capacity = view.size - int(view.size * MIXED_SPARE_SHARE)
+        while fitting := [model for model in models if model.size <= capacity]:
             model = min(fitting, key=coverage)
-            counts[model.name] += 1
+            groups[model.name] += 1
             assigned_endpoints[model.name] += model.size
-            room -= model.size
-        result[view.name] = counts
+            capacity -= model.size
+        result[view.name] = groups
     return result
 
 
 def _cost(endpoint: Endpoint, model: str, staging: t.Mapping[str, str]) -> _Cost:
-    """Return what it costs to use an endpoint for a model.
+    """Return the cost of using an endpoint for a model.
 
     :param staging: model that is being loaded onto the host, by endpoint id.
     """
@@ -186,20 +184,20 @@
 
 
 def _choose_members(model: EngineModel, view: DomainView) -> list[Endpoint]:
-    """Return members for a group, those with the model on their host first.
+    """Return members for a group; fewer than the model's size if there aren't enough.
 
-    Weak ones come before those that would have to load it, and never lead. Slow ones come last of
-    those with the model, and last of those without.
+    Endpoints whose host holds the model come first: free ones, expiring ones, slow ones. Expiring
+    endpoints join only a group led by a free one that holds the model.
     """
     name = model.name
     free = sorted(view.free, key=lambda free: (_cost(free, name, view.staging), free.id))
     warm = [endpoint for endpoint in free if name in endpoint.staged]
-    cold_members = [endpoint for endpoint in free if name not in endpoint.staged]
+    cold = [endpoint for endpoint in free if name not in endpoint.staged]
     expiring = [endpoint for endpoint in view.expiring if name in endpoint.staged] if warm else []
     slow = sorted(view.slow, key=lambda slow: (_cost(slow, name, view.staging), slow.id))
     slow_warm = [endpoint for endpoint in slow if name in endpoint.staged]
     slow_cold = [endpoint for endpoint in slow if name not in endpoint.staged]
-    return [*warm, *expiring, *slow_warm, *cold_members, *slow_cold][: model.size]
+    return [*warm, *expiring, *slow_warm, *cold, *slow_cold][: model.size]
 
 
 def groups_to_form(
@@ -210,10 +208,10 @@
 ) -> list[GroupPlan]:
     """Return the groups to form now in a domain.
 
-    A group whose members all hold the model on their hosts comes first, since it stands in
-    seconds; among equals the model that is scarcest.
+    Groups with the fewest members that must load the model come first, then those of the scarcest
+    model.
 
-    :param target: groups by model that the layout gives this domain.
+    :param target: number of groups by model that the layout assigns to this domain.
     """
     remaining = dataclasses.replace(
         view, free=list(view.free), expiring=list(view.expiring), slow=list(view.slow)
@@ -228,13 +226,17 @@
                 options.append(GroupPlan(view.name, model, tuple(members)))
         if not options:
             return result
-        assigned = min(
+        plan = min(
             options,
-            key=lambda plan: (len(plan.cold_members), -scarcity(plan.model), plan.model.name),
+            key=lambda option: (
+                len(option.cold_members),
+                -scarcity(option.model),
+                option.model.name,
+            ),
         )
-        result.append(assigned)
-        missing[assigned.model.name] -= 1
-        used = {member.id for member in assigned.members}
+        result.append(plan)
+        missing[plan.model.name] -= 1
+        used = {member.id for member in plan.members}
         remaining.free = [endpoint for endpoint in remaining.free if endpoint.id not in used]
         remaining.expiring = [
             endpoint for endpoint in remaining.expiring if endpoint.id not in used
@@ -248,25 +250,26 @@
     models: t.Sequence[EngineModel],
     spares: t.Sequence[Endpoint],
 ) -> list[LoadPlan]:
-    """Return what the hosts of spare endpoints should load: the model that lacks a spare most.
+    """Return the loads to begin on the hosts of spare endpoints.
 
-    A host that holds a model which this domain carries is left alone.
+    Each host loads the model with the fewest spares for its endpoints in groups. A host that holds
+    a model of this domain loads nothing.
 
-    :param target: groups by model that the layout gives this domain.
-    :param spares: free endpoints that no group of the plan takes.
+    :param target: number of groups by model that the layout assigns to this domain.
+    :param spares: free endpoints that no planned group uses.
     """
     carried = [model for model in models if target[model.name] > 0]
     names = {model.name for model in carried}
-    # the larger a model's groups are, the likelier it is to lose a member
-    risk = {model.name: model.size * target[model.name] for model in carried}
-    hosts_by_model: collections.Counter[str] = collections.Counter()
+    # Number of endpoints in groups of each model; each of them may need a spare.
+    endpoints_at_risk = {model.name: model.size * target[model.name] for model in carried}
+    spares_by_model: collections.Counter[str] = collections.Counter()
     for endpoint in spares:
-        hosts_by_model.update(names.intersection(endpoint.staged))
+        spares_by_model.update(names.intersection(endpoint.staged))
         if endpoint.id in view.staging:
-            hosts_by_model[view.staging[endpoint.id]] += 1
+            spares_by_model[view.staging[endpoint.id]] += 1
 
     def spare_coverage(model: EngineModel) -> tuple[float, str]:
-        return (hosts_by_model[model.name] + 1) / risk[model.name], model.name
+        return (spares_by_model[model.name] + 1) / endpoints_at_risk[model.name], model.name
 
     result: list[LoadPlan] = []
     for endpoint in spares:
@@ -274,6 +277,6 @@
         if held or endpoint.id in view.staging or not carried:
             continue
         model = min(carried, key=spare_coverage)
-        hosts_by_model[model.name] += 1
+        spares_by_model[model.name] += 1
         result.append(LoadPlan(endpoint, model))
     return result
--- a/packages/gateway/src/thorncleat_gateway/groups/forming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming.py
@@ -1,14 +1,14 @@
-"""Forming groups: a record, joins that hold only for what was seen, and opening.
+"""Forms groups.
 
-- An epoch is never given twice, and a later controller's epochs are higher.
+- Each epoch is used once, and a later controller's epochs are higher.
 - A group is recorded in the store before its first order.
-- An order to join names the number of orders that the engine had begun when it was seen free.
-- A group is opened only after each member was seen ready under its name and epoch.
+- An order to join names the number of orders that the engine had started_at when it was seen free.
+- A group is opened only after each member was seen ready under the group's name and epoch.
 
-A group that could not be formed is ended like any other, since its leader may yet answer.
+A group that could not be formed is ended like any other, since its leader may still open later.
 
-Owns: no state; what is being formed stands in :mod:`.forming_state`.
-Relies on: :mod:`.formation` for which group to form, :mod:`.group_steps` for how.
+Owns: no state; :mod:`.forming_state` holds the groups that are being formed.
+Relies on: :mod:`.formation` for which group to form, :mod:`.group_steps` for the steps.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 class FailedStep(enum.Enum):
-    """The step at which a group could not be formed; logged as ``step`` of event 7205."""
+    """The step at which forming a group failed; logged as ``step`` of event 7205."""
 
     RECORD = "record"
     JOIN = "join"
@@ -39,7 +39,7 @@
 class GroupForming:
     """Forms groups.
 
-    :param start: runs a coroutine beside the others of the controller.
+    :param start: starts a background job of the term.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._start = start
 
     def form(self, plan: GroupPlan) -> None:
-        """Begin to form a group."""
+        """Start forming a group."""
         group = self._state.begin(plan)
         events.GROUP_FORMING.log(
             group=group.name,
@@ -71,15 +71,15 @@
         self._start(self._run(group, plan))
 
     async def _run(self, group: GroupId, plan: GroupPlan) -> None:
-        begun = self._clock()
+        started_at = self._clock()
         try:
             if not await self._record(group, plan):
                 return
             joined = await self._join(group, plan)
             if all(joined) and await self._steps.wait_ready(group, plan):
-                await self._open(group, plan, begun)
+                await self._open(group, plan, started_at)
                 return
-            seconds = round(self._clock() - begun, 3)
+            seconds = round(self._clock() - started_at, 3)
             events.GROUP_FAILED.log(
                 group=group.name, step=FailedStep.JOIN.value, joined=joined, seconds=seconds
             )
@@ -89,7 +89,7 @@
             self._state.finish(group)
 
     async def _record(self, group: GroupId, plan: GroupPlan) -> bool:
-        """Write the group's record; without it no member may be ordered to join."""
+        """Write the group's record, which must exist before any member is ordered to join."""
         try:
             written = await self._records.begin(group, plan)
             cause = "no longer the controller"
@@ -101,16 +101,16 @@
         return written
 
     async def _join(self, group: GroupId, plan: GroupPlan) -> list[bool]:
-        """Order all members into the group at once; return which of them are in it."""
+        """Order all members into the group concurrently; return for each whether it has joined."""
         order = Join(group, plan.model.name, tuple(member.id for member in plan.members))
         joined = await asyncio.gather(*(self._steps.join(member, order) for member in plan.members))
-        for member, is_in in zip(plan.members, joined, strict=True):
-            if not is_in:
+        for member, has_joined in zip(plan.members, joined, strict=True):
+            if not has_joined:
                 self._state.record_refusal(member.id)
         return joined
 
-    async def _open(self, group: GroupId, plan: GroupPlan, begun: float) -> None:
-        """Open the group; it counts as being formed until the list shows that it answers."""
+    async def _open(self, group: GroupId, plan: GroupPlan, started_at: float) -> None:
+        """Open the group; it counts as being formed until the list shows that it serves."""
         leader = plan.members[0]
         if not await self._steps.open(leader, group):
             events.GROUP_FAILED.log(group=group.name, step=FailedStep.OPEN.value)
@@ -120,6 +120,6 @@
             group=group.name,
             leader=leader.id,
             model=plan.model.name,
-            seconds=round(self._clock() - begun, 3),
+            seconds=round(self._clock() - started_at, 3),
         )
         await self._steps.wait_listed(leader, group)
--- a/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
@@ -1,8 +1,7 @@
-"""Which groups are being formed, of whom, and who is left alone for a while after a failure.
+"""The groups that are being formed, their members, and the pauses after failures.
 
-Owns: the numbers of the groups of one term, their members while they are formed, and the pauses.
-Relies on: the term's rising with each controller; an epoch is never given twice, and a later
-controller's epochs are higher.
+Owns: the group numbers of one term, the groups being formed, and the paused domains and endpoints.
+Relies on: term numbers that rise with each controller, so that no epoch is used twice.
 """
 
 import typing as t
@@ -11,19 +10,18 @@
 from .formation import GroupPlan
 from .term_number import EPOCHS_PER_TERM
 
-# in which no group is formed in a domain after a failure there, in seconds
+# How long no group is formed in a domain after a failure there.
 DOMAIN_PAUSE_SECONDS = 0.3
-# terms that are passed over when an endpoint has seen a higher epoch: several seconds of the
-# store's changes
+# Number of terms to skip when an endpoint has seen a higher epoch.
 SKIPPED_TERMS = 1_000
-# in which an endpoint that did not join a group is not asked again, in seconds
+# How long an endpoint that did not join a group is left out.
 JOIN_REFUSAL_PAUSE_SECONDS = 2.0
 
 
 class FormingState:
-    """What is being formed, in one term.
+    """The groups that are being formed in one term, and the pauses after failures.
 
-    :param term: number of this controller's term; begins its epochs.
+    :param term: number of this controller's term, from which its epochs are made.
     """
 
     def __init__(self, term: int, clock: t.Callable[[], float]) -> None:
@@ -44,39 +42,39 @@
         return not refused and endpoint_id not in self._busy
 
     def is_paused(self, domain: str) -> bool:
-        """Return whether a domain is left alone after a failure."""
+        """Return whether a domain is paused after a failure."""
         return self._clock() < self._paused.get(domain, 0.0)
 
     def pause(self, domain: str) -> None:
-        """Leave a domain alone for a while."""
+        """Form no group in a domain for :data:`DOMAIN_PAUSE_SECONDS`."""
         self._paused[domain] = self._clock() + DOMAIN_PAUSE_SECONDS
 
     def record_refusal(self, endpoint_id: str) -> None:
-        """Leave an endpoint alone that did not join a group."""
+        """Record that an endpoint did not join a group, so that it is left out for a while."""
         self._refused[endpoint_id] = self._clock() + JOIN_REFUSAL_PAUSE_SECONDS
 
     def next_group(self) -> GroupId:
-        """Return the name of a new group."""
+        """Return the id of a new group."""
         self._formed += 1
         epoch = self._term * EPOCHS_PER_TERM + self._formed
         return GroupId(epoch, f"g{epoch}")
 
     def skip_epochs(self) -> None:
-        """Go on with higher epochs, since an endpoint refused one of this term as too low.
+        """Continue with higher epochs because an endpoint has refused one as too low.
 
-        The store may have lost more changes than anybody here knows of.
+        This happens after the store was restored from a copy and has lost changes.
         """
         self._term += SKIPPED_TERMS
 
     def begin(self, plan: GroupPlan) -> GroupId:
-        """Number a new group, and keep its members from being used twice."""
+        """Return the id of a new group and mark its members as busy."""
         group = self.next_group()
         self.under_way[group] = plan
         self._busy.update(member.id for member in plan.members)
         return group
 
     def finish(self, group: GroupId) -> None:
-        """Set the members of a group free that is no longer being formed."""
+        """Release the members of a group that is no longer being formed."""
         plan = self.under_way.pop(group, None)
         if plan is not None:
             self._busy.difference_update(member.id for member in plan.members)
--- a/packages/gateway/src/thorncleat_gateway/groups/group_health.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_health.py
@@ -1,10 +1,9 @@
-"""The rule by which the controller ends a group, with the reason that is logged.
+"""The rules by which the controller ends a group, and the reason that is logged.
 
-Pure: a snapshot of the group goes in, a reason comes out, or None for a group that stands.
 Event 7206 (``group_ended``) carries the reason's value as ``cause``.
 
 Owns: no state.
-Relies on: :mod:`.group_inspector` for the snapshot of a group.
+Relies on: :mod:`.group_inspector` for the state of a group.
 """
 
 import dataclasses
@@ -12,10 +11,10 @@
 
 from ..store.roster import GroupState
 
-# how long the controller has known a group before a missing member counts, in seconds: a list
-# that is being read may lack some members for a moment
+# How long a group must be known before a missing member counts; a list that is still being read
+# may lack some members.
 MISSING_MEMBER_GRACE_SECONDS = 0.25
-# how long a group that an earlier controller began may take to open, in seconds
+# How long a group from an earlier term may take to open or to be listed.
 LEFT_OVER_TIMEOUT_SECONDS = 2.5
 
 
@@ -30,30 +29,30 @@
     LEADER_DRAINING = "leader draining"
     LEFT_OVER = "left over"
     NO_MEMBER_LISTED = "no member listed"
-    # its record is gone, but its leader is listed and says that it leads it
+    # The group has no record, but its leader is listed with it.
     LEADER_IS_BACK = "leader is back"
-    # it can be formed again at once, of others
+    # A group without the slow members can be formed at once.
     MEMBER_SLOW = "member slow"
-    # of a group that this controller was forming
+    # The remaining reasons apply to groups that this controller was forming.
     NOT_FORMED = "not formed"
     NOT_OPENED = "not opened"
 
     @property
     def is_graceful(self) -> bool:
-        """Whether the group still works, so that its requests may end first."""
+        """Whether the group still works, so that its requests may finish first."""
         return self is EndReason.LEADER_DRAINING
 
 
 @dataclasses.dataclass(frozen=True)
 class GroupHealth:
-    """What the controller knows of a group that it isn't forming.
+    """State of a group that the controller isn't forming.
 
-    :param age: seconds for which it has known the group in this term.
+    :param age: seconds for which the controller has known the group in this term.
     :param leader_state: None if the leader isn't listed.
-    :param leader_draining: whether the leader is about to end.
+    :param leader_draining: whether the leader is draining.
     :param member_lost: whether a member did not answer the controller.
-    :param member_missing: whether a member is neither listed nor known to answer.
-    :param list_settled: whether an endpoint that isn't listed is gone (:attr:`.StoreView.settled`).
+    :param member_missing: whether a member is neither listed nor responding.
+    :param list_settled: whether an unlisted endpoint has ended (:attr:`.StoreView.settled`).
     """
 
     age: float
@@ -65,7 +64,7 @@
 
 
 def end_reason(health: GroupHealth) -> EndReason | None:
-    """Return why a group with listed members is to be ended; None if it stands."""
+    """Return why a group with listed members must end; None if it is healthy."""
     reason = _failure_reason(health)
     if reason is None and health.leader_draining:
         return EndReason.LEADER_DRAINING
@@ -73,7 +72,7 @@
 
 
 def end_reason_unlisted(age: float) -> EndReason | None:
-    """Return why a group of which no member is listed is to be ended.
+    """Return why a group without a listed member must end; None if it may still be listed.
 
     :param age: seconds for which the controller has known the group in this term.
     """
@@ -81,7 +80,7 @@
 
 
 def _failure_reason(health: GroupHealth) -> EndReason | None:
-    """Return why a group can't serve, now or soon."""
+    """Return why a group can't serve; None if it can, or may soon."""
     if health.member_lost:
         return EndReason.MEMBER_UNREACHABLE
     if health.member_missing:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -1,9 +1,9 @@
-"""Looking at the groups that exist: which stand, which are ended, which are asked.
+"""Evaluates the groups that exist and ends the unhealthy ones.
 
-The rule itself is pure and stands in :mod:`.group_health`; here its inputs are gathered.
+Gathers the inputs for the rules in :mod:`.group_health`.
 
-Owns: since when this term has known each group, and when it last examined a suspected one.
-Relies on: the list, where members say which groups there are, and the groups' records.
+Owns: when this term first saw each group, and when it last examined a suspected one.
+Relies on: the list, where members name their groups, and the groups' records.
 """
 
 import dataclasses
@@ -21,15 +21,14 @@
 from .slow_endpoints import SlowGroup
 from .term import Term
 
-# between two examinations of a suspected group, in seconds
 EXAMINE_INTERVAL_SECONDS = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
 class RunningGroup:
-    """A group that serves, or may soon.
+    """A group that serves or may soon serve.
 
-    :param slow: the group with its slow members; None if it has none.
+    :param slow: set if the group has slow members.
     """
 
     domain: str
@@ -38,7 +37,7 @@
 
 
 class GroupInspector:
-    """Judges the groups in one term."""
+    """Evaluates the groups during one term."""
 
     def __init__(self, view: StoreView, term: Term, clock: t.Callable[[], float]) -> None:
         self._view = view
@@ -48,9 +47,9 @@
         self._examined_at: dict[GroupId, float] = {}
 
     def inspect(self, service: str, engine: Engine) -> list[RunningGroup]:
-        """Return the groups of a service that stand, and begin to end the others.
+        """Return the healthy groups of a service and begin to end the others.
 
-        Groups that are being formed or ended are left out.
+        Groups that are being formed, warmed or ended are left out.
         """
         running = []
         for group in self._view.roster.groups.values():
@@ -76,13 +75,13 @@
         return SlowGroup(group.id, model.name, slow, members) if slow else None
 
     def _can_be_evaluated(self, group: GroupId) -> bool:
-        """Return whether a group is neither being formed nor being ended, nor over."""
+        """Return whether a group may answer and is neither being formed nor being ended."""
         if group in self._term.forming_state or group in self._term.ending:
             return False
         return self._term.records.can_answer(group)
 
     def _end_returned(self, group: Group) -> None:
-        """End a group whose leader wasn't asked to leave, since it could not be reached."""
+        """End a group whose leader was taken for dead and is listed again."""
         self._term.records.restore(group)
         self._term.ending.end(group.id, EndReason.LEADER_IS_BACK, list(group.members.values()))
 
@@ -112,7 +111,7 @@
         return now - self._first_seen_at.setdefault(group, now)
 
     def _end_unlisted(self, service: str) -> None:
-        """End groups of which no member is listed any more."""
+        """End groups without a listed member."""
         for group in self._term.records.groups:
             leader = self._term.records.leader(group)
             if leader is None or leader.service != service or group in self._view.roster.groups:
@@ -124,7 +123,7 @@
                 self._term.ending.end(group, reason, [])
 
     def examine(self, group_id: GroupId) -> None:
-        """Ask the members of a group that some daemon suspects, but not too often."""
+        """Probe the members of a suspected group, at most once per interval."""
         now = self._clock()
         group = self._view.roster.groups.get(group_id)
         if group is None or now - self._examined_at.get(group_id, 0.0) < EXAMINE_INTERVAL_SECONDS:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -1,10 +1,9 @@
-"""The steps by which a group is formed: its members join, get ready, and its leader opens it.
+"""The steps of forming a group: its members join and get ready, and its leader opens it.
 
-Each step waits for one thing, and says only whether it came. What follows stands in
-:mod:`.forming_urgency`.
+Each step returns only whether it succeeded; :mod:`.forming` decides what follows.
 
 Owns: no state.
-Relies on: reports of the endpoints themselves; the list lags behind them.
+Relies on: the endpoints' own reports, since the list lags behind them.
 """
 
 import asyncio
@@ -35,49 +34,46 @@
 from .orders import Orders
 from .records import GroupRecords
 
-# orders to join that one endpoint is given
 MAX_JOIN_ATTEMPTS = 6
-# for which an endpoint's report may be behind its state, in seconds: twice what today's engines
-# say of themselves
+# How far an endpoint's report may lag behind its state.
 MAX_REPORT_LAG_SECONDS = 0.4
-# orders to open that one leader is given
 MAX_OPEN_ATTEMPTS = 5
-# between two rounds of questions to members that are not ready, in seconds
+# Interval between two rounds of probes to members that aren't ready.
 MEMBER_POLL_INTERVAL_SECONDS = 2 * PROBE_INTERVAL_SECONDS
-# part of a load from the weight store after which members that load are asked again: the list
-# shows earlier that they are ready
+# Interval between two such rounds while members load from the weight store, as a share of the
+# load's duration.
 COLD_POLL_LOAD_SHARE = 0.125
-# without a change of the list, for which a wait for the members rests, in seconds
+# Longest wait for a change of the list.
 CHANGE_WAIT_SECONDS = 0.25
-# times its usual duration that a load from the host may take
+# Timeout of a load from the host, as a multiple of its usual duration.
 WARM_TIMEOUT_FACTOR = 2
-# times its usual duration that a load from the weight store may take
+# Timeout of a load from the weight store, as a multiple of its usual duration.
 COLD_TIMEOUT_FACTOR = 3
-# for the list to show that a group answers, in seconds
+# How long the list may take to show an opened group.
 LISTING_TIMEOUT_SECONDS = 2.0
-# logged for a former group that had no record when this term began
+# Logged as ``how`` for a former group that had no record when this term began.
 NO_RECORD_IN_TERM = "no record in this term"
 
 
 def ready_timeout(plan: GroupPlan, form_timeout: float) -> float:
-    """Return for how many seconds the members of a group may take to get ready.
+    """Return how many seconds the members of a group may take to get ready.
 
-    :param form_timeout: seconds beside what loading the model takes.
+    :param form_timeout: seconds in addition to loading the model.
     """
-    limit = form_timeout + WARM_TIMEOUT_FACTOR * plan.model.warm
-    return limit + COLD_TIMEOUT_FACTOR * plan.model.load if plan.cold_members else limit
+    timeout = form_timeout + WARM_TIMEOUT_FACTOR * plan.model.warm
+    return timeout + COLD_TIMEOUT_FACTOR * plan.model.load if plan.cold_members else timeout
 
 
 def member_poll_interval(plan: GroupPlan) -> float:
-    """Return the seconds between two rounds of questions to members that are not ready."""
+    """Return the seconds between two rounds of probes to members that aren't ready."""
     loading = COLD_POLL_LOAD_SHARE * plan.model.load if plan.cold_members else 0.0
     return max(MEMBER_POLL_INTERVAL_SECONDS, loading)
 
 
 class GroupSteps:
-    """Takes a group's members through the steps.
+    """Runs the steps of forming a group.
 
-    :param refused_as_stale: called when an endpoint has seen a higher epoch than a group's.
+    :param on_stale_epoch: called when an endpoint has seen a higher epoch than the group's.
     """
 
     def __init__(
@@ -99,9 +95,9 @@
         self._clock = clock
 
     async def join(self, endpoint: Endpoint, order: Join) -> bool:
-        """Order one endpoint into a group, unless its former group may still answer.
+        """Order one endpoint into a group unless its former group may still answer.
 
-        :returns: whether it is in the group.
+        :returns: whether the endpoint has joined.
         """
         refused: EngineReport | None = None
         for _ in range(MAX_JOIN_ATTEMPTS):
@@ -109,7 +105,7 @@
                 report = await self._newer_report(endpoint, order.group, refused)
                 if report is None:
                     return False
-                answer = await self._try_join(endpoint, order, report)
+                result = await self._try_join(endpoint, order, report)
             except EndpointGoneError:
                 self._lost.mark_lost(endpoint, LostCause.PROCESS_ENDED)
                 return False
@@ -117,47 +113,52 @@
                 self._lost.mark_lost(endpoint, LostCause.REFUSED)
                 return False
             except EndpointError:
-                # the order or the question before it got no answer; another try tells which
+                # Either the order or the probe before it got no answer; both are tried again.
                 if not await self._orders.is_responding(endpoint, forming_urgency(order.group)):
                     self._lost.mark_lost(endpoint, LostCause.SILENT)
                     return False
                 continue
-            if answer is not JoinResult.STATE_CHANGED:
-                return answer is JoinResult.JOINED
+            if result is not JoinResult.STATE_CHANGED:
+                return result is JoinResult.JOINED
             refused = report
         return False
 
     async def _newer_report(
         self, endpoint: Endpoint, group: GroupId, refused: EngineReport | None
     ) -> EngineReport | None:
-        """Return a report that shows other orders than the one by which an order was refused.
+        """Return a report that is newer than the one whose order was refused.
 
-        Reports lag behind: a leader that has just left its group was refused for its leaving until
-        its report shows that. None if it doesn't within :data:`MAX_REPORT_LAG_SECONDS`: then it was
-        refused for something else.
+        Reports lag behind the engine's state, so the order count in a report may already be
+        outdated when the order arrives.
+
+        :param refused: the report whose order was refused; None to take any report.
+        :returns: None if no newer report appears within :data:`MAX_REPORT_LAG_SECONDS`; then the
+            order was refused for another reason.
         """
-        until = self._clock() + MAX_REPORT_LAG_SECONDS
+        deadline = self._clock() + MAX_REPORT_LAG_SECONDS
         while True:
             report = await self._orders.fetch_report(endpoint, forming_urgency(group))
             if refused is None or not report.counts_as(refused):
                 return report
-            if self._clock() >= until:
+            if self._clock() >= deadline:
                 return None
             await asyncio.sleep(2 * POLL_INTERVAL_SECONDS)
 
     async def _try_join(self, endpoint: Endpoint, order: Join, report: EngineReport) -> JoinResult:
-        place = join_rules.availability(report.membership, order.group, self._records.is_over)
-        if place is Availability.TAKEN:
+        availability = join_rules.availability(
+            report.membership, order.group, self._records.is_over
+        )
+        if availability is Availability.TAKEN:
             return JoinResult.REFUSED
         self._log_reuse(endpoint, order, report)
-        # holds only for the state that the report showed
+        # The engine refuses the order if its state has changed since the report.
         outcome = await self._orders.send(endpoint, order, report.order_count)
         if outcome is Outcome.STALE:
             self._on_stale_epoch()
         return join_rules.join_result(outcome)
 
     def _log_reuse(self, endpoint: Endpoint, order: Join, report: EngineReport) -> None:
-        """Log why an endpoint that says it is in a group may be ordered into another."""
+        """Log why an endpoint that reports a group may be ordered into another one."""
         if report.membership is None or report.membership.group == order.group:
             return
         former = report.membership.group
@@ -173,19 +174,19 @@
     async def wait_ready(self, group: GroupId, plan: GroupPlan) -> bool:
         """Wait until each member was seen ready under the group's name and epoch.
 
-        :returns: whether all were in time.
+        :returns: whether all members were ready in time.
         """
-        begun = asked_at = self._clock()
-        limit = ready_timeout(plan, self._settings.form_timeout)
-        ask_again = member_poll_interval(plan)
-        while self._clock() - begun < limit:
+        started_at = probed_at = self._clock()
+        timeout = ready_timeout(plan, self._settings.form_timeout)
+        interval = member_poll_interval(plan)
+        while self._clock() - started_at < timeout:
             missing = self._members_not_ready(group, plan.members)
             if not missing:
                 return True
             if any(member in self._lost for member in plan.members):
                 return False
-            if self._clock() - asked_at > ask_again:
-                asked_at = self._clock()
+            if self._clock() - probed_at > interval:
+                probed_at = self._clock()
                 if not await self._are_all_joining(missing, group, plan):
                     return False
             await self._view.wait_change(CHANGE_WAIT_SECONDS)
@@ -206,15 +207,15 @@
             if report is None:
                 self._lost.mark_lost(member, LostCause.SILENT_WHILE_JOINING)
                 return False
-            place = report.membership
-            if place is None or not place.is_at(group, plan.members.index(member)):
+            membership = report.membership
+            if membership is None or not membership.is_at(group, plan.members.index(member)):
                 return False
         return True
 
     async def open(self, leader: Endpoint, group: GroupId) -> bool:
         """Order a leader to answer requests.
 
-        :returns: whether it took the order.
+        :returns: whether the leader accepted the order.
         """
         for _ in range(MAX_OPEN_ATTEMPTS):
             try:
@@ -225,19 +226,19 @@
             except (EndpointGoneError, EndpointRefusedError):
                 return False
             except EndpointError:
-                # no answer; the order is repeated, and means the same if it was carried out
+                # No answer; the order is idempotent and is sent again.
                 pass
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
         return False
 
     async def wait_listed(self, leader: Endpoint, group: GroupId) -> None:
-        """Wait until the list shows that a leader answers for a group, or that it is gone.
+        """Wait until the list shows that a leader serves a group, or that it is no longer listed.
 
-        A list that is behind shows neither, however long that lasts: it may name the group that
-        the leader led before.
+        The timeout counts only while the list is current, since an outdated list may still name
+        the leader's former group.
         """
-        until = self._clock() + LISTING_TIMEOUT_SECONDS
-        while self._view.fresh_at < until:
+        deadline = self._clock() + LISTING_TIMEOUT_SECONDS
+        while self._view.fresh_at < deadline:
             listed = self._view.roster.endpoints.get(leader.id)
             if listed is None or _is_leader_of(listed, group):
                 return
--- a/packages/gateway/src/thorncleat_gateway/groups/jobs.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/jobs.py
@@ -1,8 +1,8 @@
-"""The coroutines that a controller's term runs in the background.
+"""The background jobs of a controller's term.
 
 Owns: their tasks, until they end or the term does.
-Relies on: the event loop; a job that fails is logged and ends, and the next plan starts what is
-still needed.
+Relies on: the event loop. A job that fails is logged and ends; the next plan starts what is still
+needed.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from .. import events
 
 Work = t.Coroutine[t.Any, t.Any, None]
-# runs a coroutine beside the others of a term
+# Starts a coroutine as a background job of a term.
 Start = t.Callable[[Work], None]
 
 
 class Jobs:
-    """Starts coroutines and cancels those that still run.
+    """Starts background jobs and cancels those that still run.
 
-    :param wake: has the controller plan anew; called when a job has ended.
+    :param wake: makes the controller plan again; called when a job has ended.
     """
 
     def __init__(self, wake: t.Callable[[], None]) -> None:
@@ -29,13 +29,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, work: Work) -> None:
-        """Run a coroutine beside the others."""
+        """Start a coroutine as a background job."""
         task = asyncio.get_running_loop().create_task(self._run_logged(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """Cancel all that still run."""
+        """Cancel all running jobs."""
         for task in self._tasks:
             task.cancel()
 
@@ -43,7 +43,7 @@
         try:
             await work
         except LeaseError:
-            # expected at the end of a term: the next controller takes over
+            # Expected at the end of a term, when the next controller takes over.
             pass
         except ThorncleatError as error:
             events.TASK_FAILED.log(task="orders", reason=str(error))
--- a/packages/gateway/src/thorncleat_gateway/groups/join_rules.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/join_rules.py
@@ -1,12 +1,9 @@
-"""The rules for ordering an endpoint to join a group: is it free, and did it take the order.
+"""Rules for ordering an endpoint into a group: whether it is free, and whether it has joined.
 
-Pure. The order names the number of orders that the engine had begun at the report by which it was
-judged, so it is refused by an engine whose state has changed since, and then the engine is judged
-anew.
-
-A report names no endpoint: whatever process has the address answers it. An order is answered only
-by the endpoint that is meant, so only such an answer shows that it has joined; an order without an
-answer is given again, which means the same to one that carried it out.
+An order to join names the number of orders that the engine had begun at the report that showed it
+as free, so an engine whose state has changed since refuses the order. A report names no endpoint,
+whereas an order is answered only by the endpoint it is meant for; so only the answer to an order
+shows that an endpoint has joined. An order without an answer is sent again; joining is idempotent.
 
 Owns: no state.
 Relies on: :meth:`.GroupRecords.is_over` for whether the endpoint's former group is over.
@@ -22,14 +19,14 @@
 
 
 class Availability(enum.Enum):
-    """Where an endpoint stands that is to join a group."""
+    """Whether an endpoint may be ordered into a group."""
 
     FREE = enum.auto()
     TAKEN = enum.auto()
 
 
 class JoinResult(enum.Enum):
-    """What an answer to an order to join means."""
+    """Result of an order to join."""
 
     JOINED = enum.auto()
     REFUSED = enum.auto()
@@ -39,11 +36,11 @@
 def availability(
     member: Membership | None, group: GroupId, is_over: t.Callable[[GroupId], bool]
 ) -> Availability:
-    """Return where an endpoint stands, from its own report.
+    """Return whether an endpoint may join a group, by its own report.
 
-    :param member: its place as it reports it.
-    :param group: the group that it is to join.
-    :param is_over: returns whether a former group answers no more requests.
+    :param member: the endpoint's reported membership.
+    :param group: the group to join.
+    :param is_over: returns whether a former group no longer answers requests.
     """
     if member is None or member.group == group:
         return Availability.FREE
@@ -51,7 +48,7 @@
 
 
 def join_result(outcome: Outcome) -> JoinResult:
-    """Return what an endpoint's answer to an order to join means."""
+    """Return the result of an order to join from the endpoint's answer."""
     if outcome in ACCEPTED:
         return JoinResult.JOINED
     return JoinResult.STATE_CHANGED if outcome is Outcome.CONFLICT else JoinResult.REFUSED
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -1,15 +1,15 @@
-"""Whether the leader of a group that is being ended is dead, though it never said that it left.
+"""Determines whether the leader of a group that is being ended is dead.
 
-A leader that the controller can't reach may still answer requests of other daemons. It counts as
-dead only once it is not listed, does not answer the controller, and no daemon hears it.
+A leader that the controller can't reach may still answer other daemons. It counts as dead only
+once it is not listed, does not answer the controller, and has no contact with any daemon.
 
-One that refuses connections may have ended, may be leaving and finish the requests that it has, or
-may be refused to this daemon alone, on the way. One that a recent list shows as not leaving has
-ended once every daemon has said since that it has no request there, and none gets an answer of it;
-for others the list has to show that they are gone.
+A leader that refuses connections may have ended, may be leaving while it finishes its requests, or
+may be unreachable from this daemon only. If a recent list shows it as not leaving, it has ended
+once every daemon has since reported no requests there and none gets an answer. Otherwise it must
+also be unlisted.
 
 Owns: no state.
-Relies on: the other daemons' reporting at once when they get a :class:`.Probe`, and again when the
+Relies on: the other daemons to report at once when they get a :class:`.Probe`, and again when the
 endpoint answers them; reports name the requests under way and the endpoints that answered.
 """
 
@@ -26,44 +26,42 @@
 from .orders import PROBE_INTERVAL_SECONDS
 from .orders import Orders
 
-# how old the list may be for an endpoint that is missing from it to count as unlisted, in
-# seconds
+# Age up to which the list proves that an endpoint missing from it is unlisted.
 MAX_LIST_AGE_SECONDS = 2.0
-# how long before a probe an answer to any daemon still counts as one to it, in seconds
+# How long before a probe an endpoint's contact with any daemon still counts.
 CONTACT_LOOKBACK_SECONDS = 1.0
-# for the other daemons to probe an endpoint and to report, in seconds
+# How long the other daemons may take to probe an endpoint and to report.
 PROBE_ROUND_SECONDS = 2 * PROBE_INTERVAL_SECONDS
-# for the other daemons to report what they have under way, in seconds: a datagram each way and
-# one turn of the other daemon's loop
+# How long the other daemons may take to report their requests under way.
 REPORT_ROUND_SECONDS = 0.1
-# that answers from before a question are waited out, in seconds; where many daemons report rarely
-# that takes longer, and the list shows sooner that an endpoint is gone
+# Longest wait until reports no longer name an endpoint's earlier contacts.
 MAX_CONTACT_TTL_SECONDS = 1.0
 
 
 def is_unlisted(listed: bool, list_age: float) -> bool:
     """Return whether a recent list lacks an endpoint.
 
-    :param list_age: seconds for which the list may have changed unnoticed.
+    :param list_age: seconds for which the list may be out of date.
     """
     return not listed and list_age < MAX_LIST_AGE_SECONDS
 
 
 def is_dead(*, listed: bool, has_contact: bool) -> bool:
-    """Return whether an endpoint that all daemons were asked for, and that is silent here, is dead.
+    """Return whether an endpoint that is silent here and was probed by all daemons is dead.
 
-    :param listed: whether it is listed again.
-    :param heard: whether it answered any daemon since :data:`CONTACT_LOOKBACK_SECONDS` before.
+    :param listed: whether it is listed.
+    :param has_contact: whether it answered any daemon after, or up to
+        :data:`CONTACT_LOOKBACK_SECONDS` before, it was probed.
     """
     return not (listed or has_contact)
 
 
 def is_idle(*, requests: int, silent_daemons: t.Collection[str]) -> bool:
-    """Return whether an endpoint has no request left of any daemon.
+    """Return whether an endpoint has no requests from any daemon.
 
-    :param requests: that it has, by the newest reports.
-    :param silent_daemons: those that have not reported since it was asked for; they may have
-        requests there.
+    :param requests: number of its requests by the latest reports.
+    :param silent_daemons: daemons that have not reported since the probe; they may have requests
+        there.
     """
     return requests == 0 and not silent_daemons
 
@@ -71,14 +69,14 @@
 def is_possibly_leaving(listed: Endpoint | None, list_age: float) -> bool:
     """Return whether an endpoint may have stopped listening without having ended.
 
-    :param listed: its entry; None without one, as for some that leave.
-    :param list_age: seconds for which the list may have changed unnoticed.
+    :param listed: its entry; None if it isn't listed, as may be while it leaves.
+    :param list_age: seconds for which the list may be out of date.
     """
     return listed is None or listed.draining or list_age >= MAX_LIST_AGE_SECONDS
 
 
 class LeaderLiveness:
-    """Finds out whether a silent leader is dead or answers again."""
+    """Determines whether a silent leader is dead."""
 
     def __init__(
         self,
@@ -97,9 +95,9 @@
         self._clock = clock
 
     async def wait_dead(self, leader: Endpoint) -> bool:
-        """Wait while a leader is silent.
+        """Wait until a silent leader is dead or answers.
 
-        :returns: True once it is dead, False as soon as it answers.
+        :returns: True if it is dead, False if it answers.
         """
         while True:
             if is_unlisted(self._is_listed(leader), self._view.age()):
@@ -116,17 +114,16 @@
     async def has_ended(self, leader: Endpoint) -> bool:
         """Return whether a leader that refuses connections has ended.
 
-        It hasn't while a daemon reports requests there. Where it may be leaving, or a daemon
-        doesn't report that may have some, only the list and the silence towards all daemons count,
-        as for a leader that doesn't answer at all.
+        It has not while a daemon reports requests there. If it may be leaving, or a daemon does
+        not report, it has ended only once it is unlisted and silent to all daemons.
         """
         asked_at = self._request_probes(leader)
         await asyncio.sleep(REPORT_ROUND_SECONDS)
-        silent = self._peers.others - self._load_table.reporters_since(asked_at)
+        silent_daemons = self._peers.others - self._load_table.reporters_since(asked_at)
         requests = self._load_table.of(leader.id)
         listed = self._view.roster.endpoints.get(leader.id)
-        idle = is_idle(requests=requests, silent_daemons=silent)
-        if idle and not is_possibly_leaving(listed, self._view.age()):
+        is_leader_idle = is_idle(requests=requests, silent_daemons=silent_daemons)
+        if is_leader_idle and not is_possibly_leaving(listed, self._view.age()):
             return not await self._is_responding_to_others(leader)
         if requests or not is_unlisted(listed is not None, self._view.age()):
             return False
@@ -134,10 +131,10 @@
         return self._is_dead(leader, asked_at)
 
     async def _is_responding_to_others(self, leader: Endpoint) -> bool:
-        """Return whether a leader that refuses this daemon's connections answers another one's.
+        """Return whether a leader that refuses this daemon's connections answers another daemon.
 
-        Reports go on naming an endpoint for some time after its last answer, which may have come
-        before its end; so the question is asked only after that time.
+        Reports name an endpoint for some time after its last answer, so the probe is sent only
+        after that time.
         """
         await asyncio.sleep(min(heard_seconds(self._peers.interval()), MAX_CONTACT_TTL_SECONDS))
         asked_at = self._request_probes(leader)
@@ -145,14 +142,14 @@
         return self._detector.heard_since(leader.id, asked_at)
 
     def _request_probes(self, leader: Endpoint) -> float:
-        """Ask the other daemons for a leader; return the time at which they were asked."""
+        """Ask the other daemons to probe a leader; return the time of the request."""
         self._peers.tell_all(Probe(leader.id))
         return self._clock()
 
     def _is_dead(self, leader: Endpoint, asked_at: float) -> bool:
-        """Return whether a leader that does not answer here is dead.
+        """Return whether a leader that does not answer this daemon is dead.
 
-        :param asked_at: when the other daemons were asked for it.
+        :param asked_at: when the other daemons were asked to probe it.
         """
         has_contact = self._detector.heard_since(leader.id, asked_at - CONTACT_LOOKBACK_SECONDS)
         return is_dead(listed=self._is_listed(leader), has_contact=has_contact)
--- a/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
@@ -1,20 +1,20 @@
-"""Whether the list of endpoints is whole, before the first request of all.
+"""Whether the list of endpoints is complete before the system's first request.
 
-When a whole system starts, its endpoints are listed one after the other. A layout for a part of
-them would not last, and forming its groups anew costs a load each.
+When a whole system starts, its endpoints are listed one after the other, and a layout for only
+some of them would have to be replaced at the cost of loads.
 
 Owns: the largest number of endpoints seen, and when it was reached.
-Relies on: being asked at each plan until the first request.
+Relies on: a call at each plan until the first request.
 """
 
 import typing as t
 
-# without a new endpoint for so long the list is whole, in seconds
+# Time without a new endpoint after which the list counts as complete.
 GROWTH_TIMEOUT_SECONDS = 1.0
 
 
 class ListGrowth:
-    """Notices that the list of endpoints no longer grows."""
+    """Detects when the list of endpoints no longer grows."""
 
     def __init__(self, clock: t.Callable[[], float]) -> None:
         self._clock = clock
@@ -22,9 +22,9 @@
         self._grown_at = clock()
 
     def is_growing(self, listed: int) -> bool:
-        """Return whether an endpoint was added lately.
+        """Return whether an endpoint was added recently.
 
-        :param listed: how many endpoints are listed now.
+        :param listed: number of endpoints listed now.
         """
         now = self._clock()
         if listed > self._max_listed:
--- a/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
@@ -1,38 +1,37 @@
 """The rate at which hosts may begin to load models from the weight store: a token bucket.
 
-Pure, but for the tokens; times are given in. The weight store bounds the loads that begin within
-any window, wherever it lies. So the bucket fills a little slower than the store's rate, and holds
-what that leaves of the bound: a full bucket and a window of filling come to the bound exactly.
+The weight store limits the loads that begin within any window of a given length. So the bucket
+fills at less than the store's rate, and a full bucket plus one window of filling equals the limit.
 
-Owns: the loads that may begin now.
-Relies on: :class:`.Engine` and :class:`.ControlSettings` for the weight store's bounds; loads
-before the first request of all are not counted by the weight store, nor here.
+Owns: the number of loads that may begin now.
+Relies on: :class:`.Engine` and :class:`.ControlSettings` for the weight store's limits, which don't
+apply before the system's first request.
 """
 
 from ..settings import ControlSettings
 from ..store.serving import Engine
 
-# part of the weight store's rate that is used
+# Share of the weight store's rate that is used.
 RATE_SHARE = 0.9
-# loads that may begin in a window beside those that its rate gives; from the users' rules
+# Loads that may begin in a window in addition to those of the weight store's rate.
 BURST_LOADS = 3
 
 
 def refill_rate(engine: Engine, settings: ControlSettings) -> float:
-    """Return how many loads a second are used."""
+    """Return the rate at which the bucket fills, in loads per second."""
     return engine.loads_per_second * min(RATE_SHARE, settings.load_overage)
 
 
 def bucket_capacity(engine: Engine, settings: ControlSettings) -> float:
-    """Return how many loads may begin at the same moment after a pause."""
+    """Return how many loads may begin at the same time after a pause."""
     allowed = engine.loads_per_second * settings.load_overage
     return BURST_LOADS + settings.load_window * (allowed - refill_rate(engine, settings))
 
 
 class LoadRate:
-    """The loads that may begin.
+    """A token bucket of loads, empty at first.
 
-    :param now: from when on they are saved up, in seconds.
+    :param now: when the bucket begins to fill, in seconds.
     """
 
     def __init__(self, now: float, settings: ControlSettings) -> None:
@@ -41,9 +40,9 @@
         self._settings = settings
 
     def reserve(self, engine: Engine, now: float) -> bool:
-        """Use up one load, if there is one; return whether there was.
+        """Reserve one load if the bucket holds one; return whether it did.
 
-        :param now: in seconds, on the clock of ``__init__``.
+        :param now: the time in seconds, on the clock of ``__init__``.
         """
         refilled = (now - self._filled_at) * refill_rate(engine, self._settings)
         self._tokens = min(bucket_capacity(engine, self._settings), self._tokens + refilled)
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -1,7 +1,7 @@
-"""Endpoints that did not answer the controller: no group is formed with them until they do.
+"""Endpoints that did not answer the controller; no group is formed with them until they do.
 
-Owns: the lives of the listed endpoints that do not answer.
-Relies on: whoever gives orders or asks endpoints, to name those that are silent.
+Owns: the incarnations of the listed endpoints that don't answer.
+Relies on: callers that send orders or probes, to report silent endpoints.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from .jobs import Start
 from .orders import Orders
 
-# between two questions to a lost endpoint, in seconds
+# Interval between two probes of a lost endpoint.
 POLL_INTERVAL_SECONDS = 1.0
 
 
@@ -28,15 +28,15 @@
     SILENT = "silent"
     SILENT_WHILE_JOINING = "silent while joining"
     SILENT_UNDER_SUSPICION = "silent under suspicion"
-    # it answers, and knows nothing of the group that its entry still names
+    # It answers, but has restarted since it joined the group that its entry still names.
     STARTED_AGAIN = "started again"
 
 
 class LostEndpoints:
-    """Keeps which endpoints are lost, and asks them until they answer.
+    """Holds which endpoints are lost and polls them until they answer.
 
-    :param start: runs a coroutine beside the others of the controller.
-    :param wake: has the controller plan anew.
+    :param start: starts a background job of the term.
+    :param wake: makes the controller plan again.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         return life is not None and not life.is_over(endpoint.life)
 
     def forget_unlisted(self) -> None:
-        """Forget those that are no longer listed."""
+        """Discard lost endpoints that are no longer listed."""
         listed = self._view.roster.endpoints
         self._incarnations = {
             name: life for name, life in self._incarnations.items() if name in listed
         }
 
     def mark_lost(self, endpoint: Endpoint, cause: LostCause) -> None:
-        """Use an endpoint no more until it answers."""
+        """Mark an endpoint as lost until it answers."""
         if endpoint in self:
             return
         self._incarnations[endpoint.id] = endpoint.life
@@ -69,7 +69,7 @@
         self._start(self._poll_until_responding(endpoint))
 
     async def _poll_until_responding(self, endpoint: Endpoint) -> None:
-        """Use an endpoint again when it answers."""
+        """Poll a lost endpoint while it is listed, until it answers."""
         while endpoint.id in self._view.roster.endpoints:
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             if await self._orders.is_responding(endpoint, BACKGROUND):
--- a/packages/gateway/src/thorncleat_gateway/groups/member_examination.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/member_examination.py
@@ -1,7 +1,7 @@
-"""Asking the members of a group that some daemon suspects what has become of them.
+"""Probes the members of groups that some daemon suspects.
 
 Owns: no state.
-Relies on: :mod:`.lost_endpoints` and :mod:`.slow_endpoints` to keep what is found.
+Relies on: :mod:`.lost_endpoints` and :mod:`.slow_endpoints` to hold the results.
 """
 
 import asyncio
@@ -23,10 +23,10 @@
         self._slow = slow
 
     async def examine(self, members: t.Sequence[Endpoint]) -> None:
-        """Ask members; lose those that are not in their group any more.
+        """Probe members and mark those as lost that are silent or have restarted.
 
-        They don't answer, or have started again. The list may show that late: an entry runs out
-        3.6 s after its last heartbeat, and an endpoint that is cut off from the store writes none.
+        The list may show this late or not at all: an entry expires some time after its last
+        heartbeat, and an endpoint that is cut off from the store writes none.
         """
         reports = await asyncio.gather(*(self._orders.probe(member) for member in members))
         for member, report in zip(members, reports, strict=True):
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -1,9 +1,9 @@
-"""Loading models onto the hosts of spare endpoints, within the weight store's rate.
+"""Loads models onto the hosts of spare endpoints, within the weight store's rate.
 
-Which host loads what is decided in :mod:`.formation`, how many may begin in :mod:`.load_rate`.
+:mod:`.formation` decides which host loads which model, :mod:`.load_rate` how many loads may begin.
 
 Owns: the loads under way, by endpoint.
-Relies on: the list, where an endpoint shows which models lie on its host.
+Relies on: the list, where an endpoint names the models on its host.
 """
 
 import dataclasses
@@ -28,9 +28,8 @@
 from .lost_endpoints import LostEndpoints
 from .orders import Orders
 
-# orders that one endpoint is given for a load
 MAX_LOAD_ATTEMPTS = 6
-# times its usual duration after which a load counts as failed
+# Timeout of a load, as a multiple of its usual duration.
 LOAD_TIMEOUT_FACTOR = 3.0
 
 
@@ -38,8 +37,8 @@
 class _Loading:
     """A load under way.
 
-    :param life: of the endpoint; a load ends with it.
-    :param until: when it counts as failed.
+    :param life: incarnation of the endpoint, with which the load ends.
+    :param until: when the load counts as failed.
     """
 
     model: str
@@ -48,9 +47,9 @@
 
 
 class ModelLoader:
-    """Orders loads, and knows which are under way.
+    """Orders loads and holds those under way.
 
-    :param start: runs a coroutine beside the others of the controller.
+    :param start: starts a background job of the term.
     """
 
     def __init__(
@@ -87,11 +86,11 @@
         return load.model in listed.staged or load.life.is_over(listed.life)
 
     def reserve_load(self, engine: Engine) -> bool:
-        """Count a load against the weight store's rate; return whether it may begin."""
+        """Reserve a load within the weight store's rate; return whether it may begin."""
         return self._rate.reserve(engine, self._clock())
 
     def load(self, plan: LoadPlan) -> None:
-        """Begin to load a model onto a host."""
+        """Start to load a model onto a host."""
         endpoint, model = plan.endpoint, plan.model
         until = self._clock() + LOAD_TIMEOUT_FACTOR * model.load
         self._loading[endpoint.id] = _Loading(model.name, endpoint.life, until)
@@ -109,7 +108,7 @@
             except EndpointRefusedError:
                 self._lost.mark_lost(endpoint, LostCause.REFUSED)
             except EndpointError:
-                # the order got no answer; it is repeated if the endpoint lives
+                # No answer; the order is sent again if the endpoint responds.
                 if await self._orders.is_responding(endpoint, BACKGROUND):
                     continue
                 self._lost.mark_lost(endpoint, LostCause.SILENT)
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -1,13 +1,13 @@
-"""Giving an endpoint orders, and keeping what it reported last.
+"""Sends orders to endpoints and keeps their latest reports.
 
-An order is safe to give only while nobody else can have become controller. Three conditions
-together see to that: this daemon's lease still runs (checked here, right before each order); a
-join names the number of orders that the engine had begun when it was seen free
-(:mod:`.join_rules`); and a group is recorded before its first order, under the condition that the
-controller's record is unchanged (:mod:`.records`).
+An order is safe to send only while no other daemon can be the controller. Three conditions ensure
+this: this daemon's lease is still valid, checked right before each order; a join names the number
+of orders that the engine had begun when it was seen free (:mod:`.join_rules`); and a group is
+recorded before its first order, on the condition that the controller's record is unchanged
+(:mod:`.records`).
 
-Owns: the last report of each endpoint that was asked in this term.
-Relies on: the lease (:class:`.Election`), which ends here before it ends in the store, and on
+Owns: the latest report of each endpoint that was probed in this term.
+Relies on: the lease (:class:`.Election`), which expires here before it expires in the store, and
 :mod:`.call_window` for when a call is sent.
 """
 
@@ -39,22 +39,22 @@
 from .call_window import Urgency
 from .call_window import forming_urgency
 
-# how often a silent endpoint is asked before it counts as not answering
+# Number of probes without an answer after which an endpoint counts as silent.
 MAX_PROBES = 2
-# how often it is asked beside these while this daemon is late itself
+# Number of further probes while this daemon's own event loop is late.
 MAX_PROBES_WHILE_LATE = 10
-# between two questions to an endpoint that is waited for, in seconds
+# Interval between two probes of the same endpoint.
 PROBE_INTERVAL_SECONDS = 0.25
-# between two looks at what is already known here, in seconds
+# Interval between two checks of local state.
 POLL_INTERVAL_SECONDS = 0.02
-# states in which a member has loaded the model
+# States in which a member has loaded the model.
 READY_STATES = (GroupState.READY, GroupState.OPEN)
-# outcomes by which the endpoint carries an order out, or had done so before
+# Outcomes that mean that the endpoint carries out an order or has already done so.
 ACCEPTED = (Outcome.DONE, Outcome.BEGUN)
 
 
 def order_urgency(order: Order) -> Urgency:
-    """Return the place of an order among the calls that wait."""
+    """Return the urgency of an order among the waiting calls."""
     match order:
         case Join(group):
             return forming_urgency(group)
@@ -64,11 +64,12 @@
 
 
 class Orders:
-    """Sends orders only while this daemon is the controller.
+    """Sends orders to endpoints while this daemon is the controller, and probes them.
 
-    :param leads: returns whether it is, asked right before each order.
-    :param heard: called with the id of each endpoint that answers.
-    :param calls: through which all calls go.
+    :param is_controller: returns whether this daemon is the controller; called right before each
+        order.
+    :param record_contact: called with the id of each endpoint that answers.
+    :param calls: window that limits all calls.
     """
 
     def __init__(
@@ -91,21 +92,21 @@
         self._reports: dict[str, EngineReport] = {}
 
     def forget(self) -> None:
-        """Forget all reports; the list is newer."""
+        """Discard all reports, since the list is newer."""
         self._reports.clear()
 
     def listed_membership(self, endpoint: Endpoint) -> Membership | None:
-        """Return an endpoint's place in a group, as listed."""
+        """Return an endpoint's listed membership; the given one if it isn't listed."""
         return self._view.roster.endpoints.get(endpoint.id, endpoint).membership
 
     def was_seen_ready(self, endpoint: Endpoint, group: GroupId, rank: int) -> bool:
-        """Return whether an endpoint was listed or reported ready in its place in a group.
+        """Return whether an endpoint was listed or reported as ready in a group.
 
-        The rank tells its report from that of another member that has its address by now.
+        The rank distinguishes its report from that of another member at the same address.
         """
         report = self._reports.get(endpoint.id)
         if report is not None and self.has_restarted(endpoint, report):
-            # one of both is about a life that is over, and lags behind
+            # Either the report or the entry is from an earlier incarnation.
             return False
         places = (self.listed_membership(endpoint), report.membership if report else None)
         return any(
@@ -114,16 +115,16 @@
         )
 
     def has_restarted(self, endpoint: Endpoint, report: EngineReport) -> bool:
-        """Return whether an endpoint's report and its entry come from two of its lives."""
+        """Return whether an endpoint's report and entry come from different incarnations."""
         listed = self._view.roster.endpoints.get(endpoint.id, endpoint)
         return listed.life.is_over(Life(endpoint.id, report.born))
 
     async def send(self, endpoint: Endpoint, order: Order, expected: int | None = None) -> Outcome:
-        """Give an order once.
+        """Send an order once.
 
-        :param expected: orders that the engine must have begun before; None for any number.
+        :param expected: number of orders that the engine must have begun before; None for any.
         :raises LeaseError: if this daemon may no longer be the controller.
-        :raises EndpointError: if there is no answer; the order may be carried out all the same.
+        :raises EndpointError: if there is no answer; the order may still be carried out.
         """
         async with self._calls.slot(order_urgency(order)):
             if not self._is_controller():
@@ -145,7 +146,7 @@
         return outcome
 
     async def fetch_report(self, endpoint: Endpoint, urgency: Urgency = IMMEDIATE) -> EngineReport:
-        """Ask an endpoint for its report.
+        """Return an endpoint's report.
 
         :raises EndpointError: if there is no answer.
         """
@@ -156,7 +157,7 @@
         return report
 
     async def is_member(self, endpoint: Endpoint, group: GroupId) -> bool:
-        """Ask an endpoint whether it is in a group.
+        """Return whether an endpoint reports that it is in a group.
 
         :raises EndpointError: if there is no answer.
         """
@@ -166,24 +167,24 @@
     async def probe(self, endpoint: Endpoint, urgency: Urgency = IMMEDIATE) -> EngineReport | None:
         """Return an endpoint's report; None if it is silent.
 
-        It is asked :data:`MAX_PROBES` times at most, and more often while this daemon is late itself:
-        then it may have missed the answer.
+        Tries :data:`MAX_PROBES` times, and more often while this daemon's own event loop is late,
+        since it may then have missed the answer.
         """
         silent = silent_while_late = 0
         while silent < MAX_PROBES and silent_while_late < MAX_PROBES_WHILE_LATE:
-            asked_at = self._clock()
+            sent_at = self._clock()
             try:
                 return await self.fetch_report(endpoint, urgency)
             except (EndpointGoneError, EndpointRefusedError):
                 return None
             except EndpointError:
-                # no answer in time; it is asked again
-                if self._calls.was_late_since(asked_at):
+                # No answer in time; the probe is repeated.
+                if self._calls.was_late_since(sent_at):
                     silent_while_late += 1
                 else:
                     silent += 1
         return None
 
     async def is_responding(self, endpoint: Endpoint, urgency: Urgency = IMMEDIATE) -> bool:
-        """Return whether an endpoint answers, asked as :meth:`report` says."""
+        """Return whether an endpoint answers a :meth:`probe`."""
         return await self.probe(endpoint, urgency) is not None
--- a/packages/gateway/src/thorncleat_gateway/groups/planner.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/planner.py
@@ -1,10 +1,11 @@
-"""One plan: what stands is compared with the layout, and the next steps are begun.
+"""Compares the present groups with the layout and starts the next steps.
 
-The plan holds no memory of earlier ones: it starts from the list, where the members themselves
-say which groups there are, from the sizes of the domains, and from what the term has under way.
+A plan keeps nothing from earlier ones: its inputs are the list, where members name their groups,
+the sizes of the domains, and the work under way in the term.
 
-Owns: which groups are being ended for their slow members.
-Relies on: :mod:`.formation` for layout, groups and loads, :mod:`.group_inspector` for what stands.
+Owns: which groups are being ended because of slow members.
+Relies on: :mod:`.formation` for layout, groups and loads; :mod:`.group_inspector` for the groups
+that serve.
 """
 
 import collections
@@ -31,10 +32,10 @@
 
 
 class Planner:
-    """Plans in one term.
+    """Plans the groups and loads of one term and starts them.
 
-    :param before_requests: returns whether no caller has sent anything since the very first
-        start of the whole system.
+    :param before_requests: returns whether no caller has sent a request yet since the system's
+        first start.
     """
 
     def __init__(
@@ -48,13 +49,13 @@
         self._view = view
         self._sizes = sizes
         self._before_requests = before_requests
-        # groups that are being ended for their slow members, by domain
+        # Groups that are being ended because of slow members, by domain.
         self._groups_being_replaced: dict[str, set[GroupId]] = collections.defaultdict(set)
         self.term = term
         self.inspector = inspector
 
     def plan(self, configuration: ServingConfiguration) -> None:
-        """Plan for all services that have engines, and begin what has to be done."""
+        """Plan for all services that have engines and start the steps that are needed."""
         self.term.ending.broadcast()
         self.term.unlisted.watch_removed()
         for service in configuration.services.values():
@@ -64,9 +65,9 @@
         self.term.lost.forget_unlisted()
 
     def _plan_service(self, service: str, engine: Engine, *, can_migrate: bool) -> None:
-        """Plan for a service.
+        """Plan for one service.
 
-        :param movable: whether its streams can go on in another group.
+        :param can_migrate: whether all its streams can resume on another group.
         """
         endpoints = self._view.roster.of_service(service)
         views = self._domain_views(service, endpoints)
@@ -82,14 +83,14 @@
                 self._replace_slow(view, slow[view.name], spares, engine)
 
     def _domain_views(self, service: str, endpoints: t.Sequence[Endpoint]) -> Views:
-        """Return a view of each domain, with what its hosts hold."""
+        """Return a view of each domain, with the models that its hosts hold."""
         staging = self.term.loader.staging()
         present = {endpoint.fabric_domain for endpoint in endpoints}
         views = {
-            known.domain: DomainView(
-                known.domain, known.size, known.failure_domain, staging=staging
+            recorded.domain: DomainView(
+                recorded.domain, recorded.size, recorded.failure_domain, staging=staging
             )
-            for known in self._sizes.of_service(service, present)
+            for recorded in self._sizes.of_service(service, present)
         }
         for endpoint in endpoints:
             views[endpoint.fabric_domain].hosts_by_model.update(endpoint.staged)
@@ -98,22 +99,22 @@
     def _collect_active_groups(
         self, service: str, engine: Engine, views: Views
     ) -> t.Mapping[str, list[SlowGroup]]:
-        """Count the groups that stand or are being formed, and end those that don't.
+        """Count the groups that serve or are being formed, and end the unhealthy ones.
 
-        :returns: those with slow members, by domain.
+        :returns: the groups with slow members, by domain.
         """
         slow: dict[str, list[SlowGroup]] = collections.defaultdict(list)
-        for group, plan in self.term.forming_state.under_way.items():
-            if group not in self.term.ending and plan.domain in views:
+        for group_id, plan in self.term.forming_state.under_way.items():
+            if group_id not in self.term.ending and plan.domain in views:
                 views[plan.domain].active_groups[plan.model.name] += 1
-        for standing in self.inspector.inspect(service, engine):
-            views[standing.domain].active_groups[standing.model] += 1
-            if standing.slow is not None:
-                slow[standing.domain].append(standing.slow)
+        for group in self.inspector.inspect(service, engine):
+            views[group.domain].active_groups[group.model] += 1
+            if group.slow is not None:
+                slow[group.domain].append(group.slow)
         return slow
 
     def _add_available(self, service: str, endpoints: t.Sequence[Endpoint], views: Views) -> None:
-        """Sort the endpoints that are in no group into those that may lead and the weak ones."""
+        """Add the endpoints that may join a group to the views of their domains."""
         for endpoint in endpoints:
             if self._is_available(endpoint):
                 self._add_listed(endpoint, views[endpoint.fabric_domain])
@@ -143,10 +144,10 @@
         engine: Engine,
         scarcity: formation.Scarcity,
     ) -> list[Endpoint]:
-        """Begin the groups and loads that a domain lacks.
+        """Start the groups and loads that a domain lacks.
 
-        :param target: groups by model that the layout gives this domain.
-        :returns: the free endpoints that are left.
+        :param target: number of groups by model that the layout assigns to this domain.
+        :returns: the free endpoints that no planned group uses.
         """
         if self.term.forming_state.is_paused(view.name):
             return []
@@ -156,7 +157,7 @@
             if not plan.cold_members or self._before_requests():
                 self.term.forming.form(plan)
                 continue
-            # hosts load first, so that the others stay free for whoever is back sooner
+            # Hosts load before their group is formed, so that its other members stay available.
             for member in plan.cold_members:
                 if member.id not in view.staging and self._reserve_load(engine):
                     self.term.loader.load(LoadPlan(member, plan.model))
@@ -176,32 +177,32 @@
         spares: t.Sequence[Endpoint],
         engine: Engine,
     ) -> None:
-        """End groups with slow members, so that one can be formed without."""
+        """End groups with slow members where a group without them can replace one."""
         for model in engine.models:
             of_model = [group for group in groups if group.model == model.name]
             for group in groups_to_replace(of_model, spares, model):
                 self._groups_being_replaced[view.name].add(group.id)
                 self.term.ending.end(group.id, EndReason.MEMBER_SLOW, group.members)
             if self._groups_being_replaced[view.name]:
-                # the spares are those of all models
+                # All models share the spares, so only one model's groups are replaced at a time.
                 return
 
     def _is_replacing(self, domain: str) -> bool:
-        """Return whether groups of a domain are being ended for their slow members.
+        """Return whether groups of a domain are being ended because of slow members.
 
-        What is formed before all of them have ended would take in the slow ones again.
+        A group formed before all of them have ended would include slow endpoints again.
         """
         replaced = self._groups_being_replaced[domain]
         replaced.intersection_update(group for group in replaced if group in self.term.ending)
         return bool(replaced)
 
     def _reserve_load(self, engine: Engine) -> bool:
-        """Return whether a load may begin; those before the first request are not counted."""
+        """Return whether a load may begin, and reserve it; unlimited before the first request."""
         return self._before_requests() or self.term.loader.reserve_load(engine)
 
 
 def _can_migrate(configuration: ServingConfiguration, service: str) -> bool:
-    """Return whether all streams of a service can go on in another group."""
+    """Return whether all streams of a service can resume on another group."""
     routes = (
         route
         for route in configuration.routes
@@ -211,11 +212,11 @@
 
 
 def _scarcity(views: Views, layout: formation.Layout) -> formation.Scarcity:
-    """Return a function that gives the part of a model's groups that all domains lack."""
-    standing = sum((view.active_groups for view in views.values()), collections.Counter[str]())
+    """Return a function that gives the missing share of a model's groups over all domains."""
+    active = sum((view.active_groups for view in views.values()), collections.Counter[str]())
     target = sum(layout.values(), collections.Counter[str]())
 
     def scarcity(model: EngineModel) -> float:
-        return 1 - standing[model.name] / max(1, target[model.name])
+        return 1 - active[model.name] / max(1, target[model.name])
 
     return scarcity
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -1,25 +1,22 @@
-"""A record in the store for each group that was begun and may still answer.
+"""Records in the store of the groups that were begun and may still answer.
 
-It is written before any member is ordered to join, under the condition that the writer is
-still the controller, and it is removed only once the group's leader answers no more. So whoever
-controls the groups next knows the leader of each group, listed or not, and knows that members of
-a group without a record are free.
+A record is written before any member is ordered to join, on the condition that the writer is still
+the controller, and is removed only once the group's leader no longer answers. So each controller
+knows the leaders of all groups, listed or not, and that members of a group without a record are
+free.
 
-The view lags behind the store, so a record that it doesn't show proves nothing by itself. What a
-term knows is whole all the same: it begins once the view shows the term's own record
-(:attr:`.Election.is_caught_up`), and with it all that earlier controllers wrote; from then on only
-this controller writes, and remembers what.
+The view lags behind the store, so a record missing from the view proves nothing by itself. A term
+begins once the view shows the term's own record (:attr:`.Election.is_caught_up`), and with it all
+earlier ones; from then on only this controller writes records.
 
-A record may also be gone though its group answers: a leader that was neither listed nor heard may
-have been cut off and come back. So a leader that is listed in a group that should be over has to be
-asked (:meth:`GroupRecords.has_returned`).
-
-The store may come back from a copy that lacks records. A controller that knows such a group writes
-its record again; where nobody does, what its members say has to do, once the list is settled.
+A leader that was taken for dead may return after its group's record was removed
+(:meth:`GroupRecords.has_returned`). A store restored from a copy may lack records: a controller
+that knows such a group writes its record again; otherwise the members' reports decide, once the
+list is settled.
 
 Owns: the groups that were begun or found in this term, and those that have ended in it.
-Relies on: the store's conditional writes, and the view for what earlier controllers recorded and
-for what leaders say.
+Relies on: the store's conditional writes, and the view for the records of earlier controllers and
+for the leaders' entries.
 """
 
 import asyncio
@@ -42,11 +39,9 @@
 from .formation import GroupPlan
 
 GROUPS_PREFIX = "thorncleat/groups/"
-# keys that one write may remove beside what it writes
 MAX_REMOVALS_PER_WRITE = 24
-# that one write may hold
 MAX_RECORDS_PER_WRITE = 24
-# after a write that got no answer, in seconds
+# Pause after a write without an answer.
 RETRY_INTERVAL_SECONDS = 0.3
 
 
@@ -55,13 +50,13 @@
 
 
 def _group_of(key: str) -> GroupId | None:
-    """Return the group of a record; None if its key names none."""
+    """Return the group of a record's key; None if the key names no group."""
     epoch, _, name = key.removeprefix(GROUPS_PREFIX).partition("/")
     return GroupId(int(epoch), name) if epoch.isdecimal() and name else None
 
 
 class Detached(enum.Enum):
-    """How a group came to answer no more; logged as ``how`` of event 7207."""
+    """How it was ensured that a group no longer answers; logged as ``how`` of event 7207."""
 
     NO_RECORD = "no record"
     LEFT = "left"
@@ -72,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _LeaderRecord:
-    """What is kept of a group's leader."""
+    """The identity of a group's leader, as recorded in the store."""
 
     id: str
     service: str
@@ -88,12 +83,12 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "_LeaderRecord | None":
-        """Return what :meth:`encode` wrote; None for something else."""
+        """Return the leader that :meth:`encode` wrote; None if the data is malformed."""
         try:
-            parts = msgpack.unpackb(data)
+            fields = msgpack.unpackb(data)
         except (ValueError, msgpack.exceptions.UnpackException):
             return None
-        match parts:
+        match fields:
             case [str(endpoint_id), str(service), str(address)]:
                 return cls(endpoint_id, service, address)
         return None
@@ -106,14 +101,14 @@
         self._records = records
         self._view = view
         self._election = election
-        # of groups that were begun in this term, or found, whether the view shows a record or not
+        # Groups begun in this term and lost records found at its start, shown by the view or not.
         self._leaders: dict[GroupId, _LeaderRecord] = {}
         self._ended: dict[GroupId, Detached] = {}
-        # those whose records the store lost
+        # Groups whose records the store lost.
         self._unwritten: set[GroupId] = set()
 
     def begin_term(self) -> None:
-        """Forget what an earlier term of this daemon began and ended."""
+        """Discard the state of an earlier term and load the records that the store has lost."""
         self._leaders.clear()
         self._ended.clear()
         self._unwritten.clear()
@@ -125,7 +120,7 @@
                 self._unwritten.add(group)
 
     async def rewrite_lost_records(self) -> None:
-        """Write the records again that the store lost, while this daemon is the controller."""
+        """Write the lost records to the store again while this daemon is the controller."""
         while self._unwritten and self._election.is_controller:
             groups = sorted(self._unwritten)[:MAX_RECORDS_PER_WRITE]
             puts = {_key(group): self._leaders[group].encode() for group in groups}
@@ -134,7 +129,7 @@
             try:
                 written = await self._records.commit(puts, [], {CONTROLLER_KEY: term})
             except StoreError as error:
-                # not known to be written: the same records are written once more
+                # The outcome is unknown, so the same records are written again.
                 events.LOST_RECORDS.log(groups=len(groups), problem=str(error))
                 await asyncio.sleep(RETRY_INTERVAL_SECONDS)
                 continue
@@ -145,12 +140,12 @@
 
     @property
     def groups(self) -> list[GroupId]:
-        """The groups that have a record, be it one that the view doesn't show yet."""
-        shown = (_group_of(key) for key in self._view.records if key.startswith(GROUPS_PREFIX))
-        return list(dict.fromkeys([*filter(None, shown), *self._leaders]))
+        """The groups that have a record, including records that the view doesn't show yet."""
+        recorded = (_group_of(key) for key in self._view.records if key.startswith(GROUPS_PREFIX))
+        return list(dict.fromkeys([*filter(None, recorded), *self._leaders]))
 
     def can_answer(self, group: GroupId) -> bool:
-        """Return whether a group has a record and was not ended in this term."""
+        """Return whether a group has a record and has not been ended in this term."""
         if group in self._ended:
             return False
         return group in self._leaders or _key(group) in self._view.records
@@ -158,52 +153,59 @@
     def is_over(self, group: GroupId) -> bool:
         """Return whether the members of a group are free.
 
-        While the list isn't settled, the store may have lost the record of a group that stands.
+        While the list isn't settled, a group without a record may still serve: the store may have
+        lost its record.
         """
         if group in self._ended:
             return True
         return self._view.settled and not self.can_answer(group)
 
     def how_ended(self, group: GroupId) -> Detached | None:
-        """Return how a group ended in this term; None if it didn't."""
+        """Return how a group ended in this term; None if it has not ended."""
         return self._ended.get(group)
 
     def leader(self, group: GroupId) -> Endpoint | None:
-        """Return a group's leader, whether it is listed or not; None without a record.
+        """Return a group's leader, listed or not; None without a record.
 
-        A record that another writer spoilt names none; then the list does.
+        If the record is malformed, the leader is taken from the list.
         """
         leader_record = self._leaders.get(group) or self._recorded_leader(group)
         if leader_record is None:
-            named = self._view.roster.groups.get(group)
-            return named.leader if named is not None and self.can_answer(group) else None
+            listed_group = self._view.roster.groups.get(group)
+            return (
+                listed_group.leader if listed_group is not None and self.can_answer(group) else None
+            )
         listed = self._view.roster.endpoints.get(leader_record.id)
-        place = Membership(group, 0, GroupState.OPEN)
+        membership = Membership(group, 0, GroupState.OPEN)
         return listed or Endpoint(
-            leader_record.id, leader_record.service, leader_record.address, "", membership=place
+            leader_record.id,
+            leader_record.service,
+            leader_record.address,
+            "",
+            membership=membership,
         )
 
     def _recorded_leader(self, group: GroupId) -> _LeaderRecord | None:
-        """Return what the view shows of a group's leader."""
+        """Return a group's leader from its record in the view; None without a valid record."""
         record = self._view.records.get(_key(group))
         if record is None or record.value is None:
             return None
         return _LeaderRecord.decode(record.value)
 
     async def begin(self, group: GroupId, plan: GroupPlan) -> bool:
-        """Write a group's record, and remove those of groups that have ended.
+        """Write a group's record and remove records of groups that have ended.
 
         :returns: False if this daemon is no longer the controller.
-        :raises StoreError: if it is not known to be written.
+        :raises StoreError: if the outcome of the write is unknown.
         """
         leader_record = _LeaderRecord.of(plan.members[0])
         term = self._election.term
         if term is None:
             return False
-        gone = [ended for ended in self._ended if _key(ended) in self._view.records]
+        removable = [ended for ended in self._ended if _key(ended) in self._view.records]
         written = await self._records.commit(
             {_key(group): leader_record.encode()},
-            [_key(ended) for ended in gone[:MAX_REMOVALS_PER_WRITE]],
+            [_key(ended) for ended in removable[:MAX_REMOVALS_PER_WRITE]],
             {CONTROLLER_KEY: term},
         )
         if written:
@@ -211,22 +213,22 @@
         return written
 
     def has_returned(self, group: Group) -> bool:
-        """Return whether a group that should be over is listed with its leader.
+        """Return whether a group without a record is listed with its leader.
 
-        That leader may not have ended when the group did. One that left says so in its next entry,
-        and one whose process ended doesn't write another.
+        Only a leader that was taken for dead can return: one that left reports so in its next
+        entry, and one whose process ended writes no more entries.
         """
-        unsure = self._ended.get(group.id) in (None, Detached.DEAD)
-        return unsure and group.leader is not None and not self.can_answer(group.id)
+        may_be_alive = self._ended.get(group.id) in (None, Detached.DEAD)
+        return may_be_alive and group.leader is not None and not self.can_answer(group.id)
 
     def restore(self, group: Group) -> None:
-        """Count a group that is back as one that may answer, until it is ended again."""
+        """Mark a returned group as one that may answer, until it is ended again."""
         assert group.leader is not None
         self._ended.pop(group.id, None)
         self._leaders[group.id] = _LeaderRecord.of(group.leader)
 
     def end(self, group: GroupId, how: Detached) -> None:
-        """Count a group as ended; its leader answers no more."""
+        """Mark a group as ended; its leader no longer answers."""
         self._leaders.pop(group, None)
         self._unwritten.discard(group)
         self._ended[group] = how
--- a/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
@@ -1,17 +1,13 @@
-"""Endpoints that say they are slow, and the groups that do better without them.
+"""Endpoints that report that they are slow, and the groups that are replaced because of them.
 
-The load pattern: a few instances turn slow for some seconds, and each group computes at the pace of
-its slowest member. Groups of 12 with two in five of the endpoints slow are all slow, though three
-in five of the endpoints would do for more than half of the groups.
+A group computes at the pace of its slowest member. Slow groups of a domain are ended if their
+other members and the spares that hold the model are enough for a new group; otherwise a slow group
+is better than none. Slow endpoints join a group only after those that aren't slow, but before
+those that don't hold the model.
 
-So slow groups of a domain are ended where their other members and the spares that hold the model
-are enough for a group, which stands 1 to 2 s later, sooner if the spares are warm. Where there are
-not enough, a slow group is better than none. Slow endpoints join a group only after those that
-aren't, but before those that don't hold the model.
-
-Owns: the lives of the endpoints whose last report said that they are slow.
-Relies on: :mod:`.member_examination`, which asks the members of a group that some daemon suspects:
-the pauses of a slow group are long enough for that.
+Owns: the incarnations of the endpoints whose latest report says that they are slow.
+Relies on: :mod:`.member_examination`, which probes the members of suspected groups; a slow group's
+pauses make daemons suspect it.
 """
 
 import asyncio
@@ -29,19 +25,18 @@
 from .jobs import Start
 from .orders import Orders
 
-# times the usual duration of a step from which an endpoint counts as slow: to form its group anew
-# makes a pause of 2 s, which a stream at twice its duration seldom lasts
+# Multiple of a step's usual duration from which an endpoint counts as slow.
 SLOW_PACE = 3.0
-# between two questions to a slow endpoint, in seconds
+# Interval between two probes of a slow endpoint.
 POLL_INTERVAL_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class SlowGroup:
-    """A group that stands and has slow members.
+    """A running group with slow members.
 
-    :param slow: how many.
-    :param members: those that are listed.
+    :param slow: number of slow members.
+    :param members: the listed members.
     """
 
     id: GroupId
@@ -53,29 +48,29 @@
 def groups_to_replace(
     groups: t.Iterable[SlowGroup], spares: t.Collection[Endpoint], model: EngineModel
 ) -> list[SlowGroup]:
-    """Return the groups of a domain to end, so that one can be formed without slow members.
+    """Return the groups of a domain to end so that one without slow members can be formed.
 
-    There are none if their other members are too few for one. Those with the fewest slow members
-    come first, so that as few groups as can be are ended.
+    Groups with the fewest slow members are chosen first, so that as few groups as possible end.
+    The result is empty if spares and members that aren't slow are too few for a group.
 
-    :param groups: of one model.
+    :param groups: groups of one model that have slow members.
     :param spares: free endpoints of the domain that aren't slow.
     """
-    available = sum(model.name in spare.staged for spare in spares)
+    usable = sum(model.name in spare.staged for spare in spares)
     chosen: list[SlowGroup] = []
     for group in sorted(groups, key=lambda group: (group.slow, group.id)):
         chosen.append(group)
-        available += len(group.members) - group.slow
-        if available >= model.size:
+        usable += len(group.members) - group.slow
+        if usable >= model.size:
             return chosen
     return []
 
 
 class SlowEndpoints:
-    """Keeps which endpoints are slow, and asks them until they are not.
+    """Holds which endpoints are slow and polls them until they are not.
 
-    :param start: runs a coroutine beside the others of the controller.
-    :param wake: has the controller plan anew.
+    :param start: starts a background job of the term.
+    :param wake: makes the controller plan again.
     """
 
     def __init__(
@@ -91,7 +86,7 @@
         return endpoint.life in self._incarnations
 
     def record_report(self, endpoint: Endpoint, report: EngineReport) -> None:
-        """Take notice of what an endpoint says of its pace."""
+        """Mark an endpoint as slow if its report says so."""
         if report.pace < SLOW_PACE or endpoint in self:
             return
         self._incarnations.add(endpoint.life)
@@ -100,7 +95,7 @@
         self._start(self._poll_until_normal(endpoint))
 
     async def _poll_until_normal(self, endpoint: Endpoint) -> None:
-        """Count an endpoint as slow until it says otherwise, or its life is over."""
+        """Poll a slow endpoint until it is no longer slow, is silent, or has been replaced."""
         pace: float | None = SLOW_PACE
         while pace is not None and pace >= SLOW_PACE:
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
@@ -109,7 +104,7 @@
         events.ENDPOINT_NORMAL.log(endpoint=endpoint.id, pace=pace)
 
     async def _pace(self, endpoint: Endpoint) -> float | None:
-        """Return an endpoint's pace; None if that life is over or silent."""
+        """Return an endpoint's reported pace; None if it is silent or its incarnation has ended."""
         listed = self._view.roster.endpoints.get(endpoint.id)
         if listed is None or listed.life != endpoint.life:
             return None
--- a/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
@@ -1,15 +1,12 @@
-"""Loading models from the host into the engines of spare endpoints, before they are needed.
+"""Loads models from the host into the engines of spare endpoints before they are needed.
 
-The load pattern: one endpoint of a group is lost every few seconds, and the group is formed again
-with a spare. An engine whose last group had the same model joins in 0.2 s; one that has the model
-only on its host loads it first, and the other members wait for it. So spares join a group of their
-own, which is never opened, and leave it as soon as they are ready in it.
+An engine that already holds the model joins a group much faster than one whose host holds it. So
+spares join a group of their own, which is never opened, and leave it as soon as they are ready.
+Such a group has no record, so its endpoint counts as free all the time.
 
-Such a group has no record, so its endpoint counts as free all the time: a group that needs it at
-once may have it, and has lost nothing.
-
-Owns: which endpoints are being warmed, in which groups, and which were lately.
-Relies on: engines that keep a model when they leave its group, and open none by themselves.
+Owns: the groups of the endpoints that are being warmed, and which endpoints were warmed recently.
+Relies on: engines that keep a model when they leave its group, and don't open groups by
+themselves.
 """
 
 import typing as t
@@ -33,10 +30,9 @@
 from .orders import Orders
 from .records import GroupRecords
 
-# after an endpoint was warmed, or wasn't, until it is tried again, in seconds: the list shows its
-# model long before
+# Interval between two attempts to warm the same endpoint.
 RETRY_INTERVAL_SECONDS = 10.0
-# without a change of the list, for which a wait for the endpoint rests, in seconds
+# Longest wait for a change of the list.
 CHANGE_WAIT_SECONDS = 0.25
 
 
@@ -45,7 +41,7 @@
 ) -> list[tuple[Endpoint, EngineModel]]:
     """Return the spares of a domain to warm, each with the model that its host holds.
 
-    :param models: those that the domain carries.
+    :param models: the models that the domain carries.
     """
     carried = {model.name: model for model in models}
     chosen = []
@@ -57,9 +53,9 @@
 
 
 class SpareWarming:
-    """Warms spares, in one term.
+    """Warms spares in one term.
 
-    :param start: runs a coroutine beside the others of the controller.
+    :param start: starts a background job of the term.
     """
 
     def __init__(
@@ -77,7 +73,7 @@
         self._state = state
         self._clock = clock
         self._start = start
-        # with the time until which the list may not show them yet
+        # By group, the time until which the list may not show it yet.
         self._groups: dict[GroupId, float] = {}
         self._retry_at: dict[Life, float] = {}
 
@@ -85,7 +81,7 @@
         return group in self._groups
 
     def warm(self, endpoint: Endpoint, model: EngineModel) -> None:
-        """Begin to warm an endpoint, unless it was tried lately."""
+        """Start to warm an endpoint unless it was tried recently."""
         now = self._clock()
         if self._retry_at.get(endpoint.life, now) > now:
             return
@@ -97,8 +93,12 @@
         self._start(self._run(endpoint, group, model))
 
     def _forget(self, now: float) -> None:
-        """Forget the endpoints tried long ago, and the groups that the list shows no more."""
-        self._retry_at = {life: until for life, until in self._retry_at.items() if until > now}
+        """Discard expired attempts and groups that the list no longer shows."""
+        self._retry_at = {
+            incarnation: retry_at
+            for incarnation, retry_at in self._retry_at.items()
+            if retry_at > now
+        }
         listed = self._view.roster.groups
         self._groups = {
             group: until for group, until in self._groups.items() if until > now or group in listed
@@ -108,22 +108,22 @@
         try:
             if await self._join(endpoint, group, model):
                 await self._wait_ready(endpoint, group, WARM_TIMEOUT_FACTOR * model.warm)
-                # refused if the endpoint has been ordered into another group meanwhile
+                # Refused if the endpoint has been ordered into another group meanwhile.
                 await self._orders.send(endpoint, Leave(group))
         except EndpointError:
-            # it is lost, or it stays in a group that is never opened: it is free in either case
+            # The endpoint is lost, or stays in a group that never opens; it is free either way.
             pass
 
     async def _join(self, endpoint: Endpoint, group: GroupId, model: EngineModel) -> bool:
-        """Order an endpoint into its own group if it is free; return whether it took the order."""
+        """Order a free endpoint into its own group; return whether it accepted the order."""
         report = await self._orders.fetch_report(endpoint, BACKGROUND)
-        place = join_rules.availability(report.membership, group, self._records.is_over)
-        if place is not Availability.FREE:
+        availability = join_rules.availability(report.membership, group, self._records.is_over)
+        if availability is not Availability.FREE:
             return False
         order = Join(group, model.name, (endpoint.id,))
         return await self._orders.send(endpoint, order, report.order_count) in ACCEPTED
 
     async def _wait_ready(self, endpoint: Endpoint, group: GroupId, seconds: float) -> None:
-        until = self._clock() + seconds
-        while self._clock() < until and not self._orders.was_seen_ready(endpoint, group, 0):
+        deadline = self._clock() + seconds
+        while self._clock() < deadline and not self._orders.was_seen_ready(endpoint, group, 0):
             await self._view.wait_change(CHANGE_WAIT_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/term.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -1,10 +1,10 @@
-"""A controller's term and its parts, which live no longer than it.
+"""A controller's term and its parts, which exist only as long as the term.
 
-A daemon that becomes controller again begins anew, so that a job of an earlier term that is
-still being cancelled can't write into the next one.
+A daemon that becomes controller again gets new parts, so that a job of an earlier term that is
+still being cancelled can't write into the new one.
 
 Owns: the parts of one term.
-Relies on: :class:`.Election` for the term's number.
+Relies on: :class:`.Election` for the position at which the term began.
 """
 
 import dataclasses
@@ -38,10 +38,10 @@
 class Term:
     """The parts of one term.
 
-    :param begun: the store's position at which the controller's record was created.
+    :param position: store position at which the controller's record was created.
     """
 
-    begun: Position
+    position: Position
     jobs: Jobs
     orders: Orders
     records: GroupRecords
@@ -57,7 +57,7 @@
 
 
 class TermFactory:
-    """Builds and wires the parts of each term; the one place that does."""
+    """Builds and wires the parts of each term."""
 
     def __init__(
         self,
@@ -81,10 +81,10 @@
         self._ended = ended
         self._clock = clock
 
-    def begin(self, begun: Position, wake: t.Callable[[], None]) -> Term:
-        """Forget what earlier terms reported, and build the parts of a new one.
+    def begin(self, position: Position, wake: t.Callable[[], None]) -> Term:
+        """Discard the state of earlier terms and build the parts of a new one.
 
-        :param wake: has the controller plan anew.
+        :param wake: makes the controller plan again.
         """
         view, orders, records, clock = self._view, self._orders, self._records, self._clock
         orders.forget()
@@ -96,11 +96,11 @@
             view, orders, self._detector, self._load_table, self._peers, clock
         )
         ending = GroupEnding(orders, records, self._ended, liveness, clock, jobs.start)
-        state = FormingState(self._term_number(begun), clock)
+        state = FormingState(self._term_number(position), clock)
         steps = GroupSteps(self._settings, view, orders, records, lost, clock, state.skip_epochs)
         jobs.start(records.rewrite_lost_records())
         return Term(
-            begun=begun,
+            position=position,
             jobs=jobs,
             orders=orders,
             records=records,
@@ -115,11 +115,11 @@
             warming=SpareWarming(view, orders, records, state, clock, jobs.start),
         )
 
-    def _term_number(self, begun: Position) -> int:
-        """Return the number of a term that has just begun."""
+    def _term_number(self, position: Position) -> int:
+        """Return the number of a new term."""
         roster = self._view.roster
         gone = (removed.endpoint for removed in roster.gone.values())
         places = (removed.membership for removed in (*roster.endpoints.values(), *gone))
         epochs = [place.group.epoch for place in places if place is not None]
         epochs += [group.epoch for group in self._records.groups]
-        return term_number(begun.revision, epochs, self._view.former_eras.revisions)
+        return term_number(position.revision, epochs, self._view.former_eras.revisions)
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -1,13 +1,13 @@
 """Endpoints that are no longer listed and still answer.
 
-They may be leaving, or only be cut off from the store. A group with such a member goes on
-serving; one may also help out in a new group, but it never leads.
+They may be leaving, or only be cut off from the store. A group with such a member goes on serving;
+such an endpoint may also join a new group, but never leads it.
 
-A term begins with a question to all those that the roster remembers: a daemon that has just become
-the controller doesn't know which of them the former controller had found to answer.
+A term begins by polling all removed endpoints that the roster holds, since a new controller doesn't
+know which of them respond.
 
-Owns: the unlisted endpoints that are asked, with their last reports, and which of them answer.
-Relies on: the roster's memory of endpoints that were unlisted lately.
+Owns: the unlisted endpoints that are polled, their latest reports, and which of them respond.
+Relies on: the roster's record of endpoints that were removed recently.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 from .jobs import Start
 from .orders import Orders
 
-# between two questions to an unlisted endpoint, in seconds
+# Interval between two probes of an unlisted endpoint.
 POLL_INTERVAL_SECONDS = 1.0
-# for which an unlisted endpoint is asked at most, in seconds
+# Longest time for which an unlisted endpoint is polled.
 MAX_WATCH_SECONDS = 30.0
-# in which an endpoint that was just unlisted counts as answering, in seconds
+# How long an endpoint counts as responding after it was removed from the list.
 UNLISTED_GRACE_SECONDS = 0.4
 
 
@@ -34,9 +34,9 @@
 
 
 class UnlistedEndpoints:
-    """Asks endpoints that are no longer listed whether they are still there.
+    """Polls endpoints that are no longer listed.
 
-    :param start: runs a coroutine beside the others of the controller.
+    :param start: starts a background job of the term.
     """
 
     def __init__(
@@ -50,14 +50,14 @@
         self._orders = orders
         self._clock = clock
         self._start = start
-        # as last listed, and then as they report
+        # The entries as last listed, updated from the endpoints' reports.
         self._watched: dict[str, Endpoint] = {}
-        # ids of those that have answered
+        # Ids of the watched endpoints that have answered.
         self._answering: set[str] = set()
         self._begun = False
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return those of a service that answered when they were last asked."""
+        """Return a service's unlisted endpoints that answered their latest probe."""
         listed = self._view.roster.endpoints
         return [
             endpoint
@@ -68,9 +68,9 @@
         ]
 
     def has_member(self, group: GroupId, rank: int) -> bool:
-        """Return whether a member that isn't listed may still be in its place.
+        """Return whether an unlisted endpoint may still be a group's member of this rank.
 
-        One that is listed again is not in it, or its entry would say so: it has started again.
+        A former member that is listed again has restarted if its entry doesn't name the group.
         """
         listed = self._view.roster.endpoints
         watched = (known for name, known in self._watched.items() if name not in listed)
@@ -83,7 +83,7 @@
         )
 
     def watch_removed(self) -> None:
-        """Begin to ask those that were unlisted lately; at first all that are remembered."""
+        """Start to poll recently removed endpoints; on the first call, all that the roster holds."""
         begin = self._clock() - UNLISTED_GRACE_SECONDS if self._begun else float("-inf")
         self._begun = True
         for endpoint_id, gone in self._view.roster.gone.items():
