--- a/packages/gateway/src/thorncleat_gateway/groups/call_window.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/call_window.py
@@ -48,7 +48,7 @@
 def forming_urgency(group: GroupId) -> Urgency:
     """Return the urgency of calls that form a group.
 
-    Groups that were began_at earlier go first, so that they serve while later ones still wait.
+    Groups that were begun earlier go first, so that they serve while later ones still wait.
     """
     return Urgency(1, group.epoch)
 
@@ -103,12 +103,12 @@
         if self._under_way < self.limit and not self._waiting:
             self._under_way += 1
             return
-        turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, _WaitingCall(urgency, next(self._numbers), turn))
+        slot = asyncio.get_running_loop().create_future()
+        heapq.heappush(self._waiting, _WaitingCall(urgency, next(self._numbers), slot))
         try:
-            await turn
+            await slot
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
+            if slot.done() and not slot.cancelled():
                 # The slot was already granted, so the next call gets it.
                 self._under_way -= 1
                 self._start_waiting()
@@ -116,10 +116,10 @@
 
     def _start_waiting(self) -> None:
         while self._waiting and self._under_way < self.limit:
-            turn = heapq.heappop(self._waiting).slot
-            if not turn.done():
+            slot = heapq.heappop(self._waiting).slot
+            if not slot.done():
                 self._under_way += 1
-                turn.set_result(None)
+                slot.set_result(None)
 
     def _adapt_limit(self, began_at: float) -> None:
         """Adjust the limit by the event loop's lateness during a call.
--- a/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
@@ -47,12 +47,8 @@
             if endpoint.fabric_domain
         )
         for (service, domain, failure_domain), count in counts.items():
-            size_record = self._sizes.get(domain)
-            if (
-                size_record is None
-                or count >= size_record.size
-                or now - size_record.at > SIZE_TTL_SECONDS
-            ):
+            largest = self._sizes.get(domain)
+            if largest is None or count >= largest.size or now - largest.at > SIZE_TTL_SECONDS:
                 self._sizes[domain] = DomainSize(domain, service, failure_domain, count, now)
 
     def of_service(self, service: str, present: t.Container[str]) -> list[DomainSize]:
@@ -62,8 +58,8 @@
         """
         now = self._clock()
         return [
-            size_record
-            for size_record in self._sizes.values()
-            if size_record.service == service
-            and (size_record.domain in present or now - size_record.at < SIZE_TTL_SECONDS)
+            largest
+            for largest in self._sizes.values()
+            if largest.service == service
+            and (largest.domain in present or now - largest.at < SIZE_TTL_SECONDS)
         ]
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -49,14 +49,16 @@
         self._incarnations: dict[str, Life] = {}
 
     def __contains__(self, endpoint: Endpoint) -> bool:
-        life = self._incarnations.get(endpoint.id)
-        return life is not None and not life.is_over(endpoint.life)
+        incarnation = self._incarnations.get(endpoint.id)
+        return incarnation is not None and not incarnation.is_over(endpoint.life)
 
     def forget_unlisted(self) -> None:
         """Discard lost endpoints that are no longer listed."""
         listed = self._view.roster.endpoints
         self._incarnations = {
-            name: life for name, life in self._incarnations.items() if name in listed
+            endpoint_id: incarnation
+            for endpoint_id, incarnation in self._incarnations.items()
+            if endpoint_id in listed
         }
 
     def mark_lost(self, endpoint: Endpoint, cause: LostCause) -> None:
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -108,10 +108,12 @@
         if report is not None and self.has_restarted(endpoint, report):
             # Either the report or the entry is from an earlier incarnation.
             return False
-        places = (self.listed_membership(endpoint), report.membership if report else None)
+        memberships = (self.listed_membership(endpoint), report.membership if report else None)
         return any(
-            place is not None and place.is_at(group, rank) and place.state in READY_STATES
-            for place in places
+            membership is not None
+            and membership.is_at(group, rank)
+            and membership.state in READY_STATES
+            for membership in memberships
         )
 
     def has_restarted(self, endpoint: Endpoint, report: EngineReport) -> bool:
@@ -161,8 +163,8 @@
 
         :raises EndpointError: if there is no answer.
         """
-        member = (await self.fetch_report(endpoint)).membership
-        return member is not None and member.group == group
+        membership = (await self.fetch_report(endpoint)).membership
+        return membership is not None and membership.group == group
 
     async def probe(self, endpoint: Endpoint, urgency: Urgency = IMMEDIATE) -> EngineReport | None:
         """Return an endpoint's report; None if it is silent.
--- a/packages/gateway/src/thorncleat_gateway/groups/term.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -119,7 +119,7 @@
         """Return the number of a new term."""
         roster = self._view.roster
         gone = (removed.endpoint for removed in roster.gone.values())
-        places = (removed.membership for removed in (*roster.endpoints.values(), *gone))
-        epochs = [place.group.epoch for place in places if place is not None]
+        memberships = (endpoint.membership for endpoint in (*roster.endpoints.values(), *gone))
+        epochs = [member.group.epoch for member in memberships if member is not None]
         epochs += [group.epoch for group in self._records.groups]
         return term_number(position.revision, epochs, self._view.former_eras.revisions)
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -53,8 +53,8 @@
         # The entries as last listed, updated from the endpoints' reports.
         self._watched: dict[str, Endpoint] = {}
         # Ids of the watched endpoints that have answered.
-        self._answering: set[str] = set()
-        self._begun = False
+        self._responding: set[str] = set()
+        self._has_begun = False
 
     def of_service(self, service: str) -> list[Endpoint]:
         """Return a service's unlisted endpoints that answered their latest probe."""
@@ -62,40 +62,42 @@
         return [
             endpoint
             for endpoint in self._watched.values()
-            if endpoint.id in self._answering
+            if endpoint.id in self._responding
             and endpoint.service == service
             and endpoint.id not in listed
         ]
 
     def has_member(self, group: GroupId, rank: int) -> bool:
-        """Return whether an unlisted endpoint may still be a group's member of this rank.
+        """Return whether an unlisted endpoint may still have a rank in a group.
 
         A former member that is listed again has restarted if its entry doesn't name the group.
         """
         listed = self._view.roster.endpoints
-        watched = (known for name, known in self._watched.items() if name not in listed)
-        if any(_is_at(known.membership, group, rank) for known in watched):
+        watched = (
+            endpoint for endpoint_id, endpoint in self._watched.items() if endpoint_id not in listed
+        )
+        if any(_is_at(endpoint.membership, group, rank) for endpoint in watched):
             return True
-        begin = self._clock() - UNLISTED_GRACE_SECONDS
+        since = self._clock() - UNLISTED_GRACE_SECONDS
         return any(
-            gone.at >= begin and _is_at(gone.endpoint.membership, group, rank)
-            for gone in self._view.roster.gone.values()
+            removed.at >= since and _is_at(removed.endpoint.membership, group, rank)
+            for removed in self._view.roster.gone.values()
         )
 
     def watch_removed(self) -> None:
-        """Start to poll recently removed endpoints; on the first call, all that the roster holds."""
-        begin = self._clock() - UNLISTED_GRACE_SECONDS if self._begun else float("-inf")
-        self._begun = True
-        for endpoint_id, gone in self._view.roster.gone.items():
-            lately = gone.at >= begin
-            if lately and gone.endpoint.fabric_domain and endpoint_id not in self._watched:
-                self._watched[endpoint_id] = gone.endpoint
-                self._start(self._watch(gone.endpoint))
+        """Start to poll the recently removed endpoints, and all removed ones on the first call."""
+        since = self._clock() - UNLISTED_GRACE_SECONDS if self._has_begun else float("-inf")
+        self._has_begun = True
+        for endpoint_id, removed in self._view.roster.gone.items():
+            is_recent = removed.at >= since
+            if is_recent and removed.endpoint.fabric_domain and endpoint_id not in self._watched:
+                self._watched[endpoint_id] = removed.endpoint
+                self._start(self._watch(removed.endpoint))
 
     async def _watch(self, endpoint: Endpoint) -> None:
-        until = self._clock() + MAX_WATCH_SECONDS
+        deadline = self._clock() + MAX_WATCH_SECONDS
         try:
-            while endpoint.id not in self._view.roster.endpoints and self._clock() < until:
+            while endpoint.id not in self._view.roster.endpoints and self._clock() < deadline:
                 report = await self._orders.probe(endpoint)
                 if report is None:
                     return
@@ -105,8 +107,8 @@
                     staged=report.staged,
                     models=report.models,
                 )
-                self._answering.add(endpoint.id)
+                self._responding.add(endpoint.id)
                 await asyncio.sleep(POLL_INTERVAL_SECONDS)
         finally:
-            self._answering.discard(endpoint.id)
+            self._responding.discard(endpoint.id)
             self._watched.pop(endpoint.id, None)
