--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -34,9 +34,9 @@
     EngineModel("small", 2, share=0.33, load=12.0, warm=1.1),
 )
 ENGINE = Engine(13, MODELS, loads_per_second=4.0, loads_at_once=6)
-STALL = 5.0
-FORM = 0.3
-REPORT_LAG = 0.2
+STALL_SECONDS = 5.0
+FORM_SECONDS = 0.3
+REPORT_LAG_SECONDS = 0.2
 FIRST_BORN = 1_800_000_000_000
 
 
@@ -48,7 +48,7 @@
     id: str
     domain: str
     alive: bool = True
-    dark: bool = False
+    unreachable: bool = False
     cut_from_store: bool = False
     draining: bool = False
     refuses: bool = False
@@ -68,7 +68,7 @@
     born: int = FIRST_BORN
     pace: float = 1.0
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """End, and run anew under the same id; the host keeps its models."""
         self.born += 1
         self.order_count = self.former_count = 0
@@ -96,7 +96,7 @@
     @property
     def reported_count(self) -> int:
         """The orders that it has begun, as its report says: some hundred ms behind."""
-        behind = self.world.now() - self.counted_at < REPORT_LAG
+        behind = self.world.now() - self.counted_at < REPORT_LAG_SECONDS
         return self.former_count if behind else self.order_count
 
     def entry(self) -> Endpoint:
@@ -113,18 +113,18 @@
             born=self.born,
         )
 
-    def take(self, order, expected) -> Outcome:
+    def receive_order(self, order, expected) -> Outcome:
         again = isinstance(order, Join) and order.group == self.group
         if expected is not None and expected != self.order_count and not again:
             return Outcome.CONFLICT
-        outcome = self._take(order)
+        outcome = self._carry_out(order)
         if outcome is Outcome.BEGUN or (isinstance(order, Leave) and outcome is Outcome.DONE):
             self.former_count, self.counted_at = self.order_count, self.world.now()
             self.order_count += 1
             self.world.publish(self)
         return outcome
 
-    def _take(self, order) -> Outcome:
+    def _carry_out(self, order) -> Outcome:
         match order:
             case Join():
                 return self._join(order)
@@ -149,11 +149,11 @@
 
     def _join(self, order: Join) -> Outcome:
         if order.group.epoch < self.seen_epoch:
-            self.world.refused_as_stale += 1
+            self.world.stale_refusals += 1
             return Outcome.STALE
         if order.group == self.group:
             return Outcome.DONE if order.members == self.members else Outcome.STALE
-        self.world.check_two(self, order)
+        self.world.check_exclusive(self, order)
         self.world.check_distinct(order)
         self.seen_epoch = order.group.epoch
         same, cold = self.model == order.model, order.model not in self.staged
@@ -186,13 +186,13 @@
             return Outcome.DONE
         if self.state is not GroupState.READY:
             return Outcome.CONFLICT
-        self._later(FORM, lambda: self._opened(group))
+        self._later(FORM_SECONDS, lambda: self._opened(group))
         return Outcome.BEGUN
 
     def _opened(self, group: GroupId) -> None:
         if self.alive and self.group == group and self.state is GroupState.READY:
             self.state = GroupState.OPEN
-            self.world.check_partial(self)
+            self.world.check_complete(self)
             self.world.publish(self)
 
     def _closed(self, group: GroupId) -> None:
@@ -203,7 +203,7 @@
     def _leave(self) -> None:
         self.group, self.state, self.members = None, None, ()
 
-    def look(self) -> None:
+    def detect_missing_members(self) -> None:
         """Notice, as a leader, that a member is missing for too long."""
         if not self.alive or self.state is not GroupState.OPEN or not self.leads:
             self.broken_since = None
@@ -214,7 +214,7 @@
             self.broken_since = None
         elif self.broken_since is None:
             self.broken_since = self.world.now()
-        elif self.world.now() - self.broken_since >= STALL:
+        elif self.world.now() - self.broken_since >= STALL_SECONDS:
             self.state = GroupState.BROKEN
             self.world.publish(self)
 
@@ -251,7 +251,7 @@
         await self._node.thawed()
         await asyncio.sleep(0.002)
         worker = self._world.workers[endpoint.id]
-        if worker.dark or self._node.cut_from_engines:
+        if worker.unreachable or self._node.cut_from_engines:
             await asyncio.sleep(timeout)
             raise EndpointSilentError("silent")
         if not worker.alive or worker.refuses or worker.id in self._node.reset_paths:
@@ -304,10 +304,10 @@
             raise EndpointSilentError("unanswered")
         if self._world.chance("late order"):
             delay = self._world.random.uniform(2, 12)
-            self._world.later(delay, lambda: worker.alive and worker.take(order, expected))
+            self._world.later(delay, lambda: worker.alive and worker.receive_order(order, expected))
             await asyncio.sleep(timeout)
             raise EndpointSilentError("unanswered")
-        outcome = worker.take(order, expected)
+        outcome = worker.receive_order(order, expected)
         if self._world.chance("lost order answer"):
             await asyncio.sleep(timeout)
             raise EndpointSilentError("unanswered")
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -45,8 +45,8 @@
 
 UNLISTED_AFTER = 3.6
 # after the entries have run out, until the store is back
-LAPSE_OUTAGE = 2.0
-HEARTBEAT = 1.2
+EXPIRY_OUTAGE_SECONDS = 2.0
+HEARTBEAT_SECONDS = 1.2
 
 
 # in which the groups of a new world come to stand
@@ -165,7 +165,7 @@
             self.load_table.report(sender.name, message.counts)
         if isinstance(message, Probe):
             counts = self.world.requests_of(self)
-            heard = [name for name in counts if name not in self.world.standing_still]
+            heard = [name for name in counts if name not in self.world.stalled_workers]
             self.peers.tell(sender, LoadReport(counts, heard))
             gone = self.view.roster.gone.get(message.endpoint_id)
             listed = self.view.roster.endpoints.get(message.endpoint_id)
@@ -212,12 +212,12 @@
         self._jobs: set[asyncio.Task] = set()
         self._requests: dict[str, dict[str, int]] = collections.defaultdict(dict)
         # ids of workers whose requests get no event for now
-        self.standing_still: set[str] = set()
+        self.stalled_workers: set[str] = set()
         # workers that have the address of one that has ended, by its id
         self.successors: dict[str, Worker] = {}
         self.broken: list[str] = []
         # orders whose epoch was below one that their worker had seen
-        self.refused_as_stale = 0
+        self.stale_refusals = 0
         self.opened = 0
         self.store.put(
             "config",
@@ -241,8 +241,8 @@
         self._jobs.add(job)
         job.add_done_callback(self._jobs.discard)
 
-    def chance(self, trouble: str) -> bool:
-        return self.random.random() < self.odds.get(trouble, 0.0)
+    def chance(self, fault: str) -> bool:
+        return self.random.random() < self.odds.get(fault, 0.0)
 
     # engines
 
@@ -261,8 +261,8 @@
         if not worker.alive or worker.cut_from_store:
             self.store.delete(worker.id, EndpointGone(worker.id))
 
-    def kill(self, worker: Worker, *, dark: bool) -> None:
-        worker.alive, worker.dark = False, dark
+    def kill(self, worker: Worker, *, unreachable: bool) -> None:
+        worker.alive, worker.unreachable = False, unreachable
         self.later(UNLISTED_AFTER, lambda: self.unlist(worker))
         self.later(0.3, lambda: self.suspect(worker))
 
@@ -276,24 +276,26 @@
 
     def isolate(self, worker: Worker, seconds: float) -> None:
         """Cut a worker that lives on from the store and from all daemons for some time."""
-        worker.dark = True
+        worker.unreachable = True
         self.cut_from_store(worker, seconds)
-        self.later(seconds, lambda: setattr(worker, "dark", False))
+        self.later(seconds, lambda: setattr(worker, "unreachable", False))
 
     def cut_from_store(self, worker: Worker, seconds: float) -> None:
         worker.cut_from_store = True
         self.later(UNLISTED_AFTER, lambda: self.unlist(worker))
 
-        def heal() -> None:
+        def reconnect() -> None:
             worker.cut_from_store = False
             self.publish(worker)
 
-        self.later(seconds, heal)
+        self.later(seconds, reconnect)
 
-    def lapse_all(self) -> None:
+    def expire_all_entries(self) -> None:
         """Let all entries and leases run out; heartbeats bring the entries back."""
         for worker in self.workers.values():
-            worker.silent_until = self.now() + LAPSE_OUTAGE + self.random.uniform(0.0, HEARTBEAT)
+            worker.silent_until = (
+                self.now() + EXPIRY_OUTAGE_SECONDS + self.random.uniform(0.0, HEARTBEAT_SECONDS)
+            )
             self.store.delete(worker.id, EndpointGone(worker.id))
         for lease in list(self.store.leases):
             self.store.end(lease)
@@ -305,13 +307,13 @@
             if not worker.alive:
                 self.later(UNLISTED_AFTER, lambda worker=worker: self.unlist(worker))
 
-    def start_again(self, worker: Worker, unlisted_for: float = 0.0) -> None:
+    def restart(self, worker: Worker, unlisted_for: float = 0.0) -> None:
         """Have a worker crash and run anew under its id.
 
         :param unlisted_for: seconds in which its entry stays that of the life before.
         """
         leader = self.workers.get(worker.members[0]) if worker.members else None
-        worker.start_again()
+        worker.restart()
         worker.silent_until = self.now() + unlisted_for
         self.publish(worker)
         if leader is not None:
@@ -325,7 +327,7 @@
     def drain(self, worker: Worker) -> None:
         worker.draining = True
         self.publish(worker)
-        self.later(4.0, lambda: self.kill(worker, dark=False))
+        self.later(4.0, lambda: self.kill(worker, unreachable=False))
 
     def drain_and_work_on(self, worker: Worker, seconds: float, requests: int) -> None:
         """Let a worker stop listening, with some requests of a daemon, until it ends."""
@@ -336,7 +338,7 @@
 
         def end() -> None:
             self._requests[node.name].pop(worker.id, None)
-            self.kill(worker, dark=False)
+            self.kill(worker, unreachable=False)
 
         self.later(seconds, end)
 
@@ -346,7 +348,7 @@
 
     # the oracle
 
-    def check_two(self, worker: Worker, order: Join) -> None:
+    def check_exclusive(self, worker: Worker, order: Join) -> None:
         """No join of another group while the former group's leader may answer."""
         former = worker.former
         if former is None or former == order.group:
@@ -363,7 +365,7 @@
         if len(set(order.members)) < len(order.members):
             self.broken.append(f"PARTIAL: {order.group} names a member twice: {order.members}")
 
-    def check_partial(self, leader: Worker) -> None:
+    def check_complete(self, leader: Worker) -> None:
         """A group opens only after each member was ready in it."""
         self.opened += 1
         ready = {name for name, members in self.ready[leader.group] if members == leader.members}
@@ -371,7 +373,7 @@
         if missing:
             self.broken.append(f"PARTIAL: {leader.group} opens without {sorted(missing)}")
 
-    def standing(self) -> collections.Counter:
+    def running_groups(self) -> collections.Counter:
         """Count the groups that could answer, by model."""
         counts: collections.Counter = collections.Counter()
         for leader in self.workers.values():
@@ -393,7 +395,7 @@
             if not self.store.down:
                 self.store.expire()
             for worker in list(self.workers.values()):
-                worker.look()
+                worker.detect_missing_members()
                 listed = self.store.items.get(worker.id)
                 if listed is None or listed.endpoint != worker.entry():
                     # what its next heartbeat would do
@@ -424,6 +426,6 @@
     )
 
 
-def leading(world: World) -> Node:
+def controller_node(world: World) -> Node:
     """Return the daemon that is the controller."""
     return next(node for node in world.nodes if node.election.is_controller)
--- a/tests/leaving_figures.py
+++ b/tests/leaving_figures.py
@@ -16,7 +16,7 @@
 
 LEAVING = "w000"
 # for which the oracle looks on, in seconds
-WATCHED = 8.0
+WATCHED_SECONDS = 8.0
 # between the trouble and the leaving, in seconds
 PAUSES = (0.0, 0.3, 0.7, 1.1, 1.6, 2.2, 3.0)
 OUTAGE_SECONDS = 4.0
@@ -99,7 +99,7 @@
     await SITUATIONS[name](world)
     await world.pass_time(pause)
     world.leave(LEAVING)
-    used = await world.seconds_in_use(LEAVING, WATCHED)
+    used = await world.seconds_in_use(LEAVING, WATCHED_SECONDS)
     await world.stop()
     return used
 
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -130,7 +130,7 @@
     await world.pass_time(20.0)
     lost = next(worker for worker in world.workers.values() if worker.state is GroupState.OPEN)
     group = lost.group
-    world.kill(lost, dark=True)
+    world.kill(lost, unreachable=True)
     others = [node for node in world.nodes if not node.election.is_controller]
     known = 0
     for _ in range(30):
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -16,11 +16,11 @@
 from . import virtual_time
 from .group_engines import MODELS
 from .group_world import CALM_SECONDS
-from .group_world import LAPSE_OUTAGE
+from .group_world import EXPIRY_OUTAGE_SECONDS
 from .group_world import World
-from .group_world import leading
+from .group_world import controller_node
 
-TROUBLE_SECONDS = 40.0
+FAULT_SECONDS = 40.0
 SEEDS = range(24)
 
 
@@ -28,15 +28,15 @@
     world = World(seed=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 def test_layout_stands_on_a_calm_day():
-    world, standing = virtual_time.run(_calm())
+    world, running = virtual_time.run(_calm())
     assert world.broken == []
-    assert standing == {"large": 2, "small": 2}
+    assert running == {"large": 2, "small": 2}
 
 
 def test_one_controller_forms_each_group_once():
@@ -55,43 +55,43 @@
         world.add_worker("d1")
     joined = sum(worker.order_count for worker in world.workers.values())
     await world.pass_time(10.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, joined, standing
+    return world, joined, running
 
 
 def test_first_layout_waits_until_the_list_is_whole():
-    world, joined, standing = virtual_time.run(_start_while_the_list_grows())
+    world, joined, running = virtual_time.run(_start_while_the_list_grows())
     assert world.broken == []
     assert joined == 0
     # hosts load as they join: before the first request loads are not counted
-    assert standing == {"large": 2, "small": 2}
+    assert running == {"large": 2, "small": 2}
 
 
-async def _lose_member(dark: bool, rank: int):
+async def _lose_member(unreachable: bool, rank: int):
     world = World(seed=2, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
     large = next(
         worker for worker in world.workers.values() if worker.model == "large" and worker.members
     )
-    world.kill(world.workers[large.members[rank]], dark=dark)
-    begun = world.now()
-    while world.standing()["large"] < 1 and world.now() - begun < 30:
+    world.kill(world.workers[large.members[rank]], unreachable=unreachable)
+    started_at = world.now()
+    while world.running_groups()["large"] < 1 and world.now() - started_at < 30:
         await world.pass_time(0.1)
-    seconds = world.now() - begun
+    seconds = world.now() - started_at
     await world.stop()
     return world, seconds
 
 
 # seconds from the loss: noticing it, a report that isn't answered twice, join from the host, open
 @pytest.mark.parametrize(
-    ("dark", "rank", "bound"),
+    ("unreachable", "rank", "bound"),
     [(False, 1, 3.5), (True, 1, 3.5), (False, 0, 3.5), (True, 0, 7.5)],
     ids=["member crashed", "member dark", "leader crashed", "leader dark"],
 )
-def test_group_serves_again_after_a_loss(dark, rank, bound):
-    world, seconds = virtual_time.run(_lose_member(dark, rank))
+def test_group_serves_again_after_a_loss(unreachable, rank, bound):
+    world, seconds = virtual_time.run(_lose_member(unreachable, rank))
     assert world.broken == []
     assert seconds < bound
 
@@ -102,10 +102,10 @@
     world.odds = {"late order": 0.15, "lost order answer": 0.15, "lost write": 0.2}
     await world.start()
     await world.pass_time(8.0)
-    until = world.now() + TROUBLE_SECONDS
+    until = world.now() + FAULT_SECONDS
     while world.now() < until:
         await world.pass_time(rng.uniform(0.2, 2.0))
-        _strike(world, rng)
+        _inject_fault(world, rng)
     world.odds = {}
     world.store.down = False
     for node in world.nodes:
@@ -119,23 +119,23 @@
         for _ in range(8 - len(alive)):
             world.add_worker(domain)
     await world.pass_time(45.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
-def _strike(world: World, rng) -> None:
+def _inject_fault(world: World, rng) -> None:
     alive = [worker for worker in world.workers.values() if worker.alive]
     node = rng.choice(world.nodes)
     controllers = [other for other in world.nodes if other.election.is_controller] or [node]
     kind = rng.randrange(9)
     if 3 <= kind <= 6:
-        _strike_daemon(world, rng, kind, node, controllers[0])
+        _inject_daemon_fault(world, rng, kind, node, controllers[0])
     else:
-        _strike_worker(world, rng, kind, alive)
+        _inject_worker_fault(world, rng, kind, alive)
 
 
-def _strike_daemon(world: World, rng, kind: int, node, controller) -> None:
+def _inject_daemon_fault(world: World, rng, kind: int, node, controller) -> None:
     match kind:
         case 3:
             controller.freeze(rng.uniform(1, 6))
@@ -150,11 +150,11 @@
             world.later(rng.uniform(1, 5), lambda: setattr(node, "cut_from_engines", False))
 
 
-def _strike_worker(world: World, rng, kind: int, alive) -> None:
+def _inject_worker_fault(world: World, rng, kind: int, alive) -> None:
     match kind:
         case 0 | 1:
             if len(alive) > 10:
-                world.kill(rng.choice(alive), dark=rng.random() < 0.7)
+                world.kill(rng.choice(alive), unreachable=rng.random() < 0.7)
         case 2:
             world.cut_from_store(rng.choice(alive), rng.uniform(3, 8))
         case 7:
@@ -167,10 +167,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_under_trouble(seed):
-    world, standing = virtual_time.run(_troubled(seed))
+    world, running = virtual_time.run(_troubled(seed))
     assert world.broken == []
-    assert standing["large"] >= 2, standing
-    assert standing["small"] >= 2, standing
+    assert running["large"] >= 2, running
+    assert running["small"] >= 2, running
 
 
 async def _entries_lapse_in_an_outage(lost: int):
@@ -181,41 +181,41 @@
     opened = world.opened
     world.store.down = True
     await world.pass_time(4.0)
-    world.lapse_all()
+    world.expire_all_entries()
     for worker in [worker for worker in world.workers.values() if worker.members][:lost]:
-        worker.alive, worker.dark = False, True
-    await world.pass_time(LAPSE_OUTAGE)
+        worker.alive, worker.unreachable = False, True
+    await world.pass_time(EXPIRY_OUTAGE_SECONDS)
     world.store.down = False
-    lowest = sum(world.standing().values())
+    lowest = sum(world.running_groups().values())
     for _ in range(60):
         await world.pass_time(0.1)
-        lowest = min(lowest, sum(world.standing().values()))
+        lowest = min(lowest, sum(world.running_groups().values()))
     await world.pass_time(10.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, world.opened - opened, lowest, standing
+    return world, world.opened - opened, lowest, running
 
 
 def test_groups_outlive_an_outage_in_which_their_entries_lapse():
-    world, formed, lowest, standing = virtual_time.run(_entries_lapse_in_an_outage(0))
+    world, formed, lowest, running = virtual_time.run(_entries_lapse_in_an_outage(0))
     assert world.broken == []
     assert formed == 0
     assert lowest == 4
-    assert standing == {"large": 2, "small": 2}
+    assert running == {"large": 2, "small": 2}
 
 
 def test_endpoint_that_is_not_back_soon_after_an_outage_is_gone():
-    world, formed, _, standing = virtual_time.run(_entries_lapse_in_an_outage(1))
+    world, formed, _, running = virtual_time.run(_entries_lapse_in_an_outage(1))
     assert world.broken == []
     assert formed == 1
-    assert standing == {"large": 2, "small": 2}
+    assert running == {"large": 2, "small": 2}
 
 
 async def _two_terms():
     world = World(seed=3, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    first = leading(world)
+    first = controller_node(world)
     before = max(worker.group.epoch for worker in world.workers.values() if worker.group)
     await first.stop()
     world.nodes.remove(first)
@@ -223,7 +223,7 @@
     large = next(
         worker for worker in world.workers.values() if worker.model == "large" and worker.members
     )
-    world.kill(world.workers[large.members[1]], dark=False)
+    world.kill(world.workers[large.members[1]], unreachable=False)
     await world.pass_time(6.0)
     after = max(worker.group.epoch for worker in world.workers.values() if worker.group)
     await world.stop()
@@ -240,7 +240,7 @@
     world = World(seed=4, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    node = leading(world)
+    node = controller_node(world)
     free = next(worker for worker in world.workers.values() if worker.group is None)
     opened = next(worker for worker in world.workers.values() if worker.state is GroupState.OPEN)
     ask = node.orders.fetch_report
@@ -273,7 +273,7 @@
     world = World(seed=5, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    node = leading(world)
+    node = controller_node(world)
     world.store.delete(
         CONTROLLER_KEY, RecordChanged(CONTROLLER_KEY, None, world.store.revision + 1)
     )
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -18,11 +18,11 @@
 from .group_world import Node
 from .group_world import World
 from .group_world import calm_world
+from .group_world import controller_node
 from .group_world import large_leader
-from .group_world import leading
 
 STAGED = ("large",)
-TROUBLE_SECONDS = 40.0
+FAULT_SECONDS = 40.0
 ENOUGH_WORKERS = 14
 SEEDS = range(12)
 
@@ -36,30 +36,30 @@
         world.add_worker("d0", staged=STAGED)
     await world.pass_time(1.0)
     leader, opened = large_leader(world), world.opened
-    leading(world).reads_refused = True
-    world.kill(world.workers[leader.members[1]], dark=True)
+    controller_node(world).reads_refused = True
+    world.kill(world.workers[leader.members[1]], unreachable=True)
     await world.pass_time(15.0)
     formed = world.opened - opened
-    leading(world).reads_refused = False
+    controller_node(world).reads_refused = False
     await world.pass_time(5.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, formed, standing
+    return world, formed, running
 
 
 def test_group_that_the_feed_has_not_shown_yet_keeps_its_members():
     """The store refuses the controller's reads, and carries out its writes."""
-    world, formed, standing = virtual_time.run(_group_is_formed_while_the_feed_is_refused())
+    world, formed, running = virtual_time.run(_group_is_formed_while_the_feed_is_refused())
     assert world.broken == []
     # the one that was lost, and one of the endpoints that were added; none of them twice
     assert formed == 2
-    assert standing["large"] == 2
+    assert running["large"] == 2
 
 
 async def _controller_begins_behind_its_term():
     """A daemon saw no controller, then nothing, while another one came and went."""
     world = await calm_world()
-    first = leading(world)
+    first = controller_node(world)
     late, second = [node for node in world.nodes if node is not first]
     # time for both to see the new endpoints, and for a whole term of the second
     second.grant_delay, late.grant_delay = 0.5, 6.0
@@ -78,20 +78,20 @@
     await world.pass_time(1.5)
     late.reads_refused = False
     await world.pass_time(10.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 def test_controller_does_not_act_on_what_was_known_before_its_term():
-    world, standing = virtual_time.run(_controller_begins_behind_its_term())
+    world, running = virtual_time.run(_controller_begins_behind_its_term())
     assert world.broken == []
-    assert standing["large"] == 2
+    assert running["large"] == 2
 
 
 async def _record_is_not_in_the_view_yet():
     world = await calm_world()
-    node = leading(world)
+    node = controller_node(world)
     node.reads_refused = True
     members = tuple(worker.entry() for worker in world.workers.values())[:2]
     group = GroupId(10**9, "g")
@@ -116,45 +116,45 @@
 async def _path_to_a_leader_resets():
     """The controller's connections to a leader are reset on their way; others reach it."""
     world = await calm_world()
-    leader, node = large_leader(world), leading(world)
+    leader, node = large_leader(world), controller_node(world)
     opened = world.opened
     node.reset_paths.add(leader.id)
-    world.kill(world.workers[leader.members[1]], dark=True)
+    world.kill(world.workers[leader.members[1]], unreachable=True)
     await world.pass_time(6.0)
     formed = world.opened - opened
     node.reset_paths.clear()
     await world.pass_time(8.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, formed, standing
+    return world, formed, running
 
 
 def test_leader_to_which_only_the_path_resets_keeps_its_members():
-    world, formed, standing = virtual_time.run(_path_to_a_leader_resets())
+    world, formed, running = virtual_time.run(_path_to_a_leader_resets())
     assert world.broken == []
     assert formed == 0
-    assert standing["large"] == 1
+    assert running["large"] == 1
 
 
 async def _leader_leaves_without_a_word():
     """Its entry goes, it stops listening, and a request there stands still for a while."""
     world = await calm_world()
     leader = large_leader(world)
-    world.standing_still.add(leader.id)
+    world.stalled_workers.add(leader.id)
     world.cut_from_store(leader, 60.0)
     stops_listening = UNLISTED_AFTER - 0.1
     world.later(stops_listening, lambda: world.drain_and_work_on(leader, 8.0, requests=1))
     await world.pass_time(UNLISTED_AFTER + 8.0 + 6.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 def test_leader_that_left_without_a_word_and_works_on_keeps_its_members():
     """Neither listed, nor listening, nor heard; but a daemon has a request there."""
-    world, standing = virtual_time.run(_leader_leaves_without_a_word())
+    world, running = virtual_time.run(_leader_leaves_without_a_word())
     assert world.broken == []
-    assert standing["large"] == 1
+    assert running["large"] == 1
 
 
 # a leader that was taken for dead
@@ -167,16 +167,16 @@
         world.isolate(world.workers[member], 12.0)
     world.later(0.3, lambda: world.suspect(leader))
     await world.pass_time(30.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 def test_group_that_comes_back_is_ended_before_its_members_are_used():
     """It was neither listed nor heard, so its record is gone."""
-    world, standing = virtual_time.run(_group_is_isolated_and_comes_back())
+    world, running = virtual_time.run(_group_is_isolated_and_comes_back())
     assert world.broken == []
-    assert standing["large"] == 1
+    assert running["large"] == 1
 
 
 # the controller's lease
@@ -184,7 +184,7 @@
 
 async def _hands_over_without_an_answer():
     world = await calm_world()
-    node = leading(world)
+    node = controller_node(world)
     node.end_unanswered = True
     node.election.stopping = True
     both = 0
@@ -205,7 +205,7 @@
     world = World(seed=3, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    node = leading(world)
+    node = controller_node(world)
     for other in world.nodes:
         other.election.stopping = other is not node
     # the former life's lease has a second left
@@ -244,7 +244,7 @@
 # several at once
 
 
-def _strike(world: World) -> None:
+def _inject_fault(world: World) -> None:
     """Have a sign lie for some seconds."""
     rng = world.random
     seconds = rng.uniform(0.5, 6.0)
@@ -267,7 +267,7 @@
                 world.isolate(world.workers[member], 6.0 + seconds)
         case 6 if leaders:
             members = rng.choice(leaders).members
-            world.kill(world.workers[rng.choice(members)], dark=rng.random() < 0.7)
+            world.kill(world.workers[rng.choice(members)], unreachable=rng.random() < 0.7)
 
 
 def _controllers(world: World) -> list[Node]:
@@ -284,23 +284,23 @@
     world.odds = {"late order": 0.1, "lost order answer": 0.1, "lost write": 0.1}
     await world.start()
     await world.pass_time(8.0)
-    until = world.now() + TROUBLE_SECONDS
+    until = world.now() + FAULT_SECONDS
     while world.now() < until:
         await world.pass_time(world.random.uniform(0.2, 2.0))
-        _strike(world)
+        _inject_fault(world)
         if len([worker for worker in world.workers.values() if worker.alive]) < ENOUGH_WORKERS:
             world.add_worker(world.random.choice(["d0", "d1"]))
     world.odds = {}
     for node in world.nodes:
         node.grant_delay = 0.0
     await world.pass_time(30.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_endpoint_is_used_twice_while_signs_lie(seed):
-    world, standing = virtual_time.run(_signs_lie(seed))
+    world, running = virtual_time.run(_signs_lie(seed))
     assert world.broken == []
-    assert standing["large"] + standing["small"] >= 2, standing
+    assert running["large"] + running["small"] >= 2, running
--- a/tests/test_group_repair.py
+++ b/tests/test_group_repair.py
@@ -4,19 +4,19 @@
 from .group_world import UNLISTED_AFTER
 from .group_world import World
 from .group_world import calm_world
+from .group_world import controller_node
 from .group_world import large_leader
-from .group_world import leading
 
 # in which every repair here has to be done
-PATIENCE_SECONDS = 30.0
+REPAIR_TIMEOUT_SECONDS = 30.0
 
 
 async def _seconds_until(world: World, happened) -> float:
-    begun = world.now()
+    started_at = world.now()
     while not happened():
         await world.pass_time(0.1)
-        assert world.now() - begun < PATIENCE_SECONDS
-    return world.now() - begun
+        assert world.now() - started_at < REPAIR_TIMEOUT_SECONDS
+    return world.now() - started_at
 
 
 async def _lose_member_of_a_spared_group():
@@ -26,7 +26,7 @@
     world.add_worker("d0", staged=("large",))
     await world.pass_time(1.0)
     opened = world.opened
-    world.kill(world.workers[leader.members[1]], dark=True)
+    world.kill(world.workers[leader.members[1]], unreachable=True)
     seconds = await _seconds_until(world, lambda: world.opened > opened)
     await world.stop()
     return world, seconds
@@ -46,20 +46,20 @@
     world.cut_from_store(world.workers[leader.members[1]], 60.0)
     await world.pass_time(8.0)
     opened = world.opened
-    leading(world).freeze(20.0)
+    controller_node(world).freeze(20.0)
     await world.pass_time(10.0)
-    group, standing = leader.group, world.standing()
+    group, running = leader.group, world.running_groups()
     await world.stop()
-    return world, world.opened - opened, group, standing
+    return world, world.opened - opened, group, running
 
 
 def test_next_controller_keeps_a_group_whose_member_is_cut_from_the_store():
     found = virtual_time.run(_controller_replaced_while_a_member_is_cut_from_the_store())
-    world, formed, group, standing = found
+    world, formed, group, running = found
     assert world.broken == []
     assert group is not None
     assert formed == 0
-    assert standing["large"] == 1
+    assert running["large"] == 1
 
 
 async def _leader_works_on(seconds: float, requests: int):
@@ -70,7 +70,7 @@
     world.publish(leader)
     world.drain_and_work_on(leader, seconds, requests)
     replaced = await _seconds_until(
-        world, lambda: not leader.alive and world.standing()["large"] == 1
+        world, lambda: not leader.alive and world.running_groups()["large"] == 1
     )
     await world.stop()
     return world, replaced
@@ -94,8 +94,8 @@
     world = await calm_world()
     mute = next(node for node in world.nodes if not node.election.is_controller)
     mute.freeze(60.0)
-    world.kill(large_leader(world), dark=False)
-    replaced = await _seconds_until(world, lambda: world.standing()["large"] == 1)
+    world.kill(large_leader(world), unreachable=False)
+    replaced = await _seconds_until(world, lambda: world.running_groups()["large"] == 1)
     await world.stop()
     return world, replaced
 
--- a/tests/test_large_control.py
+++ b/tests/test_large_control.py
@@ -35,9 +35,9 @@
         node.processor.call_seconds = SMALL_SECONDS
     await world.start()
     await world.pass_time(seconds)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 @pytest.fixture
@@ -50,11 +50,11 @@
 
 
 def test_all_groups_of_a_large_site_are_formed_and_nobody_counts_as_silent(lost):
-    world, standing = virtual_time.run(_first_start(domains=25, seconds=20.0))
+    world, running = virtual_time.run(_first_start(domains=25, seconds=20.0))
     assert lost == []
     assert world.broken == []
     # each domain carries two groups of the large model or four of the small one
-    assert standing["large"] // 2 + standing["small"] // 4 == 25
+    assert running["large"] // 2 + running["small"] // 4 == 25
 
 
 def test_time_to_form_all_groups_grows_no_faster_than_their_number(lost):
@@ -64,5 +64,5 @@
 
 
 def test_first_groups_serve_while_the_others_still_wait(lost):
-    _, standing = virtual_time.run(_first_start(domains=25, seconds=6.5))
-    assert 5 <= sum(standing.values()) < 75
+    _, running = virtual_time.run(_first_start(domains=25, seconds=6.5))
+    assert 5 <= sum(running.values()) < 75
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -6,9 +6,9 @@
 from .fleet_world import FleetWorld
 
 # of all daemons, from the moment at which the store has taken the leaving; in seconds
-KNOWN_EVERYWHERE = 1.0
+KNOWN_EVERYWHERE_SECONDS = 1.0
 # for which the oracle looks on, in seconds
-WATCHED = 8.0
+WATCHED_SECONDS = 8.0
 FLEETS = [8, 24]
 
 
@@ -22,7 +22,7 @@
     await world.restart_all(longest=2.0)
     await world.pass_time(pause)
     world.leave("w000")
-    used = await world.seconds_in_use("w000", WATCHED)
+    used = await world.seconds_in_use("w000", WATCHED_SECONDS)
     await world.stop()
     return used[-1]
 
@@ -30,4 +30,4 @@
 @pytest.mark.parametrize("daemons", FLEETS)
 def test_endpoint_that_left_is_not_kept_by_each_daemon_that_starts_after_it(daemons):
     """A start is no outage: nothing has let the entry run out."""
-    assert virtual_time.run(_after_a_start_of_all(daemons, 1.0)) <= KNOWN_EVERYWHERE
+    assert virtual_time.run(_after_a_start_of_all(daemons, 1.0)) <= KNOWN_EVERYWHERE_SECONDS
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -19,12 +19,12 @@
 
 from . import virtual_time
 from .group_engines import MODELS
-from .group_engines import STALL
+from .group_engines import STALL_SECONDS
 from .group_world import CALM_SECONDS
 from .group_world import World
 from .group_world import calm_world
+from .group_world import controller_node
 from .group_world import large_leader
-from .group_world import leading
 from .test_endpoint_selector import selector
 
 PLACE = Membership(GroupId(5, "g5"), 0, GroupState.OPEN)
@@ -97,14 +97,14 @@
         world.add_worker("d0", staged=("large",))
     await world.pass_time(1.0)
     leader = large_leader(world)
-    group, begun = leader.group, world.now()
-    world.start_again(world.workers[leader.members[rank]], unlisted_for=20.0)
-    while leader.group == group and world.now() - begun < 2 * STALL:
+    group, started_at = leader.group, world.now()
+    world.restart(world.workers[leader.members[rank]], unlisted_for=20.0)
+    while leader.group == group and world.now() - started_at < 2 * STALL_SECONDS:
         await world.pass_time(0.1)
-    ended = world.now() - begun
-    while not world.standing()["large"] and world.now() - begun < 2 * STALL:
+    ended = world.now() - started_at
+    while not world.running_groups()["large"] and world.now() - started_at < 2 * STALL_SECONDS:
         await world.pass_time(0.1)
-    stood = world.now() - begun
+    stood = world.now() - started_at
     await world.stop()
     return world, ended, stood
 
@@ -123,7 +123,7 @@
 
 async def _ready_in_the_life_before():
     world = await calm_world()
-    node, worker = leading(world), large_leader(world)
+    node, worker = controller_node(world), large_leader(world)
     group, former = worker.group, worker.entry()
     await node.orders.fetch_report(former)
     seen = node.orders.was_seen_ready(former, group, former.membership.rank)
@@ -142,11 +142,11 @@
     world = await calm_world()
     worker = world.add_worker("d0", staged=("small",))
     await world.pass_time(0.5)
-    node = leading(world)
+    node = controller_node(world)
     loader = node.controller.term.loader
     loader.load(LoadPlan(node.view.roster.endpoints[worker.id], MODELS[0]))
     before = worker.id in loader.staging()
-    world.start_again(worker)
+    world.restart(worker)
     # for the list to show it; a load from the weight store takes longer
     await world.pass_time(0.2)
     after = worker.id in loader.staging()
@@ -160,13 +160,13 @@
 
 async def _lost_in_the_life_before():
     world = await calm_world()
-    node, worker = leading(world), large_leader(world)
+    node, worker = controller_node(world), large_leader(world)
     lost, former = node.controller.term.lost, worker.entry()
-    world.kill(worker, dark=True)
+    world.kill(worker, unreachable=True)
     await world.pass_time(2.0)
     before = former in lost
-    worker.alive, worker.dark = True, False
-    world.start_again(worker)
+    worker.alive, worker.unreachable = True, False
+    world.restart(worker)
     await world.pass_time(0.2)
     after = node.view.roster.endpoints[worker.id] in lost
     await world.stop()
@@ -185,10 +185,10 @@
     world.cut_from_store(member, 8.0)
     await world.pass_time(6.0)
     stands = leader.group == group
-    holds = leading(world).controller.term.unlisted.has_member
+    holds = controller_node(world).controller.term.unlisted.has_member
     before = holds(group, 1)
     member.cut_from_store = False
-    world.start_again(member)
+    world.restart(member)
     await world.pass_time(0.2)
     after = holds(group, 1)
     await world.stop()
@@ -202,21 +202,21 @@
 # at random
 
 
-def _strike(world: World) -> None:
+def _inject_fault(world: World) -> None:
     rng = world.random
     worker = rng.choice([one for one in world.workers.values() if one.alive])
     match rng.randrange(5):
         case 0 | 1:
-            world.start_again(worker, unlisted_for=rng.choice([0.0, 0.3, 2.0, 6.0]))
+            world.restart(worker, unlisted_for=rng.choice([0.0, 0.3, 2.0, 6.0]))
         case 2:
             # with its whole group: nothing tells a leader that is cut off alone from a dead one
             seconds = rng.uniform(6.0, 12.0)
             for member in worker.members:
                 world.isolate(world.workers[member], seconds)
-            world.later(0.9 * seconds, lambda: world.start_again(worker))
+            world.later(0.9 * seconds, lambda: world.restart(worker))
         case 3:
             former = worker.entry()
-            world.start_again(worker)
+            world.restart(worker)
             world.later(rng.uniform(0.5, 4.0), lambda: world.write_late(former))
         case 4:
             node = rng.choice(world.nodes)
@@ -231,16 +231,16 @@
     await world.pass_time(0.5 * CALM_SECONDS)
     for _ in range(25):
         await world.pass_time(world.random.uniform(0.1, 2.0))
-        _strike(world)
+        _inject_fault(world)
     world.odds = {}
     await world.pass_time(40.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_no_rule_is_broken_while_endpoints_start_again(seed):
-    world, standing = virtual_time.run(_starts_again_at_any_step(seed))
+    world, running = virtual_time.run(_starts_again_at_any_step(seed))
     assert world.broken == []
-    assert standing == {"large": 2, "small": 2}
+    assert running == {"large": 2, "small": 2}
--- a/tests/test_restored_groups.py
+++ b/tests/test_restored_groups.py
@@ -9,7 +9,7 @@
 from .group_world import CALM_SECONDS
 from .group_world import Node
 from .group_world import World
-from .group_world import leading
+from .group_world import controller_node
 
 RESTORES = 3
 # more than the store gives again while a test lasts
@@ -19,11 +19,11 @@
 RECOVER_SECONDS = 40.0
 
 
-def _lose_one(world: World) -> None:
+def _kill_member(world: World) -> None:
     """Kill an endpoint of a group; another one comes in its place."""
     grouped = [worker for worker in world.workers.values() if worker.alive and worker.members]
     lost = world.random.choice(grouped)
-    world.kill(lost, dark=world.random.random() < 0.5)
+    world.kill(lost, unreachable=world.random.random() < 0.5)
     world.add_worker(lost.domain, staged=lost.staged)
 
 
@@ -36,25 +36,25 @@
     for _ in range(RESTORES):
         copy = world.store.copy()
         await world.pass_time(rng.uniform(0.1, 1.0))
-        _lose_one(world)
+        _kill_member(world)
         await world.pass_time(rng.uniform(1.0, 5.0))
         world.restore(copy)
         await world.pass_time(rng.uniform(0.5, 6.0))
-        _lose_one(world)
+        _kill_member(world)
         await world.pass_time(rng.uniform(4.0, 8.0))
     await world.pass_time(RECOVER_SECONDS)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_groups_of_lost_records_keep_the_rules_and_stand_again(seed):
-    world, standing = virtual_time.run(_restored(seed))
+    world, running = virtual_time.run(_restored(seed))
     assert world.broken == []
     # more than these where the endpoints that were added are enough
-    assert standing["large"] >= 2
-    assert standing["small"] >= 2
+    assert running["large"] >= 2
+    assert running["small"] >= 2
 
 
 async def _store_comes_back_from_before_the_first_term(*, forget: bool):
@@ -67,20 +67,24 @@
     world.store.revision += LOST_REVISIONS
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    standing, opened, term = world.standing(), world.opened, leading(world).election.term
+    running, opened, term = (
+        world.running_groups(),
+        world.opened,
+        controller_node(world).election.term,
+    )
     world.restore(copy)
     if forget:
         await world.stop()
         world.nodes = [Node(world, node.name) for node in world.nodes]
         await world.start()
     await world.pass_time(5.0)
-    return world, standing, opened, term
+    return world, running, opened, term
 
 
 async def _records():
-    world, standing, opened, _ = await _store_comes_back_from_before_the_first_term(forget=False)
+    world, running, opened, _ = await _store_comes_back_from_before_the_first_term(forget=False)
     written = [key for key in world.store.items if key.startswith(GROUPS_PREFIX)]
-    found = world.standing() == standing, world.opened == opened, len(written)
+    found = world.running_groups() == running, world.opened == opened, len(written)
     await world.stop()
     return world, found
 
@@ -98,48 +102,48 @@
     """They refuse an epoch below one that they have seen."""
 
     async def play():
-        world, standing, _, term = await _store_comes_back_from_before_the_first_term(forget=forget)
-        assert leading(world).election.term.revision < term.revision
-        _lose_one(world)
+        world, running, _, term = await _store_comes_back_from_before_the_first_term(forget=forget)
+        assert controller_node(world).election.term.revision < term.revision
+        _kill_member(world)
         await world.pass_time(15.0)
-        found = world.standing()
+        found = world.running_groups()
         await world.stop()
-        return world, standing, found
+        return world, running, found
 
-    world, standing, found = virtual_time.run(play())
+    world, running, found = virtual_time.run(play())
     assert world.broken == []
-    assert world.refused_as_stale == 0
-    assert found["large"] >= standing["large"]
-    assert found["small"] >= standing["small"]
+    assert world.stale_refusals == 0
+    assert found["large"] >= running["large"]
+    assert found["small"] >= running["small"]
 
 
 async def _endpoints_have_seen_epochs_that_nobody_knows():
     world = World(seed=5, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    standing = world.standing()
+    running = world.running_groups()
     for worker in world.workers.values():
         worker.seen_epoch += LOST_REVISIONS * EPOCHS_PER_TERM
-    _lose_one(world)
+    _kill_member(world)
     await world.pass_time(25.0)
-    found = world.standing()
+    found = world.running_groups()
     await world.stop()
-    return world, standing, found
+    return world, running, found
 
 
 def test_epochs_are_raised_until_endpoints_take_orders():
-    world, standing, found = virtual_time.run(_endpoints_have_seen_epochs_that_nobody_knows())
+    world, running, found = virtual_time.run(_endpoints_have_seen_epochs_that_nobody_knows())
     assert world.broken == []
-    assert world.refused_as_stale > 0
-    assert found["large"] >= standing["large"]
-    assert found["small"] >= standing["small"]
+    assert world.stale_refusals > 0
+    assert found["large"] >= running["large"]
+    assert found["small"] >= running["small"]
 
 
 async def _controller_hears_of_another_era():
     world = World(seed=5, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    node = leading(world)
+    node = controller_node(world)
     lease = node.election.lease_seconds_left
     node.view.era.heard(world.store.era + 1)
     led = node.election.is_controller
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -29,8 +29,8 @@
 from .group_world import CALM_SECONDS
 from .group_world import World
 from .group_world import calm_world
+from .group_world import controller_node
 from .group_world import large_leader
-from .group_world import leading
 
 SLOW = 12.0
 MODELS = (
@@ -104,7 +104,7 @@
     world.store.put("config", narrator(ENGINE, resumable=resumable))
     if not spares:
         for worker in [worker for worker in world.workers.values() if not worker.members]:
-            world.kill(worker, dark=False)
+            world.kill(worker, unreachable=False)
     for _ in range(spares):
         world.add_worker("d0", staged=("large",))
     await world.pass_time(5.0)
@@ -142,7 +142,7 @@
 async def _slow_for_a_while():
     """Return whether an endpoint counts as slow while it is, after it, and after a restart."""
     world, _, slow = await _member_turns_slow()
-    node = leading(world)
+    node = controller_node(world)
     known = node.controller.term.slow
     found = [node.view.roster.endpoints[slow.id] in known]
     slow.pace = SLOW_PACE - 0.1
--- a/tests/test_spare_warming.py
+++ b/tests/test_spare_warming.py
@@ -9,8 +9,8 @@
 from . import virtual_time
 from .group_world import World
 from .group_world import calm_world
+from .group_world import controller_node
 from .group_world import large_leader
-from .group_world import leading
 
 LARGE, SMALL = EngineModel("large", 4), EngineModel("small", 2)
 
@@ -42,16 +42,16 @@
     """
     world = await calm_world()
     for worker in [worker for worker in world.workers.values() if not worker.members]:
-        world.kill(worker, dark=False)
+        world.kill(worker, unreachable=False)
     await world.pass_time(5.0)
     added = world.add_worker("d0", staged=("large",))
     await world.pass_time(warmed_for)
     leader = large_leader(world)
-    begun = world.now()
-    world.kill(world.workers[leader.members[1]], dark=False)
-    while world.now() - begun < 0.5 or not world.standing()["large"]:
+    started_at = world.now()
+    world.kill(world.workers[leader.members[1]], unreachable=False)
+    while world.now() - started_at < 0.5 or not world.running_groups()["large"]:
         await world.pass_time(0.05)
-    seconds = world.now() - begun
+    seconds = world.now() - started_at
     successor = large_leader(world).members
     await world.stop()
     return world, seconds, added.id in successor
@@ -77,25 +77,25 @@
     added = world.add_worker("d0", staged=("large",))
     while added.group is None:
         await world.pass_time(0.05)
-    leading(world).election.stopping = True
+    controller_node(world).election.stopping = True
     await world.pass_time(8.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, added, standing
+    return world, added, running
 
 
 def test_next_controller_has_a_spare_leave_that_was_being_warmed():
-    world, added, standing = virtual_time.run(_controller_changes_while_a_spare_is_warmed())
+    world, added, running = virtual_time.run(_controller_changes_while_a_spare_is_warmed())
     assert world.broken == []
     assert added.group is None
-    assert standing["large"] == 1
+    assert running["large"] == 1
 
 
 async def _spares_are_warmed(seed: int):
     world = World(seed)
     await world.start()
     await world.pass_time(40.0)
-    node = leading(world)
+    node = controller_node(world)
     spares = [worker for worker in world.workers.values() if not worker.members]
     kept = len(node.controller.term.warming._groups)
     await world.stop()
--- a/tests/test_spoilt_records.py
+++ b/tests/test_spoilt_records.py
@@ -12,8 +12,8 @@
 
 from . import virtual_time
 from .group_world import calm_world
+from .group_world import controller_node
 from .group_world import large_leader
-from .group_world import leading
 from .wire_forms import OWN
 
 GOOD = msgpack.packb(["10.0.0.2", 7340, "a", 2])
@@ -71,17 +71,17 @@
         revision = world.store.revision + 1
         world.store.put(key, RecordChanged(key, b"\xc1", revision, revision))
     await world.pass_time(4.0)
-    stays, kept = leader.group == former, leading(world).records.leader(former)
-    world.kill(world.workers[leader.members[1]], dark=False)
+    stays, kept = leader.group == former, controller_node(world).records.leader(former)
+    world.kill(world.workers[leader.members[1]], unreachable=False)
     await world.pass_time(6.0)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, stays, kept.id == leader.id, standing
+    return world, stays, kept.id == leader.id, running
 
 
 def test_control_goes_on_though_records_of_groups_are_spoilt():
-    world, stays, kept, standing = virtual_time.run(_records_are_spoilt())
+    world, stays, kept, running = virtual_time.run(_records_are_spoilt())
     assert world.broken == []
     assert stays
     assert kept
-    assert standing["large"] == 2
+    assert running["large"] == 2
--- a/tests/test_taken_addresses.py
+++ b/tests/test_taken_addresses.py
@@ -14,7 +14,7 @@
 from . import virtual_time
 from .group_world import CALM_SECONDS
 from .group_world import World
-from .group_world import leading
+from .group_world import controller_node
 
 SEEDS = range(20)
 
@@ -24,7 +24,7 @@
     world = World(seed=4, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
-    node = leading(world)
+    node = controller_node(world)
     ended, other = [worker for worker in world.workers.values() if worker.group is None][:2]
     ended.alive = False
     world.successors[ended.id] = other
@@ -69,7 +69,7 @@
             break
         ended = world.random.choice(grouped)
         # seconds in which the list still shows the ended one
-        world.kill(ended, dark=False)
+        world.kill(ended, unreachable=False)
         world.successors[ended.id] = world.random.choice(free)
         world.add_worker("d0", staged=("large", "small"))
         if world.random.random() < 0.3:
