--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -1,6 +1,6 @@
 """Engines that follow the platform's rules, for the world of :mod:`.group_world`.
 
-A worker that is ordered to do what must never happen tells the world's oracle.
+A worker reports to the world's oracle any order that must never be given.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(eq=False)
 class Worker:
-    """An engine as the platform's pages describe it."""
+    """An engine that follows the platform's rules."""
 
     world: "World"
     id: str
@@ -53,7 +53,7 @@
     draining: bool = False
     refuses: bool = False
     order_count: int = 0
-    # before the newest order, and when that was
+    # Order count before the latest order, and the time of that order.
     former_count: int = 0
     counted_at: float = float("-inf")
     staged: tuple[str, ...] = ()
@@ -69,7 +69,7 @@
     pace: float = 1.0
 
     def restart(self) -> None:
-        """End, and run anew under the same id; the host keeps its models."""
+        """Restart under the same id; the host keeps its models."""
         self.born += 1
         self.order_count = self.former_count = 0
         self.counted_at = float("-inf")
@@ -78,7 +78,7 @@
         self._leave()
 
     def _later(self, seconds: float, action) -> None:
-        """Do something unless this life is over by then."""
+        """Call an action later unless this incarnation has ended by then."""
         born = self.born
         self.world.later(seconds, lambda: self.born == born and action())
 
@@ -90,12 +90,12 @@
 
     @property
     def leads(self) -> bool:
-        """Whether it is the leader of its group, in whatever state."""
+        """Whether it is the leader of its group, in any state."""
         return bool(self.members) and self.members[0] == self.id
 
     @property
     def reported_count(self) -> int:
-        """The orders that it has begun, as its report says: some hundred ms behind."""
+        """The number of orders begun as reported, which lags behind."""
         behind = self.world.now() - self.counted_at < REPORT_LAG_SECONDS
         return self.former_count if behind else self.order_count
 
@@ -204,7 +204,7 @@
         self.group, self.state, self.members = None, None, ()
 
     def detect_missing_members(self) -> None:
-        """Notice, as a leader, that a member is missing for too long."""
+        """Mark the group as broken if this is its leader and a member is missing for too long."""
         if not self.alive or self.state is not GroupState.OPEN or not self.leads:
             self.broken_since = None
             return
@@ -220,9 +220,9 @@
 
 
 class Processor:
-    """A daemon's processor: each piece of work waits for those before it.
+    """A daemon's processor, which handles one piece of work at a time.
 
-    :param call_seconds: that sending a call takes, and reading its answer again.
+    :param call_seconds: seconds to send a call, and again to read its answer.
     """
 
     def __init__(self, now) -> None:
@@ -241,7 +241,7 @@
 
 
 class WorldEngines:
-    """One daemon's way to the engines."""
+    """One daemon's connections to the engines."""
 
     def __init__(self, world: "World", node: "Node") -> None:
         self._world = world
@@ -265,7 +265,7 @@
         return await self._within(timeout, lambda: self._order(endpoint, order, expected, timeout))
 
     async def _within(self, timeout: float, call):
-        """Make a call, whose time also passes while the daemon's processor is busy."""
+        """Make a call whose timeout also runs while the daemon's processor is busy."""
         processor = self._node.processor
         if not processor.call_seconds:
             return await call()
@@ -283,7 +283,7 @@
 
     async def _report(self, endpoint: Endpoint, timeout: float) -> EngineReport:
         successor = self._world.successors.get(endpoint.id)
-        # whoever has the address answers, and no report names its endpoint
+        # Any process at the address answers, and no report names its endpoint.
         worker = await self._reach(successor.entry() if successor else endpoint, timeout)
         return EngineReport(
             worker.membership,
--- a/tests/group_store.py
+++ b/tests/group_store.py
@@ -19,15 +19,15 @@
     from .group_world import World
 
 
-# for which a call waits whose answer is lost, as the adapter's calls do
+# How long a call without an answer waits, as in the adapter.
 UNANSWERED_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Copy:
-    """What a store held at one moment.
+    """A snapshot of a store.
 
-    :param granted: leases that had been granted.
+    :param granted: number of leases granted so far.
     """
 
     revision: int
@@ -51,7 +51,7 @@
         self.changed = asyncio.Event()
         self.forgotten = 0
         self.down = False
-        # rises each time the store comes back from a copy
+        # Rises each time the store is restored from a copy.
         self.era = 1
 
     def put(self, key: str, change: object) -> int:
@@ -73,7 +73,7 @@
         return Position(self.era, self.revision)
 
     def copy(self) -> "Copy":
-        """Return what a restore may come back to."""
+        """Return a copy that can be restored."""
         return Copy(
             self.revision,
             dict(self.items),
@@ -84,7 +84,7 @@
         )
 
     def restore(self, copy: "Copy") -> None:
-        """Come back from a copy: what came after it is gone, and its numbers are given again."""
+        """Restore a copy: later changes are lost, and their revisions and lease ids are reused."""
         self.era += 1
         self.revision = copy.revision
         self.items, self.history = dict(copy.items), list(copy.history)
@@ -109,7 +109,7 @@
 
 
 class StoreClient:
-    """One daemon's way to the store: feed and records."""
+    """One daemon's client of the store: feed and records."""
 
     def __init__(self, world: "World", node: "Node") -> None:
         self._store = world.store
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -1,6 +1,6 @@
 """Daemons that control groups, with engines, a store and an oracle, in one virtual loop.
 
-Each daemon runs its own election and controller; answers can be lost, late, or never come.
+Each daemon runs its own election and controller. Answers can be lost, late, or never sent.
 """
 
 import asyncio
@@ -44,12 +44,12 @@
 from .group_store import StoreClient
 
 UNLISTED_AFTER = 3.6
-# after the entries have run out, until the store is back
+# How long the store stays unavailable after the entries have expired.
 EXPIRY_OUTAGE_SECONDS = 2.0
 HEARTBEAT_SECONDS = 1.2
 
 
-# in which the groups of a new world come to stand
+# How long the groups of a new world may take to form.
 CALM_SECONDS = 20.0
 
 
@@ -83,7 +83,7 @@
 
 
 class Node:
-    """One daemon's control half."""
+    """A daemon's group control."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.world = world
@@ -92,13 +92,13 @@
         self.frozen = False
         self.cut = False
         self.cut_from_engines = False
-        # the store refuses this daemon's reads and carries out its writes
+        # The store refuses this daemon's reads but carries out its writes.
         self.reads_refused = False
-        # seconds that the store takes to grant this daemon a lease
+        # Seconds that the store takes to grant this daemon a lease.
         self.grant_delay = 0.0
-        # the store's answer to the end of a lease is lost
+        # The store's answer to the end of a lease is lost.
         self.end_unanswered = False
-        # ids of workers to which the path resets this daemon's connections
+        # Ids of workers to which this daemon's connections are reset on the way.
         self.reset_paths: set[str] = set()
         self._thaw = asyncio.Event()
         self._thaw.set()
@@ -187,10 +187,10 @@
 
 
 class World:
-    """Nodes, engines, a store and an oracle.
+    """Nodes, engines, a store and an oracle that records broken rules.
 
-    :param odds: chance of each trouble that a call can meet.
-    :param before_requests: whether no caller has sent anything yet since the very first start.
+    :param odds: probability of each fault of a call.
+    :param before_requests: whether no caller has sent a request yet since the first start.
     """
 
     def __init__(
@@ -211,12 +211,12 @@
         self.store = Store(self)
         self._jobs: set[asyncio.Task] = set()
         self._requests: dict[str, dict[str, int]] = collections.defaultdict(dict)
-        # ids of workers whose requests get no event for now
+        # Ids of workers whose requests get no events.
         self.stalled_workers: set[str] = set()
-        # workers that have the address of one that has ended, by its id
+        # Workers at the address of one that has ended, by the id of that one.
         self.successors: dict[str, Worker] = {}
         self.broken: list[str] = []
-        # orders whose epoch was below one that their worker had seen
+        # Number of orders whose epoch was below one that their worker had seen.
         self.stale_refusals = 0
         self.opened = 0
         self.store.put(
@@ -244,7 +244,7 @@
     def chance(self, fault: str) -> bool:
         return self.random.random() < self.odds.get(fault, 0.0)
 
-    # engines
+    # Engines
 
     def add_worker(self, domain: str, staged: tuple[str, ...] = ()) -> Worker:
         worker = Worker(self, f"w{len(self.workers):03}", domain, staged=staged)
@@ -267,7 +267,7 @@
         self.later(0.3, lambda: self.suspect(worker))
 
     def suspect(self, worker: Worker) -> None:
-        """Let a daemon notice that the worker's group is silent."""
+        """Make a daemon suspect the worker's group."""
         leader = self.workers.get(worker.members[0]) if worker.members else None
         if leader is not None:
             node = self.random.choice(self.nodes)
@@ -275,7 +275,7 @@
                 node.detector.suspect(leader.entry(), "silence")
 
     def isolate(self, worker: Worker, seconds: float) -> None:
-        """Cut a worker that lives on from the store and from all daemons for some time."""
+        """Cut a running worker off from the store and from all daemons for some time."""
         worker.unreachable = True
         self.cut_from_store(worker, seconds)
         self.later(seconds, lambda: setattr(worker, "unreachable", False))
@@ -291,7 +291,7 @@
         self.later(seconds, reconnect)
 
     def expire_all_entries(self) -> None:
-        """Let all entries and leases run out; heartbeats bring the entries back."""
+        """Let all entries and leases expire; heartbeats write the entries again."""
         for worker in self.workers.values():
             worker.silent_until = (
                 self.now() + EXPIRY_OUTAGE_SECONDS + self.random.uniform(0.0, HEARTBEAT_SECONDS)
@@ -301,16 +301,16 @@
             self.store.end(lease)
 
     def restore(self, copy: Copy) -> None:
-        """Have the store come back from a copy; entries of endpoints that ended run out again."""
+        """Restore the store from a copy; entries of workers that have ended expire again."""
         self.store.restore(copy)
         for worker in self.workers.values():
             if not worker.alive:
                 self.later(UNLISTED_AFTER, lambda worker=worker: self.unlist(worker))
 
     def restart(self, worker: Worker, unlisted_for: float = 0.0) -> None:
-        """Have a worker crash and run anew under its id.
+        """Make a worker crash and restart under its id.
 
-        :param unlisted_for: seconds in which its entry stays that of the life before.
+        :param unlisted_for: seconds during which its entry stays that of the earlier incarnation.
         """
         leader = self.workers.get(worker.members[0]) if worker.members else None
         worker.restart()
@@ -320,7 +320,7 @@
             self.later(0.3, lambda: self.suspect(leader))
 
     def write_late(self, former: Endpoint) -> None:
-        """Have the store carry out a write of an endpoint's life before."""
+        """Make the store carry out a late write of an endpoint's earlier incarnation."""
         if not self.store.down and former.id in self.store.items:
             self.store.put(former.id, EndpointListed(former))
 
@@ -330,7 +330,7 @@
         self.later(4.0, lambda: self.kill(worker, unreachable=False))
 
     def drain_and_work_on(self, worker: Worker, seconds: float, requests: int) -> None:
-        """Let a worker stop listening, with some requests of a daemon, until it ends."""
+        """Make a worker stop listening with some requests of a daemon left, and end later."""
         worker.refuses = True
         node = next(node for node in self.nodes if not node.election.is_controller)
         if requests:
@@ -346,10 +346,10 @@
         """Return a daemon's requests by worker."""
         return dict(self._requests[node.name])
 
-    # the oracle
+    # Oracle
 
     def check_exclusive(self, worker: Worker, order: Join) -> None:
-        """No join of another group while the former group's leader may answer."""
+        """Check that no worker joins a group while its former group's leader may answer."""
         former = worker.former
         if former is None or former == order.group:
             return
@@ -361,12 +361,12 @@
                 self.broken.append(text)
 
     def check_distinct(self, order: Join) -> None:
-        """No endpoint stands twice in a group."""
+        """Check that a group names no endpoint twice."""
         if len(set(order.members)) < len(order.members):
             self.broken.append(f"PARTIAL: {order.group} names a member twice: {order.members}")
 
     def check_complete(self, leader: Worker) -> None:
-        """A group opens only after each member was ready in it."""
+        """Check that each member was ready before the group opens."""
         self.opened += 1
         ready = {name for name, members in self.ready[leader.group] if members == leader.members}
         missing = set(leader.members) - ready
@@ -374,7 +374,7 @@
             self.broken.append(f"PARTIAL: {leader.group} opens without {sorted(missing)}")
 
     def running_groups(self) -> collections.Counter:
-        """Count the groups that could answer, by model."""
+        """Return the number of groups that can answer, by model."""
         counts: collections.Counter = collections.Counter()
         for leader in self.workers.values():
             if (
@@ -398,7 +398,7 @@
                 worker.detect_missing_members()
                 listed = self.store.items.get(worker.id)
                 if listed is None or listed.endpoint != worker.entry():
-                    # what its next heartbeat would do
+                    # As its next heartbeat would.
                     self.publish(worker)
 
     async def start(self) -> None:
@@ -412,7 +412,7 @@
 
 
 async def calm_world(workers: int = 8) -> World:
-    """Return a world of one domain whose groups stand."""
+    """Return a world of one domain whose groups are running."""
     world = World(seed=2, domains=1, workers=workers)
     await world.start()
     await world.pass_time(CALM_SECONDS)
--- a/tests/leaving_figures.py
+++ b/tests/leaving_figures.py
@@ -1,4 +1,4 @@
-"""Prints how long daemons use an endpoint that has left, in each situation and size of fleet.
+"""Prints how long daemons use an endpoint that has left, by situation and size of the fleet.
 
 Run with ``python -m tests.leaving_figures [--daemons=8,24]``; the seconds are virtual time.
 """
@@ -15,9 +15,9 @@
 from .fleet_world import FleetWorld
 
 LEAVING = "w000"
-# for which the oracle looks on, in seconds
+# How long the oracle watches.
 WATCHED_SECONDS = 8.0
-# between the trouble and the leaving, in seconds
+# Seconds between the fault and the leaving.
 PAUSES = (0.0, 0.3, 0.7, 1.1, 1.6, 2.2, 3.0)
 OUTAGE_SECONDS = 4.0
 
@@ -35,7 +35,7 @@
 
 @situation("calm")
 async def calm(world: FleetWorld) -> None:
-    """Nothing happens."""
+    """No fault."""
 
 
 @situation("all start")
@@ -93,7 +93,7 @@
 
 
 async def seconds_in_use(daemons: int, name: str, pause: float) -> list[float]:
-    """Return for how long each daemon that reaches the store uses an endpoint that has left."""
+    """Return for how many seconds each daemon that reaches the store uses a left endpoint."""
     world = FleetWorld(daemons)
     await world.start()
     await SITUATIONS[name](world)
@@ -105,14 +105,17 @@
 
 
 def show(daemons: t.Sequence[int] = (8, 24, 79, 195)) -> None:
-    """Print half, nine tenths and the last of all daemons, over all pauses."""
+    """Print the median, the 90th percentile and the maximum of all daemons, over all pauses."""
     logging.disable(logging.CRITICAL)
     for name in SITUATIONS:
         for count in daemons:
-            every = [virtual_time.run(seconds_in_use(count, name, pause)) for pause in PAUSES]
-            used = sorted(one for several in every for one in several)
-            half, most = used[len(used) // 2], used[len(used) * 9 // 10]
-            print(f"| {name} | {count} | {half:.2f} | {most:.2f} | {used[-1]:.2f} |", flush=True)
+            samples = [virtual_time.run(seconds_in_use(count, name, pause)) for pause in PAUSES]
+            used = sorted(seconds for sample in samples for seconds in sample)
+            median, ninetieth = used[len(used) // 2], used[len(used) * 9 // 10]
+            print(
+                f"| {name} | {count} | {median:.2f} | {ninetieth:.2f} | {used[-1]:.2f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_call_window.py
+++ b/tests/test_call_window.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints: how many are under way, and which go first."""
+"""How many calls to endpoints are under way, and which go first."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class Lateness:
-    """A loop that is late for as long as a test says."""
+    """An event loop with a lateness set by the test."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -36,20 +36,20 @@
 
 
 class Calls:
-    """Calls that take some time, and what was under way."""
+    """Calls that take some time, and the largest number under way."""
 
     def __init__(self) -> None:
         self.lateness = Lateness()
         loop = asyncio.get_running_loop()
         self.window = CallWindow(self.lateness, loop.time)
         self.order: list[object] = []
-        self.under_way = self.most = 0
+        self.under_way = self.max_under_way = 0
 
     async def call(self, name, urgency=IMMEDIATE, seconds=0.1) -> None:
         async with self.window.slot(urgency):
             self.order.append(name)
             self.under_way += 1
-            self.most = max(self.most, self.under_way)
+            self.max_under_way = max(self.max_under_way, self.under_way)
             try:
                 await asyncio.sleep(seconds)
             finally:
@@ -64,12 +64,12 @@
         return calls
 
     calls = virtual_time.run(many())
-    assert calls.most == INITIAL_LIMIT
+    assert calls.max_under_way == INITIAL_LIMIT
     assert len(calls.order) == 200
     assert calls.window.waiting == 0
 
 
-def test_a_daemon_that_is_late_sends_fewer_and_never_none():
+def test_late_daemon_sends_fewer_calls_but_always_some():
     async def late():
         calls = Calls()
         calls.lateness.seconds = 2 * LATE_SECONDS
@@ -96,11 +96,11 @@
     assert virtual_time.run(late()) == int(INITIAL_LIMIT * call_window.SHRINK_FACTOR)
 
 
-def test_the_first_group_is_whole_before_the_second_and_what_serves_goes_before_both():
+def test_earlier_groups_go_first_and_urgent_calls_before_all():
     async def contended():
         calls = Calls()
         calls.lateness.seconds = 2 * LATE_SECONDS
-        holding = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
+        holders = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
         await asyncio.sleep(0)
         waiting = [
             asyncio.ensure_future(calls.call(name, urgency))
@@ -111,28 +111,28 @@
                 ("leave", IMMEDIATE),
             )
         ]
-        await asyncio.gather(*holding, *waiting)
+        await asyncio.gather(*holders, *waiting)
         return calls.order[INITIAL_LIMIT:]
 
     assert virtual_time.run(contended()) == ["leave", "first", "second", "load"]
 
 
 @pytest.mark.parametrize("ended", ["while it waits", "as its turn comes"])
-def test_a_call_that_is_cancelled_leaves_its_turn_to_the_next(ended):
+def test_cancelled_call_passes_its_slot_to_the_next(ended):
     async def cancelled():
         calls = Calls()
         calls.lateness.seconds = 2 * LATE_SECONDS
-        holding = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
+        holders = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
         await asyncio.sleep(0)
         dropped = asyncio.ensure_future(calls.call("dropped"))
         kept = asyncio.ensure_future(calls.call("kept"))
         await asyncio.sleep(0.05)
         if ended == "as its turn comes":
-            # woken by the call that ends, and cancelled before it runs on
-            holding[0].add_done_callback(lambda _: dropped.cancel())
+            # It is granted the slot of the call that ends, and cancelled before it resumes.
+            holders[0].add_done_callback(lambda _: dropped.cancel())
         else:
             dropped.cancel()
-        await asyncio.gather(*holding, kept)
+        await asyncio.gather(*holders, kept)
         for _ in range(INITIAL_LIMIT):
             await calls.call("after")
         return calls
--- a/tests/test_domain_sizes.py
+++ b/tests/test_domain_sizes.py
@@ -1,4 +1,4 @@
-"""How large a fabric domain counts: the rule's specification as a table."""
+"""Which size of a fabric domain counts after its endpoints change."""
 
 import pytest
 
@@ -47,12 +47,12 @@
         clock.now += seconds
         sizes.observe(endpoints(count))
     present = {"d0"} if counts[-1][1] else set()
-    found = [known.size for known in sizes.of_service("narrator", present)]
+    found = [domain_size.size for domain_size in sizes.of_service("narrator", present)]
     assert found == ([] if size is None else [size])
 
 
 def test_each_service_has_its_domains(clock):
     sizes = DomainSizes(clock)
     sizes.observe([*endpoints(3, "d0"), *endpoints(2, "d1", "desk"), *endpoints(1, "")])
-    assert [known.domain for known in sizes.of_service("narrator", ())] == ["d0"]
-    assert [known.domain for known in sizes.of_service("desk", ())] == ["d1"]
+    assert [domain_size.domain for domain_size in sizes.of_service("narrator", ())] == ["d0"]
+    assert [domain_size.domain for domain_size in sizes.of_service("desk", ())] == ["d1"]
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Who controls, and until when: the election's rules as tables."""
+"""Which daemon is the controller, and until when."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("absent_for", "place", "may"),
+    ("absent_seconds", "rank", "may"),
     [
         pytest.param(0.0, 0, True, id="the first tries at once"),
         pytest.param(0.0, 1, False, id="the second waits"),
@@ -30,16 +30,16 @@
         pytest.param(2 * CANDIDATE_DELAY_SECONDS, 2, True, id="for two turns"),
     ],
 )
-def test_turns(absent_for, place, may):
-    assert election.can_campaign(absent_for, place) is may
+def test_turns(absent_seconds, rank, may):
+    assert election.can_campaign(absent_seconds, rank) is may
 
 
 CAPACITIES = dict.fromkeys(DAEMONS, 1.0)
 
 
-def test_each_candidate_has_a_place_of_its_own():
-    places = [election.candidate_rank(name, CAPACITIES, 7) for name in DAEMONS]
-    assert sorted(places) == list(range(len(DAEMONS)))
+def test_each_candidate_has_its_own_rank():
+    ranks = [election.candidate_rank(name, CAPACITIES, 7) for name in DAEMONS]
+    assert sorted(ranks) == list(range(len(DAEMONS)))
 
 
 def test_candidate_with_much_capacity_comes_before_all_small_ones():
@@ -54,10 +54,10 @@
 
 
 def test_first_candidate_changes_with_the_version():
-    firsts = {
+    first_candidates = {
         name
         for version in range(20)
         for name in DAEMONS
         if election.candidate_rank(name, CAPACITIES, version) == 0
     }
-    assert len(firsts) > 1
+    assert len(first_candidates) > 1
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -1,4 +1,4 @@
-"""Groups that are being ended get no more requests, from any daemon."""
+"""Groups that are being ended get no more requests from any daemon."""
 
 import dataclasses
 
@@ -86,12 +86,12 @@
     assert daemon.chosen() == {"w0", "w1"}
     daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
     assert daemon.chosen() == {"w1"}
-    # longer than any suspicion
+    # Longer than any suspicion lasts.
     daemon.now += 2.0
     assert daemon.chosen() == {"w1"}
 
 
-def test_last_group_gets_none_either(daemon):
+def test_last_group_gets_no_request_either(daemon):
     for leader in (FIRST, SECOND):
         daemon.peers.receive("controller", GroupEnded(leader.membership.group))
     assert daemon.chosen() == {None}
@@ -101,18 +101,18 @@
 
 def test_next_group_of_its_leader_is_another_group(daemon):
     daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
-    again = Membership(GroupId(3, "g3"), 0, GroupState.OPEN)
-    daemon.list(dataclasses.replace(FIRST, membership=again))
+    new = Membership(GroupId(3, "g3"), 0, GroupState.OPEN)
+    daemon.list(dataclasses.replace(FIRST, membership=new))
     assert daemon.chosen() == {"w0", "w1"}
 
 
-def test_group_is_used_again_if_nobody_says_so_any_more(daemon):
+def test_group_is_used_again_without_further_messages(daemon):
     daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
     daemon.now += ENDED_TTL_SECONDS + 0.1
     assert daemon.chosen() == {"w0", "w1"}
 
 
-def test_word_is_repeated_but_not_each_time(daemon):
+def test_message_is_repeated_at_an_interval(daemon):
     group = FIRST.membership.group
     for _ in range(5):
         daemon.ended.broadcast(group)
@@ -124,7 +124,7 @@
 
 
 async def _lose_a_leader():
-    """A leader falls silent; return for how long all others knew that its group is ended."""
+    """Silence a leader; return in how many of 30 polls all other daemons excluded its group."""
     world = World(seed=2, domains=1)
     await world.start()
     await world.pass_time(20.0)
@@ -140,6 +140,6 @@
     return known
 
 
-def test_every_daemon_learns_that_a_group_is_ended_and_keeps_it_in_mind():
-    # of 3 s: noticing takes 0.3 s, two reports that are not answered 0.3 s
+def test_every_daemon_excludes_a_group_that_is_being_ended():
+    # Detection takes some polls before the group is ended.
     assert virtual_time.run(_lose_a_leader()) >= 20
--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -1,4 +1,4 @@
-"""Which groups to form from whom, and what spares load: the rules' specification."""
+"""Which groups to form from which endpoints, and which models spares load."""
 
 import collections
 import itertools
@@ -20,7 +20,7 @@
     return Endpoint(name, "narrator", name, "a", staged=staged, models=models, **more)
 
 
-# by what they cost a group of the big model, the least first
+# Endpoints by their cost for a group of the big model, from lowest to highest.
 IN_ENGINE = endpoint("f", ("big",), ("big",))
 ON_HOST = endpoint("e", ("big",))
 LOADS_IT = endpoint("d")
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("free", "weak", "members"),
+    ("free", "expiring", "members"),
     [
         pytest.param([ON_HOST, EMPTY], [IN_ENGINE], "ef", id="weak before a load"),
         pytest.param([ON_HOST, EMPTY], [HAS_OTHER], "ec", id="not if it has to load"),
@@ -58,8 +58,8 @@
         pytest.param([ON_HOST, IN_ENGINE], [], "fe", id="none needed"),
     ],
 )
-def test_weak_members(free, weak, members):
-    view = DomainView("d0", 8, free=free, expiring=weak, staging=STAGING)
+def test_expiring_members(free, expiring, members):
+    view = DomainView("d0", 8, free=free, expiring=expiring, staging=STAGING)
     (plan,) = formation.groups_to_form(view, collections.Counter(big=1), [BIG], lambda _: 0)
     assert [member.id for member in plan.members] == list(members)
 
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ("standing", "target", "formed"),
+    ("active", "target", "formed"),
     [
         pytest.param({}, {"small": 2}, 2, id="all that lack"),
         pytest.param({"small": 1}, {"small": 2}, 1, id="less what stands"),
@@ -95,9 +95,9 @@
         pytest.param({}, {"small": 9}, 4, id="as many as there are endpoints"),
     ],
 )
-def test_number_of_groups(standing, target, formed):
+def test_number_of_groups(active, target, formed):
     view = DomainView(
-        "d0", 8, active_groups=collections.Counter(standing), free=[endpoint(n) for n in "abcd"]
+        "d0", 8, active_groups=collections.Counter(active), free=[endpoint(n) for n in "abcd"]
     )
     plans = formation.groups_to_form(view, collections.Counter(target), [LITTLE], lambda _: 0)
     assert len(plans) == formed
@@ -153,7 +153,7 @@
         found = formation.compute_layout(made, [LARGE, SMALL])
         assert [name for name in found if "small" in found[name]] == ["d0", "d1"]
 
-    def test_a_domain_that_is_almost_gone_changes_nothing_for_the_others(self):
+    def test_domain_that_lost_most_endpoints_does_not_change_the_others(self):
         made = views(1, 8, 8, 8, 8, 8)
         for view in made[1:4]:
             view.hosts_by_model["large"] = 8
@@ -187,16 +187,16 @@
         assert set(plan.members) == set(warm)
         assert plan.cold_members == []
 
-    def test_weak_members_help_out_but_never_lead(self):
+    def test_expiring_members_join_but_never_lead(self):
         warm = [endpoint(f"w{n}", staged=("large",)) for n in range(3)]
-        weak = endpoint("a0", staged=("large",), draining=True)
-        view = DomainView("d0", 8, free=[*warm, endpoint("x")], expiring=[weak])
+        expiring = endpoint("a0", staged=("large",), draining=True)
+        view = DomainView("d0", 8, free=[*warm, endpoint("x")], expiring=[expiring])
         (plan,) = formation.groups_to_form(view, collections.Counter(large=1), [LARGE], lambda _: 0)
-        assert plan.members[-1] == weak
+        assert plan.members[-1] == expiring
 
-    def test_no_group_of_weak_members_alone(self):
-        weak = [endpoint(f"a{n}", staged=("small",)) for n in range(2)]
-        view = DomainView("d0", 8, expiring=weak)
+    def test_no_group_of_expiring_members_only(self):
+        expiring = [endpoint(f"a{n}", staged=("small",)) for n in range(2)]
+        view = DomainView("d0", 8, expiring=expiring)
         assert (
             formation.groups_to_form(view, collections.Counter(small=1), [SMALL], lambda _: 0) == []
         )
@@ -204,15 +204,15 @@
     def test_scarcer_model_first(self):
         free = [endpoint(f"w{n}", staged=("large", "small")) for n in range(4)]
         view = DomainView("d0", 8, free=free)
-        wanted = collections.Counter(large=1, small=2)
-        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda model: model.size)
+        target = collections.Counter(large=1, small=2)
+        made = formation.groups_to_form(view, target, [LARGE, SMALL], lambda model: model.size)
         assert [plan.model.name for plan in made] == ["large"]
 
     def test_no_endpoint_is_used_twice(self):
         free = [endpoint(f"w{n}") for n in range(9)]
         view = DomainView("d0", 9, free=free)
-        wanted = collections.Counter(large=1, small=5)
-        made = formation.groups_to_form(view, wanted, [LARGE, SMALL], lambda _: 0)
+        target = collections.Counter(large=1, small=5)
+        made = formation.groups_to_form(view, target, [LARGE, SMALL], lambda _: 0)
         used = [member.id for plan in made for member in plan.members]
         assert len(used) == len(set(used))
 
@@ -230,5 +230,5 @@
 
     def test_a_host_that_is_loading_is_left_alone(self):
         view = DomainView("d0", 8, staging={"a": "large"})
-        wanted = collections.Counter(large=2)
-        assert formation.models_to_load(view, wanted, [LARGE], [endpoint("a")]) == []
+        target = collections.Counter(large=2)
+        assert formation.models_to_load(view, target, [LARGE], [endpoint("a")]) == []
--- a/tests/test_forming_state.py
+++ b/tests/test_forming_state.py
@@ -1,4 +1,4 @@
-"""Who may be ordered into a group now, and how groups are numbered."""
+"""Which endpoints may be ordered into a group, and how groups are numbered."""
 
 import pytest
 
@@ -16,7 +16,9 @@
 
 
 def plan(*staged):
-    members = tuple(Endpoint(f"w{n}", "s", "", "a", staged=held) for n, held in enumerate(staged))
+    members = tuple(
+        Endpoint(f"w{n}", "s", "", "a", staged=models) for n, models in enumerate(staged)
+    )
     return GroupPlan("d0", MODEL, members)
 
 
@@ -47,7 +49,7 @@
     assert state.is_available("w0")
 
 
-def test_endpoint_that_did_not_join_is_left_alone_for_a_while(state, daemon):
+def test_endpoint_that_did_not_join_is_left_out_for_a_while(state, daemon):
     state.record_refusal("w0")
     daemon.now += JOIN_REFUSAL_PAUSE_SECONDS - 0.1
     assert not state.is_available("w0")
@@ -55,7 +57,7 @@
     assert state.is_available("w0")
 
 
-def test_domain_is_left_alone_for_a_while_after_a_failure(state, daemon):
+def test_domain_is_paused_after_a_failure(state, daemon):
     state.pause("d0")
     assert state.is_paused("d0")
     assert not state.is_paused("d1")
