--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -1,4 +1,4 @@
-"""Group control under lost, late and doubled orders, with several controllers in turn."""
+"""Group control under lost, late and repeated orders, with several controllers in turn."""
 
 import pytest
 
@@ -33,7 +33,7 @@
     return world, running
 
 
-def test_layout_stands_on_a_calm_day():
+def test_layout_is_reached_without_faults():
     world, running = virtual_time.run(_calm())
     assert world.broken == []
     assert running == {"large": 2, "small": 2}
@@ -45,7 +45,7 @@
 
 
 async def _start_while_the_list_grows():
-    """Return how many orders to join were taken while it grew, and what stands soon after."""
+    """Return the number of orders begun while the list grew, and the groups running afterwards."""
     world = World(seed=1, domains=1)
     world.before_requests = True
     await world.start()
@@ -60,11 +60,11 @@
     return world, joined, running
 
 
-def test_first_layout_waits_until_the_list_is_whole():
+def test_first_layout_waits_until_the_list_is_complete():
     world, joined, running = virtual_time.run(_start_while_the_list_grows())
     assert world.broken == []
     assert joined == 0
-    # hosts load as they join: before the first request loads are not counted
+    # Hosts load as they join, since loads are not limited before the first request.
     assert running == {"large": 2, "small": 2}
 
 
@@ -84,7 +84,7 @@
     return world, seconds
 
 
-# seconds from the loss: noticing it, a report that isn't answered twice, join from the host, open
+# The bounds are seconds from the loss: detection, two unanswered probes, join, open.
 @pytest.mark.parametrize(
     ("unreachable", "rank", "bound"),
     [(False, 1, 3.5), (True, 1, 3.5), (False, 0, 3.5), (True, 0, 7.5)],
@@ -96,7 +96,7 @@
     assert seconds < bound
 
 
-async def _troubled(seed: int):
+async def _run_with_faults(seed: int):
     world = World(seed)
     rng = world.random
     world.odds = {"late order": 0.15, "lost order answer": 0.15, "lost write": 0.2}
@@ -110,7 +110,7 @@
     world.store.down = False
     for node in world.nodes:
         node.cut = node.cut_from_engines = False
-    # those that drain have gone by then
+    # Draining workers have ended by then.
     await world.pass_time(6.0)
     for domain in ("d0", "d1"):
         alive = [
@@ -166,15 +166,15 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_rule_is_broken_under_trouble(seed):
-    world, running = virtual_time.run(_troubled(seed))
+def test_no_rule_is_broken_under_faults(seed):
+    world, running = virtual_time.run(_run_with_faults(seed))
     assert world.broken == []
     assert running["large"] >= 2, running
     assert running["small"] >= 2, running
 
 
-async def _entries_lapse_in_an_outage(lost: int):
-    """The store is away; all entries and leases lapse; all but some endpoints come back."""
+async def _entries_expire_in_an_outage(lost: int):
+    """Expire all entries and leases while the store is down; some endpoints do not return."""
     world = World(seed=6)
     await world.start()
     await world.pass_time(CALM_SECONDS)
@@ -196,16 +196,16 @@
     return world, world.opened - opened, lowest, running
 
 
-def test_groups_outlive_an_outage_in_which_their_entries_lapse():
-    world, formed, lowest, running = virtual_time.run(_entries_lapse_in_an_outage(0))
+def test_groups_survive_an_outage_in_which_their_entries_expire():
+    world, formed, lowest, running = virtual_time.run(_entries_expire_in_an_outage(0))
     assert world.broken == []
     assert formed == 0
     assert lowest == 4
     assert running == {"large": 2, "small": 2}
 
 
-def test_endpoint_that_is_not_back_soon_after_an_outage_is_gone():
-    world, formed, _, running = virtual_time.run(_entries_lapse_in_an_outage(1))
+def test_endpoint_that_does_not_return_after_an_outage_is_replaced():
+    world, formed, _, running = virtual_time.run(_entries_expire_in_an_outage(1))
     assert world.broken == []
     assert formed == 1
     assert running == {"large": 2, "small": 2}
@@ -236,23 +236,23 @@
 
 
 async def _late_order_between_report_and_join():
-    """An engine takes a late order into an open group after it was seen free."""
+    """Have an engine join an open group by a late order after it was seen free."""
     world = World(seed=4, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
     node = controller_node(world)
     free = next(worker for worker in world.workers.values() if worker.group is None)
     opened = next(worker for worker in world.workers.values() if worker.state is GroupState.OPEN)
-    ask = node.orders.fetch_report
+    fetch_report = node.orders.fetch_report
 
-    async def ask_and_be_late(endpoint, *urgency):
-        report = await ask(endpoint, *urgency)
+    async def fetch_report_late(endpoint, *urgency):
+        report = await fetch_report(endpoint, *urgency)
         if report.membership is None:
             free.group, free.members = opened.group, (*opened.members, free.id)
             free.state, free.order_count = GroupState.READY, free.order_count + 1
         return report
 
-    node.orders.fetch_report = ask_and_be_late
+    node.orders.fetch_report = fetch_report_late
     order = Join(GroupId(10**9, "g"), "large", (free.id,))
     lost = node.controller.term.lost
     steps = GroupSteps(
@@ -263,10 +263,10 @@
     return joined, free.group == opened.group
 
 
-def test_join_holds_only_for_the_state_that_was_seen():
-    joined, still_there = virtual_time.run(_late_order_between_report_and_join())
+def test_join_is_refused_if_the_state_has_changed_since_the_report():
+    joined, is_still_member = virtual_time.run(_late_order_between_report_and_join())
     assert not joined
-    assert still_there
+    assert is_still_member
 
 
 async def _record_of_a_controller_that_was_replaced():
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -1,6 +1,6 @@
-"""What lets an endpoint or a group's name be used again, and how each sign can lie.
+"""How misleading signs that an endpoint or a group has ended are handled, in virtual time.
 
-The table of signs stands in docs/PLATFORM.md; each test here has one of them lie, in virtual time.
+docs/PLATFORM.md lists the signs; each test here makes one of them misleading.
 """
 
 import pytest
@@ -27,7 +27,7 @@
 SEEDS = range(12)
 
 
-# a record that isn't in the view
+# Records that are not in the view
 
 
 async def _group_is_formed_while_the_feed_is_refused():
@@ -51,17 +51,17 @@
     """The store refuses the controller's reads, and carries out its writes."""
     world, formed, running = virtual_time.run(_group_is_formed_while_the_feed_is_refused())
     assert world.broken == []
-    # the one that was lost, and one of the endpoints that were added; none of them twice
+    # One group replaces the lost one and one uses added endpoints; no endpoint is used twice.
     assert formed == 2
     assert running["large"] == 2
 
 
 async def _controller_begins_behind_its_term():
-    """A daemon saw no controller, then nothing, while another one came and went."""
+    """Have a daemon win the election while its view lacks another controller's whole term."""
     world = await calm_world()
     first = controller_node(world)
     late, second = [node for node in world.nodes if node is not first]
-    # time for both to see the new endpoints, and for a whole term of the second
+    # Long enough for both to see the new endpoints, and for a whole term of the second.
     second.grant_delay, late.grant_delay = 0.5, 6.0
     first.election.stopping = True
     while CONTROLLER_KEY in late.view.records:
@@ -102,7 +102,7 @@
 
 
 def test_group_may_answer_as_soon_as_its_record_is_written():
-    """One that fails at once would else be taken for one that was never begun."""
+    """Otherwise a group that fails at once would be taken for one that was never begun."""
     written, leader, may_answer, first = virtual_time.run(_record_is_not_in_the_view_yet())
     assert written
     assert may_answer
@@ -110,11 +110,11 @@
     assert leader.id == first
 
 
-# a leader that refuses connections
+# Leaders that refuse connections
 
 
 async def _path_to_a_leader_resets():
-    """The controller's connections to a leader are reset on their way; others reach it."""
+    """Reset only the controller's connections to a leader on their way."""
     world = await calm_world()
     leader, node = large_leader(world), controller_node(world)
     opened = world.opened
@@ -129,15 +129,15 @@
     return world, formed, running
 
 
-def test_leader_to_which_only_the_path_resets_keeps_its_members():
+def test_leader_whose_connections_are_reset_on_the_way_keeps_its_members():
     world, formed, running = virtual_time.run(_path_to_a_leader_resets())
     assert world.broken == []
     assert formed == 0
     assert running["large"] == 1
 
 
-async def _leader_leaves_without_a_word():
-    """Its entry goes, it stops listening, and a request there stands still for a while."""
+async def _leader_leaves_unannounced():
+    """Remove a leader's entry and stop its listening while a request there gets no events."""
     world = await calm_world()
     leader = large_leader(world)
     world.stalled_workers.add(leader.id)
@@ -150,17 +150,17 @@
     return world, running
 
 
-def test_leader_that_left_without_a_word_and_works_on_keeps_its_members():
-    """Neither listed, nor listening, nor heard; but a daemon has a request there."""
-    world, running = virtual_time.run(_leader_leaves_without_a_word())
+def test_leader_that_left_unannounced_with_requests_keeps_its_members():
+    """It is unlisted and silent, but a daemon has a request there."""
+    world, running = virtual_time.run(_leader_leaves_unannounced())
     assert world.broken == []
     assert running["large"] == 1
 
 
-# a leader that was taken for dead
+# Leaders that were taken for dead
 
 
-async def _group_is_isolated_and_comes_back():
+async def _group_is_isolated_and_returns():
     world = await calm_world()
     leader = large_leader(world)
     for member in leader.members:
@@ -172,14 +172,14 @@
     return world, running
 
 
-def test_group_that_comes_back_is_ended_before_its_members_are_used():
-    """It was neither listed nor heard, so its record is gone."""
-    world, running = virtual_time.run(_group_is_isolated_and_comes_back())
+def test_group_that_returns_is_ended_before_its_members_are_used():
+    """It was unlisted and silent, so its record was removed."""
+    world, running = virtual_time.run(_group_is_isolated_and_returns())
     assert world.broken == []
     assert running["large"] == 1
 
 
-# the controller's lease
+# The controller's lease
 
 
 async def _hands_over_without_an_answer():
@@ -200,15 +200,15 @@
     assert virtual_time.run(_hands_over_without_an_answer()) == 0
 
 
-async def _record_of_a_former_life():
-    """A daemon's record is written by an order of its former process that is carried out late."""
+async def _record_of_a_former_process():
+    """Write a daemon's record by a late call of its former process."""
     world = World(seed=3, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
     node = controller_node(world)
     for other in world.nodes:
         other.election.stopping = other is not node
-    # the former life's lease has a second left
+    # The former process's lease expires in a second.
     former = world.store.revision + 7_000_000
     world.store.leases[former] = (world.now() + 1.0, 2.0)
     world.store.end(world.store.owners[CONTROLLER_KEY])
@@ -221,8 +221,8 @@
     return world, node, created
 
 
-async def _create_meets_the_record_of_a_former_life():
-    world, node, created = await _record_of_a_former_life()
+async def _create_finds_the_record_of_a_former_process():
+    world, node, created = await _record_of_a_former_process()
     lease = await node.election._records.grant(2.0)
     create = node.election._records.create
 
@@ -236,29 +236,29 @@
     return term, created
 
 
-def test_record_of_a_former_life_is_not_taken_for_the_own():
-    term, created = virtual_time.run(_create_meets_the_record_of_a_former_life())
+def test_record_of_a_former_process_is_not_taken_for_the_own():
+    term, created = virtual_time.run(_create_finds_the_record_of_a_former_process())
     assert term != created
 
 
-# several at once
+# Several faults at once
 
 
 def _inject_fault(world: World) -> None:
-    """Have a sign lie for some seconds."""
+    """Inject a fault for some seconds."""
     rng = world.random
     seconds = rng.uniform(0.5, 6.0)
     node = rng.choice([*world.nodes, *_controllers(world)])
     leaders = [worker for worker in world.workers.values() if worker.alive and worker.leads]
     match rng.randrange(7):
         case 0:
-            _for_some_time(world, node, "reads_refused", seconds)
+            _set_for(world, node, "reads_refused", seconds)
         case 1:
-            _for_some_time(world, node, "end_unanswered", seconds)
+            _set_for(world, node, "end_unanswered", seconds)
         case 2:
             node.grant_delay = seconds
         case 3:
-            _for_some_time(world, node.election, "stopping", seconds)
+            _set_for(world, node.election, "stopping", seconds)
         case 4 if leaders:
             node.reset_paths = {rng.choice(leaders).id}
             world.later(seconds, node.reset_paths.clear)
@@ -274,12 +274,12 @@
     return [node for node in world.nodes if node.election.is_controller]
 
 
-def _for_some_time(world: World, thing, name: str, seconds: float) -> None:
+def _set_for(world: World, thing, name: str, seconds: float) -> None:
     setattr(thing, name, True)
     world.later(seconds, lambda: setattr(thing, name, False))
 
 
-async def _signs_lie(seed: int):
+async def _run_with_faults(seed: int):
     world = World(seed)
     world.odds = {"late order": 0.1, "lost order answer": 0.1, "lost write": 0.1}
     await world.start()
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_endpoint_is_used_twice_while_signs_lie(seed):
-    world, running = virtual_time.run(_signs_lie(seed))
+def test_no_endpoint_is_used_twice_under_faults(seed):
+    world, running = virtual_time.run(_run_with_faults(seed))
     assert world.broken == []
     assert running["large"] + running["small"] >= 2, running
--- a/tests/test_group_health.py
+++ b/tests/test_group_health.py
@@ -1,4 +1,4 @@
-"""Is a group to be ended, and why: the rule's specification as tables."""
+"""Whether a group is ended, and why."""
 
 import pytest
 
--- a/tests/test_group_repair.py
+++ b/tests/test_group_repair.py
@@ -1,4 +1,4 @@
-"""How lost groups are replaced, and which are not lost, in virtual time."""
+"""Which groups are replaced after a loss, and which are kept, in virtual time."""
 
 from . import virtual_time
 from .group_world import UNLISTED_AFTER
@@ -7,20 +7,20 @@
 from .group_world import controller_node
 from .group_world import large_leader
 
-# in which every repair here has to be done
+# Upper bound for every repair here.
 REPAIR_TIMEOUT_SECONDS = 30.0
 
 
-async def _seconds_until(world: World, happened) -> float:
+async def _seconds_until(world: World, condition) -> float:
     started_at = world.now()
-    while not happened():
+    while not condition():
         await world.pass_time(0.1)
         assert world.now() - started_at < REPAIR_TIMEOUT_SECONDS
     return world.now() - started_at
 
 
-async def _lose_member_of_a_spared_group():
-    """Return the world, and how long a group without its lost member took to answer again."""
+async def _lose_member_of_a_group_with_a_spare():
+    """Lose a member; return the world, and the seconds until its group is replaced."""
     world = await calm_world(workers=4)
     leader = large_leader(world)
     world.add_worker("d0", staged=("large",))
@@ -33,10 +33,9 @@
 
 
 def test_former_leader_joins_though_its_report_lags_behind_its_leaving():
-    world, seconds = virtual_time.run(_lose_member_of_a_spared_group())
+    world, seconds = virtual_time.run(_lose_member_of_a_group_with_a_spare())
     assert world.broken == []
-    # 0.3 s until it is noticed, 0.3 s to ask, 0.2 s of lag, 1.6 s from the host; after a failure
-    # the former leader would be left alone for 2 s more
+    # A refused join would pause the former leader for 2 s more.
     assert seconds < 3.0
 
 
@@ -62,8 +61,8 @@
     assert running["large"] == 1
 
 
-async def _leader_works_on(seconds: float, requests: int):
-    """Return the world, and how long after its leader began to refuse a group was replaced."""
+async def _leader_stops_listening(seconds: float, requests: int):
+    """Have a leader refuse connections; return the world, and the seconds until replacement."""
     world = await calm_world()
     leader = large_leader(world)
     leader.draining = True
@@ -76,32 +75,32 @@
     return world, replaced
 
 
-def test_leader_that_stopped_listening_and_works_on_keeps_its_members():
-    world, replaced = virtual_time.run(_leader_works_on(8.0, requests=1))
+def test_leader_that_stopped_listening_with_requests_keeps_its_members():
+    world, replaced = virtual_time.run(_leader_stops_listening(8.0, requests=1))
     assert world.broken == []
     assert replaced < 8.0 + UNLISTED_AFTER + 3.0
 
 
 def test_leader_that_stopped_listening_and_is_idle_keeps_its_members():
-    """Nobody has requests there, but it hasn't ended (soak, seed 218)."""
-    world, replaced = virtual_time.run(_leader_works_on(4.0, requests=0))
+    """No daemon has requests there, but it has not ended."""
+    world, replaced = virtual_time.run(_leader_stops_listening(4.0, requests=0))
     assert world.broken == []
     assert replaced < 4.0 + UNLISTED_AFTER + 3.0
 
 
-async def _leader_ends_while_a_daemon_says_nothing():
-    """Return the world, and how long a leader's group took to be replaced."""
+async def _leader_ends_while_a_daemon_is_silent():
+    """Freeze a daemon and end a leader; return the world, and the seconds until replacement."""
     world = await calm_world()
-    mute = next(node for node in world.nodes if not node.election.is_controller)
-    mute.freeze(60.0)
+    silent = next(node for node in world.nodes if not node.election.is_controller)
+    silent.freeze(60.0)
     world.kill(large_leader(world), unreachable=False)
     replaced = await _seconds_until(world, lambda: world.running_groups()["large"] == 1)
     await world.stop()
     return world, replaced
 
 
-def test_leader_that_refuses_is_not_ended_by_a_daemon_that_says_nothing():
-    """The silent daemon, or one of an earlier build, may have requests there: the list decides."""
-    world, replaced = virtual_time.run(_leader_ends_while_a_daemon_says_nothing())
+def test_refusing_leader_has_not_ended_while_a_daemon_is_silent():
+    """The silent daemon may have requests there, so the list decides."""
+    world, replaced = virtual_time.run(_leader_ends_while_a_daemon_is_silent())
     assert world.broken == []
     assert UNLISTED_AFTER < replaced < UNLISTED_AFTER + 4.0
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Coroutines in the background of a term: what is logged when they fail, and their end."""
+"""Background jobs of a term: what is logged when they fail, and how they end."""
 
 import asyncio
 
--- a/tests/test_join_rules.py
+++ b/tests/test_join_rules.py
@@ -1,4 +1,4 @@
-"""May an endpoint be ordered into a group, and what its answer means: the rules as tables."""
+"""Whether an endpoint may be ordered into a group, and what its answer means."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("group", "over", "place"),
+    ("group", "over", "availability"),
     [
         pytest.param(None, set(), Availability.FREE, id="in no group"),
         pytest.param(NEW, set(), Availability.FREE, id="in this group: it takes the order again"),
@@ -23,13 +23,13 @@
     ],
 )
 @pytest.mark.parametrize("state", list(GroupState))
-def test_place(group, over, place, state):
+def test_availability(group, over, availability, state):
     member = Membership(group, 1, state) if group else None
-    assert join_rules.availability(member, NEW, over.__contains__) is place
+    assert join_rules.availability(member, NEW, over.__contains__) is availability
 
 
 @pytest.mark.parametrize(
-    ("outcome", "answer"),
+    ("outcome", "result"),
     [
         (Outcome.BEGUN, JoinResult.JOINED),
         (Outcome.DONE, JoinResult.JOINED),
@@ -39,8 +39,8 @@
     ],
     ids=lambda value: value.name.lower(),
 )
-def test_answer(outcome, answer):
-    assert join_rules.join_result(outcome) is answer
+def test_result(outcome, result):
+    assert join_rules.join_result(outcome) is result
 
 
 def test_every_outcome_has_a_meaning():
--- a/tests/test_large_control.py
+++ b/tests/test_large_control.py
@@ -1,7 +1,7 @@
-"""The load pattern of a large site's first start: one small controller, hundreds of endpoints.
+"""The first start of a large site: one small controller and hundreds of endpoints.
 
-All groups have to be formed at once. Each call takes the controller's processor some time, so that
-calls sent side by side would run into their time-outs, and the endpoints would count as silent.
+Guards against calls that wait for the controller's processor until they time out, which would make
+endpoints count as silent.
 """
 
 import pytest
@@ -13,7 +13,7 @@
 from . import virtual_time
 from .group_world import World
 
-# processor time of an instance of half a core for each end of a call, in seconds
+# Processor time that a small instance needs for each end of a call.
 SMALL_SECONDS = 0.002
 DOMAIN_SIZE = 37
 ENGINE = Engine(
@@ -49,11 +49,11 @@
     return found
 
 
-def test_all_groups_of_a_large_site_are_formed_and_nobody_counts_as_silent(lost):
+def test_all_groups_of_a_large_site_are_formed_and_no_endpoint_counts_as_silent(lost):
     world, running = virtual_time.run(_first_start(domains=25, seconds=20.0))
     assert lost == []
     assert world.broken == []
-    # each domain carries two groups of the large model or four of the small one
+    # Each domain carries two groups of the large model or four of the small one.
     assert running["large"] // 2 + running["small"] // 4 == 25
 
 
--- a/tests/test_leader_liveness.py
+++ b/tests/test_leader_liveness.py
@@ -1,4 +1,4 @@
-"""Is a leader that never left dead: the rule's specification as tables."""
+"""Whether a leader that never reported that it left is dead."""
 
 import pytest
 
@@ -42,18 +42,18 @@
         pytest.param(False, MAX_LIST_AGE_SECONDS, True, id="an old list may not show it"),
     ],
 )
-def test_may_be_leaving(draining, list_age, leaving):
+def test_possibly_leaving(draining, list_age, leaving):
     entry = None if draining is None else Endpoint("w0", "narrator", "", "a", draining=draining)
     assert leader_liveness.is_possibly_leaving(entry, list_age) is leaving
 
 
 @pytest.mark.parametrize(
-    ("listed", "heard", "dead"),
+    ("listed", "contacted", "dead"),
     [
         pytest.param(False, False, True, id="no sign of life"),
         pytest.param(True, False, False, id="listed again"),
         pytest.param(False, True, False, id="answered another daemon"),
     ],
 )
-def test_dead(listed, heard, dead):
-    assert leader_liveness.is_dead(listed=listed, has_contact=heard) is dead
+def test_dead(listed, contacted, dead):
+    assert leader_liveness.is_dead(listed=listed, has_contact=contacted) is dead
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -1,21 +1,21 @@
-"""An endpoint that leaves: how soon no daemon sends it anything new."""
+"""How soon daemons stop using an endpoint that leaves."""
 
 import pytest
 
 from . import virtual_time
 from .fleet_world import FleetWorld
 
-# of all daemons, from the moment at which the store has taken the leaving; in seconds
+# How long any daemon may still use an endpoint after the store has recorded its leaving.
 KNOWN_EVERYWHERE_SECONDS = 1.0
-# for which the oracle looks on, in seconds
+# How long the oracle watches.
 WATCHED_SECONDS = 8.0
 FLEETS = [8, 24]
 
 
-async def _after_a_start_of_all(daemons: int, pause: float) -> float:
-    """Return for how long some daemon uses an endpoint whose entry disappears then.
+async def _seconds_in_use_after_a_restart_of_all(daemons: int, pause: float) -> float:
+    """Return for how many seconds any daemon uses an endpoint that leaves while all restart.
 
-    :param pause: seconds since the first daemon may be back; the last one takes two.
+    :param pause: seconds before the endpoint leaves; the last daemon may take two to restart.
     """
     world = FleetWorld(daemons)
     await world.start()
@@ -29,5 +29,8 @@
 
 @pytest.mark.parametrize("daemons", FLEETS)
 def test_endpoint_that_left_is_not_kept_by_each_daemon_that_starts_after_it(daemons):
-    """A start is no outage: nothing has let the entry run out."""
-    assert virtual_time.run(_after_a_start_of_all(daemons, 1.0)) <= KNOWN_EVERYWHERE_SECONDS
+    """A start is not an outage, so the missing entry has not merely expired."""
+    assert (
+        virtual_time.run(_seconds_in_use_after_a_restart_of_all(daemons, 1.0))
+        <= KNOWN_EVERYWHERE_SECONDS
+    )
--- a/tests/test_list_growth.py
+++ b/tests/test_list_growth.py
@@ -1,4 +1,4 @@
-"""Is the list of endpoints whole, before the first request: the rule's specification as a table."""
+"""Whether the list of endpoints is complete before the first request."""
 
 import pytest
 
--- a/tests/test_load_rate.py
+++ b/tests/test_load_rate.py
@@ -1,4 +1,4 @@
-"""How many loads from the weight store may begin: the token bucket's rule as a table."""
+"""How many loads from the weight store may begin, by the token bucket."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from thorncleat_gateway.store.serving import Engine
 
 SETTINGS = ControlSettings()
-# 3.6 loads a second, 7 saved at most: 25 in 5 s
+# Refills at 3.6 loads a second, holds 7.
 ENGINE = Engine(13, (), loads_per_second=4.0, loads_at_once=6)
 
 
@@ -46,7 +46,7 @@
     ("window", "overage"), [(5, 1.1), (2, 1.1), (10, 1.0), (1, 1.25), (5, 0.8)]
 )
 def test_loads_in_any_window_keep_within_the_weight_stores_ceiling(window, overage):
-    """The first row is that of the deployments; all allow three more."""
+    """All rows allow three loads beyond the rate."""
     rate = LoadRate(0.0, ControlSettings(load_window=window, load_overage=overage))
     begun = [_begun(rate, 60.0 + step / 10) for step in range(40 * window)]
     windows = [sum(begun[first : first + 10 * window]) for first in range(30 * window)]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,7 +1,7 @@
-"""Endpoints that start again under their id, and know nothing of the life before.
+"""Endpoints that restart under their id and have lost the state of their earlier incarnation.
 
-In virtual time: the word of it may come late, by the list or by a report first, and an entry of
-the life before may be written after it.
+In virtual time: the list or a report may show the restart late, and a late write may list an entry
+of the earlier incarnation afterwards.
 """
 
 import dataclasses
@@ -38,14 +38,14 @@
     ("born", "seen", "over"),
     [(1, 2, True), (2, 1, True), (1, 1, False), (None, 1, False), (1, None, False)],
 )
-def test_life_is_over_once_another_one_was_seen(born, seen, over):
-    """A clock may have been set back, and an earlier build's relay doesn't tell."""
+def test_incarnation_is_superseded_once_another_one_was_seen(born, seen, over):
+    """A clock may have been set back, and an earlier build's relay omits ``born``."""
     assert Life("a", born).is_over(Life("a", seen)) is over
 
 
 class TestRoster:
-    def test_list_has_the_last_word(self):
-        """Whatever the order of two lives: what was left out once would come no second time."""
+    def test_latest_entry_wins(self):
+        """Each entry replaces the one before, whichever incarnation it is from."""
         roster = Roster()
         roster.put(entry(1, membership=PLACE))
         assert roster.put(entry(2))
@@ -54,11 +54,11 @@
         assert roster.put(entry(2))
         assert roster.endpoints["a"].born == 2
 
-    def test_third_life_is_known(self):
+    def test_third_incarnation_is_noticed(self):
         roster = Roster()
         assert [roster.put(entry(born)) for born in (1, 2, 2, 3)] == [False, True, False, True]
 
-    def test_entry_that_does_not_tell_is_kept(self):
+    def test_entry_without_born_is_kept(self):
         roster = Roster()
         roster.put(entry(1))
         assert not roster.put(entry(None, draining=True))
@@ -68,14 +68,14 @@
 @pytest.mark.parametrize(
     ("born", "count", "same"), [(1, 3, True), (1, 4, False), (2, 3, False), (None, 3, False)]
 )
-def test_orders_are_compared_within_a_life(born, count, same):
-    """A refused order is given again once a report shows other orders begun, or none of a life."""
+def test_orders_are_compared_within_an_incarnation(born, count, same):
+    """A refused order is sent again once a report shows another count or incarnation."""
     assert (
         EngineReport(None, (), (), 3, 1).counts_as(EngineReport(None, (), (), count, born)) is same
     )
 
 
-def test_failures_of_the_life_before_do_not_count():
+def test_failures_of_an_earlier_incarnation_do_not_count():
     made = selector([entry(1), Endpoint("b", "desk", "b:1", "zone")], {"b": 2})
     for _ in range(2):
         made.answered(entry(1), well=False)
@@ -87,11 +87,11 @@
     assert made.plain("desk", ()).id == "a"
 
 
-# the list shows the life before
+# The list shows the earlier incarnation
 
 
-async def _member_starts_again_behind_the_list(rank: int):
-    """Return for how many seconds its group stays open, and when another one stands."""
+async def _member_restarts_behind_the_list(rank: int):
+    """Restart a member; return the seconds until its group is over and until another one runs."""
     world = await calm_world()
     for _ in range(4):
         world.add_worker("d0", staged=("large",))
@@ -104,41 +104,41 @@
     ended = world.now() - started_at
     while not world.running_groups()["large"] and world.now() - started_at < 2 * STALL_SECONDS:
         await world.pass_time(0.1)
-    stood = world.now() - started_at
+    replaced = world.now() - started_at
     await world.stop()
-    return world, ended, stood
+    return world, ended, replaced
 
 
 @pytest.mark.parametrize("rank", [0, 1], ids=["leader", "member"])
-def test_group_is_over_once_a_member_says_that_it_has_started_again(rank):
-    """Without ``born`` it answers and counts as a member until the engine gives up, after 5 s."""
-    world, ended, stood = virtual_time.run(_member_starts_again_behind_the_list(rank))
+def test_group_is_over_once_a_member_reports_that_it_has_restarted(rank):
+    """Without ``born`` it would count as a member until the engine marks the group as broken."""
+    world, ended, replaced = virtual_time.run(_member_restarts_behind_the_list(rank))
     assert world.broken == []
     assert ended < 1.0
-    assert stood < 4.0
+    assert replaced < 4.0
 
 
-# what is remembered of the life before
+# State of the earlier incarnation
 
 
-async def _ready_in_the_life_before():
+async def _ready_in_an_earlier_incarnation():
     world = await calm_world()
     node, worker = controller_node(world), large_leader(world)
     group, former = worker.group, worker.entry()
     await node.orders.fetch_report(former)
     seen = node.orders.was_seen_ready(former, group, former.membership.rank)
     node.view.roster.put(dataclasses.replace(former, born=former.born + 1, membership=None))
-    again = node.orders.was_seen_ready(former, group, former.membership.rank)
+    seen_later = node.orders.was_seen_ready(former, group, former.membership.rank)
     await world.stop()
-    return seen, again
+    return seen, seen_later
 
 
-def test_report_of_the_life_before_shows_no_member_ready():
-    assert virtual_time.run(_ready_in_the_life_before()) == (True, False)
+def test_report_of_an_earlier_incarnation_shows_no_member_ready():
+    assert virtual_time.run(_ready_in_an_earlier_incarnation()) == (True, False)
 
 
-async def _load_in_the_life_before():
-    """Return whether a host counts as loading before and after its worker starts again."""
+async def _load_in_an_earlier_incarnation():
+    """Return whether a host counts as loading before and after its worker restarts."""
     world = await calm_world()
     worker = world.add_worker("d0", staged=("small",))
     await world.pass_time(0.5)
@@ -147,18 +147,18 @@
     loader.load(LoadPlan(node.view.roster.endpoints[worker.id], MODELS[0]))
     before = worker.id in loader.staging()
     world.restart(worker)
-    # for the list to show it; a load from the weight store takes longer
+    # Long enough for the list to show it, but shorter than a load from the weight store.
     await world.pass_time(0.2)
     after = worker.id in loader.staging()
     await world.stop()
     return before, after
 
 
-def test_load_of_the_life_before_is_not_waited_for():
-    assert virtual_time.run(_load_in_the_life_before()) == (True, False)
+def test_load_of_an_earlier_incarnation_is_not_waited_for():
+    assert virtual_time.run(_load_in_an_earlier_incarnation()) == (True, False)
 
 
-async def _lost_in_the_life_before():
+async def _lost_in_an_earlier_incarnation():
     world = await calm_world()
     node, worker = controller_node(world), large_leader(world)
     lost, former = node.controller.term.lost, worker.entry()
@@ -173,43 +173,43 @@
     return before, after
 
 
-def test_endpoint_that_was_lost_is_used_once_it_has_started_again():
-    assert virtual_time.run(_lost_in_the_life_before()) == (True, False)
+def test_endpoint_that_was_lost_is_used_once_it_has_restarted():
+    assert virtual_time.run(_lost_in_an_earlier_incarnation()) == (True, False)
 
 
-async def _unlisted_member_comes_back_anew():
-    """A member is cut off from the store, goes on serving, and starts again when it is back."""
+async def _unlisted_member_restarts():
+    """Cut a serving member off from the store, and restart it when it is reconnected."""
     world = await calm_world()
     leader = large_leader(world)
     member, group = world.workers[leader.members[1]], leader.group
     world.cut_from_store(member, 8.0)
     await world.pass_time(6.0)
-    stands = leader.group == group
-    holds = controller_node(world).controller.term.unlisted.has_member
-    before = holds(group, 1)
+    is_running = leader.group == group
+    has_member = controller_node(world).controller.term.unlisted.has_member
+    before = has_member(group, 1)
     member.cut_from_store = False
     world.restart(member)
     await world.pass_time(0.2)
-    after = holds(group, 1)
+    after = has_member(group, 1)
     await world.stop()
-    return stands, before, after
+    return is_running, before, after
 
 
 def test_member_that_is_listed_again_without_its_group_is_not_in_its_place():
-    assert virtual_time.run(_unlisted_member_comes_back_anew()) == (True, True, False)
+    assert virtual_time.run(_unlisted_member_restarts()) == (True, True, False)
 
 
-# at random
+# Random faults
 
 
 def _inject_fault(world: World) -> None:
     rng = world.random
-    worker = rng.choice([one for one in world.workers.values() if one.alive])
+    worker = rng.choice([worker for worker in world.workers.values() if worker.alive])
     match rng.randrange(5):
         case 0 | 1:
             world.restart(worker, unlisted_for=rng.choice([0.0, 0.3, 2.0, 6.0]))
         case 2:
-            # with its whole group: nothing tells a leader that is cut off alone from a dead one
+            # The whole group, since a leader that is cut off alone can't be told from a dead one.
             seconds = rng.uniform(6.0, 12.0)
             for member in worker.members:
                 world.isolate(world.workers[member], seconds)
@@ -224,7 +224,7 @@
             world.later(2.0, lambda: setattr(node.election, "stopping", False))
 
 
-async def _starts_again_at_any_step(seed: int):
+async def _run_with_restarts(seed: int):
     world = World(seed)
     world.odds = {"late order": 0.1, "lost order answer": 0.1, "lost write": 0.1}
     await world.start()
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_no_rule_is_broken_while_endpoints_start_again(seed):
-    world, running = virtual_time.run(_starts_again_at_any_step(seed))
+def test_no_rule_is_broken_while_endpoints_restart(seed):
+    world, running = virtual_time.run(_run_with_restarts(seed))
     assert world.broken == []
     assert running == {"large": 2, "small": 2}
--- a/tests/test_restored_groups.py
+++ b/tests/test_restored_groups.py
@@ -1,4 +1,4 @@
-"""Group control where the store comes back from a copy some seconds old."""
+"""Group control after the store was restored from a copy that is some seconds old."""
 
 import pytest
 
@@ -12,15 +12,15 @@
 from .group_world import controller_node
 
 RESTORES = 3
-# more than the store gives again while a test lasts
+# More revisions than the store assigns again during a test.
 LOST_REVISIONS = 2000
 SEEDS = [*range(8), 27]
-# for the layout to stand again after the last restore
+# How long the layout may take to recover after the last restore.
 RECOVER_SECONDS = 40.0
 
 
 def _kill_member(world: World) -> None:
-    """Kill an endpoint of a group; another one comes in its place."""
+    """Kill an endpoint of a group and add another one in its domain."""
     grouped = [worker for worker in world.workers.values() if worker.alive and worker.members]
     lost = world.random.choice(grouped)
     world.kill(lost, unreachable=world.random.random() < 0.5)
@@ -28,7 +28,7 @@
 
 
 async def _restored(seed: int):
-    """Lose endpoints before and after each copy; return the world and what stands at the end."""
+    """Lose endpoints before and after each restore; return the world and its running groups."""
     world = World(seed)
     rng = world.random
     await world.start()
@@ -49,18 +49,18 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_groups_of_lost_records_keep_the_rules_and_stand_again(seed):
+def test_groups_with_lost_records_keep_the_rules_and_recover(seed):
     world, running = virtual_time.run(_restored(seed))
     assert world.broken == []
-    # more than these where the endpoints that were added are enough
+    # More groups run where the added endpoints are enough.
     assert running["large"] >= 2
     assert running["small"] >= 2
 
 
-async def _store_comes_back_from_before_the_first_term(*, forget: bool):
+async def _restore_to_before_the_first_term(*, forget: bool):
     """Restore a store that knew no controller, and lose an endpoint.
 
-    :param forget: whether all daemons start again, and know nothing of the former era.
+    :param forget: whether all daemons restart and lose their state of the former era.
     """
     world = World(seed=5, domains=1)
     copy = world.store.copy()
@@ -82,27 +82,27 @@
 
 
 async def _records():
-    world, running, opened, _ = await _store_comes_back_from_before_the_first_term(forget=False)
+    world, running, opened, _ = await _restore_to_before_the_first_term(forget=False)
     written = [key for key in world.store.items if key.startswith(GROUPS_PREFIX)]
     found = world.running_groups() == running, world.opened == opened, len(written)
     await world.stop()
     return world, found
 
 
-def test_group_whose_record_was_lost_stands_on_and_is_recorded_again():
-    world, (stands, none_formed, records) = virtual_time.run(_records())
+def test_group_whose_record_was_lost_keeps_running_and_is_recorded_again():
+    world, (is_running, none_formed, records) = virtual_time.run(_records())
     assert world.broken == []
-    assert stands
+    assert is_running
     assert none_formed
     assert records == 2
 
 
 @pytest.mark.parametrize("forget", [False, True])
 def test_endpoints_take_orders_where_the_revisions_went_back(forget):
-    """They refuse an epoch below one that they have seen."""
+    """Endpoints refuse an epoch below one that they have seen."""
 
-    async def play():
-        world, running, _, term = await _store_comes_back_from_before_the_first_term(forget=forget)
+    async def run_restored():
+        world, running, _, term = await _restore_to_before_the_first_term(forget=forget)
         assert controller_node(world).election.term.revision < term.revision
         _kill_member(world)
         await world.pass_time(15.0)
@@ -110,14 +110,14 @@
         await world.stop()
         return world, running, found
 
-    world, running, found = virtual_time.run(play())
+    world, running, found = virtual_time.run(run_restored())
     assert world.broken == []
     assert world.stale_refusals == 0
     assert found["large"] >= running["large"]
     assert found["small"] >= running["small"]
 
 
-async def _endpoints_have_seen_epochs_that_nobody_knows():
+async def _endpoints_have_seen_unknown_epochs():
     world = World(seed=5, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
@@ -132,27 +132,27 @@
 
 
 def test_epochs_are_raised_until_endpoints_take_orders():
-    world, running, found = virtual_time.run(_endpoints_have_seen_epochs_that_nobody_knows())
+    world, running, found = virtual_time.run(_endpoints_have_seen_unknown_epochs())
     assert world.broken == []
     assert world.stale_refusals > 0
     assert found["large"] >= running["large"]
     assert found["small"] >= running["small"]
 
 
-async def _controller_hears_of_another_era():
+async def _controller_learns_of_another_era():
     world = World(seed=5, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
     node = controller_node(world)
     lease = node.election.lease_seconds_left
     node.view.era.heard(world.store.era + 1)
-    led = node.election.is_controller
+    is_controller = node.election.is_controller
     await world.stop()
-    return lease, led
+    return lease, is_controller
 
 
-def test_term_ends_with_the_first_word_of_another_era():
-    """Another daemon may hold a lease of the same id there."""
-    lease, led = virtual_time.run(_controller_hears_of_another_era())
+def test_term_ends_with_the_first_contact_with_another_era():
+    """Another daemon may hold a lease with the same id in the new era."""
+    lease, is_controller = virtual_time.run(_controller_learns_of_another_era())
     assert lease > 0.5
-    assert not led
+    assert not is_controller
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -1,7 +1,4 @@
-"""Endpoints that turn slow: groups compute at the pace of their slowest member.
-
-The load pattern, in virtual time: two in five of the endpoints are slow for some seconds.
-"""
+"""Slow endpoints: a group runs at the pace of its slowest member, so slow groups are replaced."""
 
 import collections
 
@@ -62,10 +59,10 @@
 def test_groups_to_replace(groups, spares, replaced):
     spare = [endpoint(name) for name in spares]
     found = groups_to_replace(groups, spare, EngineModel("m", 4))
-    assert [one.id.epoch for one in found] == replaced
+    assert [group.id.epoch for group in found] == replaced
 
 
-def test_spares_that_would_have_to_load_the_model_replace_nobody():
+def test_spares_that_must_load_the_model_replace_no_group():
     spares = [endpoint("a", ("other",)), endpoint("b", ())]
     assert groups_to_replace([group(1, 1)], spares, EngineModel("m", 4)) == []
 
@@ -99,7 +96,7 @@
 
 
 async def _member_turns_slow(spares: int = 4, *, resumable: bool = True):
-    """Return the world and its former group with the members that it has then."""
+    """Make a member slow; return the world, its former group, and the slow worker."""
     world = await calm_world()
     world.store.put("config", narrator(ENGINE, resumable=resumable))
     if not spares:
@@ -124,40 +121,40 @@
 
 
 def test_group_is_formed_anew_without_a_slow_member():
-    world, stays, slow_in_it = virtual_time.run(_group_after())
+    world, is_kept, has_slow_member = virtual_time.run(_group_after())
     assert world.broken == []
-    assert not stays
-    assert not slow_in_it
+    assert not is_kept
+    assert not has_slow_member
 
 
 @pytest.mark.parametrize(
     "given", [{"spares": 0}, {"resumable": False}], ids=["no spare", "streams can't move"]
 )
 def test_slow_group_is_better_than_none(given):
-    world, stays, _ = virtual_time.run(_group_after(**given))
+    world, is_kept, _ = virtual_time.run(_group_after(**given))
     assert world.broken == []
-    assert stays
+    assert is_kept
 
 
 async def _slow_for_a_while():
-    """Return whether an endpoint counts as slow while it is, after it, and after a restart."""
+    """Return whether an endpoint counts as slow while it is slow and afterwards."""
     world, _, slow = await _member_turns_slow()
     node = controller_node(world)
-    known = node.controller.term.slow
-    found = [node.view.roster.endpoints[slow.id] in known]
+    slow_endpoints = node.controller.term.slow
+    found = [node.view.roster.endpoints[slow.id] in slow_endpoints]
     slow.pace = SLOW_PACE - 0.1
     await world.pass_time(1.5)
-    found.append(node.view.roster.endpoints[slow.id] in known)
+    found.append(node.view.roster.endpoints[slow.id] in slow_endpoints)
     await world.stop()
     return found
 
 
-def test_endpoint_is_used_again_once_it_says_that_it_is_not_slow():
+def test_endpoint_is_used_again_once_it_reports_a_normal_pace():
     assert virtual_time.run(_slow_for_a_while()) == [True, False]
 
 
 async def _two_in_five_turn_slow(seed: int):
-    """Return the groups without a slow member, each half second for nine seconds."""
+    """Return the number of groups without a slow member, each half second for nine seconds."""
     engine = Engine(24, MODELS, loads_per_second=14.0, loads_at_once=20)
     world = World(seed, domains=0, engine=engine)
     for domain in ("a0", "b0", "c0", "a1", "b1", "c1"):
@@ -170,32 +167,32 @@
     world.before_requests = False
     for worker in world.random.sample(list(world.workers.values()), 65):
         worker.pace = SLOW
-    quick = []
+    unaffected = []
     for _ in range(18):
         for leader in list(world.workers.values()):
-            if leader.leads and any(world.workers[one].pace > 1 for one in leader.members):
+            if leader.leads and any(world.workers[member].pace > 1 for member in leader.members):
                 world.suspect(leader)
         await world.pass_time(0.5)
-        quick.append(_quick_groups(world))
+        unaffected.append(_unaffected_groups(world))
     await world.stop()
-    return world, quick
+    return world, unaffected
 
 
-def _quick_groups(world: World) -> int:
+def _unaffected_groups(world: World) -> int:
     return sum(
         leader.leads
         and leader.state is not None
         and leader.state.value == "open"
-        and all(world.workers[one].pace == 1 for one in leader.members)
+        and all(world.workers[member].pace == 1 for member in leader.members)
         for leader in world.workers.values()
     )
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_groups_stand_again_without_the_slow_ones(seed):
-    """Of 18 groups none to two are quick at first; 97 quick endpoints make up to 10 in 4 s."""
-    world, quick = virtual_time.run(_two_in_five_turn_slow(seed))
+def test_slow_groups_are_replaced(seed):
+    """Few groups are without a slow member at first; most are replaced within seconds."""
+    world, unaffected = virtual_time.run(_two_in_five_turn_slow(seed))
     assert world.broken == []
-    assert quick[0] <= 2
-    assert quick[8] >= 7
-    assert min(quick[8:]) >= 7
+    assert unaffected[0] <= 2
+    assert unaffected[8] >= 7
+    assert min(unaffected[8:]) >= 7
--- a/tests/test_spare_warming.py
+++ b/tests/test_spare_warming.py
@@ -1,4 +1,4 @@
-"""Spares load their model before they are needed: a lost group stands again sooner."""
+"""Spares load their model into the engine before they are needed, so groups recover sooner."""
 
 import pytest
 
@@ -36,9 +36,9 @@
 
 
 async def _lose_a_member(warmed_for: float):
-    """Return the seconds from the loss of a member until its group's successor stands.
+    """Return the seconds from the loss of a member until its group is replaced.
 
-    :param warmed_for: seconds that the only spare has been there.
+    :param warmed_for: seconds since the only spare was added.
     """
     world = await calm_world()
     for worker in [worker for worker in world.workers.values() if not worker.members]:
@@ -60,12 +60,11 @@
 @pytest.mark.parametrize(
     ("warmed_for", "bound"),
     [
-        # 0.3 s until it is noticed, 0.2 s to join, 0.3 s to open, and the list's time
         pytest.param(5.0, 1.3, id="a warm spare"),
         pytest.param(0.3, 2.7, id="one that is just being warmed, 1.6 s"),
     ],
 )
-def test_group_stands_again_in_the_time_that_its_spare_takes(warmed_for, bound):
+def test_group_is_replaced_in_the_time_that_its_spare_takes(warmed_for, bound):
     world, seconds, used = virtual_time.run(_lose_a_member(warmed_for))
     assert world.broken == []
     assert used
@@ -84,7 +83,7 @@
     return world, added, running
 
 
-def test_next_controller_has_a_spare_leave_that_was_being_warmed():
+def test_next_controller_makes_a_warming_spare_leave():
     world, added, running = virtual_time.run(_controller_changes_while_a_spare_is_warmed())
     assert world.broken == []
     assert added.group is None
@@ -97,14 +96,14 @@
     await world.pass_time(40.0)
     node = controller_node(world)
     spares = [worker for worker in world.workers.values() if not worker.members]
-    kept = len(node.controller.term.warming._groups)
+    warming_groups = len(node.controller.term.warming._groups)
     await world.stop()
-    return world, spares, kept
+    return world, spares, warming_groups
 
 
 def test_spares_are_warm_and_in_no_group():
-    world, spares, kept = virtual_time.run(_spares_are_warmed(1))
+    world, spares, warming_groups = virtual_time.run(_spares_are_warmed(1))
     assert world.broken == []
     assert spares
     assert all(worker.model in worker.staged for worker in spares)
-    assert kept <= len(spares)
+    assert warming_groups <= len(spares)
--- a/tests/test_spoilt_records.py
+++ b/tests/test_spoilt_records.py
@@ -1,4 +1,4 @@
-"""The gateway's own records in the store, where another writer left something else."""
+"""Malformed records under the gateway's keys in the store."""
 
 import msgpack
 import pytest
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\xc1",
         b"text",
@@ -47,17 +47,17 @@
         msgpack.packb([3, 7340, "a", 1.0]),
     ],
 )
-def test_daemon_whose_record_cannot_be_read_is_not_known_and_the_others_are(spoilt):
-    assert daemons({"edge-2": GOOD, "edge-3": spoilt}) == ["edge-2"]
+def test_daemon_with_a_malformed_record_is_unknown_and_the_others_are_known(malformed):
+    assert daemons({"edge-2": GOOD, "edge-3": malformed}) == ["edge-2"]
 
 
 @given(st.binary(min_size=1))
-def test_any_bytes_leave_the_others_known(spoilt):
-    assert "edge-2" in daemons({"edge-2": GOOD, "edge-3": spoilt})
+def test_any_bytes_leave_the_others_known(malformed):
+    assert "edge-2" in daemons({"edge-2": GOOD, "edge-3": malformed})
 
 
-async def _records_are_spoilt():
-    """Spoil a group's record and write two that name no group; then lose a member."""
+async def _corrupt_records():
+    """Corrupt a group's record and write two that name no group; then lose a member."""
     world = await calm_world()
     for _ in range(4):
         world.add_worker("d0", staged=("large",))
@@ -71,17 +71,17 @@
         revision = world.store.revision + 1
         world.store.put(key, RecordChanged(key, b"\xc1", revision, revision))
     await world.pass_time(4.0)
-    stays, kept = leader.group == former, controller_node(world).records.leader(former)
+    is_kept, recorded = leader.group == former, controller_node(world).records.leader(former)
     world.kill(world.workers[leader.members[1]], unreachable=False)
     await world.pass_time(6.0)
     running = world.running_groups()
     await world.stop()
-    return world, stays, kept.id == leader.id, running
+    return world, is_kept, recorded.id == leader.id, running
 
 
-def test_control_goes_on_though_records_of_groups_are_spoilt():
-    world, stays, kept, running = virtual_time.run(_records_are_spoilt())
+def test_control_continues_with_malformed_records_of_groups():
+    world, is_kept, has_leader, running = virtual_time.run(_corrupt_records())
     assert world.broken == []
-    assert stays
-    assert kept
+    assert is_kept
+    assert has_leader
     assert running["large"] == 2
--- a/tests/test_taken_addresses.py
+++ b/tests/test_taken_addresses.py
@@ -1,8 +1,7 @@
-"""Endpoints that have ended, and whose address another endpoint of the same service has.
+"""Endpoints that have ended and whose address another endpoint of the service has taken.
 
-Whatever process has an address answers its reports, and no report names its endpoint; only orders
-are checked. A group was opened whose member had never been ready for it: "order_unanswered" for its
-join, 0.4 s later "group_opened", though the endpoint at its address had been another one for 9 s.
+Guards against opening a group with a member that never joined: any process at an address answers
+for reports, which name no endpoint; only orders are checked.
 """
 
 from thorncleat_gateway.groups.group_steps import GroupSteps
@@ -20,7 +19,7 @@
 
 
 async def _join_of_an_ended_endpoint():
-    """Order two endpoints into a group; one has ended, and the other one has its address."""
+    """Order two endpoints into a group; one has ended and the other one has its address."""
     world = World(seed=4, domains=1)
     await world.start()
     await world.pass_time(CALM_SECONDS)
@@ -56,7 +55,7 @@
     assert not ready
 
 
-async def _members_end_and_others_get_their_addresses(seed):
+async def _members_end_and_others_take_their_addresses(seed):
     world = World(seed, domains=1, workers=12, nodes=3)
     await world.start()
     await world.pass_time(CALM_SECONDS)
@@ -68,13 +67,13 @@
         if not grouped or not free:
             break
         ended = world.random.choice(grouped)
-        # seconds in which the list still shows the ended one
+        # The list shows the ended worker for some seconds more.
         world.kill(ended, unreachable=False)
         world.successors[ended.id] = world.random.choice(free)
         world.add_worker("d0", staged=("large", "small"))
         if world.random.random() < 0.3:
-            leading_now = [node for node in world.nodes if node.election.is_controller]
-            for node in leading_now:
+            controllers = [node for node in world.nodes if node.election.is_controller]
+            for node in controllers:
                 node.freeze(4.0)
         await world.pass_time(world.random.uniform(0.5, 4.0))
     world.odds.clear()
@@ -86,7 +85,7 @@
 def test_groups_open_with_their_own_members_only():
     broken = {}
     for seed in SEEDS:
-        world = virtual_time.run(_members_end_and_others_get_their_addresses(seed))
+        world = virtual_time.run(_members_end_and_others_take_their_addresses(seed))
         if world.broken:
             broken[seed] = world.broken
     assert broken == {}
--- a/tests/test_term_number.py
+++ b/tests/test_term_number.py
@@ -1,4 +1,4 @@
-"""The number of a term rises with each controller, also where the store's revisions went back."""
+"""The number of a term rises with each controller, even if the store's revisions went back."""
 
 import pytest
 
