--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -85,7 +85,7 @@
     async def _detach(self, group: GroupId, is_graceful: bool) -> None:
         """Ensure that a group no longer answers, and release its members.
 
-        :param graceful: whether to let its requests finish first.
+        :param is_graceful: whether to let its requests finish first.
         """
         started_at = self._clock()
         try:
--- a/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
@@ -27,10 +27,10 @@
     def __init__(self, term: int, clock: t.Callable[[], float]) -> None:
         self._term = term
         self._clock = clock
-        self._formed = 0
+        self._last_number = 0
         self._busy: set[str] = set()
-        self._paused: dict[str, float] = {}
-        self._refused: dict[str, float] = {}
+        self._paused_until: dict[str, float] = {}
+        self._refused_until: dict[str, float] = {}
         self.under_way: dict[GroupId, GroupPlan] = {}
 
     def __contains__(self, group: GroupId) -> bool:
@@ -38,25 +38,25 @@
 
     def is_available(self, endpoint_id: str) -> bool:
         """Return whether an endpoint may be ordered into a group now."""
-        refused = self._refused.get(endpoint_id, 0.0) > self._clock()
-        return not refused and endpoint_id not in self._busy
+        is_refused = self._refused_until.get(endpoint_id, 0.0) > self._clock()
+        return not is_refused and endpoint_id not in self._busy
 
     def is_paused(self, domain: str) -> bool:
         """Return whether a domain is paused after a failure."""
-        return self._clock() < self._paused.get(domain, 0.0)
+        return self._clock() < self._paused_until.get(domain, 0.0)
 
     def pause(self, domain: str) -> None:
         """Form no group in a domain for :data:`DOMAIN_PAUSE_SECONDS`."""
-        self._paused[domain] = self._clock() + DOMAIN_PAUSE_SECONDS
+        self._paused_until[domain] = self._clock() + DOMAIN_PAUSE_SECONDS
 
     def record_refusal(self, endpoint_id: str) -> None:
         """Record that an endpoint did not join a group, so that it is left out for a while."""
-        self._refused[endpoint_id] = self._clock() + JOIN_REFUSAL_PAUSE_SECONDS
+        self._refused_until[endpoint_id] = self._clock() + JOIN_REFUSAL_PAUSE_SECONDS
 
     def next_group(self) -> GroupId:
         """Return the id of a new group."""
-        self._formed += 1
-        epoch = self._term * EPOCHS_PER_TERM + self._formed
+        self._last_number += 1
+        epoch = self._term * EPOCHS_PER_TERM + self._last_number
         return GroupId(epoch, f"g{epoch}")
 
     def skip_epochs(self) -> None:
--- a/packages/gateway/src/thorncleat_gateway/groups/member_examination.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/member_examination.py
@@ -25,8 +25,8 @@
     async def examine(self, members: t.Sequence[Endpoint]) -> None:
         """Probe members and mark those as lost that are silent or have restarted.
 
-        The list may show this late or not at all: an entry expires some time after its last
-        heartbeat, and an endpoint that is cut off from the store writes none.
+        The list shows this late: an entry expires some time after its last heartbeat, and an
+        endpoint that is cut off from the store writes none.
         """
         reports = await asyncio.gather(*(self._orders.probe(member) for member in members))
         for member, report in zip(members, reports, strict=True):
