--- a/tests/test_domain_sizes.py
+++ b/tests/test_domain_sizes.py
@@ -35,8 +35,10 @@
         pytest.param([(0.0, 8)], 8, id="as listed"),
         pytest.param([(0.0, 8), (1.0, 9)], 9, id="grows at once"),
         pytest.param([(0.0, 8), (1.0, 3)], 8, id="keeps its size after a loss"),
-        pytest.param([(0.0, 8), (LATER, 3)], 3, id="is smaller after a time"),
-        pytest.param([(0.0, 8), (10.0, 8), (10.0, 3)], 8, id="counted from when it was last whole"),
+        pytest.param([(0.0, 8), (LATER, 3)], 3, id="shrinks after the TTL"),
+        pytest.param(
+            [(0.0, 8), (10.0, 8), (10.0, 3)], 8, id="counted from when it last had that size"
+        ),
         pytest.param([(0.0, 8), (1.0, 0)], 8, id="is remembered without endpoints"),
         pytest.param([(0.0, 8), (LATER, 0)], None, id="is forgotten without endpoints"),
     ],
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -12,7 +12,7 @@
     ("sent_at", "lease", "margin", "deadline"),
     [
         pytest.param(0.0, 2.0, 0.0, 1.98, id="a faster clock at the store shortens it by 1 %"),
-        pytest.param(0.0, 2.0, 0.3, 1.683, id="the margin comes off before"),
+        pytest.param(0.0, 2.0, 0.3, 1.683, id="the margin is subtracted first"),
         pytest.param(50.0, 2.0, 0.3, 51.683, id="it counts from when the call was sent"),
     ],
 )
@@ -25,9 +25,9 @@
     [
         pytest.param(0.0, 0, True, id="the first tries at once"),
         pytest.param(0.0, 1, False, id="the second waits"),
-        pytest.param(CANDIDATE_DELAY_SECONDS, 1, True, id="for one turn"),
+        pytest.param(CANDIDATE_DELAY_SECONDS, 1, True, id="for one delay"),
         pytest.param(CANDIDATE_DELAY_SECONDS, 2, False, id="the third waits longer"),
-        pytest.param(2 * CANDIDATE_DELAY_SECONDS, 2, True, id="for two turns"),
+        pytest.param(2 * CANDIDATE_DELAY_SECONDS, 2, True, id="for two delays"),
     ],
 )
 def test_turns(absent_seconds, rank, may):
--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     ("free", "expiring", "members"),
     [
-        pytest.param([ON_HOST, EMPTY], [IN_ENGINE], "ef", id="weak before a load"),
+        pytest.param([ON_HOST, EMPTY], [IN_ENGINE], "ef", id="expiring before a load"),
         pytest.param([ON_HOST, EMPTY], [HAS_OTHER], "ec", id="not if it has to load"),
         pytest.param([EMPTY, LOADS_IT], [ON_HOST], "dc", id="not if it would lead"),
         pytest.param([ON_HOST, IN_ENGINE], [], "fe", id="none needed"),
@@ -69,7 +69,7 @@
     [
         pytest.param([HAS_OTHER, EMPTY], "big", "small", id="no load before a scarce model"),
         pytest.param([EMPTY, LOADS_OTHER], "small", "small", id="fewer loads first"),
-        pytest.param([ON_HOST, IN_ENGINE, HAS_OTHER], "big", "big", id="the scarcest of equals"),
+        pytest.param([ON_HOST, IN_ENGINE, HAS_OTHER], "big", "big", id="the scarcest among equals"),
         pytest.param([ON_HOST, IN_ENGINE, HAS_OTHER], "small", "small", id="or the other"),
         pytest.param([ON_HOST, IN_ENGINE, HAS_OTHER], "", "big", id="else by name"),
     ],
@@ -88,9 +88,9 @@
 @pytest.mark.parametrize(
     ("active", "target", "formed"),
     [
-        pytest.param({}, {"small": 2}, 2, id="all that lack"),
-        pytest.param({"small": 1}, {"small": 2}, 1, id="less what stands"),
-        pytest.param({"small": 3}, {"small": 2}, 0, id="none in plenty"),
+        pytest.param({}, {"small": 2}, 2, id="all that are missing"),
+        pytest.param({"small": 1}, {"small": 2}, 1, id="only those missing"),
+        pytest.param({"small": 3}, {"small": 2}, 0, id="none beyond the target"),
         pytest.param({}, {}, 0, id="none without a target"),
         pytest.param({}, {"small": 9}, 4, id="as many as there are endpoints"),
     ],
--- a/tests/test_group_control.py
+++ b/tests/test_group_control.py
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize(
     ("unreachable", "rank", "bound"),
     [(False, 1, 3.5), (True, 1, 3.5), (False, 0, 3.5), (True, 0, 7.5)],
-    ids=["member crashed", "member dark", "leader crashed", "leader dark"],
+    ids=["member crashed", "member unreachable", "leader crashed", "leader unreachable"],
 )
 def test_group_serves_again_after_a_loss(unreachable, rank, bound):
     world, seconds = virtual_time.run(_lose_member(unreachable, rank))
--- a/tests/test_group_health.py
+++ b/tests/test_group_health.py
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(
     ("group", "reason"),
     [
-        pytest.param(health(), None, id="open with all members stands"),
+        pytest.param(health(), None, id="open with all members"),
         pytest.param(health(member_lost=True), EndReason.MEMBER_UNREACHABLE, id="member lost"),
         pytest.param(
             health(member_missing=True, age=OLDER),
--- a/tests/test_join_rules.py
+++ b/tests/test_join_rules.py
@@ -17,7 +17,9 @@
     ("group", "over", "availability"),
     [
         pytest.param(None, set(), Availability.FREE, id="in no group"),
-        pytest.param(NEW, set(), Availability.FREE, id="in this group: it takes the order again"),
+        pytest.param(
+            NEW, set(), Availability.FREE, id="already in this group: the order is idempotent"
+        ),
         pytest.param(FORMER, set(), Availability.TAKEN, id="in a group that may answer"),
         pytest.param(FORMER, {FORMER}, Availability.FREE, id="in a group that is over"),
     ],
--- a/tests/test_leader_liveness.py
+++ b/tests/test_leader_liveness.py
@@ -23,9 +23,9 @@
 @pytest.mark.parametrize(
     ("requests", "silent_daemons", "idle"),
     [
-        pytest.param(0, set(), True, id="all daemons say that they have none there"),
+        pytest.param(0, set(), True, id="all daemons report no requests there"),
         pytest.param(1, set(), False, id="one is under way"),
-        pytest.param(0, {"b"}, False, id="a daemon that says nothing may have some"),
+        pytest.param(0, {"b"}, False, id="a silent daemon may have some"),
     ],
 )
 def test_idle(requests, silent_daemons, idle):
@@ -37,8 +37,8 @@
     ("draining", "list_age", "leaving"),
     [
         pytest.param(False, 0.1, False, id="a recent list shows that it isn't"),
-        pytest.param(True, 0.1, True, id="it says so"),
-        pytest.param(None, 0.1, True, id="some leave without a word: the entry goes"),
+        pytest.param(True, 0.1, True, id="it reports draining"),
+        pytest.param(None, 0.1, True, id="it may leave unannounced: the entry is removed"),
         pytest.param(False, MAX_LIST_AGE_SECONDS, True, id="an old list may not show it"),
     ],
 )
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize(
     ("listed", "contacted", "dead"),
     [
-        pytest.param(False, False, True, id="no sign of life"),
+        pytest.param(False, False, True, id="neither listed nor contacted"),
         pytest.param(True, False, False, id="listed again"),
         pytest.param(False, True, False, id="answered another daemon"),
     ],
--- a/tests/test_list_growth.py
+++ b/tests/test_list_growth.py
@@ -14,10 +14,10 @@
             [(0.1, 4), (GROWTH_TIMEOUT_SECONDS + 0.1, 4)], False, id="none was added for long"
         ),
         pytest.param(
-            [(0.1, 4), (GROWTH_TIMEOUT_SECONDS + 0.1, 5)], True, id="added after it seemed whole"
+            [(0.1, 4), (GROWTH_TIMEOUT_SECONDS + 0.1, 5)], True, id="added after it seemed complete"
         ),
         pytest.param(
-            [(0.1, 4), (0.9, 3), (0.2, 4)], False, id="one that comes back does not count"
+            [(0.1, 4), (0.9, 3), (0.2, 4)], False, id="a returning endpoint does not count"
         ),
         pytest.param([(GROWTH_TIMEOUT_SECONDS + 0.1, 0)], False, id="an empty list does not grow"),
     ],
--- a/tests/test_load_rate.py
+++ b/tests/test_load_rate.py
@@ -26,9 +26,9 @@
         pytest.param([0.27], [0], id="not quite one"),
         pytest.param([0.28], [1], id="one after 1 / 3.6 s"),
         pytest.param([1.0], [3], id="0.9 of the weight store's rate"),
-        pytest.param([1.0, 2.0], [3, 4], id="parts of a load are kept"),
+        pytest.param([1.0, 2.0], [3, 4], id="fractions of a load are kept"),
         pytest.param([60.0], [7], id="a long pause saves what the ceiling leaves"),
-        pytest.param([60.0, 60.0], [7, 0], id="none more at the same moment"),
+        pytest.param([60.0, 60.0], [7, 0], id="none more at the same time"),
         pytest.param([60.0, 61.0], [7, 3], id="then at the rate again"),
     ],
 )
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize(
-    "given", [{"spares": 0}, {"resumable": False}], ids=["no spare", "streams can't move"]
+    "given", [{"spares": 0}, {"resumable": False}], ids=["no spare", "streams can't resume"]
 )
 def test_slow_group_is_better_than_none(given):
     world, is_kept, _ = virtual_time.run(_group_after(**given))
