--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -38,7 +38,7 @@
 CALM_SECONDS = 15.0
 # between two heartbeats of an endpoint, and without one until its entry runs out, in seconds
 HEARTBEAT = 1.2
-UNLISTED_AFTER = 3 * HEARTBEAT
+UNLISTED_AFTER_SECONDS = 3 * HEARTBEAT
 FAILURE_DOMAINS = 4
 # that a copy is old from which the store comes back, in seconds, and configurations that it lacks
 LOST_SECONDS = 5.0
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -43,7 +43,7 @@
 from .group_store import Store
 from .group_store import StoreClient
 
-UNLISTED_AFTER = 3.6
+UNLISTED_AFTER_SECONDS = 3.6
 # How long the store stays unavailable after the entries have expired.
 EXPIRY_OUTAGE_SECONDS = 2.0
 HEARTBEAT_SECONDS = 1.2
@@ -263,7 +263,7 @@
 
     def kill(self, worker: Worker, *, unreachable: bool) -> None:
         worker.alive, worker.unreachable = False, unreachable
-        self.later(UNLISTED_AFTER, lambda: self.unlist(worker))
+        self.later(UNLISTED_AFTER_SECONDS, lambda: self.unlist(worker))
         self.later(0.3, lambda: self.suspect(worker))
 
     def suspect(self, worker: Worker) -> None:
@@ -282,7 +282,7 @@
 
     def cut_from_store(self, worker: Worker, seconds: float) -> None:
         worker.cut_from_store = True
-        self.later(UNLISTED_AFTER, lambda: self.unlist(worker))
+        self.later(UNLISTED_AFTER_SECONDS, lambda: self.unlist(worker))
 
         def reconnect() -> None:
             worker.cut_from_store = False
@@ -305,7 +305,7 @@
         self.store.restore(copy)
         for worker in self.workers.values():
             if not worker.alive:
-                self.later(UNLISTED_AFTER, lambda worker=worker: self.unlist(worker))
+                self.later(UNLISTED_AFTER_SECONDS, lambda worker=worker: self.unlist(worker))
 
     def restart(self, worker: Worker, unlisted_for: float = 0.0) -> None:
         """Make a worker crash and restart under its id.
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -13,7 +13,7 @@
 from thorncleat_platform.engines import WorkerEngines
 
 from . import virtual_time
-from .group_world import UNLISTED_AFTER
+from .group_world import UNLISTED_AFTER_SECONDS
 from .group_world import calm_world
 from .group_world import large_leader
 from .notice_endpoints import Size
@@ -142,4 +142,4 @@
     """The list shows it as ready, so that nothing else says that it may only have stopped."""
     world, seconds = virtual_time.run(_leader_says_so(6.0))
     assert world.broken == []
-    assert seconds < 6.0 + UNLISTED_AFTER + 5.0
+    assert seconds < 6.0 + UNLISTED_AFTER_SECONDS + 5.0
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -14,7 +14,7 @@
 from . import virtual_time
 from .group_engines import MODELS
 from .group_world import CALM_SECONDS
-from .group_world import UNLISTED_AFTER
+from .group_world import UNLISTED_AFTER_SECONDS
 from .group_world import Node
 from .group_world import World
 from .group_world import calm_world
@@ -142,9 +142,9 @@
     leader = large_leader(world)
     world.stalled_workers.add(leader.id)
     world.cut_from_store(leader, 60.0)
-    stops_listening = UNLISTED_AFTER - 0.1
+    stops_listening = UNLISTED_AFTER_SECONDS - 0.1
     world.later(stops_listening, lambda: world.drain_and_work_on(leader, 8.0, requests=1))
-    await world.pass_time(UNLISTED_AFTER + 8.0 + 6.0)
+    await world.pass_time(UNLISTED_AFTER_SECONDS + 8.0 + 6.0)
     running = world.running_groups()
     await world.stop()
     return world, running
--- a/tests/test_group_repair.py
+++ b/tests/test_group_repair.py
@@ -1,7 +1,7 @@
 """Which groups are replaced after a loss, and which are kept, in virtual time."""
 
 from . import virtual_time
-from .group_world import UNLISTED_AFTER
+from .group_world import UNLISTED_AFTER_SECONDS
 from .group_world import World
 from .group_world import calm_world
 from .group_world import controller_node
@@ -78,14 +78,14 @@
 def test_leader_that_stopped_listening_with_requests_keeps_its_members():
     world, replaced = virtual_time.run(_leader_stops_listening(8.0, requests=1))
     assert world.broken == []
-    assert replaced < 8.0 + UNLISTED_AFTER + 3.0
+    assert replaced < 8.0 + UNLISTED_AFTER_SECONDS + 3.0
 
 
 def test_leader_that_stopped_listening_and_is_idle_keeps_its_members():
     """No daemon has requests there, but it has not ended."""
     world, replaced = virtual_time.run(_leader_stops_listening(4.0, requests=0))
     assert world.broken == []
-    assert replaced < 4.0 + UNLISTED_AFTER + 3.0
+    assert replaced < 4.0 + UNLISTED_AFTER_SECONDS + 3.0
 
 
 async def _leader_ends_while_a_daemon_is_silent():
@@ -103,4 +103,4 @@
     """The silent daemon may have requests there, so the list decides."""
     world, replaced = virtual_time.run(_leader_ends_while_a_daemon_is_silent())
     assert world.broken == []
-    assert UNLISTED_AFTER < replaced < UNLISTED_AFTER + 4.0
+    assert UNLISTED_AFTER_SECONDS < replaced < UNLISTED_AFTER_SECONDS + 4.0
