--- a/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
@@ -44,12 +44,12 @@
     :param models: the models that the domain carries.
     """
     carried = {model.name: model for model in models}
-    to_warm = []
+    result = []
     for spare in spares:
         staged = [name for name in spare.staged if name in carried]
         if staged and not any(name in spare.models for name in staged):
-            to_warm.append((spare, carried[staged[0]]))
-    return to_warm
+            result.append((spare, carried[staged[0]]))
+    return result
 
 
 class SpareWarming:
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -96,16 +96,16 @@
     members = tuple(worker.entry() for worker in world.workers.values())[:2]
     group = GroupId(10**9, "g")
     written = await node.records.begin(group, GroupPlan("d0", MODELS[1], members))
-    leader, may_answer = node.records.leader(group), node.records.can_answer(group)
+    leader, can_answer = node.records.leader(group), node.records.can_answer(group)
     await world.stop()
-    return written, leader, may_answer, members[0].id
+    return written, leader, can_answer, members[0].id
 
 
 def test_group_may_answer_as_soon_as_its_record_is_written():
     """Otherwise a group that fails at once would be taken for one that was never begun."""
-    written, leader, may_answer, first = virtual_time.run(_record_is_not_in_the_view_yet())
+    written, leader, can_answer, first = virtual_time.run(_record_is_not_in_the_view_yet())
     assert written
-    assert may_answer
+    assert can_answer
     assert leader is not None
     assert leader.id == first
 
