--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -1,11 +1,11 @@
-"""Keeping the groups of all fabric domains as the layout wants them.
+"""Keeps the groups of all fabric domains as the layout requires.
 
-The daemon that holds the controller's lease plans a few times a second and on each change of the
-list. All daemons observe the domains' sizes, for when one of them becomes the controller.
+The daemon that holds the controller's lease plans at a fixed interval and on each change of the
+list. All daemons observe the domains' sizes, since each may become the controller.
 
-Owns: the present term, and the sizes of the fabric domains.
-Relies on: :class:`.Election` for whether this daemon controls and knows what was recorded before
-its term, :class:`.Planner` for each plan.
+Owns: the current term, and the sizes of the fabric domains.
+Relies on: :class:`.Election` for whether this daemon is the controller and its view has caught up,
+:class:`.Planner` for each plan.
 """
 
 import asyncio
@@ -26,18 +26,17 @@
 from .term import Term
 from .term import TermFactory
 
-# between two plans while the list doesn't change, in seconds
-PLAN_SECONDS = 0.25
-# pauses between plans, in times the last one's duration: with hundreds of endpoints a plan at each
-# change of the list would leave a small instance no time for its orders
-REST_FACTOR = 3.0
+# Interval between two plans while the list doesn't change.
+PLAN_INTERVAL_SECONDS = 0.25
+# Pause after a plan, as a multiple of its duration, which leaves a small instance time for orders.
+PLAN_PAUSE_FACTOR = 3.0
 
 
 class Controller(mode.Service):
-    """Plans, and carries plans out, while this daemon holds the controller's lease.
+    """Plans and carries out plans while this daemon holds the controller's lease.
 
-    :param before_requests: returns whether no caller has sent anything since the very first
-        start of the whole system.
+    :param before_requests: returns whether no caller has sent a request yet since the system's
+        first start.
     """
 
     def __init__(
@@ -61,51 +60,51 @@
         self._growth = ListGrowth(clock)
         self._planner: Planner | None = None
         view.on_change(self._wake.set)
-        detector.on_suspicion(self._suspected)
+        detector.on_suspicion(self._on_suspicion)
 
     @property
     def term(self) -> Term | None:
-        """The newest term of this daemon; None before the first."""
+        """The latest term of this daemon; None before the first."""
         return self._planner.term if self._planner is not None else None
 
     @mode.Service.task
     async def _plan_task(self) -> None:
         while not self.should_stop:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._wake.wait(), PLAN_SECONDS)
+                await asyncio.wait_for(self._wake.wait(), PLAN_INTERVAL_SECONDS)
             self._wake.clear()
-            controls = self._election.leads and self._election.caught_up
-            if controls or self._clock() - self._observed_at >= PLAN_SECONDS:
-                self._observe()
-            if not controls:
+            is_active = self._election.is_controller and self._election.is_caught_up
+            if is_active or self._clock() - self._observed_at >= PLAN_INTERVAL_SECONDS:
+                self._observe_sizes()
+            if not is_active:
                 continue
-            begun = self._clock()
-            planner = self._present_planner()
+            started_at = self._clock()
+            planner = self._current_planner()
             try:
                 self._plan(planner)
             except Exception as error:
                 events.TASK_FAILED.log(task="plan", reason=repr(error))
-            await asyncio.sleep(REST_FACTOR * (self._clock() - begun))
+            await asyncio.sleep(PLAN_PAUSE_FACTOR * (self._clock() - started_at))
 
-    def _observe(self) -> None:
+    def _observe_sizes(self) -> None:
         self._observed_at = self._clock()
         self._sizes.observe(self._view.roster.endpoints.values())
 
     async def on_stop(self) -> None:
-        """End what is under way."""
+        """Cancel the jobs of the latest term."""
         self._cancel()
 
     def _cancel(self) -> None:
         if self.term is not None:
             self.term.jobs.cancel()
 
-    def _present_planner(self) -> Planner:
-        """Return the planner of the present term, a new one if the term has just begun."""
-        planner, begun = self._planner, self._election.term
-        assert begun is not None
-        if planner is None or planner.term.begun != begun:
+    def _current_planner(self) -> Planner:
+        """Return the planner of the current term; create it if the term has just begun."""
+        planner, position = self._planner, self._election.term
+        assert position is not None
+        if planner is None or planner.term.position != position:
             self._cancel()
-            term = self._terms.begin(begun, self._wake.set)
+            term = self._terms.begin(position, self._wake.set)
             inspector = GroupInspector(self._view, term, self._clock)
             planner = Planner(self._view, self._sizes, term, inspector, self._before_requests)
             self._planner = planner
@@ -119,9 +118,9 @@
             return
         planner.plan(configuration)
 
-    def _suspected(self, suspicion: Suspicion) -> None:
+    def _on_suspicion(self, suspicion: Suspicion) -> None:
         planner = self._planner
-        if planner is None or not self._election.leads:
+        if planner is None or not self._election.is_controller:
             return
-        if planner.term.begun == self._election.term:
+        if planner.term.position == self._election.term:
             planner.inspector.examine(suspicion.group)
--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -1,12 +1,12 @@
-"""Ending groups: making sure that a group answers no more before its members are free.
+"""Ends groups: ensures that a group no longer answers before its members are released.
 
-Only leaders are ordered to leave. A group counts as ended when its leader has left, its process
-has ended, or it is dead (:mod:`.leader_liveness`). Which groups are ended, and why, is decided in
-:mod:`.group_health`.
+Only leaders are ordered to leave. A group has ended when its leader has left, its leader's process
+has ended, or its leader is dead (:mod:`.leader_liveness`). :mod:`.group_health` decides which
+groups are ended and why.
 
 Owns: which groups are being ended.
-Relies on: the group's record for its leader, and on endpoints that refuse an order to leave a
-group that they are not in.
+Relies on: the group's record for its leader, and on endpoints to refuse an order to leave a group
+that they are not in.
 """
 
 import asyncio
@@ -26,20 +26,20 @@
 from .jobs import Start
 from .leader_liveness import LeaderLiveness
 from .orders import ACCEPTED
-from .orders import ASK_SECONDS
-from .orders import LOOK_SECONDS
+from .orders import POLL_INTERVAL_SECONDS
+from .orders import PROBE_INTERVAL_SECONDS
 from .orders import Orders
 from .records import Detached
 from .records import GroupRecords
 
-# for the requests of a draining group to end, in seconds
-CLOSE_SECONDS = 6.0
+# How long the requests of a draining group may take to finish.
+DRAIN_TIMEOUT_SECONDS = 6.0
 
 
 class GroupEnding:
-    """Ends groups, and knows which are being ended.
+    """Ends groups and holds those that are being ended.
 
-    :param start: runs a coroutine beside the others of the controller.
+    :param start: starts a background job of the term.
     """
 
     def __init__(
@@ -62,67 +62,67 @@
     def __contains__(self, group: GroupId) -> bool:
         return group in self._under_way
 
-    def tell(self) -> None:
-        """Tell the other daemons which groups are being ended."""
+    def broadcast(self) -> None:
+        """Broadcast to the other daemons which groups are being ended."""
         for group in self._under_way:
-            self._ended.tell(group)
+            self._ended.broadcast(group)
 
     def end(self, group: GroupId, reason: EndReason, members: t.Sequence[Endpoint]) -> None:
         """Begin to end a group.
 
-        :param members: those that are known, for the log.
+        :param members: the members that are listed, for the log.
         """
         self._under_way.add(group)
-        self._ended.tell(group)
+        self._ended.broadcast(group)
         events.GROUP_ENDED.log(
             group=group.name,
             cause=reason.value,
             members=[member.id for member in members],
-            graceful=reason.graceful,
+            graceful=reason.is_graceful,
         )
-        self._start(self._detach(group, reason.graceful))
+        self._start(self._detach(group, reason.is_graceful))
 
-    async def _detach(self, group: GroupId, graceful: bool) -> None:
-        """Make sure that a group answers no more, and set its members free.
+    async def _detach(self, group: GroupId, is_graceful: bool) -> None:
+        """Ensure that a group no longer answers, and release its members.
 
-        :param graceful: let the requests end that it has.
+        :param is_graceful: whether to let its requests finish first.
         """
-        begun = self._clock()
+        started_at = self._clock()
         try:
             how = Detached.NO_RECORD
             leader = self._records.leader(group)
             if leader is not None:
-                if graceful:
+                if is_graceful:
                     await self._drain(leader, group)
                 how = await self._detach_leader(leader, group)
             self._records.end(group, how)
-            seconds = round(self._clock() - begun, 3)
+            seconds = round(self._clock() - started_at, 3)
             events.GROUP_DETACHED.log(group=group.name, how=how.value, seconds=seconds)
         finally:
             self._under_way.discard(group)
 
     async def _drain(self, leader: Endpoint, group: GroupId) -> None:
-        """Let a leader finish its requests."""
-        until = self._clock() + CLOSE_SECONDS
+        """Order a leader to finish its requests, and wait until it has or the timeout passes."""
+        deadline = self._clock() + DRAIN_TIMEOUT_SECONDS
         try:
-            await self._orders.give(leader, Close(group))
+            await self._orders.send(leader, Close(group))
         except EndpointError:
-            # the order to leave that follows finds out what has become of it
+            # The order to leave that follows determines the leader's state.
             return
-        while self._clock() < until:
-            member = self._orders.listed(leader)
+        while self._clock() < deadline:
+            member = self._orders.listed_membership(leader)
             if member is None or member.group != group or member.state is GroupState.READY:
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _detach_leader(self, leader: Endpoint, group: GroupId) -> Detached:
-        """Make a leader leave, or wait until it is dead."""
+        """Order a leader to leave its group until it has left, has ended, or is dead."""
         while True:
             try:
-                outcome = await self._orders.give(leader, Leave(group))
+                outcome = await self._orders.send(leader, Leave(group))
                 if outcome in ACCEPTED:
                     return Detached.LEFT
-                if not await self._orders.is_in(leader, group):
+                if not await self._orders.is_member(leader, group):
                     return Detached.ELSEWHERE
             except EndpointGoneError:
                 return Detached.PROCESS_ENDED
@@ -132,4 +132,4 @@
             except EndpointError:
                 if await self._liveness.wait_dead(leader):
                     return Detached.DEAD
-            await asyncio.sleep(ASK_SECONDS)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
@@ -1,8 +1,7 @@
-"""Which groups are being formed, of whom, and who is left alone for a while after a failure.
+"""The groups that are being formed, their members, and the pauses after failures.
 
-Owns: the numbers of the groups of one term, their members while they are formed, and the pauses.
-Relies on: the term's rising with each controller; an epoch is never given twice, and a later
-controller's epochs are higher.
+Owns: the group numbers of one term, the groups being formed, and the paused domains and endpoints.
+Relies on: term numbers that rise with each controller, so that no epoch is used twice.
 """
 
 import typing as t
@@ -11,28 +10,27 @@
 from .formation import GroupPlan
 from .term_number import EPOCHS_PER_TERM
 
-# in which no group is formed in a domain after a failure there, in seconds
-PAUSE_SECONDS = 0.3
-# terms that are passed over when an endpoint has seen a higher epoch: several seconds of the
-# store's changes
+# How long no group is formed in a domain after a failure there.
+DOMAIN_PAUSE_SECONDS = 0.3
+# Number of terms to skip when an endpoint has seen a higher epoch.
 SKIPPED_TERMS = 1_000
-# in which an endpoint that did not join a group is not asked again, in seconds
-REFUSED_SECONDS = 2.0
+# How long an endpoint that did not join a group is left out.
+JOIN_REFUSAL_PAUSE_SECONDS = 2.0
 
 
 class FormingState:
-    """What is being formed, in one term.
+    """The groups that are being formed in one term, and the pauses after failures.
 
-    :param term: number of this controller's term; begins its epochs.
+    :param term: number of this controller's term, from which its epochs are made.
     """
 
     def __init__(self, term: int, clock: t.Callable[[], float]) -> None:
         self._term = term
         self._clock = clock
-        self._formed = 0
+        self._last_number = 0
         self._busy: set[str] = set()
-        self._paused: dict[str, float] = {}
-        self._refused: dict[str, float] = {}
+        self._paused_until: dict[str, float] = {}
+        self._refused_until: dict[str, float] = {}
         self.under_way: dict[GroupId, GroupPlan] = {}
 
     def __contains__(self, group: GroupId) -> bool:
@@ -40,43 +38,43 @@
 
     def is_available(self, endpoint_id: str) -> bool:
         """Return whether an endpoint may be ordered into a group now."""
-        refused = self._refused.get(endpoint_id, 0.0) > self._clock()
-        return not refused and endpoint_id not in self._busy
+        is_refused = self._refused_until.get(endpoint_id, 0.0) > self._clock()
+        return not is_refused and endpoint_id not in self._busy
 
     def is_paused(self, domain: str) -> bool:
-        """Return whether a domain is left alone after a failure."""
-        return self._clock() < self._paused.get(domain, 0.0)
+        """Return whether a domain is paused after a failure."""
+        return self._clock() < self._paused_until.get(domain, 0.0)
 
     def pause(self, domain: str) -> None:
-        """Leave a domain alone for a while."""
-        self._paused[domain] = self._clock() + PAUSE_SECONDS
+        """Form no group in a domain for :data:`DOMAIN_PAUSE_SECONDS`."""
+        self._paused_until[domain] = self._clock() + DOMAIN_PAUSE_SECONDS
 
-    def refuse(self, endpoint_id: str) -> None:
-        """Leave an endpoint alone that did not join a group."""
-        self._refused[endpoint_id] = self._clock() + REFUSED_SECONDS
+    def record_refusal(self, endpoint_id: str) -> None:
+        """Record that an endpoint did not join a group, so that it is left out for a while."""
+        self._refused_until[endpoint_id] = self._clock() + JOIN_REFUSAL_PAUSE_SECONDS
 
-    def number(self) -> GroupId:
-        """Return the name of a new group."""
-        self._formed += 1
-        epoch = self._term * EPOCHS_PER_TERM + self._formed
+    def next_group(self) -> GroupId:
+        """Return the id of a new group."""
+        self._last_number += 1
+        epoch = self._term * EPOCHS_PER_TERM + self._last_number
         return GroupId(epoch, f"g{epoch}")
 
-    def skip(self) -> None:
-        """Go on with higher epochs, since an endpoint refused one of this term as too low.
+    def skip_epochs(self) -> None:
+        """Continue with higher epochs because an endpoint has refused one as too low.
 
-        The store may have lost more changes than anybody here knows of.
+        This happens after the store was restored from a copy and has lost changes.
         """
         self._term += SKIPPED_TERMS
 
     def begin(self, plan: GroupPlan) -> GroupId:
-        """Number a new group, and keep its members from being used twice."""
-        group = self.number()
+        """Return the id of a new group and mark its members as busy."""
+        group = self.next_group()
         self.under_way[group] = plan
         self._busy.update(member.id for member in plan.members)
         return group
 
     def finish(self, group: GroupId) -> None:
-        """Set the members of a group free that is no longer being formed."""
+        """Release the members of a group that is no longer being formed."""
         plan = self.under_way.pop(group, None)
         if plan is not None:
             self._busy.difference_update(member.id for member in plan.members)
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -1,7 +1,7 @@
-"""Endpoints that did not answer the controller: no group is formed with them until they do.
+"""Endpoints that did not answer the controller; no group is formed with them until they do.
 
-Owns: the lives of the listed endpoints that do not answer.
-Relies on: whoever gives orders or asks endpoints, to name those that are silent.
+Owns: the incarnations of the listed endpoints that don't answer.
+Relies on: callers that send orders or probes, to report silent endpoints.
 """
 
 import asyncio
@@ -12,12 +12,12 @@
 from ..store.roster import Endpoint
 from ..store.roster import Incarnation
 from ..store.view import StoreView
-from .call_window import LAST
+from .call_window import BACKGROUND
 from .jobs import Start
 from .orders import Orders
 
-# between two questions to a lost endpoint, in seconds
-ASK_AGAIN_SECONDS = 1.0
+# Interval between two probes of a lost endpoint.
+POLL_INTERVAL_SECONDS = 1.0
 
 
 class LostCause(enum.Enum):
@@ -28,15 +28,15 @@
     SILENT = "silent"
     SILENT_WHILE_JOINING = "silent while joining"
     SILENT_UNDER_SUSPICION = "silent under suspicion"
-    # it answers, and knows nothing of the group that its entry still names
+    # It answers, but has restarted since it joined the group that its entry still names.
     STARTED_AGAIN = "started again"
 
 
 class LostEndpoints:
-    """Keeps which endpoints are lost, and asks them until they answer.
+    """Holds which endpoints are lost and polls them until they answer.
 
-    :param start: runs a coroutine beside the others of the controller.
-    :param wake: has the controller plan anew.
+    :param start: starts a background job of the term.
+    :param wake: makes the controller plan again.
     """
 
     def __init__(
@@ -46,33 +46,35 @@
         self._orders = orders
         self._start = start
         self._wake = wake
-        self._lives: dict[str, Incarnation] = {}
+        self._incarnations: dict[str, Incarnation] = {}
 
     def __contains__(self, endpoint: Endpoint) -> bool:
-        incarnation = self._lives.get(endpoint.id)
+        incarnation = self._incarnations.get(endpoint.id)
         return incarnation is not None and not incarnation.is_superseded_by(endpoint.incarnation)
 
     def forget_unlisted(self) -> None:
-        """Forget those that are no longer listed."""
+        """Discard lost endpoints that are no longer listed."""
         listed = self._view.roster.endpoints
-        self._lives = {
-            name: incarnation for name, incarnation in self._lives.items() if name in listed
+        self._incarnations = {
+            endpoint_id: incarnation
+            for endpoint_id, incarnation in self._incarnations.items()
+            if endpoint_id in listed
         }
 
-    def lose(self, endpoint: Endpoint, cause: LostCause) -> None:
-        """Use an endpoint no more until it answers."""
+    def mark_lost(self, endpoint: Endpoint, cause: LostCause) -> None:
+        """Mark an endpoint as lost until it answers."""
         if endpoint in self:
             return
-        self._lives[endpoint.id] = endpoint.incarnation
+        self._incarnations[endpoint.id] = endpoint.incarnation
         events.ENDPOINT_LOST.log(endpoint=endpoint.id, cause=cause.value)
         self._wake()
-        self._start(self._await_return(endpoint))
+        self._start(self._poll_until_responding(endpoint))
 
-    async def _await_return(self, endpoint: Endpoint) -> None:
-        """Use an endpoint again when it answers."""
+    async def _poll_until_responding(self, endpoint: Endpoint) -> None:
+        """Poll a lost endpoint while it is listed, until it answers."""
         while endpoint.id in self._view.roster.endpoints:
-            await asyncio.sleep(ASK_AGAIN_SECONDS)
-            if await self._orders.answers(endpoint, LAST):
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            if await self._orders.is_responding(endpoint, BACKGROUND):
                 break
-        if self._lives.get(endpoint.id) == endpoint.incarnation:
-            del self._lives[endpoint.id]
+        if self._incarnations.get(endpoint.id) == endpoint.incarnation:
+            del self._incarnations[endpoint.id]
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -1,13 +1,13 @@
 """Endpoints that are no longer listed and still answer.
 
-They may be leaving, or only be cut off from the store. A group with such a member goes on
-serving; one may also help out in a new group, but it never leads.
+They may be leaving, or only be cut off from the store. A group with such a member goes on serving;
+such an endpoint may also join a new group, but never leads it.
 
-A term begins with a question to all those that the roster remembers: a daemon that has just become
-the controller doesn't know which of them the former controller had found to answer.
+A term begins by polling all removed endpoints that the roster holds, since a new controller doesn't
+know which of them respond.
 
-Owns: the unlisted endpoints that are asked, with their last reports, and which of them answer.
-Relies on: the roster's memory of endpoints that were unlisted lately.
+Owns: the unlisted endpoints that are polled, their latest reports, and which of them respond.
+Relies on: the roster's record of endpoints that were removed recently.
 """
 
 import asyncio
@@ -21,22 +21,22 @@
 from .jobs import Start
 from .orders import Orders
 
-# between two questions to an unlisted endpoint, in seconds
-WATCH_AGAIN_SECONDS = 1.0
-# for which an unlisted endpoint is asked at most, in seconds
-WATCH_SECONDS = 30.0
-# in which an endpoint that was just unlisted counts as answering, in seconds
-BENEFIT_SECONDS = 0.4
+# Interval between two probes of an unlisted endpoint.
+POLL_INTERVAL_SECONDS = 1.0
+# Longest time for which an unlisted endpoint is polled.
+MAX_WATCH_SECONDS = 30.0
+# How long an endpoint counts as responding after it was removed from the list.
+UNLISTED_GRACE_SECONDS = 0.4
 
 
-def _is_place(member: Membership | None, group: GroupId, rank: int) -> bool:
+def _is_at(member: Membership | None, group: GroupId, rank: int) -> bool:
     return member is not None and member.is_at(group, rank)
 
 
 class UnlistedEndpoints:
-    """Asks endpoints that are no longer listed whether they are still there.
+    """Polls endpoints that are no longer listed.
 
-    :param start: runs a coroutine beside the others of the controller.
+    :param start: starts a background job of the term.
     """
 
     def __init__(
@@ -50,53 +50,55 @@
         self._orders = orders
         self._clock = clock
         self._start = start
-        # as last listed, and then as they report
+        # The entries as last listed, updated from the endpoints' reports.
         self._watched: dict[str, Endpoint] = {}
-        # ids of those that have answered
-        self._answering: set[str] = set()
-        self._begun = False
+        # Ids of the watched endpoints that have answered.
+        self._responding: set[str] = set()
+        self._has_begun = False
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return those of a service that answered when they were last asked."""
+        """Return a service's unlisted endpoints that answered their latest probe."""
         listed = self._view.roster.endpoints
         return [
             endpoint
             for endpoint in self._watched.values()
-            if endpoint.id in self._answering
+            if endpoint.id in self._responding
             and endpoint.service == service
             and endpoint.id not in listed
         ]
 
-    def holds(self, group: GroupId, rank: int) -> bool:
-        """Return whether a member that isn't listed may still be in its place.
+    def has_member(self, group: GroupId, rank: int) -> bool:
+        """Return whether an unlisted endpoint may still have a rank in a group.
 
-        One that is listed again is not in it, or its entry would say so: it has started again.
+        A former member that is listed again has restarted if its entry doesn't name the group.
         """
         listed = self._view.roster.endpoints
-        watched = (known for name, known in self._watched.items() if name not in listed)
-        if any(_is_place(known.membership, group, rank) for known in watched):
+        watched = (
+            endpoint for endpoint_id, endpoint in self._watched.items() if endpoint_id not in listed
+        )
+        if any(_is_at(endpoint.membership, group, rank) for endpoint in watched):
             return True
-        begin = self._clock() - BENEFIT_SECONDS
+        since = self._clock() - UNLISTED_GRACE_SECONDS
         return any(
-            gone.at >= begin and _is_place(gone.endpoint.membership, group, rank)
-            for gone in self._view.roster.removed.values()
+            removed.at >= since and _is_at(removed.endpoint.membership, group, rank)
+            for removed in self._view.roster.removed.values()
         )
 
-    def look(self) -> None:
-        """Begin to ask those that were unlisted lately; at first all that are remembered."""
-        begin = self._clock() - BENEFIT_SECONDS if self._begun else float("-inf")
-        self._begun = True
-        for endpoint_id, gone in self._view.roster.removed.items():
-            lately = gone.at >= begin
-            if lately and gone.endpoint.fabric_domain and endpoint_id not in self._watched:
-                self._watched[endpoint_id] = gone.endpoint
-                self._start(self._watch(gone.endpoint))
+    def watch_removed(self) -> None:
+        """Start to poll the recently removed endpoints, and all removed ones on the first call."""
+        since = self._clock() - UNLISTED_GRACE_SECONDS if self._has_begun else float("-inf")
+        self._has_begun = True
+        for endpoint_id, removed in self._view.roster.removed.items():
+            is_recent = removed.at >= since
+            if is_recent and removed.endpoint.fabric_domain and endpoint_id not in self._watched:
+                self._watched[endpoint_id] = removed.endpoint
+                self._start(self._watch(removed.endpoint))
 
     async def _watch(self, endpoint: Endpoint) -> None:
-        until = self._clock() + WATCH_SECONDS
+        deadline = self._clock() + MAX_WATCH_SECONDS
         try:
-            while endpoint.id not in self._view.roster.endpoints and self._clock() < until:
-                report = await self._orders.report(endpoint)
+            while endpoint.id not in self._view.roster.endpoints and self._clock() < deadline:
+                report = await self._orders.probe(endpoint)
                 if report is None:
                     return
                 self._watched[endpoint.id] = dataclasses.replace(
@@ -105,8 +107,8 @@
                     staged=report.staged,
                     models=report.models,
                 )
-                self._answering.add(endpoint.id)
-                await asyncio.sleep(WATCH_AGAIN_SECONDS)
+                self._responding.add(endpoint.id)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
         finally:
-            self._answering.discard(endpoint.id)
+            self._responding.discard(endpoint.id)
             self._watched.pop(endpoint.id, None)
--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -1,6 +1,6 @@
 """Engines that follow the platform's rules, for the world of :mod:`.group_world`.
 
-A worker that is ordered to do what must never happen tells the world's oracle.
+A worker reports to the world's oracle any order that must never be given.
 """
 
 import asyncio
@@ -34,26 +34,26 @@
     EngineModel("small", 2, share=0.33, load=12.0, warm=1.1),
 )
 ENGINE = Engine(13, MODELS, loads_per_second=4.0, loads_at_once=6)
-STALL = 5.0
-FORM = 0.3
-REPORT_LAG = 0.2
+STALL_SECONDS = 5.0
+FORM_SECONDS = 0.3
+REPORT_LAG_SECONDS = 0.2
 FIRST_BORN = 1_800_000_000_000
 
 
 @dataclasses.dataclass(eq=False)
 class Worker:
-    """An engine as the platform's pages describe it."""
+    """An engine that follows the platform's rules."""
 
     world: "World"
     id: str
     domain: str
     alive: bool = True
-    dark: bool = False
+    unreachable: bool = False
     cut_from_store: bool = False
     draining: bool = False
     refuses: bool = False
     order_count: int = 0
-    # before the newest order, and when that was
+    # Order count before the latest order, and the time of that order.
     former_count: int = 0
     counted_at: float = float("-inf")
     staged: tuple[str, ...] = ()
@@ -68,8 +68,8 @@
     born: int = FIRST_BORN
     pace: float = 1.0
 
-    def start_again(self) -> None:
-        """End, and run anew under the same id; the host keeps its models."""
+    def restart(self) -> None:
+        """Restart under the same id; the host keeps its models."""
         self.born += 1
         self.order_count = self.former_count = 0
         self.counted_at = float("-inf")
@@ -78,7 +78,7 @@
         self._leave()
 
     def _later(self, seconds: float, action) -> None:
-        """Do something unless this life is over by then."""
+        """Call an action later unless this incarnation has ended by then."""
         born = self.born
         self.world.later(seconds, lambda: self.born == born and action())
 
@@ -90,13 +90,13 @@
 
     @property
     def leads(self) -> bool:
-        """Whether it is the leader of its group, in whatever state."""
+        """Whether it is the leader of its group, in any state."""
         return bool(self.members) and self.members[0] == self.id
 
     @property
     def reported_count(self) -> int:
-        """The orders that it has begun, as its report says: some hundred ms behind."""
-        behind = self.world.now() - self.counted_at < REPORT_LAG
+        """The number of orders begun as reported, which lags behind."""
+        behind = self.world.now() - self.counted_at < REPORT_LAG_SECONDS
         return self.former_count if behind else self.order_count
 
     def entry(self) -> Endpoint:
@@ -113,18 +113,18 @@
             born=self.born,
         )
 
-    def take(self, order, expected) -> Outcome:
+    def receive_order(self, order, expected) -> Outcome:
         again = isinstance(order, Join) and order.group == self.group
         if expected is not None and expected != self.order_count and not again:
             return Outcome.CONFLICT
-        outcome = self._take(order)
+        outcome = self._carry_out(order)
         if outcome is Outcome.BEGUN or (isinstance(order, Leave) and outcome is Outcome.DONE):
             self.former_count, self.counted_at = self.order_count, self.world.now()
             self.order_count += 1
             self.world.publish(self)
         return outcome
 
-    def _take(self, order) -> Outcome:
+    def _carry_out(self, order) -> Outcome:
         match order:
             case Join():
                 return self._join(order)
@@ -149,11 +149,11 @@
 
     def _join(self, order: Join) -> Outcome:
         if order.group.epoch < self.seen_epoch:
-            self.world.refused_as_stale += 1
+            self.world.stale_refusals += 1
             return Outcome.STALE
         if order.group == self.group:
             return Outcome.DONE if order.members == self.members else Outcome.STALE
-        self.world.check_two(self, order)
+        self.world.check_exclusive(self, order)
         self.world.check_distinct(order)
         self.seen_epoch = order.group.epoch
         same, cold = self.model == order.model, order.model not in self.staged
@@ -186,13 +186,13 @@
             return Outcome.DONE
         if self.state is not GroupState.READY:
             return Outcome.CONFLICT
-        self._later(FORM, lambda: self._opened(group))
+        self._later(FORM_SECONDS, lambda: self._opened(group))
         return Outcome.BEGUN
 
     def _opened(self, group: GroupId) -> None:
         if self.alive and self.group == group and self.state is GroupState.READY:
             self.state = GroupState.OPEN
-            self.world.check_partial(self)
+            self.world.check_complete(self)
             self.world.publish(self)
 
     def _closed(self, group: GroupId) -> None:
@@ -203,8 +203,8 @@
     def _leave(self) -> None:
         self.group, self.state, self.members = None, None, ()
 
-    def look(self) -> None:
-        """Notice, as a leader, that a member is missing for too long."""
+    def detect_missing_members(self) -> None:
+        """Mark the group as broken if this is its leader and a member is missing for too long."""
         if not self.alive or self.state is not GroupState.OPEN or not self.leads:
             self.broken_since = None
             return
@@ -214,15 +214,15 @@
             self.broken_since = None
         elif self.broken_since is None:
             self.broken_since = self.world.now()
-        elif self.world.now() - self.broken_since >= STALL:
+        elif self.world.now() - self.broken_since >= STALL_SECONDS:
             self.state = GroupState.BROKEN
             self.world.publish(self)
 
 
 class Processor:
-    """A daemon's processor: each piece of work waits for those before it.
+    """A daemon's processor, which handles one piece of work at a time.
 
-    :param call_seconds: that sending a call takes, and reading its answer again.
+    :param call_seconds: seconds to send a call, and again to read its answer.
     """
 
     def __init__(self, now) -> None:
@@ -241,7 +241,7 @@
 
 
 class WorldEngines:
-    """One daemon's way to the engines."""
+    """One daemon's connections to the engines."""
 
     def __init__(self, world: "World", node: "Node") -> None:
         self._world = world
@@ -251,7 +251,7 @@
         await self._node.thawed()
         await asyncio.sleep(0.002)
         worker = self._world.workers[endpoint.id]
-        if worker.dark or self._node.cut_from_engines:
+        if worker.unreachable or self._node.cut_from_engines:
             await asyncio.sleep(timeout)
             raise EndpointSilentError("silent")
         if not worker.alive or worker.refuses or worker.id in self._node.reset_paths:
@@ -265,7 +265,7 @@
         return await self._within(timeout, lambda: self._order(endpoint, order, expected, timeout))
 
     async def _within(self, timeout: float, call):
-        """Make a call, whose time also passes while the daemon's processor is busy."""
+        """Make a call whose timeout also runs while the daemon's processor is busy."""
         processor = self._node.processor
         if not processor.call_seconds:
             return await call()
@@ -283,7 +283,7 @@
 
     async def _report(self, endpoint: Endpoint, timeout: float) -> EngineReport:
         successor = self._world.successors.get(endpoint.id)
-        # whoever has the address answers, and no report names its endpoint
+        # Any process at the address answers, and no report names its endpoint.
         worker = await self._reach(successor.entry() if successor else endpoint, timeout)
         return EngineReport(
             worker.membership,
@@ -304,10 +304,10 @@
             raise EndpointSilentError("unanswered")
         if self._world.chance("late order"):
             delay = self._world.random.uniform(2, 12)
-            self._world.later(delay, lambda: worker.alive and worker.take(order, expected))
+            self._world.later(delay, lambda: worker.alive and worker.receive_order(order, expected))
             await asyncio.sleep(timeout)
             raise EndpointSilentError("unanswered")
-        outcome = worker.take(order, expected)
+        outcome = worker.receive_order(order, expected)
         if self._world.chance("lost order answer"):
             await asyncio.sleep(timeout)
             raise EndpointSilentError("unanswered")
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -1,6 +1,6 @@
 """Daemons that control groups, with engines, a store and an oracle, in one virtual loop.
 
-Each daemon runs its own election and controller; answers can be lost, late, or never come.
+Each daemon runs its own election and controller. Answers can be lost, late, or never sent.
 """
 
 import asyncio
@@ -43,13 +43,13 @@
 from .group_store import Store
 from .group_store import StoreClient
 
-UNLISTED_AFTER = 3.6
-# after the entries have run out, until the store is back
-LAPSE_OUTAGE = 2.0
-HEARTBEAT = 1.2
+UNLISTED_AFTER_SECONDS = 3.6
+# How long the store stays unavailable after the entries have expired.
+EXPIRY_OUTAGE_SECONDS = 2.0
+HEARTBEAT_SECONDS = 1.2
 
 
-# in which the groups of a new world come to stand
+# How long the groups of a new world may take to form.
 CALM_SECONDS = 20.0
 
 
@@ -83,7 +83,7 @@
 
 
 class Node:
-    """One daemon's control half."""
+    """A daemon's group control."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.world = world
@@ -92,13 +92,13 @@
         self.frozen = False
         self.cut = False
         self.cut_from_engines = False
-        # the store refuses this daemon's reads and carries out its writes
+        # The store refuses this daemon's reads but carries out its writes.
         self.reads_refused = False
-        # seconds that the store takes to grant this daemon a lease
+        # Seconds that the store takes to grant this daemon a lease.
         self.grant_delay = 0.0
-        # the store's answer to the end of a lease is lost
+        # The store's answer to the end of a lease is lost.
         self.end_unanswered = False
-        # ids of workers to which the path resets this daemon's connections
+        # Ids of workers to which this daemon's connections are reset on the way.
         self.reset_paths: set[str] = set()
         self._thaw = asyncio.Event()
         self._thaw.set()
@@ -124,7 +124,7 @@
             settings.control,
             WorldEngines(world, self),
             self.view,
-            lambda: self.election.leads,
+            lambda: self.election.is_controller,
             lambda endpoint_id: self.detector.heard(endpoint_id, world.now()),
             self.calls,
             world.now,
@@ -165,7 +165,7 @@
             self.load_table.report(sender.name, message.counts)
         if isinstance(message, Probe):
             counts = self.world.requests_of(self)
-            heard = [name for name in counts if name not in self.world.standing_still]
+            heard = [name for name in counts if name not in self.world.stalled_workers]
             self.peers.tell(sender, LoadReport(counts, heard))
             removed = self.view.roster.removed.get(message.endpoint_id)
             listed = self.view.roster.endpoints.get(message.endpoint_id)
@@ -173,7 +173,7 @@
                 self.world.spawn(self._probe(listed or removed.endpoint))
 
     async def _probe(self, endpoint: Endpoint) -> None:
-        if await self.orders.answers(endpoint):
+        if await self.orders.is_responding(endpoint):
             for other in self.world.nodes:
                 other.detector.heard(endpoint.id, self.world.now())
 
@@ -187,10 +187,10 @@
 
 
 class World:
-    """Nodes, engines, a store and an oracle.
+    """Nodes, engines, a store and an oracle that records broken rules.
 
-    :param odds: chance of each trouble that a call can meet.
-    :param before_requests: whether no caller has sent anything yet since the very first start.
+    :param odds: probability of each fault of a call.
+    :param before_requests: whether no caller has sent a request yet since the first start.
     """
 
     def __init__(
@@ -211,13 +211,13 @@
         self.store = Store(self)
         self._jobs: set[asyncio.Task] = set()
         self._requests: dict[str, dict[str, int]] = collections.defaultdict(dict)
-        # ids of workers whose requests get no event for now
-        self.standing_still: set[str] = set()
-        # workers that have the address of one that has ended, by its id
+        # Ids of workers whose requests get no events.
+        self.stalled_workers: set[str] = set()
+        # Workers at the address of one that has ended, by the id of that one.
         self.successors: dict[str, Worker] = {}
         self.broken: list[str] = []
-        # orders whose epoch was below one that their worker had seen
-        self.refused_as_stale = 0
+        # Number of orders whose epoch was below one that their worker had seen.
+        self.stale_refusals = 0
         self.opened = 0
         self.store.put(
             "config",
@@ -241,10 +241,10 @@
         self._jobs.add(job)
         job.add_done_callback(self._jobs.discard)
 
-    def chance(self, trouble: str) -> bool:
-        return self.random.random() < self.odds.get(trouble, 0.0)
+    def chance(self, fault: str) -> bool:
+        return self.random.random() < self.odds.get(fault, 0.0)
 
-    # engines
+    # Engines
 
     def add_worker(self, domain: str, staged: tuple[str, ...] = ()) -> Worker:
         worker = Worker(self, f"w{len(self.workers):03}", domain, staged=staged)
@@ -261,13 +261,13 @@
         if not worker.alive or worker.cut_from_store:
             self.store.delete(worker.id, EndpointRemoved(worker.id))
 
-    def kill(self, worker: Worker, *, dark: bool) -> None:
-        worker.alive, worker.dark = False, dark
-        self.later(UNLISTED_AFTER, lambda: self.unlist(worker))
+    def kill(self, worker: Worker, *, unreachable: bool) -> None:
+        worker.alive, worker.unreachable = False, unreachable
+        self.later(UNLISTED_AFTER_SECONDS, lambda: self.unlist(worker))
         self.later(0.3, lambda: self.suspect(worker))
 
     def suspect(self, worker: Worker) -> None:
-        """Let a daemon notice that the worker's group is silent."""
+        """Make a daemon suspect the worker's group."""
         leader = self.workers.get(worker.members[0]) if worker.members else None
         if leader is not None:
             node = self.random.choice(self.nodes)
@@ -275,68 +275,70 @@
                 node.detector.suspect(leader.entry(), "silence")
 
     def isolate(self, worker: Worker, seconds: float) -> None:
-        """Cut a worker that lives on from the store and from all daemons for some time."""
-        worker.dark = True
+        """Cut a running worker off from the store and from all daemons for some time."""
+        worker.unreachable = True
         self.cut_from_store(worker, seconds)
-        self.later(seconds, lambda: setattr(worker, "dark", False))
+        self.later(seconds, lambda: setattr(worker, "unreachable", False))
 
     def cut_from_store(self, worker: Worker, seconds: float) -> None:
         worker.cut_from_store = True
-        self.later(UNLISTED_AFTER, lambda: self.unlist(worker))
+        self.later(UNLISTED_AFTER_SECONDS, lambda: self.unlist(worker))
 
-        def heal() -> None:
+        def reconnect() -> None:
             worker.cut_from_store = False
             self.publish(worker)
 
-        self.later(seconds, heal)
+        self.later(seconds, reconnect)
 
-    def lapse_all(self) -> None:
-        """Let all entries and leases run out; heartbeats bring the entries back."""
+    def expire_all_entries(self) -> None:
+        """Let all entries and leases expire; heartbeats write the entries again."""
         for worker in self.workers.values():
-            worker.silent_until = self.now() + LAPSE_OUTAGE + self.random.uniform(0.0, HEARTBEAT)
+            worker.silent_until = (
+                self.now() + EXPIRY_OUTAGE_SECONDS + self.random.uniform(0.0, HEARTBEAT_SECONDS)
+            )
             self.store.delete(worker.id, EndpointRemoved(worker.id))
         for lease in list(self.store.leases):
             self.store.end(lease)
 
     def restore(self, copy: Copy) -> None:
-        """Have the store come back from a copy; entries of endpoints that ended run out again."""
+        """Restore the store from a copy; entries of workers that have ended expire again."""
         self.store.restore(copy)
         for worker in self.workers.values():
             if not worker.alive:
-                self.later(UNLISTED_AFTER, lambda worker=worker: self.unlist(worker))
+                self.later(UNLISTED_AFTER_SECONDS, lambda worker=worker: self.unlist(worker))
 
-    def start_again(self, worker: Worker, unlisted_for: float = 0.0) -> None:
-        """Have a worker crash and run anew under its id.
+    def restart(self, worker: Worker, unlisted_for: float = 0.0) -> None:
+        """Make a worker crash and restart under its id.
 
-        :param unlisted_for: seconds in which its entry stays that of the life before.
+        :param unlisted_for: seconds during which its entry stays that of the earlier incarnation.
         """
         leader = self.workers.get(worker.members[0]) if worker.members else None
-        worker.start_again()
+        worker.restart()
         worker.silent_until = self.now() + unlisted_for
         self.publish(worker)
         if leader is not None:
             self.later(0.3, lambda: self.suspect(leader))
 
     def write_late(self, former: Endpoint) -> None:
-        """Have the store carry out a write of an endpoint's life before."""
+        """Make the store carry out a late write of an endpoint's earlier incarnation."""
         if not self.store.down and former.id in self.store.items:
             self.store.put(former.id, EndpointListed(former))
 
     def drain(self, worker: Worker) -> None:
         worker.draining = True
         self.publish(worker)
-        self.later(4.0, lambda: self.kill(worker, dark=False))
+        self.later(4.0, lambda: self.kill(worker, unreachable=False))
 
     def drain_and_work_on(self, worker: Worker, seconds: float, requests: int) -> None:
-        """Let a worker stop listening, with some requests of a daemon, until it ends."""
+        """Make a worker stop listening with some requests of a daemon left, and end later."""
         worker.refuses = True
-        node = next(node for node in self.nodes if not node.election.leads)
+        node = next(node for node in self.nodes if not node.election.is_controller)
         if requests:
             self._requests[node.name][worker.id] = requests
 
         def end() -> None:
             self._requests[node.name].pop(worker.id, None)
-            self.kill(worker, dark=False)
+            self.kill(worker, unreachable=False)
 
         self.later(seconds, end)
 
@@ -344,10 +346,10 @@
         """Return a daemon's requests by worker."""
         return dict(self._requests[node.name])
 
-    # the oracle
+    # Oracle
 
-    def check_two(self, worker: Worker, order: Join) -> None:
-        """No join of another group while the former group's leader may answer."""
+    def check_exclusive(self, worker: Worker, order: Join) -> None:
+        """Check that no worker joins a group while its former group's leader may answer."""
         former = worker.former
         if former is None or former == order.group:
             return
@@ -359,20 +361,20 @@
                 self.broken.append(text)
 
     def check_distinct(self, order: Join) -> None:
-        """No endpoint stands twice in a group."""
+        """Check that a group names no endpoint twice."""
         if len(set(order.members)) < len(order.members):
             self.broken.append(f"PARTIAL: {order.group} names a member twice: {order.members}")
 
-    def check_partial(self, leader: Worker) -> None:
-        """A group opens only after each member was ready in it."""
+    def check_complete(self, leader: Worker) -> None:
+        """Check that each member was ready before the group opens."""
         self.opened += 1
         ready = {name for name, members in self.ready[leader.group] if members == leader.members}
         missing = set(leader.members) - ready
         if missing:
             self.broken.append(f"PARTIAL: {leader.group} opens without {sorted(missing)}")
 
-    def standing(self) -> collections.Counter:
-        """Count the groups that could answer, by model."""
+    def running_groups(self) -> collections.Counter:
+        """Return the number of groups that can answer, by model."""
         counts: collections.Counter = collections.Counter()
         for leader in self.workers.values():
             if (
@@ -393,10 +395,10 @@
             if not self.store.down:
                 self.store.expire()
             for worker in list(self.workers.values()):
-                worker.look()
+                worker.detect_missing_members()
                 listed = self.store.items.get(worker.id)
                 if listed is None or listed.endpoint != worker.entry():
-                    # what its next heartbeat would do
+                    # As its next heartbeat would.
                     self.publish(worker)
 
     async def start(self) -> None:
@@ -410,7 +412,7 @@
 
 
 async def calm_world(workers: int = 8) -> World:
-    """Return a world of one domain whose groups stand."""
+    """Return a world of one domain whose groups are running."""
     world = World(seed=2, domains=1, workers=workers)
     await world.start()
     await world.pass_time(CALM_SECONDS)
@@ -424,6 +426,6 @@
     )
 
 
-def leading(world: World) -> Node:
+def controller_node(world: World) -> Node:
     """Return the daemon that is the controller."""
-    return next(node for node in world.nodes if node.election.leads)
+    return next(node for node in world.nodes if node.election.is_controller)
--- a/tests/test_domain_sizes.py
+++ b/tests/test_domain_sizes.py
@@ -1,12 +1,12 @@
-"""How large a fabric domain counts: the rule's specification as a table."""
+"""Which size of a fabric domain counts after its endpoints change."""
 
 import pytest
 
-from thorncleat_gateway.groups.domain_sizes import REMEMBER_SIZE_SECONDS
+from thorncleat_gateway.groups.domain_sizes import SIZE_TTL_SECONDS
 from thorncleat_gateway.groups.domain_sizes import DomainSizes
 from thorncleat_gateway.store.roster import Endpoint
 
-LATER = REMEMBER_SIZE_SECONDS + 0.1
+LATER = SIZE_TTL_SECONDS + 0.1
 
 
 class Clock:
@@ -35,8 +35,10 @@
         pytest.param([(0.0, 8)], 8, id="as listed"),
         pytest.param([(0.0, 8), (1.0, 9)], 9, id="grows at once"),
         pytest.param([(0.0, 8), (1.0, 3)], 8, id="keeps its size after a loss"),
-        pytest.param([(0.0, 8), (LATER, 3)], 3, id="is smaller after a time"),
-        pytest.param([(0.0, 8), (10.0, 8), (10.0, 3)], 8, id="counted from when it was last whole"),
+        pytest.param([(0.0, 8), (LATER, 3)], 3, id="shrinks after the TTL"),
+        pytest.param(
+            [(0.0, 8), (10.0, 8), (10.0, 3)], 8, id="counted from when it last had that size"
+        ),
         pytest.param([(0.0, 8), (1.0, 0)], 8, id="is remembered without endpoints"),
         pytest.param([(0.0, 8), (LATER, 0)], None, id="is forgotten without endpoints"),
     ],
@@ -47,12 +49,12 @@
         clock.now += seconds
         sizes.observe(endpoints(count))
     present = {"d0"} if counts[-1][1] else set()
-    found = [known.size for known in sizes.of_service("narrator", present)]
+    found = [domain_size.size for domain_size in sizes.of_service("narrator", present)]
     assert found == ([] if size is None else [size])
 
 
 def test_each_service_has_its_domains(clock):
     sizes = DomainSizes(clock)
     sizes.observe([*endpoints(3, "d0"), *endpoints(2, "d1", "desk"), *endpoints(1, "")])
-    assert [known.domain for known in sizes.of_service("narrator", ())] == ["d0"]
-    assert [known.domain for known in sizes.of_service("desk", ())] == ["d1"]
+    assert [domain_size.domain for domain_size in sizes.of_service("narrator", ())] == ["d0"]
+    assert [domain_size.domain for domain_size in sizes.of_service("desk", ())] == ["d1"]
--- a/tests/test_forming_state.py
+++ b/tests/test_forming_state.py
@@ -1,13 +1,13 @@
-"""Who may be ordered into a group now, and how groups are numbered."""
+"""Which endpoints may be ordered into a group, and how groups are numbered."""
 
 import pytest
 
 from thorncleat_gateway.groups.formation import GroupPlan
+from thorncleat_gateway.groups.forming_state import DOMAIN_PAUSE_SECONDS
 from thorncleat_gateway.groups.forming_state import EPOCHS_PER_TERM
-from thorncleat_gateway.groups.forming_state import PAUSE_SECONDS
-from thorncleat_gateway.groups.forming_state import REFUSED_SECONDS
+from thorncleat_gateway.groups.forming_state import JOIN_REFUSAL_PAUSE_SECONDS
 from thorncleat_gateway.groups.forming_state import FormingState
-from thorncleat_gateway.groups.group_steps import ready_limit
+from thorncleat_gateway.groups.group_steps import ready_timeout
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import GroupId
 from thorncleat_gateway.store.serving import EngineModel
@@ -16,7 +16,9 @@
 
 
 def plan(*staged):
-    members = tuple(Endpoint(f"w{n}", "s", "", "a", staged=held) for n, held in enumerate(staged))
+    members = tuple(
+        Endpoint(f"w{n}", "s", "", "a", staged=models) for n, models in enumerate(staged)
+    )
     return GroupPlan("d0", MODEL, members)
 
 
@@ -47,19 +49,19 @@
     assert state.is_available("w0")
 
 
-def test_endpoint_that_did_not_join_is_left_alone_for_a_while(state, daemon):
-    state.refuse("w0")
-    daemon.now += REFUSED_SECONDS - 0.1
+def test_endpoint_that_did_not_join_is_left_out_for_a_while(state, daemon):
+    state.record_refusal("w0")
+    daemon.now += JOIN_REFUSAL_PAUSE_SECONDS - 0.1
     assert not state.is_available("w0")
     daemon.now += 0.1
     assert state.is_available("w0")
 
 
-def test_domain_is_left_alone_for_a_while_after_a_failure(state, daemon):
+def test_domain_is_paused_after_a_failure(state, daemon):
     state.pause("d0")
     assert state.is_paused("d0")
     assert not state.is_paused("d1")
-    daemon.now += PAUSE_SECONDS
+    daemon.now += DOMAIN_PAUSE_SECONDS
     assert not state.is_paused("d0")
 
 
@@ -71,4 +73,4 @@
     ],
 )
 def test_seconds_for_members_to_get_ready(group, seconds):
-    assert ready_limit(group, 5.0) == pytest.approx(seconds)
+    assert ready_timeout(group, 5.0) == pytest.approx(seconds)
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -285,7 +285,7 @@
                 OWN_SETTINGS, records, mirror, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
             )
             await election.start()
-            await wire_forms.wait_until(lambda: election.leads)
+            await wire_forms.wait_until(lambda: election.is_controller)
             assert election.term == Position(0, 40)
             election.stopping = True
             await wire_forms.wait_until(lambda: ["end", 77] in records.calls)
@@ -317,7 +317,7 @@
             group_records = GroupRecords(RecordedRecords(), mirror, election)
             group = GroupId(40, "narrator-1")
             assert group_records.groups == [group]
-            assert group_records.may_answer(group)
+            assert group_records.can_answer(group)
             leader = group_records.leader(group)
         assert isinstance(leader, Endpoint)
         assert (leader.id, leader.service, leader.address) == ("i-1", "narrator", "10.0.0.1:81")
--- a/tests/test_large_control.py
+++ b/tests/test_large_control.py
@@ -1,7 +1,7 @@
-"""The load pattern of a large site's first start: one small controller, hundreds of endpoints.
+"""The first start of a large site: one small controller and hundreds of endpoints.
 
-All groups have to be formed at once. Each call takes the controller's processor some time, so that
-calls sent side by side would run into their time-outs, and the endpoints would count as silent.
+Guards against calls that wait for the controller's processor until they time out, which would make
+endpoints count as silent.
 """
 
 import pytest
@@ -13,7 +13,7 @@
 from . import virtual_time
 from .group_world import World
 
-# processor time of an instance of half a core for each end of a call, in seconds
+# Processor time that a small instance needs for each end of a call.
 SMALL_SECONDS = 0.002
 DOMAIN_SIZE = 37
 ENGINE = Engine(
@@ -35,26 +35,26 @@
         node.processor.call_seconds = SMALL_SECONDS
     await world.start()
     await world.pass_time(seconds)
-    standing = world.standing()
+    running = world.running_groups()
     await world.stop()
-    return world, standing
+    return world, running
 
 
 @pytest.fixture
 def lost(monkeypatch):
     found = []
     monkeypatch.setattr(
-        LostEndpoints, "lose", lambda self, endpoint, cause: found.append((endpoint.id, cause))
+        LostEndpoints, "mark_lost", lambda self, endpoint, cause: found.append((endpoint.id, cause))
     )
     return found
 
 
-def test_all_groups_of_a_large_site_are_formed_and_nobody_counts_as_silent(lost):
-    world, standing = virtual_time.run(_first_start(domains=25, seconds=20.0))
+def test_all_groups_of_a_large_site_are_formed_and_no_endpoint_counts_as_silent(lost):
+    world, running = virtual_time.run(_first_start(domains=25, seconds=20.0))
     assert lost == []
     assert world.broken == []
-    # each domain carries two groups of the large model or four of the small one
-    assert standing["large"] // 2 + standing["small"] // 4 == 25
+    # Each domain carries two groups of the large model or four of the small one.
+    assert running["large"] // 2 + running["small"] // 4 == 25
 
 
 def test_time_to_form_all_groups_grows_no_faster_than_their_number(lost):
@@ -64,5 +64,5 @@
 
 
 def test_first_groups_serve_while_the_others_still_wait(lost):
-    _, standing = virtual_time.run(_first_start(domains=25, seconds=6.5))
-    assert 5 <= sum(standing.values()) < 75
+    _, running = virtual_time.run(_first_start(domains=25, seconds=6.5))
+    assert 5 <= sum(running.values()) < 75
