--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -91,11 +91,11 @@
     def on_message(self, handler: datagrams.Handler) -> None:
         self.handlers.append(handler)
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         for other in sorted(self.others):
-            self.tell(other, message)
+            self.send(other, message)
 
-    def tell(self, other: str, message: Message) -> None:
+    def send(self, other: str, message: Message) -> None:
         sim = self._sim
         if sim.random.random() < LOST or sim.is_cut(self.id, other):
             return
--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -25,11 +25,11 @@
     """A write got no answer; it may have taken effect, or may still do so."""
 
 
-class HistoryGoneError(StoreError):
+class HistoryCompactedError(StoreError):
     """The store no longer has the changes since a revision; all has to be read again."""
 
 
-class LeaseGoneError(StoreError):
+class LeaseExpiredError(StoreError):
     """A lease is over."""
 
 
@@ -37,11 +37,11 @@
     """Base class of errors of calls to an endpoint."""
 
 
-class EndpointSilentError(EndpointError):
+class EndpointTimeoutError(EndpointError):
     """No answer came in time; the call may have been taken, or may be later."""
 
 
-class EndpointGoneError(EndpointError):
+class EndpointReplacedError(EndpointError):
     """The process that was meant has ended: another one answers at its address."""
 
 
@@ -49,7 +49,7 @@
     """Nobody listens at the address: the process has ended, or takes nothing new and works on."""
 
 
-class EndpointClosedError(EndpointError):
+class EndpointNotAcceptingError(EndpointError):
     """An endpoint takes no requests of this daemon now; nothing was sent to it."""
 
 
@@ -60,7 +60,7 @@
     MAYBE = "maybe"
 
 
-class Broken(enum.Enum):
+class ConnectionBreak(enum.Enum):
     """When the connection of an attempt broke; the value stands in the log line.
 
     A streamed request that waits at its endpoint has no head yet; one that runs has.
@@ -87,7 +87,7 @@
         ran: Ran,
         *,
         sent: bool = True,
-        broken: Broken | None = None,
+        broken: ConnectionBreak | None = None,
         retry_after: float | None = None,
     ) -> None:
         super().__init__(cause)
@@ -112,7 +112,7 @@
         self.retry_after = retry_after
 
 
-class CutError(RefusalError):
+class AnswerAbortedError(RefusalError):
     """An answer that has begun can't be completed; the caller's connection has to be cut."""
 
     def __init__(self, cause: str) -> None:
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -136,7 +136,7 @@
             engines,
             view,
             lambda: self._election.leads,
-            lambda endpoint_id: self._detector.heard(endpoint_id, clock()),
+            lambda endpoint_id: self._detector.record_contact(endpoint_id, clock()),
             self._calls,
             clock,
         )
@@ -173,7 +173,7 @@
         add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
 
     def _lateness(self) -> float:
-        return self._detector.lateness.worst_since(self._clock() - LATENESS_SECONDS)
+        return self._detector.lateness.max_lateness_since(self._clock() - LATENESS_SECONDS)
 
     def _running(self) -> float:
         return self._frontend.running if self._frontend is not None else 0
@@ -182,7 +182,7 @@
     def _before_requests(self) -> bool:
         """Whether no caller has sent anything since the very first start, to any daemon."""
         own = self._frontend is not None and self._frontend.requests > 0
-        return self._first_start and not own and not self._reporter.others_had_requests
+        return self._first_start and not own and not self._reporter.has_seen_remote_requests
 
     def _coalesce(self) -> float:
         """Return the seconds to let changes gather.
--- a/packages/gateway/src/thorncleat_gateway/groups/call_window.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/call_window.py
@@ -16,7 +16,7 @@
 import itertools
 import typing as t
 
-from ..peers.own_lateness import LATE_SECONDS
+from ..peers.own_lateness import MAX_LATENESS_SECONDS
 from ..peers.own_lateness import OwnLateness
 from ..store.roster import GroupId
 
@@ -87,7 +87,7 @@
 
     def was_late_since(self, moment: float) -> bool:
         """Return whether the own loop was late since a moment, so that silence proves nothing."""
-        return self._lateness.worst_since(moment) > LATE_SECONDS
+        return self._lateness.max_lateness_since(moment) > MAX_LATENESS_SECONDS
 
     @contextlib.asynccontextmanager
     async def turn(self, urgency: Urgency) -> t.AsyncIterator[None]:
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -19,7 +19,7 @@
 from thorncleat_core import rendezvous
 
 from .. import events
-from ..exceptions import LeaseGoneError
+from ..exceptions import LeaseExpiredError
 from ..exceptions import StoreError
 from ..exceptions import StoreOutcomeUnknownError
 from ..ports import Lease
@@ -199,7 +199,7 @@
             sent_at = self._clock()
             try:
                 await self._records.renew(lease)
-            except LeaseGoneError:
+            except LeaseExpiredError:
                 # the term is over, and its end is logged
                 return
             except StoreError:
--- a/packages/gateway/src/thorncleat_gateway/groups/ended.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -54,7 +54,7 @@
         kept = self._keep(group)
         if now - kept.told_at >= REPEAT_SECONDS:
             kept.told_at = now
-            self._peers.tell_all(GroupEnded(group))
+            self._peers.broadcast(GroupEnded(group))
 
     def _message(self, sender: str, message: Message) -> None:
         if isinstance(message, GroupEnded):
--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -14,8 +14,8 @@
 
 from .. import events
 from ..exceptions import EndpointError
-from ..exceptions import EndpointGoneError
 from ..exceptions import EndpointRefusedError
+from ..exceptions import EndpointReplacedError
 from ..ports import Close
 from ..ports import Leave
 from ..store.roster import Endpoint
@@ -124,7 +124,7 @@
                     return Detached.LEFT
                 if not await self._orders.is_in(leader, group):
                     return Detached.ELSEWHERE
-            except EndpointGoneError:
+            except EndpointReplacedError:
                 return Detached.PROCESS_ENDED
             except EndpointRefusedError:
                 if await self._liveness.has_ended(leader):
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -12,8 +12,8 @@
 
 from .. import events
 from ..exceptions import EndpointError
-from ..exceptions import EndpointGoneError
 from ..exceptions import EndpointRefusedError
+from ..exceptions import EndpointReplacedError
 from ..ports import EngineReport
 from ..ports import Join
 from ..ports import Open
@@ -110,7 +110,7 @@
                 if report is None:
                     return False
                 answer = await self._try_join(endpoint, order, report)
-            except EndpointGoneError:
+            except EndpointReplacedError:
                 self._lost.lose(endpoint, LostCause.PROCESS_ENDED)
                 return False
             except EndpointRefusedError:
@@ -222,7 +222,7 @@
                     return True
                 if not await self._orders.is_in(leader, group):
                     return False
-            except (EndpointGoneError, EndpointRefusedError):
+            except (EndpointReplacedError, EndpointRefusedError):
                 return False
             except EndpointError:
                 # no answer; the order is repeated, and means the same if it was carried out
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -19,7 +19,7 @@
 from ..peers.datagrams import PeerChannel
 from ..peers.datagrams import Probe
 from ..peers.failure_detector import FailureDetector
-from ..peers.load_reporter import heard_seconds
+from ..peers.load_reporter import contact_ttl_seconds
 from ..peers.load_table import LoadTable
 from ..store.roster import Endpoint
 from ..store.view import StoreView
@@ -139,14 +139,14 @@
         Reports go on naming an endpoint for some time after its last answer, which may have come
         before its end; so the question is asked only after that time.
         """
-        await asyncio.sleep(min(heard_seconds(self._peers.interval()), LONGEST_FADE_SECONDS))
+        await asyncio.sleep(min(contact_ttl_seconds(self._peers.interval()), LONGEST_FADE_SECONDS))
         asked_at = self._ask_others(leader)
         await asyncio.sleep(PROBED_SECONDS)
-        return self._detector.heard_since(leader.id, asked_at)
+        return self._detector.has_contact_since(leader.id, asked_at)
 
     def _ask_others(self, leader: Endpoint) -> float:
         """Ask the other daemons for a leader; return the time at which they were asked."""
-        self._peers.tell_all(Probe(leader.id))
+        self._peers.broadcast(Probe(leader.id))
         return self._clock()
 
     def _is_dead(self, leader: Endpoint, asked_at: float) -> bool:
@@ -154,7 +154,7 @@
 
         :param asked_at: when the other daemons were asked for it.
         """
-        heard = self._detector.heard_since(leader.id, asked_at - HEARD_BEFORE_SECONDS)
+        heard = self._detector.has_contact_since(leader.id, asked_at - HEARD_BEFORE_SECONDS)
         return is_dead(listed=self._listed(leader), heard=heard)
 
     def _listed(self, leader: Endpoint) -> bool:
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -11,8 +11,8 @@
 
 from .. import events
 from ..exceptions import EndpointError
-from ..exceptions import EndpointGoneError
 from ..exceptions import EndpointRefusedError
+from ..exceptions import EndpointReplacedError
 from ..ports import Load
 from ..settings import ControlSettings
 from ..store.roster import Endpoint
@@ -104,7 +104,7 @@
         for _ in range(LOAD_TRIES):
             try:
                 await self._orders.give(endpoint, Load(model.name))
-            except EndpointGoneError:
+            except EndpointReplacedError:
                 self._lost.lose(endpoint, LostCause.PROCESS_ENDED)
             except EndpointRefusedError:
                 self._lost.lose(endpoint, LostCause.REFUSED)
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -17,9 +17,9 @@
 
 from .. import events
 from ..exceptions import EndpointError
-from ..exceptions import EndpointGoneError
 from ..exceptions import EndpointRefusedError
-from ..exceptions import EndpointSilentError
+from ..exceptions import EndpointReplacedError
+from ..exceptions import EndpointTimeoutError
 from ..ports import EngineReport
 from ..ports import Engines
 from ..ports import Join
@@ -132,7 +132,7 @@
                 outcome = await self._engines.order(
                     endpoint, order, expected, self._settings.order_timeout
                 )
-            except EndpointSilentError:
+            except EndpointTimeoutError:
                 events.ORDER_UNANSWERED.log(endpoint=endpoint.id, order=type(order).__name__)
                 raise
         self._heard(endpoint.id)
@@ -174,7 +174,7 @@
             asked_at = self._clock()
             try:
                 return await self.ask(endpoint, urgency)
-            except (EndpointGoneError, EndpointRefusedError):
+            except (EndpointReplacedError, EndpointRefusedError):
                 return None
             except EndpointError:
                 # no answer in time; it is asked again
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -20,7 +20,7 @@
 
 # targets whose durations are kept apart, later ones are counted together; a histogram takes some
 # kilobytes, and configurations may have hundreds of routes
-MOST_TARGETS = 64
+MAX_TARGETS = 64
 OTHERS = "others"
 # a cause's varying part: numbers, names and reprs
 _VARYING = re.compile(r"[:'\"(\d]")
@@ -68,7 +68,7 @@
         what = f"{name}_{field}_by_{target}" if target else f"{name}_{field}"
         label = _kind(str(fields.get(target, ""))) if target == "cause" else fields.get(target)
         key = (what, str(label or ""))
-        if key not in self._distributions and len(self._distributions) >= MOST_TARGETS:
+        if key not in self._distributions and len(self._distributions) >= MAX_TARGETS:
             key = (what, OTHERS)
         self._distributions.of(*key).note(seconds)
 
--- a/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -25,12 +25,12 @@
 # times are told in these, as whole numbers
 MILLISECONDS = 1000
 # between two reports of a daemon, while there are few daemons
-SHORTEST_INTERVAL_SECONDS = 0.1
+MIN_REPORT_INTERVAL_SECONDS = 0.1
 # daemons up to which that interval holds, so that each receives at most 160 reports a second
-DAEMONS_AT_SHORTEST = 16
+MAX_DAEMONS_AT_MIN_INTERVAL = 16
 # daemons as which each neighbour counts where reports go to neighbours only, so that each daemon
 # receives at most 80 reports a second
-NEIGHBOUR_WEIGHT = 2
+DOMAIN_PEER_WEIGHT = 2
 
 
 @dataclasses.dataclass(frozen=True)
@@ -307,7 +307,7 @@
     It grows with their number, so that each receives as many reports a second however many
     there are.
     """
-    return SHORTEST_INTERVAL_SECONDS * max(1.0, daemons / DAEMONS_AT_SHORTEST)
+    return MIN_REPORT_INTERVAL_SECONDS * max(1.0, daemons / MAX_DAEMONS_AT_MIN_INTERVAL)
 
 
 class PeerChannel(mode.Service):
@@ -322,13 +322,13 @@
         self,
         settings: GatewaySettings,
         addresses: t.Callable[[], t.Mapping[str, tuple[str, int]]],
-        neighbours: t.Callable[[], frozenset[str]],
+        domain_peers: t.Callable[[], frozenset[str]],
     ) -> None:
         super().__init__()
         self.id = settings.id
         self._listen = settings.peers
         self._addresses = addresses
-        self._neighbours = neighbours
+        self._neighbours = domain_peers
         self._handlers: list[Handler] = []
         self._transport: asyncio.DatagramTransport | None = None
         self.rejected = 0
@@ -344,20 +344,20 @@
         return set(self._addresses()) - {self.id}
 
     @property
-    def reports_to_all(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether each daemon reports its load to all others."""
-        return domain_loads.reports_to_all(self.daemons)
+        return domain_loads.is_full_mesh(self.daemons)
 
     @property
-    def neighbours(self) -> frozenset[str]:
+    def domain_peers(self) -> frozenset[str]:
         """The ids of the other daemons of this one's failure domain."""
         return self._neighbours()
 
     def interval(self) -> float:
         """Return the seconds between two reports of a daemon."""
-        if self.reports_to_all:
+        if self.is_full_mesh:
             return report_interval(self.daemons)
-        return report_interval(NEIGHBOUR_WEIGHT * (1 + len(self._neighbours())))
+        return report_interval(DOMAIN_PEER_WEIGHT * (1 + len(self._neighbours())))
 
     async def on_start(self) -> None:
         """Open the socket."""
@@ -376,23 +376,23 @@
         """Call a function for each message."""
         self._handlers.append(handler)
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to all other daemons."""
         others = (address for daemon, address in self._addresses().items() if daemon != self.id)
         self._send(message, others)
 
-    def tell_neighbours(self, message: Message) -> None:
+    def broadcast_to_domain(self, message: Message) -> None:
         """Send a message to the other daemons of this one's failure domain."""
         known = self._addresses()
         self._send(message, (known[name] for name in self._neighbours()))
 
-    def tell_others(self, message: Message) -> None:
+    def broadcast_to_other_domains(self, message: Message) -> None:
         """Send a message to all daemons of other failure domains."""
         near = self._neighbours() | {self.id}
         far = (address for daemon, address in self._addresses().items() if daemon not in near)
         self._send(message, far)
 
-    def tell(self, daemon: str, message: Message) -> None:
+    def send(self, daemon: str, message: Message) -> None:
         """Send a message to one daemon, if it is registered."""
         address = self._addresses().get(daemon)
         if address is not None:
--- a/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
@@ -17,17 +17,17 @@
 # daemons up to which each reports to all others
 MOST_THAT_REPORT_TO_ALL = 16
 # daemons of a failure domain that tell its sum, so that one may have died
-TELLERS = 2
+SUM_SENDERS = 2
 # between two sums of one teller, in seconds: the tellers together tell it twice as often, which
 # bounds its age for the choice of an endpoint in another failure domain
-SUM_SECONDS = 0.5
+SUM_INTERVAL_SECONDS = 0.5
 
 
-def reports_to_all(daemons: int) -> bool:
+def is_full_mesh(daemons: int) -> bool:
     """Return whether each daemon reports to all others."""
     return daemons <= MOST_THAT_REPORT_TO_ALL
 
 
-def tells_sum(own_id: str, neighbours: t.Iterable[str]) -> bool:
+def is_sum_sender(own_id: str, domain_peers: t.Iterable[str]) -> bool:
     """Return whether this daemon tells the sum of its failure domain."""
-    return own_id in rendezvous.ranked("sum", {*neighbours, own_id})[:TELLERS]
+    return own_id in rendezvous.ranked("sum", {*domain_peers, own_id})[:SUM_SENDERS]
--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -20,7 +20,7 @@
 from .datagrams import Message
 from .datagrams import PeerChannel
 from .datagrams import Suspicion
-from .own_lateness import LATE_SECONDS
+from .own_lateness import MAX_LATENESS_SECONDS
 from .own_lateness import OwnLateness
 from .suspicions import Suspicions
 
@@ -48,12 +48,12 @@
 
     leader: Endpoint
     started_at: float
-    movable: t.Callable[[], bool]
-    leave: t.Callable[[], None]
+    can_migrate: t.Callable[[], bool]
+    abort: t.Callable[[], None]
     last_at: float = 0.0
     gap: float = 0.0
-    leave_cause: str = ""
-    held_by_caller: bool = False
+    abort_cause: str = ""
+    is_blocked_by_caller: bool = False
 
     def event(self, now: float) -> None:
         """Note that an event came."""
@@ -100,13 +100,13 @@
             if not attempts:
                 del self._attempts[attempt.leader.id]
 
-    def heard(self, endpoint_id: str, now: float) -> None:
+    def record_contact(self, endpoint_id: str, now: float) -> None:
         """Note that an endpoint answered something; that ends any suspicion of it."""
         self._heard[endpoint_id] = now
         self._suspicions.end(endpoint_id)
         self._told.pop(endpoint_id, None)
 
-    def heard_lately(self, seconds: float) -> list[str]:
+    def contacted_within(self, seconds: float) -> list[str]:
         """Return the endpoints that answered within some seconds."""
         now = self._clock()
         self._heard = {
@@ -114,7 +114,7 @@
         }
         return [key for key, at in self._heard.items() if now - at <= seconds]
 
-    def heard_since(self, endpoint_id: str, moment: float) -> bool:
+    def has_contact_since(self, endpoint_id: str, moment: float) -> bool:
         """Return whether any daemon heard an endpoint after a moment."""
         never = float("-inf")
         own, others = self._heard.get(endpoint_id, never), self._others.get(endpoint_id, never)
@@ -124,11 +124,11 @@
         """Return whether a leader's group is suspected, by this daemon or by another."""
         return self._suspicions.holds(leader)
 
-    def on_trial(self, leader: Endpoint) -> bool:
+    def is_on_probation(self, leader: Endpoint) -> bool:
         """Return whether a leader's group was suspected and has not been heard since."""
-        return self._suspicions.on_trial(leader)
+        return self._suspicions.is_on_probation(leader)
 
-    def suspected_here(self, leader: Endpoint) -> bool:
+    def is_suspected_locally(self, leader: Endpoint) -> bool:
         """Return whether this daemon itself suspects a leader's group."""
         return self._suspicions.holds_here(leader)
 
@@ -152,7 +152,7 @@
             fault=suspicion.fault,
             heard_ago=round(now - self._heard[leader.id], 3) if leader.id in self._heard else None,
         )
-        self._peers.tell_all(suspicion)
+        self._peers.broadcast(suspicion)
         self._notify(suspicion)
 
     def _notify(self, suspicion: Suspicion) -> None:
@@ -173,15 +173,17 @@
     async def _look_task(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(LOOK_SECONDS)
-            late = self.lateness.tick()
+            late = self.lateness.record_tick()
             now = self._clock()
-            if late <= LATE_SECONDS:
+            if late <= MAX_LATENESS_SECONDS:
                 # after a pause of this daemon the answers may lie unread
                 for leader_id in list(self._attempts):
                     self._look(leader_id, now)
 
     def _look(self, leader_id: str, now: float) -> None:
-        attempts = [attempt for attempt in self._attempts[leader_id] if not attempt.held_by_caller]
+        attempts = [
+            attempt for attempt in self._attempts[leader_id] if not attempt.is_blocked_by_caller
+        ]
         if not attempts:
             return
         leader = attempts[0].leader
@@ -208,6 +210,6 @@
 def _leave(attempts: t.Iterable[StreamAttempt], cause: str) -> None:
     """Make the attempts leave their group that could go on in another one."""
     for attempt in attempts:
-        if not attempt.leave_cause and attempt.movable():
-            attempt.leave_cause = cause
-            attempt.leave()
+        if not attempt.abort_cause and attempt.can_migrate():
+            attempt.abort_cause = cause
+            attempt.abort()
--- a/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
@@ -25,7 +25,7 @@
 EMPTY_REPORTS = 2
 
 
-def heard_seconds(interval: float) -> float:
+def contact_ttl_seconds(interval: float) -> float:
     """Return for how many seconds after an endpoint's answer reports name it.
 
     :param interval: seconds between two reports of a daemon.
@@ -55,14 +55,14 @@
         peers.on_message(self._message)
 
     @property
-    def others_had_requests(self) -> bool:
+    def has_seen_remote_requests(self) -> bool:
         """Whether another daemon has reported a request since this one started."""
         return self._others_had_requests
 
     def report(self) -> LoadReport:
         """Return what this daemon has under way now."""
-        lately = heard_seconds(self._peers.interval())
-        return LoadReport(dict(self._load_table.own), self._detector.heard_lately(lately))
+        lately = contact_ttl_seconds(self._peers.interval())
+        return LoadReport(dict(self._load_table.own), self._detector.contacted_within(lately))
 
     def _message(self, sender: str, message: Message) -> None:
         match message:
@@ -83,26 +83,28 @@
         empty_reports = 0
         while not self.should_stop:
             await asyncio.sleep(self._peers.interval())
-            self._load_table.refresh()
+            self._load_table.remove_expired()
             report = self.report()
             is_empty = not report.counts and not report.heard
             empty_reports = empty_reports + 1 if is_empty else 0
             if empty_reports > EMPTY_REPORTS:
                 continue
-            if self._peers.reports_to_all:
-                self._peers.tell_all(report)
+            if self._peers.is_full_mesh:
+                self._peers.broadcast(report)
             else:
-                self._peers.tell_neighbours(report)
+                self._peers.broadcast_to_domain(report)
 
     @mode.Service.task
     async def _sum_task(self) -> None:
         empty_sums = 0
         while not self.should_stop:
-            await asyncio.sleep(domain_loads.SUM_SECONDS)
-            neighbours = self._peers.neighbours
-            if self._peers.reports_to_all or not domain_loads.tells_sum(self._peers.id, neighbours):
+            await asyncio.sleep(domain_loads.SUM_INTERVAL_SECONDS)
+            domain_peers = self._peers.domain_peers
+            if self._peers.is_full_mesh or not domain_loads.is_sum_sender(
+                self._peers.id, domain_peers
+            ):
                 continue
-            counts = self._load_table.sum_with(neighbours)
+            counts = self._load_table.sum_with(domain_peers)
             empty_sums = 0 if counts else empty_sums + 1
             if empty_sums <= EMPTY_REPORTS:
-                self._peers.tell_others(DomainLoad(self._failure_domain, counts))
+                self._peers.broadcast_to_other_domains(DomainLoad(self._failure_domain, counts))
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -10,7 +10,7 @@
 import contextlib
 import typing as t
 
-from .datagrams import SHORTEST_INTERVAL_SECONDS
+from .datagrams import MIN_REPORT_INTERVAL_SECONDS
 
 # a report of another daemon counts no longer than this, in seconds, or than so many intervals,
 # whichever is longer, so that two lost datagrams make nobody forget it
@@ -68,7 +68,7 @@
         """Return the daemons whose newest report came after a moment."""
         return {name for name, report in self._others.items() if report.at >= moment}
 
-    def refresh(self) -> None:
+    def remove_expired(self) -> None:
         """Forget the reports that are too old."""
         begin = self._clock() - self._lasting()
         for reports in (self._others, self._domains):
@@ -95,9 +95,9 @@
         return max(REPORT_SECONDS, REPORT_INTERVALS * self._interval())
 
     @property
-    def knows_each_daemon(self) -> bool:
+    def has_individual_reports(self) -> bool:
         """Whether all daemons report here one by one, each as often as it can."""
-        return not self._domains and self._interval() <= SHORTEST_INTERVAL_SECONDS
+        return not self._domains and self._interval() <= MIN_REPORT_INTERVAL_SECONDS
 
     @contextlib.contextmanager
     def running(self, endpoint_id: str) -> t.Iterator[None]:
--- a/packages/gateway/src/thorncleat_gateway/peers/own_lateness.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/own_lateness.py
@@ -15,7 +15,7 @@
 TICKS = 64
 # lateness from which on a silence proves nothing, in seconds: a fourth of the shortest time-out of
 # a call
-LATE_SECONDS = 0.04
+MAX_LATENESS_SECONDS = 0.04
 
 
 class _Tick(t.NamedTuple):
@@ -40,13 +40,13 @@
         self._interval = interval
         self._ticks: collections.deque[_Tick] = collections.deque(maxlen=TICKS)
 
-    def tick(self) -> float:
+    def record_tick(self) -> float:
         """Note a wake-up; return by how many seconds it was late."""
         late = self._overdue()
         self._ticks.append(_Tick(self._clock(), late))
         return late
 
-    def worst_since(self, moment: float) -> float:
+    def max_lateness_since(self, moment: float) -> float:
         """Return by how many seconds the loop was late at most since a moment, or is now."""
         return max([self._overdue(), *(tick.late for tick in self._ticks if tick.at >= moment)])
 
--- a/packages/gateway/src/thorncleat_gateway/peers/suspicions.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/suspicions.py
@@ -87,7 +87,7 @@
         suspected = self._of(leader)
         return suspected is not None and suspected.own and self._clock() < suspected.until
 
-    def on_trial(self, leader: Endpoint) -> bool:
+    def is_on_probation(self, leader: Endpoint) -> bool:
         """Return whether a suspicion of a leader's group has ended and the group wasn't heard."""
         suspected = self._of(leader)
         return suspected is not None and self._clock() >= suspected.until
--- a/packages/gateway/src/thorncleat_gateway/ports/engines.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/engines.py
@@ -99,7 +99,7 @@
 class Engines(t.Protocol):
     """Reports from engines and orders to them.
 
-    Every call raises :class:`EndpointSilentError`, :class:`EndpointGoneError` and
+    Every call raises :class:`EndpointTimeoutError`, :class:`EndpointReplacedError` and
     :class:`EndpointRefusedError`.
     """
 
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
@@ -75,11 +75,11 @@
     def endpoint_lives(self, life: Life, at: float) -> None:
         """Tell that an endpoint that seemed to have crashed lived later."""
         age = self._clock() - at
-        self._peers.tell_all(CrashWithdrawal(life.endpoint_id, life.born, b"", age))
+        self._peers.broadcast(CrashWithdrawal(life.endpoint_id, life.born, b"", age))
 
     def request_served(self, fingerprint: Fingerprint, at: float) -> None:
         """Tell that a request was served that had been under way at a crash."""
-        self._peers.tell_all(CrashWithdrawal("", None, fingerprint, self._clock() - at))
+        self._peers.broadcast(CrashWithdrawal("", None, fingerprint, self._clock() - at))
 
     def _message(self, sender: str, message: Message) -> None:
         now = self._clock()
@@ -118,7 +118,7 @@
 
     def _tell(self, crashes: t.Iterable[Crash]) -> None:
         for report in self._reports(crashes):
-            self._peers.tell_all(report)
+            self._peers.broadcast(report)
 
     @mode.Service.task
     async def _repeat_task(self) -> None:
@@ -138,7 +138,7 @@
         random.shuffle(repeated)
         report = next(self._reports(repeated))
         for daemon in random.sample(others, min(REPEAT_TO, len(others))):
-            self._peers.tell(daemon, report)
+            self._peers.send(daemon, report)
 
     def _reports(self, crashes: t.Iterable[Crash]) -> t.Iterator[CrashReport]:
         """Yield reports of some crashes, none of which is too large for a datagram."""
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
@@ -8,7 +8,7 @@
 import typing as t
 
 from ..exceptions import AttemptError
-from ..exceptions import Broken
+from ..exceptions import ConnectionBreak
 from ..peers.failure_detector import FailureDetector
 from ..store.roster import Endpoint
 from ..store.roster import Life
@@ -27,7 +27,7 @@
 ARRIVAL_SECONDS = 0.25
 
 
-def points(broken: Broken | None, *, streaming: bool, expected: bool, still: bool) -> int:
+def points(broken: ConnectionBreak | None, *, streaming: bool, expected: bool, still: bool) -> int:
     """Return what a failed attempt counts against its request; 0 if it shows no crash.
 
     An endpoint of a plain service sends the head only when the answer is there, so there a request
@@ -39,7 +39,7 @@
     """
     if broken is None or expected or still:
         return 0
-    if broken is Broken.BEFORE_HEAD and streaming:
+    if broken is ConnectionBreak.BEFORE_HEAD and streaming:
         return MAY_HAVE_WAITED_POINTS
     return RAN_POINTS
 
@@ -150,4 +150,4 @@
 
     def _heard_lately(self, endpoint: Endpoint, request: Request, now: float) -> bool:
         begin = now - STILL_SECONDS
-        return request.sent_at >= begin or self._detector.heard_since(endpoint.id, begin)
+        return request.sent_at >= begin or self._detector.has_contact_since(endpoint.id, begin)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -21,7 +21,7 @@
 from thorncleat_core.single_send import never_again
 
 from ..exceptions import AttemptError
-from ..exceptions import Broken
+from ..exceptions import ConnectionBreak
 from ..exceptions import Ran
 from ..ports import ForwardMeta
 from ..ports import HeaderCodec
@@ -150,7 +150,7 @@
 
 def _answer_cut(error: Exception) -> AttemptError:
     cause = f"answer cut: {type(error).__name__}"
-    return AttemptError(cause, Ran.MAYBE, broken=Broken.AFTER_HEAD)
+    return AttemptError(cause, Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
 
 
 class EndpointClient:
@@ -203,7 +203,7 @@
                 cause = f"no connection: {type(error).__name__}"
                 raise AttemptError(cause, Ran.NO, sent=False) from error
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
-                broken = Broken.BEFORE_HEAD if is_lost(error) else None
+                broken = ConnectionBreak.BEFORE_HEAD if is_lost(error) else None
                 cause = f"no answer: {type(error).__name__}"
                 raise AttemptError(cause, Ran.MAYBE, broken=broken) from error
             stack.callback(response.close)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -16,7 +16,7 @@
 import typing as t
 
 from .. import events
-from ..exceptions import EndpointClosedError
+from ..exceptions import EndpointNotAcceptingError
 from ..ports import AnswerMeta
 from ..store.fleet_knowledge import FleetKnowledge
 from ..store.relays import Daemon
@@ -187,7 +187,9 @@
             return None
         wait = self.wait(endpoint)
         if wait:
-            raise EndpointClosedError(f"{endpoint.id!r} takes no requests here for {wait:.3f} s")
+            raise EndpointNotAcceptingError(
+                f"{endpoint.id!r} takes no requests here for {wait:.3f} s"
+            )
         leave = Leave(limited, limited.since)
         limited.since = self._clock()
         return leave
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
@@ -12,7 +12,7 @@
 import typing as t
 
 from .. import events
-from ..exceptions import EndpointClosedError
+from ..exceptions import EndpointNotAcceptingError
 from ..ports import AnswerMeta
 from ..store.roster import Endpoint
 from ..store.roster import Life
@@ -91,7 +91,9 @@
         """
         seconds = self.pause_left(endpoint)
         if seconds:
-            raise EndpointClosedError(f"{endpoint.id!r} wants no requests for {seconds:.3f} s")
+            raise EndpointNotAcceptingError(
+                f"{endpoint.id!r} wants no requests for {seconds:.3f} s"
+            )
         listed = self._view.roster.endpoints.get(endpoint.id)
         if listed is not None and listed.draining and not listed.life.is_over(endpoint.life):
-            raise EndpointClosedError(f"{endpoint.id!r} is draining")
+            raise EndpointNotAcceptingError(f"{endpoint.id!r} is draining")
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -175,7 +175,9 @@
         leaders = [leader for leader in self.leaders(service, model) if leader.id not in tried]
         trusted = [leader for leader in leaders if self._trusts(leader)]
         if not trusted:
-            trusted = [leader for leader in leaders if not self._detector.suspected_here(leader)]
+            trusted = [
+                leader for leader in leaders if not self._detector.is_suspected_locally(leader)
+            ]
         drawn = self._any_with_room(trusted, engine.slots) if apart else None
         if drawn is not None:
             return drawn
@@ -194,7 +196,7 @@
         return random.choice(usable) if usable else None
 
     def _trusts(self, leader: Endpoint) -> bool:
-        if self._detector.on_trial(leader):
+        if self._detector.is_on_probation(leader):
             return leader.id not in self._load_table.own
         return not self._detector.suspected(leader)
 
@@ -214,7 +216,7 @@
 
     def _doubts(self, leader: Endpoint) -> bool:
         """Return whether a leader's group was suspected, and has not been heard since."""
-        return self._detector.suspected(leader) or self._detector.on_trial(leader)
+        return self._detector.suspected(leader) or self._detector.is_on_probation(leader)
 
     def _best(self, endpoints: t.Sequence[Endpoint], places: float) -> Endpoint | None:
         """Return the endpoint with the least weight, of those not avoided if there are any.
@@ -224,7 +226,7 @@
         usable = [endpoint for endpoint in endpoints if not self._is_avoided(endpoint)] or endpoints
         if not usable:
             return None
-        if not self._load_table.knows_each_daemon:
+        if not self._load_table.has_individual_reports:
             drawn = placement.draw(
                 usable,
                 self._failure_domain,
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from ..exceptions import CutError
+from ..exceptions import AnswerAbortedError
 from ..exceptions import RefusalError
 from ..ports import HeaderCodec
 from ..ports import RequestMeta
@@ -81,7 +81,7 @@
         caller = CallerResponse(request, lambda: self.stopping)
         try:
             return await self._serve(request, meta, caller, received_at)
-        except CutError as error:
+        except AnswerAbortedError as error:
             request_log.cut(meta.id, error.cause)
             caller.cut()
             return caller.sent
--- a/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
@@ -59,7 +59,7 @@
         peers.on_message(self._message)
 
     def _news(self, life: Life, notice: RateNotice) -> None:
-        self._peers.tell_all(LimitReport([self._reported(life, notice)]))
+        self._peers.broadcast(LimitReport([self._reported(life, notice)]))
 
     def _reported(self, life: Life, notice: RateNotice) -> ReportedLimit:
         now = self._clock()
@@ -97,4 +97,4 @@
         # where there is more than a datagram holds, each repetition tells another part of it
         report = LimitReport(random.sample(lately, min(MOST_TOLD, len(lately))))
         for daemon in random.sample(others, min(REPEAT_TO, len(others))):
-            self._peers.tell(daemon, report)
+            self._peers.send(daemon, report)
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -8,7 +8,7 @@
 import typing as t
 
 from ..exceptions import AttemptError
-from ..exceptions import EndpointClosedError
+from ..exceptions import EndpointNotAcceptingError
 from ..exceptions import Ran
 from ..store.roster import Endpoint
 from . import request_log
@@ -42,7 +42,7 @@
                 return self._end(self._without_endpoint(request, kept), kept)
             try:
                 kept = await self._attempt(request, endpoint)
-                self._detector.heard(endpoint.id, self._clock())
+                self._detector.record_contact(endpoint.id, self._clock())
                 self._selector.answered(endpoint, well=not kept.failed)
                 self._crash_watch.answers(endpoint, request.sent_at)
                 if not kept.failed:
@@ -51,7 +51,7 @@
                 if not self._may_try_elsewhere(request):
                     return kept
                 failure = AttemptError(f"status {kept.status}", Ran.MAYBE)
-            except EndpointClosedError:
+            except EndpointNotAcceptingError:
                 # it has said so since it was chosen; another one is chosen now
                 request.tried.add(endpoint.id)
                 continue
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -13,8 +13,8 @@
 import enum
 import typing as t
 
+from ..exceptions import AnswerAbortedError
 from ..exceptions import AttemptError
-from ..exceptions import CutError
 from ..exceptions import Ran
 from ..store.serving import Route
 from . import retry_after
@@ -67,9 +67,9 @@
 
     cause: str
 
-    def error(self) -> CutError:
+    def error(self) -> AnswerAbortedError:
         """Return the error that ends the request so."""
-        return CutError(self.cause)
+        return AnswerAbortedError(self.cause)
 
 
 StreamDecision = t.Literal[Next.SEND_AGAIN] | Refusal | CutAnswer
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -10,8 +10,8 @@
 import typing as t
 
 from ..exceptions import AttemptError
-from ..exceptions import Broken
-from ..exceptions import EndpointClosedError
+from ..exceptions import ConnectionBreak
+from ..exceptions import EndpointNotAcceptingError
 from ..exceptions import Ran
 from ..exceptions import RefusalError
 from ..peers.failure_detector import StreamAttempt
@@ -96,7 +96,7 @@
                 kept.append(answer)
                 self._selector.avoid(endpoint)
                 raise AttemptError(f"status {answer.status}", Ran.MAYBE)
-            except EndpointClosedError:
+            except EndpointNotAcceptingError:
                 # it has said so since it was chosen; another one is chosen now
                 request.tried.add(endpoint.id)
                 continue
@@ -110,7 +110,7 @@
         self, request: Request, endpoint: Endpoint, failure: AttemptError, caller: CallerStream
     ) -> StreamDecision:
         """Note a failed attempt and decide how the request goes on."""
-        heard = self._detector.heard_since(endpoint.id, request.sent_at)
+        heard = self._detector.has_contact_since(endpoint.id, request.sent_at)
         counted = retry_policy.counts_as_sent(failure, heard_since_sent=heard)
         request.failed(endpoint, failure, counted=counted)
         self._crash_watch.failed(request, endpoint, failure)
@@ -179,14 +179,14 @@
                     attempt = StreamAttempt(
                         endpoint,
                         self._clock(),
-                        movable=lambda: self._movable(request),
-                        leave=lambda: scope.reschedule(loop.time()),
+                        can_migrate=lambda: self._movable(request),
+                        abort=lambda: scope.reschedule(loop.time()),
                     )
                     self._detector.begin(attempt)
                     return await self._exchange(request, attempt, splitter, caller)
             except TimeoutError:
-                leave_cause = attempt.leave_cause if attempt is not None else ""
-                raise AttemptError(leave_cause or retry_policy.OUT_OF_TIME, Ran.MAYBE) from None
+                abort_cause = attempt.abort_cause if attempt is not None else ""
+                raise AttemptError(abort_cause or retry_policy.OUT_OF_TIME, Ran.MAYBE) from None
             finally:
                 if attempt is not None:
                     self._detector.end(attempt)
@@ -212,7 +212,7 @@
         request_log.sent(request, endpoint, self._load_table.of(endpoint.id), last)
         async with self._endpoint_client.open(endpoint, request, meta) as exchange:
             request.head_at = self._clock()
-            self._detector.heard(endpoint.id, request.head_at)
+            self._detector.record_contact(endpoint.id, request.head_at)
             self._crash_watch.answers(endpoint, request.sent_at)
             if exchange.status != 200:
                 return await self._without_stream(exchange, caller)
@@ -230,19 +230,19 @@
         while data := await exchange.more():
             now = self._clock()
             attempt.event(now)
-            self._detector.heard(attempt.leader.id, now)
+            self._detector.record_contact(attempt.leader.id, now)
             whole = splitter.feed(data)
             if not whole:
                 continue
             request.event(now)
             if not caller.begun:
                 await caller.begin(exchange.status, exchange.headers)
-            attempt.held_by_caller = True
+            attempt.is_blocked_by_caller = True
             await caller.write(whole)
-            attempt.held_by_caller = False
+            attempt.is_blocked_by_caller = False
         if splitter.mid_event or not splitter.events:
             cause = "the stream ended within an event"
-            raise AttemptError(cause, Ran.MAYBE, broken=Broken.AFTER_HEAD)
+            raise AttemptError(cause, Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
         await caller.end()
 
     async def _without_stream(
--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -15,7 +15,7 @@
 import mode
 import msgpack
 
-from ..exceptions import LeaseGoneError
+from ..exceptions import LeaseExpiredError
 from ..exceptions import StoreError
 from ..ports import Lease
 from ..ports import RecordChanged
@@ -183,7 +183,7 @@
                 await self._records.renew(lease)
                 self._renewed_at = renewed_at
                 pause = RENEW_SECONDS
-            except LeaseGoneError:
+            except LeaseExpiredError:
                 # the caller begins anew, with a new lease
                 return
             except StoreError:
--- a/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
@@ -14,7 +14,7 @@
 
 from thorncleat_core.exceptions import DecodeError
 
-from ..exceptions import HistoryGoneError
+from ..exceptions import HistoryCompactedError
 from ..exceptions import RelayError
 from ..ports import Change
 from ..ports import Position
@@ -86,7 +86,7 @@
     :raises HistoryGoneError: if it doesn't know all that was asked for.
     """
     if status == HISTORY_GONE:
-        raise HistoryGoneError(f"relay {relay_id} does not remember so far back")
+        raise HistoryCompactedError(f"relay {relay_id} does not remember so far back")
     if status != STATUS_OK or len(body) < _HEAD.size:
         raise RelayError(f"relay {relay_id} answered {status}")
     age, era, settled_in, returned_in, configuration = _HEAD.unpack(body[: _HEAD.size])
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from .. import events
-from ..exceptions import HistoryGoneError
+from ..exceptions import HistoryCompactedError
 from ..exceptions import RelayError
 from ..http_session import LazySession
 from ..ports import ChangeFeed
@@ -129,7 +129,9 @@
         answer = await self._call(relay, relay_answer.CHANGES_PATH, query, None)
         took = self._clock() - sent_at
         if answer.position.era != since.era:
-            raise HistoryGoneError(f"relay {relay.id} is in era {answer.position.era} of the store")
+            raise HistoryCompactedError(
+                f"relay {relay.id} is in era {answer.position.era} of the store"
+            )
         proven = proven_part(wait, took, changed=bool(answer.changes))
         return _changes(answer, proven - answer.age)
 
@@ -141,7 +143,7 @@
         connect = SNAPSHOT_CONNECT_SECONDS
         try:
             answer = await self._call(relay, relay_answer.SNAPSHOT_PATH, {}, connect)
-        except HistoryGoneError as error:
+        except HistoryCompactedError as error:
             raise RelayError(f"relay {relay.id} has read nothing yet") from error
         return _changes(answer, -answer.age)
 
--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -13,7 +13,7 @@
 import mode
 
 from .. import events
-from ..exceptions import HistoryGoneError
+from ..exceptions import HistoryCompactedError
 from ..exceptions import StoreError
 from ..ports import Change
 from ..ports import ChangeFeed
@@ -174,7 +174,7 @@
         while not self.should_stop:
             try:
                 changed = await self._step()
-            except HistoryGoneError:
+            except HistoryCompactedError:
                 events.HISTORY_GONE.log(revision=self._revision, era=self.era.newest)
                 self._position = None
                 continue
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -11,9 +11,9 @@
 import dataclasses
 import random
 
+from thorncleat_gateway.exceptions import AnswerAbortedError
 from thorncleat_gateway.exceptions import AttemptError
-from thorncleat_gateway.exceptions import Broken
-from thorncleat_gateway.exceptions import CutError
+from thorncleat_gateway.exceptions import ConnectionBreak
 from thorncleat_gateway.exceptions import Ran
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.groups.ended import EndedGroups
@@ -120,7 +120,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.died.wait(), seconds)
         if not self.alive:
-            raise AttemptError("answer cut: X", Ran.MAYBE, broken=Broken.AFTER_HEAD)
+            raise AttemptError("answer cut: X", Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
 
     async def slot(self) -> None:
         """Wait for a place.
@@ -133,7 +133,7 @@
         died.cancel()
         if not self.alive:
             taken.cancel()
-            raise AttemptError("no answer: X", Ran.MAYBE, broken=Broken.BEFORE_HEAD)
+            raise AttemptError("no answer: X", Ran.MAYBE, broken=ConnectionBreak.BEFORE_HEAD)
 
 
 class Exchange:
@@ -182,7 +182,9 @@
                     await worker.run(1.0 if world.is_fatal(request) else 0.05)
             except AttemptError as error:
                 # a plain endpoint sends its head with its answer
-                raise AttemptError("no answer: X", Ran.MAYBE, broken=Broken.BEFORE_HEAD) from error
+                raise AttemptError(
+                    "no answer: X", Ran.MAYBE, broken=ConnectionBreak.BEFORE_HEAD
+                ) from error
             yield Exchange(worker, request)
         finally:
             worker.slots.release()
@@ -214,16 +216,16 @@
         return {daemon.peers.id for daemon in self._world.daemons} - {self.id}
 
     def interval(self) -> float:
-        return datagrams.SHORTEST_INTERVAL_SECONDS
+        return datagrams.MIN_REPORT_INTERVAL_SECONDS
 
     def on_message(self, handler) -> None:
         self.handlers.append(handler)
 
-    def tell_all(self, message) -> None:
+    def broadcast(self, message) -> None:
         for other in sorted(self.others):
-            self.tell(other, message)
+            self.send(other, message)
 
-    def tell(self, other: str, message) -> None:
+    def send(self, other: str, message) -> None:
         world = self._world
         data = datagrams.encode(self.id, message)
         if isinstance(message, CrashReport | CrashWithdrawal):
@@ -302,7 +304,7 @@
                 return (await self.plain.serve(request)).status
             await self.streams.serve(request, request.service.engine, caller)
             return caller.status
-        except CutError:
+        except AnswerAbortedError:
             return 0
         except RefusalError as error:
             if error.cause == retry_policy.ENDS_ENDPOINTS:
@@ -373,7 +375,7 @@
 
     async def _report(self) -> None:
         while True:
-            await asyncio.sleep(datagrams.SHORTEST_INTERVAL_SECONDS)
+            await asyncio.sleep(datagrams.MIN_REPORT_INTERVAL_SECONDS)
             for daemon in self.daemons:
                 counts = dict(daemon.table.own)
                 for other in self.daemons:
--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -7,9 +7,9 @@
 import dataclasses
 import typing as t
 
-from thorncleat_gateway.exceptions import EndpointGoneError
 from thorncleat_gateway.exceptions import EndpointRefusedError
-from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.exceptions import EndpointReplacedError
+from thorncleat_gateway.exceptions import EndpointTimeoutError
 from thorncleat_gateway.ports import Close
 from thorncleat_gateway.ports import EngineReport
 from thorncleat_gateway.ports import Join
@@ -235,7 +235,7 @@
             self._busy_until = max(self._now(), self._busy_until) + self.call_seconds
             await asyncio.sleep(self._busy_until - self._now())
 
-    def worst_since(self, _moment: float) -> float:
+    def max_lateness_since(self, _moment: float) -> float:
         """Return how late the daemon's event loop is, as the daemon itself measures it."""
         return max(0.0, self._busy_until - self._now())
 
@@ -253,7 +253,7 @@
         worker = self._world.workers[endpoint.id]
         if worker.dark or self._node.cut_from_engines:
             await asyncio.sleep(timeout)
-            raise EndpointSilentError("silent")
+            raise EndpointTimeoutError("silent")
         if not worker.alive or worker.refuses or worker.id in self._node.reset_paths:
             raise EndpointRefusedError("refused")
         return worker
@@ -279,7 +279,7 @@
         try:
             return await asyncio.wait_for(whole(), timeout)
         except TimeoutError:
-            raise EndpointSilentError("silent") from None
+            raise EndpointTimeoutError("silent") from None
 
     async def _report(self, endpoint: Endpoint, timeout: float) -> EngineReport:
         successor = self._world.successors.get(endpoint.id)
@@ -298,17 +298,17 @@
         successor = self._world.successors.get(endpoint.id)
         worker = await self._reach(successor.entry() if successor else endpoint, timeout)
         if successor is not None and not self._world.chance("lost order answer"):
-            raise EndpointGoneError("another endpoint has the address")
+            raise EndpointReplacedError("another endpoint has the address")
         if successor is not None:
             await asyncio.sleep(timeout)
-            raise EndpointSilentError("unanswered")
+            raise EndpointTimeoutError("unanswered")
         if self._world.chance("late order"):
             delay = self._world.random.uniform(2, 12)
             self._world.later(delay, lambda: worker.alive and worker.take(order, expected))
             await asyncio.sleep(timeout)
-            raise EndpointSilentError("unanswered")
+            raise EndpointTimeoutError("unanswered")
         outcome = worker.take(order, expected)
         if self._world.chance("lost order answer"):
             await asyncio.sleep(timeout)
-            raise EndpointSilentError("unanswered")
+            raise EndpointTimeoutError("unanswered")
         return outcome
--- a/tests/group_store.py
+++ b/tests/group_store.py
@@ -4,8 +4,8 @@
 import dataclasses
 import typing as t
 
-from thorncleat_gateway.exceptions import HistoryGoneError
-from thorncleat_gateway.exceptions import LeaseGoneError
+from thorncleat_gateway.exceptions import HistoryCompactedError
+from thorncleat_gateway.exceptions import LeaseExpiredError
 from thorncleat_gateway.exceptions import StoreOutcomeUnknownError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Changes
@@ -135,7 +135,7 @@
 
     async def changes(self, since: Position, wait: float) -> Changes:
         if self.era.is_over(since.era):
-            raise HistoryGoneError(f"era {since.era} is over")
+            raise HistoryCompactedError(f"era {since.era} is over")
         await self._read()
         store, until = self._store, self._world.now() + wait
         while store.position <= since and self._world.now() < until:
@@ -145,13 +145,13 @@
                 break
         await self._read()
         if store.era != since.era or not store.forgotten <= since.revision <= store.revision:
-            raise HistoryGoneError("another era, forgotten, or never written")
+            raise HistoryCompactedError("another era, forgotten, or never written")
         found = [change for rev, _, change in store.history if rev > since.revision]
         return Changes(store.position, found)
 
     def _check(self, lease: Lease) -> None:
         if self.era.is_over(lease.era):
-            raise LeaseGoneError("of an era that is over")
+            raise LeaseExpiredError("of an era that is over")
 
     def _written(self, era: int) -> None:
         if era != self._store.era:
@@ -222,7 +222,7 @@
         await self._call()
         self._check(lease)
         if lease.id not in self._store.leases:
-            raise LeaseGoneError("over")
+            raise LeaseExpiredError("over")
         _, ttl = self._store.leases[lease.id]
         self._store.leases[lease.id] = (self._world.now() + ttl, ttl)
 
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -14,7 +14,7 @@
 from thorncleat_gateway.groups.orders import Orders
 from thorncleat_gateway.groups.records import GroupRecords
 from thorncleat_gateway.groups.term import TermFactory
-from thorncleat_gateway.peers.datagrams import SHORTEST_INTERVAL_SECONDS
+from thorncleat_gateway.peers.datagrams import MIN_REPORT_INTERVAL_SECONDS
 from thorncleat_gateway.peers.datagrams import LoadReport
 from thorncleat_gateway.peers.datagrams import Probe
 from thorncleat_gateway.peers.failure_detector import FailureDetector
@@ -65,18 +65,18 @@
         self.handlers.append(handler)
 
     def interval(self) -> float:
-        return SHORTEST_INTERVAL_SECONDS
+        return MIN_REPORT_INTERVAL_SECONDS
 
     @property
     def others(self) -> set[str]:
         return {node.name for node in self._world.nodes if node is not self._node}
 
-    def tell_all(self, message) -> None:
+    def broadcast(self, message) -> None:
         for other in self._world.nodes:
             if other is not self._node:
-                self.tell(other, message)
+                self.send(other, message)
 
-    def tell(self, other: "Node", message) -> None:
+    def send(self, other: "Node", message) -> None:
         if not other.frozen and not self._node.frozen:
             sender = self._node
             self._world.later(0.001, lambda: other.receive(sender, message))
@@ -109,7 +109,7 @@
         self.view = StoreView(client, world.now, settings.watch, lambda: 0.1)
         self.peers = WorldPeers(world, self)
         self.detector = FailureDetector(StreamSettings(), self.peers, world.now)
-        self.load_table = LoadTable(world.now, lambda: SHORTEST_INTERVAL_SECONDS)
+        self.load_table = LoadTable(world.now, lambda: MIN_REPORT_INTERVAL_SECONDS)
         self.election = Election(
             settings,
             client,
@@ -125,7 +125,7 @@
             WorldEngines(world, self),
             self.view,
             lambda: self.election.leads,
-            lambda endpoint_id: self.detector.heard(endpoint_id, world.now()),
+            lambda endpoint_id: self.detector.record_contact(endpoint_id, world.now()),
             self.calls,
             world.now,
         )
@@ -166,7 +166,7 @@
         if isinstance(message, Probe):
             counts = self.world.requests_of(self)
             heard = [name for name in counts if name not in self.world.standing_still]
-            self.peers.tell(sender, LoadReport(counts, heard))
+            self.peers.send(sender, LoadReport(counts, heard))
             gone = self.view.roster.gone.get(message.endpoint_id)
             listed = self.view.roster.endpoints.get(message.endpoint_id)
             if listed or gone:
@@ -175,7 +175,7 @@
     async def _probe(self, endpoint: Endpoint) -> None:
         if await self.orders.answers(endpoint):
             for other in self.world.nodes:
-                other.detector.heard(endpoint.id, self.world.now())
+                other.detector.record_contact(endpoint.id, self.world.now())
 
     async def start(self) -> None:
         for part in (self.view, self.election, self.controller):
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -13,7 +13,7 @@
 import dataclasses
 import random
 
-from thorncleat_gateway.exceptions import CutError
+from thorncleat_gateway.exceptions import AnswerAbortedError
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.groups.ended import EndedGroups
 from thorncleat_gateway.peers import datagrams
@@ -187,7 +187,7 @@
                 return Outcome(answer.status, now(), headers=tuple(answer.headers))
             await self.streams.serve(request, request.service.engine, caller)
             return Outcome(caller.status, caller.first_at, headers=tuple(caller.headers))
-        except CutError:
+        except AnswerAbortedError:
             return Outcome(0, now())
         except RefusalError as error:
             return Outcome(error.status, now(), error.retry_after, error.cause)
@@ -273,7 +273,7 @@
 
     async def _report(self) -> None:
         while True:
-            await asyncio.sleep(datagrams.SHORTEST_INTERVAL_SECONDS)
+            await asyncio.sleep(datagrams.MIN_REPORT_INTERVAL_SECONDS)
             for daemon in self.daemons:
                 counts = dict(daemon.table.own)
                 for other in self.daemons:
--- a/tests/test_call_window.py
+++ b/tests/test_call_window.py
@@ -12,7 +12,7 @@
 from thorncleat_gateway.groups.call_window import MOST_LIMIT
 from thorncleat_gateway.groups.call_window import CallWindow
 from thorncleat_gateway.groups.orders import order_urgency
-from thorncleat_gateway.peers.own_lateness import LATE_SECONDS
+from thorncleat_gateway.peers.own_lateness import MAX_LATENESS_SECONDS
 from thorncleat_gateway.ports import Close
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import Leave
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.seconds = 0.0
 
-    def worst_since(self, _moment: float) -> float:
+    def max_lateness_since(self, _moment: float) -> float:
         return self.seconds
 
 
@@ -59,7 +59,7 @@
 def test_no_more_calls_are_under_way_than_the_limit():
     async def many():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         await asyncio.gather(*(calls.call(number) for number in range(200)))
         return calls
 
@@ -72,7 +72,7 @@
 def test_a_daemon_that_is_late_sends_fewer_and_never_none():
     async def late():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         for _ in range(20):
             await calls.call(0)
         low = calls.window.limit
@@ -89,7 +89,7 @@
 def test_calls_sent_together_shrink_the_limit_once():
     async def late():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         await asyncio.gather(*(calls.call(number) for number in range(FIRST_LIMIT)))
         return calls.window.limit
 
@@ -99,7 +99,7 @@
 def test_the_first_group_is_whole_before_the_second_and_what_serves_goes_before_both():
     async def contended():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         holding = [asyncio.ensure_future(calls.call("before")) for _ in range(FIRST_LIMIT)]
         await asyncio.sleep(0)
         waiting = [
@@ -121,7 +121,7 @@
 def test_a_call_that_is_cancelled_leaves_its_turn_to_the_next(ended):
     async def cancelled():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         holding = [asyncio.ensure_future(calls.call("before")) for _ in range(FIRST_LIMIT)]
         await asyncio.sleep(0)
         dropped = asyncio.ensure_future(calls.call("dropped"))
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -5,7 +5,7 @@
 import pytest
 
 from thorncleat_gateway.exceptions import AttemptError
-from thorncleat_gateway.exceptions import Broken
+from thorncleat_gateway.exceptions import ConnectionBreak
 from thorncleat_gateway.exceptions import Ran
 from thorncleat_gateway.peers.datagrams import GroupEnded
 from thorncleat_gateway.requests.endpoint_client import EndpointAnswer
@@ -19,7 +19,7 @@
 from .crash_world import Size
 
 SIZE = Size(2, 3, 4, 1.0)
-CUT = AttemptError("answer cut: X", Ran.MAYBE, broken=Broken.AFTER_HEAD)
+CUT = AttemptError("answer cut: X", Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
 
 
 class Scene:
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from thorncleat_gateway.exceptions import EndpointGoneError
+from thorncleat_gateway.exceptions import EndpointReplacedError
 from thorncleat_gateway.ports import Load
 from thorncleat_gateway.store.roster import GroupState
 from thorncleat_platform.engines import WorkerEngines
@@ -90,7 +90,7 @@
         assert isinstance(engines, WorkerEngines)
         worker.leaving = True
         worker.id = "another"
-        with pytest.raises(EndpointGoneError):
+        with pytest.raises(EndpointReplacedError):
             await engines.order(endpoint, Load("large"), None, 1.0)
         # another worker has the address
         assert not made.gateway.view.roster.endpoints[endpoint.id].draining
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -16,7 +16,7 @@
 from bench import limit_fleet
 from bench import limit_rule
 
-from thorncleat_gateway.exceptions import EndpointClosedError
+from thorncleat_gateway.exceptions import EndpointNotAcceptingError
 from thorncleat_gateway.ports import AnswerMeta
 from thorncleat_gateway.requests import rate_shares
 from thorncleat_gateway.requests.endpoint_limits import REMEMBERED_SECONDS
@@ -246,7 +246,9 @@
     assert scene.limits.wait(ENDPOINT) == pytest.approx(seconds)
     scene.now += 100
     assert scene.limits.take(ENDPOINT) is not None
-    with pytest.raises(EndpointClosedError, match=r"'i-1' takes no requests here for 0\.667 s"):
+    with pytest.raises(
+        EndpointNotAcceptingError, match=r"'i-1' takes no requests here for 0\.667 s"
+    ):
         scene.limits.take(ENDPOINT)
     scene.now += seconds
     assert scene.limits.with_leave([ENDPOINT]) == [ENDPOINT]
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thorncleat_gateway.exceptions import EndpointClosedError
+from thorncleat_gateway.exceptions import EndpointNotAcceptingError
 from thorncleat_gateway.ports import AnswerMeta
 from thorncleat_gateway.requests.endpoint_notices import LONGEST_PAUSE_SECONDS
 from thorncleat_gateway.requests.endpoint_notices import EndpointNotices
@@ -48,7 +48,7 @@
     scene.asks(3.0)
     scene.now += 2.9
     assert scene.left() == pytest.approx(0.1)
-    with pytest.raises(EndpointClosedError, match="'i-1' wants no requests"):
+    with pytest.raises(EndpointNotAcceptingError, match="'i-1' wants no requests"):
         scene.notices.check(ENDPOINT)
     scene.now += 0.1
     assert scene.left() == 0.0
@@ -103,7 +103,7 @@
 
 def test_request_chosen_before_the_word_is_not_sent_after_it(scene):
     scene.notices.answered(ENDPOINT, dataclasses.replace(SERVED, draining=True))
-    with pytest.raises(EndpointClosedError, match="'i-1' is draining"):
+    with pytest.raises(EndpointNotAcceptingError, match="'i-1' is draining"):
         scene.notices.check(ENDPOINT)
 
 
--- a/tests/test_endpoint_selector.py
+++ b/tests/test_endpoint_selector.py
@@ -41,7 +41,7 @@
 
 
 class LoadTable:
-    knows_each_daemon = True
+    has_individual_reports = True
 
     def __init__(self, counts, own):
         self._counts = counts
@@ -60,10 +60,10 @@
     def suspected(self, leader):
         return leader.id in self.all_suspects
 
-    def on_trial(self, leader):
+    def is_on_probation(self, leader):
         return leader.id in self.tried_again
 
-    def suspected_here(self, leader):
+    def is_suspected_locally(self, leader):
         return leader.id in self.own_suspects
 
 
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -31,7 +31,7 @@
     def on_message(self, handler):
         self.receive = handler
 
-    def tell_all(self, message):
+    def broadcast(self, message):
         self.sent.append(message)
 
 
@@ -47,10 +47,10 @@
     detector.suspect(LEADER, "silence")
     assert detector._peers.sent == [Suspicion("w0", GROUP)]
     assert detector.suspected(LEADER)
-    assert detector.suspected_here(LEADER)
+    assert detector.is_suspected_locally(LEADER)
     detector.time[0] += 1.1
     assert not detector.suspected(LEADER)
-    assert not detector.suspected_here(LEADER)
+    assert not detector.is_suspected_locally(LEADER)
 
 
 def test_group_that_fails_its_trial_is_suspected_for_longer(detector):
@@ -59,13 +59,13 @@
         detector.suspect(LEADER, "silence")
         begun = detector.time[0]
         while detector.suspected(LEADER):
-            assert not detector.on_trial(LEADER)
+            assert not detector.is_on_probation(LEADER)
             detector.time[0] += 0.1
         lasted.append(round(detector.time[0] - begun))
-        assert detector.on_trial(LEADER)
+        assert detector.is_on_probation(LEADER)
     assert lasted == [1, 2, 4, 8, 8]
-    detector.heard("w0", detector.time[0])
-    assert not detector.on_trial(LEADER)
+    detector.record_contact("w0", detector.time[0])
+    assert not detector.is_on_probation(LEADER)
     detector.suspect(LEADER, "silence")
     detector.time[0] += 1.1
     assert not detector.suspected(LEADER)
@@ -78,7 +78,7 @@
     detector.suspect(LEADER, "silence")
     detector.time[0] += 1.5
     assert detector.suspected(LEADER)
-    assert detector.suspected_here(LEADER)
+    assert detector.is_suspected_locally(LEADER)
 
 
 def test_words_of_several_daemons_on_one_silence_are_one_suspicion(detector):
@@ -94,18 +94,18 @@
     leader = dataclasses.replace(LEADER, membership=place)
     assert not detector.suspected(leader)
     detector.time[0] += 1.1
-    assert not detector.on_trial(leader)
+    assert not detector.is_on_probation(leader)
 
 
 def test_an_answer_ends_it_at_once(detector):
     detector.suspect(LEADER, "silence")
-    detector.heard("w0", detector.time[0])
+    detector.record_contact("w0", detector.time[0])
     assert not detector.suspected(LEADER)
-    assert not detector.suspected_here(LEADER)
+    assert not detector.is_suspected_locally(LEADER)
 
 
 def test_what_is_heard_here_counts_more_than_what_others_say(detector):
-    detector.heard("w0", detector.time[0] - 0.2)
+    detector.record_contact("w0", detector.time[0] - 0.2)
     detector._peers.receive("cut-off", Suspicion("w0", GROUP))
     assert not detector.suspected(LEADER)
 
@@ -113,7 +113,7 @@
 def test_what_others_say_counts_where_nothing_is_heard(detector):
     detector._peers.receive("another", Suspicion("w0", GROUP))
     assert detector.suspected(LEADER)
-    assert not detector.suspected_here(LEADER)
+    assert not detector.is_suspected_locally(LEADER)
 
 
 @pytest.mark.parametrize("message", [Suspicion("w0", GROUP, "w1"), Probe("w0"), GroupEnded(GROUP)])
@@ -142,10 +142,10 @@
     for _ in range(30):
         detector.time[0] += 0.05
         other.event(detector.time[0])
-        detector.heard("w0", detector.time[0])
+        detector.record_contact("w0", detector.time[0])
         detector._look("w0", detector.time[0])
     assert left == [silent]
-    assert silent.leave_cause == silence.STREAM_SILENT
+    assert silent.abort_cause == silence.STREAM_SILENT
     assert not detector.suspected(LEADER)
     assert detector._peers.sent == []
 
@@ -155,7 +155,7 @@
     """Its events aren't read while the caller has not taken the ones before."""
     left = []
     held = _attempt(detector, left)
-    held.held_by_caller = True
+    held.is_blocked_by_caller = True
     beside = [_attempt(detector, left) for _ in range(others)]
     for _ in range(30):
         detector.time[0] += 0.05
--- a/tests/test_forms_events.py
+++ b/tests/test_forms_events.py
@@ -13,7 +13,7 @@
 from thorncleat_daemon import events as daemon_events
 from thorncleat_gateway import events as gateway_events
 from thorncleat_gateway import logs
-from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.exceptions import EndpointTimeoutError
 from thorncleat_gateway.groups.call_window import CallWindow
 from thorncleat_gateway.groups.orders import Orders
 from thorncleat_gateway.peers.own_lateness import OwnLateness
@@ -126,7 +126,7 @@
         ControlSettings(), _Answering(), mirror, lambda: True, heard.append, calls, lambda: 0.0
     )
     await orders.give(wire_forms.LONER, ORDERS[name], expected=7)
-    with pytest.raises(EndpointSilentError):
+    with pytest.raises(EndpointTimeoutError):
         await orders.give(wire_forms.LONER, ORDERS[name])
     assert lines == snapshot
 
--- a/tests/test_forms_orders.py
+++ b/tests/test_forms_orders.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from thorncleat_gateway.exceptions import EndpointGoneError
 from thorncleat_gateway.exceptions import EndpointRefusedError
-from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.exceptions import EndpointReplacedError
+from thorncleat_gateway.exceptions import EndpointTimeoutError
 from thorncleat_gateway.ports import Close
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import Leave
@@ -68,11 +68,11 @@
 @pytest.mark.parametrize(
     ("answer", "error"),
     [
-        (Answer(421), EndpointGoneError),
-        (Answer(404), EndpointSilentError),
-        (Answer(500), EndpointSilentError),
-        (Answer(503), EndpointSilentError),
-        (Answer(0, cut=True), EndpointSilentError),
+        (Answer(421), EndpointReplacedError),
+        (Answer(404), EndpointTimeoutError),
+        (Answer(500), EndpointTimeoutError),
+        (Answer(503), EndpointTimeoutError),
+        (Answer(0, cut=True), EndpointTimeoutError),
     ],
 )
 @pytest.mark.parametrize("work", [give(ORDERS["open"]), ask], ids=["order", "report"])
@@ -121,5 +121,5 @@
     [Answer(body=b"{"), Answer(body=b"[]"), Answer(document={"group": {"name": "x"}})],
 )
 async def test_report_that_cannot_be_read(answer):
-    with pytest.raises(EndpointSilentError):
+    with pytest.raises(EndpointTimeoutError):
         await call(ask, answer)
--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -11,7 +11,7 @@
 import pytest
 
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_gateway.exceptions import HistoryGoneError
+from thorncleat_gateway.exceptions import HistoryCompactedError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Changes
 from thorncleat_gateway.ports import Position
@@ -318,7 +318,7 @@
             await self._ask(answer)
 
     async def test_relay_that_does_not_remember_has_it_read_all_anew(self):
-        with pytest.raises(HistoryGoneError):
+        with pytest.raises(HistoryCompactedError):
             await self._ask(Answer(410))
 
 
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from thorncleat_gateway.exceptions import HistoryGoneError
-from thorncleat_gateway.exceptions import LeaseGoneError
+from thorncleat_gateway.exceptions import HistoryCompactedError
+from thorncleat_gateway.exceptions import LeaseExpiredError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.groups.election import Election
 from thorncleat_gateway.groups.formation import GroupPlan
@@ -120,8 +120,8 @@
 @pytest.mark.parametrize(
     ("name", "status", "error"),
     [
-        ("changes", 410, HistoryGoneError),
-        ("renew", 404, LeaseGoneError),
+        ("changes", 410, HistoryCompactedError),
+        ("renew", 404, LeaseExpiredError),
         *((name, 429, StoreUnavailableError) for name in CALLS),
         *((name, 503, StoreUnavailableError) for name in CALLS),
         *((name, 500, StoreUnavailableError) for name in CALLS if name != "end"),
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -9,7 +9,7 @@
 from thorncleat_core import log_events
 from thorncleat_core.exceptions import DocumentError
 from thorncleat_gateway import events
-from thorncleat_gateway.metrics import MOST_TARGETS
+from thorncleat_gateway.metrics import MAX_TARGETS
 from thorncleat_gateway.metrics import Metrics
 from thorncleat_platform import settings
 from thorncleat_standins.ports import free_port
@@ -87,10 +87,10 @@
 
 def test_targets_that_are_kept_apart_are_bounded():
     metrics = Metrics()
-    for number in range(3 * MOST_TARGETS):
+    for number in range(3 * MAX_TARGETS):
         metrics.note(events.REQUEST_DONE, done(route=f"route-{number}"))
     text = metrics.text().decode()
-    assert text.count("thorncleat_durations{") <= MOST_TARGETS + 5
+    assert text.count("thorncleat_durations{") <= MAX_TARGETS + 5
     assert 'target="others"' in text
 
 
--- a/tests/test_limit_reporter.py
+++ b/tests/test_limit_reporter.py
@@ -35,10 +35,10 @@
     def on_message(self, handler):
         self.handlers.append(handler)
 
-    def tell_all(self, message):
+    def broadcast(self, message):
         self.told.append(("all", message))
 
-    def tell(self, other, message):
+    def send(self, other, message):
         self.told.append((other, message))
 
 
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -6,12 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thorncleat_gateway.peers.datagrams import DAEMONS_AT_SHORTEST
-from thorncleat_gateway.peers.datagrams import SHORTEST_INTERVAL_SECONDS
+from thorncleat_gateway.peers.datagrams import MAX_DAEMONS_AT_MIN_INTERVAL
+from thorncleat_gateway.peers.datagrams import MIN_REPORT_INTERVAL_SECONDS
 from thorncleat_gateway.peers.datagrams import PeerChannel
 from thorncleat_gateway.peers.datagrams import report_interval
-from thorncleat_gateway.peers.domain_loads import SUM_SECONDS
-from thorncleat_gateway.peers.domain_loads import TELLERS
+from thorncleat_gateway.peers.domain_loads import SUM_INTERVAL_SECONDS
+from thorncleat_gateway.peers.domain_loads import SUM_SENDERS
 from thorncleat_gateway.peers.load_table import REPORT_INTERVALS
 from thorncleat_gateway.peers.load_table import REPORT_SECONDS
 from thorncleat_gateway.peers.load_table import LoadTable
@@ -35,12 +35,12 @@
 @given(st.lists(reports, max_size=30))
 def test_sum_is_that_of_each_daemons_newest_report(given_reports):
     now = [100.0]
-    load_table = LoadTable(lambda: now[0], lambda: SHORTEST_INTERVAL_SECONDS)
+    load_table = LoadTable(lambda: now[0], lambda: MIN_REPORT_INTERVAL_SECONDS)
     newest = {}
     for daemon, content, pause in given_reports:
         now[0] += pause
         load_table.report(daemon, content)
-        load_table.refresh()
+        load_table.remove_expired()
         newest[daemon] = (now[0], content)
         expected = collections.Counter()
         for at, reported in newest.values():
@@ -52,7 +52,7 @@
 
 
 def test_cost_of_a_report_does_not_grow_with_the_daemons():
-    load_table = LoadTable(lambda: 100.0, lambda: SHORTEST_INTERVAL_SECONDS)
+    load_table = LoadTable(lambda: 100.0, lambda: MIN_REPORT_INTERVAL_SECONDS)
     for number in range(200):
         load_table.report(f"e{number}", _Counted(a=1))
     before = _Counted.reads
@@ -66,10 +66,10 @@
     load_table = LoadTable(lambda: now[0], lambda: 2.0)
     load_table.report("e1", {"a": 3})
     now[0] += 2.0 * REPORT_INTERVALS - 0.1
-    load_table.refresh()
+    load_table.remove_expired()
     assert load_table.of("a") == 3
     now[0] += 0.2
-    load_table.refresh()
+    load_table.remove_expired()
     assert load_table.of("a") == 0
 
 
@@ -86,18 +86,18 @@
     )
 
 
-@pytest.mark.parametrize("count", [1, 8, DAEMONS_AT_SHORTEST, 79, 980])
+@pytest.mark.parametrize("count", [1, 8, MAX_DAEMONS_AT_MIN_INTERVAL, 79, 980])
 @pytest.mark.parametrize("failure_domains", [1, 3, 13])
 def test_each_daemon_takes_in_as_many_reports_however_many_there_are(count, failure_domains):
     peers = _peers(count, failure_domains)
-    reporting = count - 1 if peers.reports_to_all else len(peers.neighbours)
-    sums = 0 if peers.reports_to_all else (failure_domains - 1) * TELLERS / SUM_SECONDS
+    reporting = count - 1 if peers.is_full_mesh else len(peers.domain_peers)
+    sums = 0 if peers.is_full_mesh else (failure_domains - 1) * SUM_SENDERS / SUM_INTERVAL_SECONDS
     received = reporting / peers.interval() + sums
-    assert received <= DAEMONS_AT_SHORTEST / SHORTEST_INTERVAL_SECONDS
+    assert received <= MAX_DAEMONS_AT_MIN_INTERVAL / MIN_REPORT_INTERVAL_SECONDS
 
 
 def test_few_daemons_report_at_the_shortest_interval():
-    assert _peers(9).interval() == SHORTEST_INTERVAL_SECONDS
+    assert _peers(9).interval() == MIN_REPORT_INTERVAL_SECONDS
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
 
 
 def test_sum_of_a_failure_domain_is_that_of_its_daemons_alone():
-    load_table = LoadTable(lambda: 100.0, lambda: SHORTEST_INTERVAL_SECONDS)
+    load_table = LoadTable(lambda: 100.0, lambda: MIN_REPORT_INTERVAL_SECONDS)
     load_table.own["a"] = 2
     load_table.report("near", {"a": 1, "b": 3})
     load_table.report("far", {"a": 5})
@@ -126,19 +126,19 @@
 
 def test_sum_of_another_failure_domain_replaces_the_one_before_and_is_forgotten():
     now = [100.0]
-    load_table = LoadTable(lambda: now[0], lambda: SHORTEST_INTERVAL_SECONDS)
+    load_table = LoadTable(lambda: now[0], lambda: MIN_REPORT_INTERVAL_SECONDS)
     load_table.report_domain("other", {"a": 5})
     load_table.report_domain("other", {"a": 4, "b": 1})
     assert (load_table.of("a"), load_table.of("b")) == (4, 1)
     assert load_table.reporters_since(0.0) == set()
     now[0] += REPORT_SECONDS + 0.1
-    load_table.refresh()
+    load_table.remove_expired()
     assert (load_table.of("a"), load_table.of("b")) == (0, 0)
 
 
 def test_daemons_that_have_reported_since_a_moment():
     now = [100.0]
-    load_table = LoadTable(lambda: now[0], lambda: SHORTEST_INTERVAL_SECONDS)
+    load_table = LoadTable(lambda: now[0], lambda: MIN_REPORT_INTERVAL_SECONDS)
     load_table.report("early", {})
     now[0] = 101.0
     load_table.report("late", {"e1": 1})
--- a/tests/test_own_lateness.py
+++ b/tests/test_own_lateness.py
@@ -20,37 +20,37 @@
 
 def test_nothing_is_known_before_the_first_tick(lateness, now):
     now[0] += 5.0
-    assert lateness.worst_since(0.0) == 0.0
+    assert lateness.max_lateness_since(0.0) == 0.0
 
 
 def test_ticks_in_time_are_not_late(lateness, now):
     for _ in range(10):
-        assert lateness.tick() == pytest.approx(0.0)
+        assert lateness.record_tick() == pytest.approx(0.0)
         now[0] += INTERVAL
-    assert lateness.worst_since(100.0) == pytest.approx(0.0)
+    assert lateness.max_lateness_since(100.0) == pytest.approx(0.0)
 
 
 def test_late_tick_counts_for_the_time_it_fell_into(lateness, now):
-    lateness.tick()
+    lateness.record_tick()
     now[0] += INTERVAL + 0.3
-    assert lateness.tick() == pytest.approx(0.3)
-    assert lateness.worst_since(100.1) == pytest.approx(0.3)
+    assert lateness.record_tick() == pytest.approx(0.3)
+    assert lateness.max_lateness_since(100.1) == pytest.approx(0.3)
     now[0] += INTERVAL
-    lateness.tick()
-    assert lateness.worst_since(now[0] - 0.001) == pytest.approx(0.0)
+    lateness.record_tick()
+    assert lateness.max_lateness_since(now[0] - 0.001) == pytest.approx(0.0)
 
 
 def test_tick_that_has_yet_to_come_counts_as_late(lateness, now):
-    lateness.tick()
+    lateness.record_tick()
     now[0] += INTERVAL + 0.5
-    assert lateness.worst_since(now[0]) == pytest.approx(0.5)
+    assert lateness.max_lateness_since(now[0]) == pytest.approx(0.5)
 
 
 def test_only_the_last_ticks_are_kept(lateness, now):
-    lateness.tick()
+    lateness.record_tick()
     now[0] += 1.0
-    lateness.tick()
+    lateness.record_tick()
     for _ in range(TICKS):
         now[0] += INTERVAL
-        lateness.tick()
-    assert lateness.worst_since(0.0) == pytest.approx(0.0)
+        lateness.record_tick()
+    assert lateness.max_lateness_since(0.0) == pytest.approx(0.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,7 +12,7 @@
 import pytest
 
 from thorncleat_gateway.peers import domain_loads
-from thorncleat_gateway.peers.datagrams import NEIGHBOUR_WEIGHT
+from thorncleat_gateway.peers.datagrams import DOMAIN_PEER_WEIGHT
 from thorncleat_gateway.peers.datagrams import report_interval
 from thorncleat_gateway.peers.load_table import LoadTable
 from thorncleat_gateway.requests import placement
@@ -56,7 +56,7 @@
         self.now = 0.0
         self.per_second = per_second
         view = StoreView(list(leaders(groups, domains)))
-        interval = report_interval(NEIGHBOUR_WEIGHT * daemons / domains)
+        interval = report_interval(DOMAIN_PEER_WEIGHT * daemons / domains)
         self.tables = [LoadTable(lambda: self.now, lambda: interval) for _ in range(daemons)]
         self.selectors = [
             EndpointSelector(
@@ -80,7 +80,9 @@
         for number in range(daemons):
             self.at(random.random() * interval, self.report, number, interval)
         for number in range(domains):
-            self.at(random.random() * 0.5, self.tell_sum, number, domain_loads.SUM_SECONDS / 2)
+            self.at(
+                random.random() * 0.5, self.tell_sum, number, domain_loads.SUM_INTERVAL_SECONDS / 2
+            )
         self.at(0.0, self.request)
 
     def at(self, when, action, *arguments):
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -7,7 +7,7 @@
 from aiohttp.client_reqrep import ConnectionKey
 
 from thorncleat_gateway.exceptions import EndpointRefusedError
-from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.exceptions import EndpointTimeoutError
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_platform.engines import WorkerEngines
 
@@ -38,12 +38,12 @@
         ),
         pytest.param(
             ConnectionResetError(errno.ECONNRESET, "reset"),
-            EndpointSilentError,
+            EndpointTimeoutError,
             id="it came up and was reset: by one that listens, and has too many",
         ),
         pytest.param(
             OSError(errno.EHOSTUNREACH, "unreachable"),
-            EndpointSilentError,
+            EndpointTimeoutError,
             id="no way there",
         ),
     ],
--- a/tests/test_probe_answers.py
+++ b/tests/test_probe_answers.py
@@ -20,7 +20,7 @@
     def on_message(self, handler):
         self.receive = handler
 
-    def tell(self, daemon, message):
+    def send(self, daemon, message):
         self.told.append((daemon, message))
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from thorncleat_gateway.exceptions import Broken
+from thorncleat_gateway.exceptions import ConnectionBreak
 from thorncleat_gateway.ports import Position
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.requests import crash_watch
@@ -77,14 +77,21 @@
 @pytest.mark.parametrize(
     ("broken", "streaming", "expected", "still", "points"),
     [
-        pytest.param(Broken.AFTER_HEAD, True, False, False, RAN_POINTS, id="it ran"),
+        pytest.param(ConnectionBreak.AFTER_HEAD, True, False, False, RAN_POINTS, id="it ran"),
         pytest.param(
-            Broken.BEFORE_HEAD, True, False, False, MAY_HAVE_WAITED_POINTS, id="it may have waited"
+            ConnectionBreak.BEFORE_HEAD,
+            True,
+            False,
+            False,
+            MAY_HAVE_WAITED_POINTS,
+            id="it may have waited",
+        ),
+        pytest.param(
+            ConnectionBreak.BEFORE_HEAD, False, False, False, RAN_POINTS, id="a plain service"
         ),
-        pytest.param(Broken.BEFORE_HEAD, False, False, False, RAN_POINTS, id="a plain service"),
         pytest.param(None, True, False, False, 0, id="silence, a refusal, a failure status"),
-        pytest.param(Broken.AFTER_HEAD, True, True, False, 0, id="the endpoint leaves"),
-        pytest.param(Broken.AFTER_HEAD, True, False, True, 0, id="its group stood still"),
+        pytest.param(ConnectionBreak.AFTER_HEAD, True, True, False, 0, id="the endpoint leaves"),
+        pytest.param(ConnectionBreak.AFTER_HEAD, True, False, True, 0, id="its group stood still"),
     ],
 )
 def test_what_an_attempt_counts(broken, streaming, expected, still, points):
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -7,7 +7,7 @@
 import msgpack
 import pytest
 
-from thorncleat_gateway.exceptions import LeaseGoneError
+from thorncleat_gateway.exceptions import LeaseExpiredError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Lease
 from thorncleat_gateway.ports import RecordChanged
@@ -84,7 +84,7 @@
     async def renew(self, lease: Lease) -> None:
         now = self._call()
         if lease.id not in self.leases:
-            raise LeaseGoneError("over")
+            raise LeaseExpiredError("over")
         self.leases[lease.id] = now + registration.DAEMON_LEASE_SECONDS
 
     async def expire(self) -> None:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from thorncleat_core.exceptions import DecodeError
-from thorncleat_gateway.exceptions import HistoryGoneError
+from thorncleat_gateway.exceptions import HistoryCompactedError
 from thorncleat_gateway.exceptions import RelayError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Changes
@@ -323,7 +323,7 @@
         async with site() as made:
             made.relay_store.written += CHANGES
             await _until(lambda: made.view.configuration is not None)
-            with pytest.raises(HistoryGoneError, match="does not remember"):
+            with pytest.raises(HistoryCompactedError, match="does not remember"):
                 await made.feed.changes(Position(0, 0), STORE_WAIT)
             found = await made.feed.snapshot()
             assert found.position == Position(0, 1 + len(CHANGES))
@@ -356,7 +356,7 @@
             made.relay_store.era.heard(1)
             made.relay_store.written += CHANGES
             await _until(lambda: made.view.configuration is not None)
-            with pytest.raises(HistoryGoneError):
+            with pytest.raises(HistoryCompactedError):
                 await made.feed.changes(Position(0, 50), STORE_WAIT)
             await made.feed.snapshot()
             assert made.own_store.calls == 0
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from thorncleat_gateway.exceptions import AnswerAbortedError
 from thorncleat_gateway.exceptions import AttemptError
-from thorncleat_gateway.exceptions import CutError
 from thorncleat_gateway.exceptions import Ran
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.requests import retry_after
@@ -358,7 +358,7 @@
     assert type(error) is RefusalError
     assert (error.status, error.cause, error.retry_after) == (503, "c", 0.4)
     cut = CutAnswer("c").error()
-    assert type(cut) is CutError
+    assert type(cut) is AnswerAbortedError
     assert cut.cause == "c"
 
 
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from thorncleat_gateway.exceptions import HistoryGoneError
-from thorncleat_gateway.exceptions import LeaseGoneError
+from thorncleat_gateway.exceptions import HistoryCompactedError
+from thorncleat_gateway.exceptions import LeaseExpiredError
 from thorncleat_gateway.exceptions import StoreOutcomeUnknownError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.ports import Lease
@@ -57,7 +57,7 @@
 
 async def test_changes_of_a_later_era_do_not_continue_the_one_before(asked):
     await asked.after(answer(4, WATCHED))
-    with pytest.raises(HistoryGoneError, match="era 4"):
+    with pytest.raises(HistoryCompactedError, match="era 4"):
         await asked.store.changes(Position(3, 9), 0.0)
 
 
@@ -65,7 +65,7 @@
     await asked.after(answer(4, {"lease_id": 7}))
     await asked.store.grant(2.0)
     asked.server.calls.clear()
-    with pytest.raises(HistoryGoneError):
+    with pytest.raises(HistoryCompactedError):
         await asked.store.changes(Position(3, 9), 0.0)
     assert asked.server.calls == []
 
@@ -102,7 +102,7 @@
     async def test_renewal_that_another_era_answers_renews_nothing(self, asked):
         """The same id may be another daemon's lease there."""
         await asked.after(answer(4, {"ttl_ms": 1}))
-        with pytest.raises(LeaseGoneError, match="era"):
+        with pytest.raises(LeaseExpiredError, match="era"):
             await asked.store.renew(Lease(3, 7))
 
     @pytest.mark.parametrize("call", ["renew", "put", "create"])
@@ -115,7 +115,7 @@
             "put": lambda: asked.store.put("thorncleat/a", b"", Lease(3, 7)),
             "create": lambda: asked.store.create("thorncleat/a", b"", Lease(3, 7)),
         }[call]
-        with pytest.raises(LeaseGoneError):
+        with pytest.raises(LeaseExpiredError):
             await work()
         assert asked.server.calls == []
 
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -13,7 +13,7 @@
 
 import msgpack
 
-from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.exceptions import EndpointTimeoutError
 from thorncleat_gateway.exceptions import StoreUnavailableError
 from thorncleat_gateway.gateway import Gateway
 from thorncleat_gateway.ports import Change
@@ -215,10 +215,10 @@
         pass
 
     async def report(self, endpoint: Endpoint, timeout: float) -> t.Any:
-        raise EndpointSilentError("silent")
+        raise EndpointTimeoutError("silent")
 
     async def order(self, endpoint: Endpoint, order: t.Any, expected: t.Any, timeout: float):
-        raise EndpointSilentError("silent")
+        raise EndpointTimeoutError("silent")
 
 
 @contextlib.asynccontextmanager
