--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -120,7 +120,7 @@
         own, others = self._heard.get(endpoint_id, never), self._others.get(endpoint_id, never)
         return max(own, others) >= moment
 
-    def suspected(self, leader: Endpoint) -> bool:
+    def is_suspected(self, leader: Endpoint) -> bool:
         """Return whether a leader's group is suspected, by this daemon or by another."""
         return self._suspicions.holds(leader)
 
@@ -192,7 +192,7 @@
             self._heard.get(leader_id, 0.0),
             attempts,
             self._settings,
-            suspected=self.suspected(leader),
+            suspected=self.is_suspected(leader),
             elsewhere_at=self._others.get(leader_id, float("-inf")),
         )
         if not verdict.silent:
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -198,12 +198,12 @@
     def _trusts(self, leader: Endpoint) -> bool:
         if self._detector.is_on_probation(leader):
             return leader.id not in self._load_table.own
-        return not self._detector.suspected(leader)
+        return not self._detector.is_suspected(leader)
 
     def known(self, service: str, model: str) -> GroupCount:
         """Return how many groups there are for a request, and how many of them get none."""
         leaders = self._leaders.of(service, model)
-        suspected = sum(self._detector.suspected(leader) for leader in leaders)
+        suspected = sum(self._detector.is_suspected(leader) for leader in leaders)
         paused = len(leaders) - len(self._willing(leaders))
         return GroupCount(len(leaders), suspected, paused)
 
@@ -216,7 +216,7 @@
 
     def _doubts(self, leader: Endpoint) -> bool:
         """Return whether a leader's group was suspected, and has not been heard since."""
-        return self._detector.suspected(leader) or self._detector.is_on_probation(leader)
+        return self._detector.is_suspected(leader) or self._detector.is_on_probation(leader)
 
     def _best(self, endpoints: t.Sequence[Endpoint], places: float) -> Endpoint | None:
         """Return the endpoint with the least weight, of those not avoided if there are any.
--- a/tests/test_endpoint_selector.py
+++ b/tests/test_endpoint_selector.py
@@ -57,7 +57,7 @@
     own_suspects: tuple[str, ...] = ()
     tried_again: tuple[str, ...] = ()
 
-    def suspected(self, leader):
+    def is_suspected(self, leader):
         return leader.id in self.all_suspects
 
     def is_on_probation(self, leader):
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -46,10 +46,10 @@
 def test_a_suspicion_is_told_and_ends_by_itself(detector):
     detector.suspect(LEADER, "silence")
     assert detector._peers.sent == [Suspicion("w0", GROUP)]
-    assert detector.suspected(LEADER)
+    assert detector.is_suspected(LEADER)
     assert detector.is_suspected_locally(LEADER)
     detector.time[0] += 1.1
-    assert not detector.suspected(LEADER)
+    assert not detector.is_suspected(LEADER)
     assert not detector.is_suspected_locally(LEADER)
 
 
@@ -58,7 +58,7 @@
     for _ in range(5):
         detector.suspect(LEADER, "silence")
         begun = detector.time[0]
-        while detector.suspected(LEADER):
+        while detector.is_suspected(LEADER):
             assert not detector.is_on_probation(LEADER)
             detector.time[0] += 0.1
         lasted.append(round(detector.time[0] - begun))
@@ -68,7 +68,7 @@
     assert not detector.is_on_probation(LEADER)
     detector.suspect(LEADER, "silence")
     detector.time[0] += 1.1
-    assert not detector.suspected(LEADER)
+    assert not detector.is_suspected(LEADER)
 
 
 def test_own_suspicion_is_an_own_one_for_as_long_as_it_lasts(detector):
@@ -77,7 +77,7 @@
     detector.time[0] += 1.1
     detector.suspect(LEADER, "silence")
     detector.time[0] += 1.5
-    assert detector.suspected(LEADER)
+    assert detector.is_suspected(LEADER)
     assert detector.is_suspected_locally(LEADER)
 
 
@@ -85,14 +85,14 @@
     for _ in range(5):
         detector._peers.receive("another", Suspicion("w0", GROUP))
     detector.time[0] += 1.1
-    assert not detector.suspected(LEADER)
+    assert not detector.is_suspected(LEADER)
 
 
 def test_next_group_of_the_same_leader_is_trusted(detector):
     detector.suspect(LEADER, "silence")
     place = Membership(GroupId(8, "g8"), 0, GroupState.OPEN)
     leader = dataclasses.replace(LEADER, membership=place)
-    assert not detector.suspected(leader)
+    assert not detector.is_suspected(leader)
     detector.time[0] += 1.1
     assert not detector.is_on_probation(leader)
 
@@ -100,19 +100,19 @@
 def test_an_answer_ends_it_at_once(detector):
     detector.suspect(LEADER, "silence")
     detector.record_contact("w0", detector.time[0])
-    assert not detector.suspected(LEADER)
+    assert not detector.is_suspected(LEADER)
     assert not detector.is_suspected_locally(LEADER)
 
 
 def test_what_is_heard_here_counts_more_than_what_others_say(detector):
     detector.record_contact("w0", detector.time[0] - 0.2)
     detector._peers.receive("cut-off", Suspicion("w0", GROUP))
-    assert not detector.suspected(LEADER)
+    assert not detector.is_suspected(LEADER)
 
 
 def test_what_others_say_counts_where_nothing_is_heard(detector):
     detector._peers.receive("another", Suspicion("w0", GROUP))
-    assert detector.suspected(LEADER)
+    assert detector.is_suspected(LEADER)
     assert not detector.is_suspected_locally(LEADER)
 
 
@@ -146,7 +146,7 @@
         detector._look("w0", detector.time[0])
     assert left == [silent]
     assert silent.abort_cause == silence.STREAM_SILENT
-    assert not detector.suspected(LEADER)
+    assert not detector.is_suspected(LEADER)
     assert detector._peers.sent == []
 
 
@@ -163,4 +163,4 @@
             attempt.event(detector.time[0])
         detector._look("w0", detector.time[0])
     assert left == []
-    assert not detector.suspected(LEADER)
+    assert not detector.is_suspected(LEADER)
