--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -123,7 +123,7 @@
         asked_at = self._ask_others(leader)
         await asyncio.sleep(REPORTED_SECONDS)
         silent = self._peers.others - self._load_table.reporters_since(asked_at)
-        requests = self._load_table.of(leader.id)
+        requests = self._load_table.request_count(leader.id)
         listed = self._view.roster.endpoints.get(leader.id)
         idle = is_idle(requests=requests, silent_daemons=silent)
         if idle and not may_be_leaving(listed, self._view.age()):
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -50,7 +50,7 @@
             "requests", "Answers by route, workspace and status", "route", "workspace", "status"
         )
 
-    def note(self, event: Event, fields: t.Mapping[str, t.Any]) -> None:
+    def record(self, event: Event, fields: t.Mapping[str, t.Any]) -> None:
         """Count an event and the durations that it carries."""
         cause = _kind(str(fields.get("cause", "")))
         self._events.labels(event.name, cause).inc()
--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -55,7 +55,7 @@
     abort_cause: str = ""
     is_blocked_by_caller: bool = False
 
-    def event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that an event came."""
         if self.last_at:
             self.gap += GAP_WEIGHT * (now - self.last_at - self.gap)
@@ -88,11 +88,11 @@
         """Call a function for each suspicion, own or heard."""
         self._listeners.append(listener)
 
-    def begin(self, attempt: StreamAttempt) -> None:
+    def watch(self, attempt: StreamAttempt) -> None:
         """Watch an attempt."""
         self._attempts[attempt.leader.id].add(attempt)
 
-    def end(self, attempt: StreamAttempt) -> None:
+    def unwatch(self, attempt: StreamAttempt) -> None:
         """Watch an attempt no longer."""
         attempts = self._attempts.get(attempt.leader.id)
         if attempts:
--- a/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
@@ -59,10 +59,12 @@
         """Whether another daemon has reported a request since this one started."""
         return self._others_had_requests
 
-    def report(self) -> LoadReport:
+    def build_report(self) -> LoadReport:
         """Return what this daemon has under way now."""
         lately = contact_ttl_seconds(self._peers.interval())
-        return LoadReport(dict(self._load_table.own), self._detector.contacted_within(lately))
+        return LoadReport(
+            dict(self._load_table.local_counts), self._detector.contacted_within(lately)
+        )
 
     def _message(self, sender: str, message: Message) -> None:
         match message:
@@ -84,7 +86,7 @@
         while not self.should_stop:
             await asyncio.sleep(self._peers.interval())
             self._load_table.remove_expired()
-            report = self.report()
+            report = self.build_report()
             is_empty = not report.counts and not report.heard
             empty_reports = empty_reports + 1 if is_empty else 0
             if empty_reports > EMPTY_REPORTS:
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -42,11 +42,11 @@
         # of failure domains whose daemons don't report here one by one
         self._domains: dict[str, Report] = {}
         self._sum: collections.Counter[str] = collections.Counter()
-        self.own: collections.Counter[str] = collections.Counter()
+        self.local_counts: collections.Counter[str] = collections.Counter()
 
-    def of(self, endpoint_id: str) -> int:
+    def request_count(self, endpoint_id: str) -> int:
         """Return the requests that an endpoint has."""
-        return self.own[endpoint_id] + self._sum[endpoint_id]
+        return self.local_counts[endpoint_id] + self._sum[endpoint_id]
 
     def report(self, daemon: str, counts: t.Mapping[str, int]) -> None:
         """Replace what another daemon has under way."""
@@ -58,7 +58,7 @@
 
     def sum_with(self, daemons: t.Container[str]) -> collections.Counter[str]:
         """Return what this daemon and some others have under way together."""
-        total = self.own.copy()
+        total = self.local_counts.copy()
         for name, report in self._others.items():
             if name in daemons:
                 total.update(report.counts)
@@ -100,12 +100,12 @@
         return not self._domains and self._interval() <= MIN_REPORT_INTERVAL_SECONDS
 
     @contextlib.contextmanager
-    def running(self, endpoint_id: str) -> t.Iterator[None]:
+    def track_request(self, endpoint_id: str) -> t.Iterator[None]:
         """Count a request while it is under way."""
-        self.own[endpoint_id] += 1
+        self.local_counts[endpoint_id] += 1
         try:
             yield
         finally:
-            self.own[endpoint_id] -= 1
-            if not self.own[endpoint_id]:
-                del self.own[endpoint_id]
+            self.local_counts[endpoint_id] -= 1
+            if not self.local_counts[endpoint_id]:
+                del self.local_counts[endpoint_id]
--- a/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
@@ -42,7 +42,7 @@
     def _message(self, sender: str, message: Message) -> None:
         if not isinstance(message, Probe):
             return
-        self._peers.send(sender, self._reporter.report())
+        self._peers.send(sender, self._reporter.build_report())
         endpoint = self._known(message.endpoint_id)
         if endpoint is not None:
             self.add_future(self._ask(sender, endpoint))
@@ -56,4 +56,4 @@
     async def _ask(self, asker: str, endpoint: Endpoint) -> None:
         if await self._endpoint_answers(endpoint):
             # the report names the endpoint among those that were heard
-            self._peers.send(asker, self._reporter.report())
+            self._peers.send(asker, self._reporter.build_report())
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -182,7 +182,10 @@
         if drawn is not None:
             return drawn
         chosen = self._best(trusted, engine.slots)
-        if chosen is not None and self._load_table.of(chosen.id) >= FULL_PER_SLOT * engine.slots:
+        if (
+            chosen is not None
+            and self._load_table.request_count(chosen.id) >= FULL_PER_SLOT * engine.slots
+        ):
             return None
         return chosen
 
@@ -191,13 +194,13 @@
         usable = [
             leader
             for leader in leaders
-            if not self._is_avoided(leader) and self._load_table.of(leader.id) < slots
+            if not self._is_avoided(leader) and self._load_table.request_count(leader.id) < slots
         ]
         return random.choice(usable) if usable else None
 
     def _trusts(self, leader: Endpoint) -> bool:
         if self._detector.is_on_probation(leader):
-            return leader.id not in self._load_table.own
+            return leader.id not in self._load_table.local_counts
         return not self._detector.is_suspected(leader)
 
     def known(self, service: str, model: str) -> GroupCount:
@@ -230,7 +233,7 @@
             drawn = placement.draw(
                 usable,
                 self._failure_domain,
-                lambda endpoint: self._load_table.of(endpoint.id) >= places,
+                lambda endpoint: self._load_table.request_count(endpoint.id) >= places,
             )
             # few daemons may use those that take few requests, so each looks at them each time:
             # else most of what they take goes unused
@@ -243,4 +246,4 @@
         far = FAR_WEIGHT if endpoint.failure_domain != self._failure_domain else 0.0
         # daemons that know equally little of each other must not all choose the same
         spread = random.random() * SPREAD
-        return self._load_table.of(endpoint.id) + failing + weak + far + spread
+        return self._load_table.request_count(endpoint.id) + failing + weak + far + spread
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -124,7 +124,7 @@
         left = request.until - self._clock()
         elsewhere = self._may_try_elsewhere(request)
         seconds = retry_policy.attempt_seconds(request.route, left, elsewhere=elsewhere)
-        with self._load_table.running(endpoint.id):
+        with self._load_table.track_request(endpoint.id):
             answer: EndpointAnswer = await within(seconds, self._exchange(request, endpoint))
         return answer
 
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -119,7 +119,7 @@
         if not failure.sent:
             self._selector.avoid(endpoint)
             self._detector.suspect(endpoint, failure.cause)
-        elif failure.broken is not None and not self._load_table.own[endpoint.id]:
+        elif failure.broken is not None and not self._load_table.local_counts[endpoint.id]:
             # all that this daemon had there broke, so the endpoint has most likely crashed; others
             # would connect in vain, and the controller would learn it from them
             self._detector.suspect(endpoint, failure.cause)
@@ -173,7 +173,7 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + request.until - self._clock()
         attempt: StreamAttempt | None = None
-        with self._load_table.running(endpoint.id):
+        with self._load_table.track_request(endpoint.id):
             try:
                 async with asyncio.timeout_at(until) as scope:
                     attempt = StreamAttempt(
@@ -182,14 +182,14 @@
                         can_migrate=lambda: self._movable(request),
                         abort=lambda: scope.reschedule(loop.time()),
                     )
-                    self._detector.begin(attempt)
+                    self._detector.watch(attempt)
                     return await self._exchange(request, attempt, splitter, caller)
             except TimeoutError:
                 abort_cause = attempt.abort_cause if attempt is not None else ""
                 raise AttemptError(abort_cause or retry_policy.OUT_OF_TIME, Ran.MAYBE) from None
             finally:
                 if attempt is not None:
-                    self._detector.end(attempt)
+                    self._detector.unwatch(attempt)
 
     def _movable(self, request: Request) -> bool:
         """Return whether an attempt could go on in another group now."""
@@ -209,7 +209,7 @@
         request.sent_at, request.head_at = self._clock(), 0.0
         last = splitter.last_id or request.meta.last_event_id
         meta = request.forward_meta(endpoint, self._clock(), last)
-        request_log.sent(request, endpoint, self._load_table.of(endpoint.id), last)
+        request_log.sent(request, endpoint, self._load_table.request_count(endpoint.id), last)
         async with self._endpoint_client.open(endpoint, request, meta) as exchange:
             request.head_at = self._clock()
             self._detector.record_contact(endpoint.id, request.head_at)
@@ -229,7 +229,7 @@
     ) -> None:
         while data := await exchange.more():
             now = self._clock()
-            attempt.event(now)
+            attempt.record_event(now)
             self._detector.record_contact(attempt.leader.id, now)
             whole = splitter.feed(data)
             if not whole:
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -377,7 +377,7 @@
         while True:
             await asyncio.sleep(datagrams.MIN_REPORT_INTERVAL_SECONDS)
             for daemon in self.daemons:
-                counts = dict(daemon.table.own)
+                counts = dict(daemon.table.local_counts)
                 for other in self.daemons:
                     if other is not daemon:
                         other.table.report(daemon.peers.id, counts)
--- a/tests/test_endpoint_selector.py
+++ b/tests/test_endpoint_selector.py
@@ -45,9 +45,9 @@
 
     def __init__(self, counts, own):
         self._counts = counts
-        self.own = own
+        self.local_counts = own
 
-    def of(self, endpoint_id):
+    def request_count(self, endpoint_id):
         return self._counts.get(endpoint_id, 0)
 
 
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -131,8 +131,8 @@
 def _attempt(detector, left):
     """Return a stream that has an event, and can go on elsewhere."""
     attempt = StreamAttempt(LEADER, detector.time[0], lambda: True, lambda: left.append(attempt))
-    attempt.event(detector.time[0])
-    detector.begin(attempt)
+    attempt.record_event(detector.time[0])
+    detector.watch(attempt)
     return attempt
 
 
@@ -141,7 +141,7 @@
     silent, other = _attempt(detector, left), _attempt(detector, left)
     for _ in range(30):
         detector.time[0] += 0.05
-        other.event(detector.time[0])
+        other.record_event(detector.time[0])
         detector.record_contact("w0", detector.time[0])
         detector._look("w0", detector.time[0])
     assert left == [silent]
@@ -160,7 +160,7 @@
     for _ in range(30):
         detector.time[0] += 0.05
         for attempt in beside:
-            attempt.event(detector.time[0])
+            attempt.record_event(detector.time[0])
         detector._look("w0", detector.time[0])
     assert left == []
     assert not detector.is_suspected(LEADER)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -451,9 +451,9 @@
         for worker in made.workers:
             worker.events = 500
         running = asyncio.create_task(made.chat())
-        await made.until(lambda: made.gateway.load_table.own)
+        await made.until(lambda: made.gateway.load_table.local_counts)
         running.cancel()
-        await made.until(lambda: not made.gateway.load_table.own)
+        await made.until(lambda: not made.gateway.load_table.local_counts)
 
 
 async def test_groups_are_recorded_and_kept_under_one_controller(tmp_path):
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -39,14 +39,14 @@
 def test_answers_are_counted_by_route_workspace_and_status():
     metrics = Metrics()
     for _ in range(3):
-        metrics.note(events.REQUEST_DONE, done())
+        metrics.record(events.REQUEST_DONE, done())
     series = 'thorncleat_requests_total{route="chat",status="200",workspace="growers"}'
     assert value(metrics.text(), series) == 3
 
 
 def test_durations_are_shown_as_quantiles():
     metrics = Metrics()
-    metrics.note(events.REQUEST_DONE, done(seconds=1.5))
+    metrics.record(events.REQUEST_DONE, done(seconds=1.5))
     series = (
         'thorncleat_seconds{quantile="0.95",target="chat",what="request_done_seconds_by_route"}'
     )
@@ -80,7 +80,7 @@
 )
 def test_causes_are_counted_without_their_varying_part(cause, kind):
     metrics = Metrics()
-    metrics.note(events.REQUEST_REFUSED, {"cause": cause, "after": 0.1})
+    metrics.record(events.REQUEST_REFUSED, {"cause": cause, "after": 0.1})
     series = f'thorncleat_events_total{{cause="{kind}",name="request_refused"}}'
     assert value(metrics.text(), series) == 1
 
@@ -88,7 +88,7 @@
 def test_targets_that_are_kept_apart_are_bounded():
     metrics = Metrics()
     for number in range(3 * MAX_TARGETS):
-        metrics.note(events.REQUEST_DONE, done(route=f"route-{number}"))
+        metrics.record(events.REQUEST_DONE, done(route=f"route-{number}"))
     text = metrics.text().decode()
     assert text.count("thorncleat_durations{") <= MAX_TARGETS + 5
     assert 'target="others"' in text
@@ -97,7 +97,7 @@
 def test_events_are_counted_though_their_lines_are_not_written(monkeypatch):
     monkeypatch.setattr(log_events, "_observers", [])
     metrics = Metrics()
-    log_events.observe(metrics.note)
+    log_events.observe(metrics.record)
     events.STORE_BACK.log(revision=3)
     series = 'thorncleat_events_total{cause="",name="feed_back"}'
     assert value(metrics.text(), series) == 1
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -46,7 +46,7 @@
         for at, reported in newest.values():
             if at >= now[0] - REPORT_SECONDS:
                 expected.update(reported)
-        assert {name: load_table.of(name) for name in "abc"} == {
+        assert {name: load_table.request_count(name) for name in "abc"} == {
             name: expected[name] for name in "abc"
         }
 
@@ -57,7 +57,7 @@
         load_table.report(f"e{number}", _Counted(a=1))
     before = _Counted.reads
     load_table.report("e7", _Counted(a=2))
-    assert load_table.of("a") == 201
+    assert load_table.request_count("a") == 201
     assert _Counted.reads - before <= 2
 
 
@@ -67,10 +67,10 @@
     load_table.report("e1", {"a": 3})
     now[0] += 2.0 * REPORT_INTERVALS - 0.1
     load_table.remove_expired()
-    assert load_table.of("a") == 3
+    assert load_table.request_count("a") == 3
     now[0] += 0.2
     load_table.remove_expired()
-    assert load_table.of("a") == 0
+    assert load_table.request_count("a") == 0
 
 
 def _peers(count, failure_domains=3):
@@ -117,7 +117,7 @@
 
 def test_sum_of_a_failure_domain_is_that_of_its_daemons_alone():
     load_table = LoadTable(lambda: 100.0, lambda: MIN_REPORT_INTERVAL_SECONDS)
-    load_table.own["a"] = 2
+    load_table.local_counts["a"] = 2
     load_table.report("near", {"a": 1, "b": 3})
     load_table.report("far", {"a": 5})
     load_table.report_domain("other", {"c": 7})
@@ -129,11 +129,11 @@
     load_table = LoadTable(lambda: now[0], lambda: MIN_REPORT_INTERVAL_SECONDS)
     load_table.report_domain("other", {"a": 5})
     load_table.report_domain("other", {"a": 4, "b": 1})
-    assert (load_table.of("a"), load_table.of("b")) == (4, 1)
+    assert (load_table.request_count("a"), load_table.request_count("b")) == (4, 1)
     assert load_table.reporters_since(0.0) == set()
     now[0] += REPORT_SECONDS + 0.1
     load_table.remove_expired()
-    assert (load_table.of("a"), load_table.of("b")) == (0, 0)
+    assert (load_table.request_count("a"), load_table.request_count("b")) == (0, 0)
 
 
 def test_daemons_that_have_reported_since_a_moment():
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -94,7 +94,7 @@
     def report(self, number, interval):
         for other in self.near(number):
             if other != number:
-                self.tables[other].report(str(number), dict(self.tables[number].own))
+                self.tables[other].report(str(number), dict(self.tables[number].local_counts))
         self.at(self.now + interval, self.report, number, interval)
 
     def tell_sum(self, number, interval):
@@ -115,16 +115,16 @@
         self.sent[name].append(self.now)
         self.found[self.running[name] < SLOTS] += 1
         self.running[name] += 1
-        self.tables[number].own[name] += 1
+        self.tables[number].local_counts[name] += 1
         # the more a group has, the slower it is
         seconds = SERVICE_SECONDS * max(1.0, self.running[name] / SLOTS)
         self.at(self.now + seconds, self.done, number, name)
 
     def done(self, number, name):
         self.running[name] -= 1
-        self.tables[number].own[name] -= 1
-        if not self.tables[number].own[name]:
-            del self.tables[number].own[name]
+        self.tables[number].local_counts[name] -= 1
+        if not self.tables[number].local_counts[name]:
+            del self.tables[number].local_counts[name]
 
     def play(self):
         while self.events[0][0] < SECONDS:
--- a/tests/test_probe_answers.py
+++ b/tests/test_probe_answers.py
@@ -28,7 +28,7 @@
     def __init__(self):
         self.reports = 0
 
-    def report(self):
+    def build_report(self):
         self.reports += 1
         return LoadReport({"w0": self.reports}, [])
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -43,7 +43,7 @@
         def __init__(self, *parts, **more):
             self._clock = next(part for part in parts if part is not None and _is_clock(part))
             self.metrics = self
-            self.note = lambda event, fields: None
+            self.record = lambda event, fields: None
 
         async def start(self):
             timer = asyncio.create_task(asyncio.sleep(TIMER_SECONDS))
