--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -1,8 +1,9 @@
-"""Who is suspected: the streams that are watched, and what daemons tell each other of them.
+"""Detects silent groups from this daemon's streams and from the suspicions of other daemons.
 
-Owns: the running attempts of this daemon's streams, and when each endpoint was heard.
-Relies on: :mod:`.silence` for the rule, :mod:`.suspicions` for how long each lasts, and
-:mod:`.datagrams` for what other daemons say.
+Owns: the running attempts of this daemon's streams, and the time of the last contact with each
+endpoint.
+Relies on: :mod:`.silence` for the rules, :mod:`.suspicions` for the duration of a suspicion, and
+:mod:`.datagrams` for messages of other daemons.
 """
 
 import asyncio
@@ -24,26 +25,29 @@
 from .own_lateness import OwnLateness
 from .suspicions import Suspicions
 
-# between two looks at the streams
-LOOK_SECONDS = 0.02
-# weight of the newest gap in the mean
-GAP_WEIGHT = 0.3
-# for which it is remembered when an endpoint was heard
-REMEMBER_HEARD_SECONDS = 60.0
-# for which a suspicion is not told again
-TELL_AGAIN_SECONDS = 0.2
+# Seconds between two checks of the streams.
+POLL_INTERVAL_SECONDS = 0.02
+# Weight of the latest gap in the moving average of a stream's gaps.
+LATEST_GAP_WEIGHT = 0.3
+# How long the last contact with an endpoint is remembered.
+CONTACT_TTL_SECONDS = 60.0
+# Minimum time between two broadcasts of the same suspicion.
+MIN_RESEND_SECONDS = 0.2
 
 
 @dataclasses.dataclass(eq=False)
 class StreamAttempt:
-    """One request at one group's leader; times are seconds on the gateway's clock.
-
-    :param movable: returns whether it could go on elsewhere now.
-    :param leave: makes it leave the group.
-    :param last_at: when the last event came; 0 if none has come.
-    :param gap: the usual seconds between two events.
-    :param leave_cause: why it was made to leave, as logged; empty if it wasn't.
-    :param held_by_caller: whether its caller has yet to take events; no more are read meanwhile.
+    """One attempt to stream a request from a group's leader.
+
+    Times are seconds on the gateway's clock.
+
+    :param can_migrate: returns whether the stream can resume on another group now.
+    :param abort: ends the attempt, so that the stream leaves the group.
+    :param last_at: time of the last event; 0 before the first one.
+    :param gap: moving average of the seconds between two events.
+    :param abort_cause: why the attempt was aborted, as logged; empty if it wasn't.
+    :param is_blocked_by_caller: whether the caller has yet to read events; no further events are
+        read from the leader meanwhile.
     """
 
     leader: Endpoint
@@ -56,16 +60,16 @@
     is_blocked_by_caller: bool = False
 
     def record_event(self, now: float) -> None:
-        """Note that an event came."""
+        """Record that an event arrived."""
         if self.last_at:
-            self.gap += GAP_WEIGHT * (now - self.last_at - self.gap)
+            self.gap += LATEST_GAP_WEIGHT * (now - self.last_at - self.gap)
         self.last_at = now
 
 
 class FailureDetector(mode.Service):
-    """Watches this daemon's streams in all groups, and says which groups are suspected.
+    """Watches this daemon's streams in all groups and tells which groups are suspected.
 
-    :param lateness: of this daemon's event loop, as its looks at the streams show it.
+    :param lateness: how late_seconds the event loop of this daemon runs the checks of the streams.
     """
 
     def __init__(
@@ -76,24 +80,24 @@
         self._peers = peers
         self._clock = clock
         self._attempts: dict[str, set[StreamAttempt]] = collections.defaultdict(set)
-        self._heard: dict[str, float] = {}
-        self._others: dict[str, float] = {}
+        self._contacts: dict[str, float] = {}
+        self._remote_contacts: dict[str, float] = {}
         self._suspicions = Suspicions(settings.suspicion, clock)
-        self._told: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
         self._listeners: list[t.Callable[[Suspicion], None]] = []
-        self.lateness = OwnLateness(clock, LOOK_SECONDS)
-        peers.on_message(self._message)
+        self.lateness = OwnLateness(clock, POLL_INTERVAL_SECONDS)
+        peers.on_message(self._on_message)
 
     def on_suspicion(self, listener: t.Callable[[Suspicion], None]) -> None:
-        """Call a function for each suspicion, own or heard."""
+        """Call a function for each suspicion, whether local or reported by another daemon."""
         self._listeners.append(listener)
 
     def watch(self, attempt: StreamAttempt) -> None:
-        """Watch an attempt."""
+        """Start watching an attempt."""
         self._attempts[attempt.leader.id].add(attempt)
 
     def unwatch(self, attempt: StreamAttempt) -> None:
-        """Watch an attempt no longer."""
+        """Stop watching an attempt."""
         attempts = self._attempts.get(attempt.leader.id)
         if attempts:
             attempts.discard(attempt)
@@ -101,56 +105,61 @@
                 del self._attempts[attempt.leader.id]
 
     def record_contact(self, endpoint_id: str, now: float) -> None:
-        """Note that an endpoint answered something; that ends any suspicion of it."""
-        self._heard[endpoint_id] = now
-        self._suspicions.end(endpoint_id)
-        self._told.pop(endpoint_id, None)
+        """Record that an endpoint answered, which ends any suspicion of it."""
+        self._contacts[endpoint_id] = now
+        self._suspicions.remove(endpoint_id)
+        self._reported_at.pop(endpoint_id, None)
 
     def contacted_within(self, seconds: float) -> list[str]:
-        """Return the endpoints that answered within some seconds."""
+        """Return the ids of the endpoints that answered this daemon in the last seconds."""
         now = self._clock()
-        self._heard = {
-            key: at for key, at in self._heard.items() if now - at < REMEMBER_HEARD_SECONDS
+        self._contacts = {
+            key: at for key, at in self._contacts.items() if now - at < CONTACT_TTL_SECONDS
         }
-        return [key for key, at in self._heard.items() if now - at <= seconds]
+        return [key for key, at in self._contacts.items() if now - at <= seconds]
 
-    def has_contact_since(self, endpoint_id: str, moment: float) -> bool:
-        """Return whether any daemon heard an endpoint after a moment."""
+    def has_contact_since(self, endpoint_id: str, since: float) -> bool:
+        """Return whether an endpoint answered any daemon at or after an instant."""
         never = float("-inf")
-        own, others = self._heard.get(endpoint_id, never), self._others.get(endpoint_id, never)
-        return max(own, others) >= moment
+        local, remote = (
+            self._contacts.get(endpoint_id, never),
+            self._remote_contacts.get(endpoint_id, never),
+        )
+        return max(local, remote) >= since
 
     def is_suspected(self, leader: Endpoint) -> bool:
-        """Return whether a leader's group is suspected, by this daemon or by another."""
-        return self._suspicions.holds(leader)
+        """Return whether this daemon or another one suspects a leader's group."""
+        return self._suspicions.is_suspected(leader)
 
     def is_on_probation(self, leader: Endpoint) -> bool:
-        """Return whether a leader's group was suspected and has not been heard since."""
+        """Return whether a suspicion of a leader's group has expired without a contact since."""
         return self._suspicions.is_on_probation(leader)
 
     def is_suspected_locally(self, leader: Endpoint) -> bool:
         """Return whether this daemon itself suspects a leader's group."""
-        return self._suspicions.holds_here(leader)
+        return self._suspicions.is_suspected_locally(leader)
 
     def suspect(self, leader: Endpoint, cause: str) -> None:
-        """Suspect a leader's group, and tell the others.
+        """Suspect a leader's group and broadcast the suspicion.
 
-        :param cause: as it stands in the log line.
+        :param cause: as logged.
         """
         now = self._clock()
         group = leader.membership.group if leader.membership else None
-        self._suspicions.add(leader.id, group, own=True)
-        told_lately = now - self._told.get(leader.id, 0.0) < TELL_AGAIN_SECONDS
-        if group is None or told_lately:
+        self._suspicions.add(leader.id, group, is_local=True)
+        recently_reported = now - self._reported_at.get(leader.id, 0.0) < MIN_RESEND_SECONDS
+        if group is None or recently_reported:
             return
-        self._told[leader.id] = now
+        self._reported_at[leader.id] = now
         suspicion = Suspicion(leader.id, group)
         events.GROUP_SUSPECTED.log(
             leader=leader.id,
             group=suspicion.group.name,
             cause=cause,
             fault=suspicion.fault,
-            heard_ago=round(now - self._heard[leader.id], 3) if leader.id in self._heard else None,
+            heard_ago=round(now - self._contacts[leader.id], 3)
+            if leader.id in self._contacts
+            else None,
         )
         self._peers.broadcast(suspicion)
         self._notify(suspicion)
@@ -159,56 +168,58 @@
         for listener in self._listeners:
             listener(suspicion)
 
-    def _message(self, sender: str, message: Message) -> None:
+    def _on_message(self, sender: str, message: Message) -> None:
         now = self._clock()
         if isinstance(message, LoadReport):
-            self._others.update(dict.fromkeys(message.heard, now))
+            self._remote_contacts.update(dict.fromkeys(message.heard, now))
         elif isinstance(message, Suspicion):
-            heard_at = self._heard.get(message.leader, 0.0)
-            if silence.is_believed(now, heard_at, self._settings):
-                self._suspicions.add(message.leader, message.group, own=False)
+            last_contact_at = self._contacts.get(message.leader, 0.0)
+            if silence.is_credible(now, last_contact_at, self._settings):
+                self._suspicions.add(message.leader, message.group, is_local=False)
             self._notify(message)
 
     @mode.Service.task
-    async def _look_task(self) -> None:
+    async def _poll_task(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(LOOK_SECONDS)
-            late = self.lateness.record_tick()
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            late_seconds = self.lateness.record_tick()
             now = self._clock()
-            if late <= MAX_LATENESS_SECONDS:
-                # after a pause of this daemon the answers may lie unread
+            if late_seconds <= MAX_LATENESS_SECONDS:
+                # After a pause of this daemon, answers may be waiting unread in the sockets.
                 for leader_id in list(self._attempts):
-                    self._look(leader_id, now)
+                    self._check_leader(leader_id, now)
 
-    def _look(self, leader_id: str, now: float) -> None:
+    def _check_leader(self, leader_id: str, now: float) -> None:
         attempts = [
             attempt for attempt in self._attempts[leader_id] if not attempt.is_blocked_by_caller
         ]
         if not attempts:
             return
         leader = attempts[0].leader
-        verdict = silence.judge(
+        liveness = silence.classify_group(
             now,
-            self._heard.get(leader_id, 0.0),
+            self._contacts.get(leader_id, 0.0),
             attempts,
             self._settings,
             suspected=self.is_suspected(leader),
-            elsewhere_at=self._others.get(leader_id, float("-inf")),
+            remote_contact_at=self._remote_contacts.get(leader_id, float("-inf")),
         )
-        if not verdict.silent:
-            newest_at = max(attempt.last_at for attempt in attempts)
-            cut_off = [attempt for attempt in attempts if silence.is_cut_off(attempt, newest_at)]
-            _leave(cut_off, silence.STREAM_SILENT)
+        if not liveness.is_silent:
+            latest_event_at = max(attempt.last_at for attempt in attempts)
+            stalled = [
+                attempt for attempt in attempts if silence.is_stalled(attempt, latest_event_at)
+            ]
+            _abort_attempts(stalled, silence.STREAM_SILENT)
             return
-        self.suspect(leader, silence.CAUSE)
-        waited = [
-            attempt for attempt in attempts if silence.has_waited(now, attempt, self._settings)
+        self.suspect(leader, silence.SUSPICION_CAUSE)
+        overdue = [
+            attempt for attempt in attempts if silence.is_overdue(now, attempt, self._settings)
         ]
-        _leave(waited, silence.GROUP_SILENT)
+        _abort_attempts(overdue, silence.GROUP_SILENT)
 
 
-def _leave(attempts: t.Iterable[StreamAttempt], cause: str) -> None:
-    """Make the attempts leave their group that could go on in another one."""
+def _abort_attempts(attempts: t.Iterable[StreamAttempt], cause: str) -> None:
+    """Abort those attempts whose stream can resume on another group."""
     for attempt in attempts:
         if not attempt.abort_cause and attempt.can_migrate():
             attempt.abort_cause = cause
--- a/packages/gateway/src/thorncleat_gateway/peers/silence.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/silence.py
@@ -1,14 +1,10 @@
-"""Whether a group is silent, judged by the events of the streams that this daemon has in it.
+"""Rules that tell from the events of this daemon's streams whether a group is silent.
 
-A group makes its events for all of its streams in step, so silence on all of them at once
-is evidence long before any one stream's pause would be.
+A group produces the events of all of its streams in step, so silence on all of them at once is
+stronger evidence than a pause of a single stream, whose connection alone may be broken.
 
-One stream may be silent alone: a connection that is open can fall silent for good while new ones to
-the same engine work.
-
-Owns: nothing; every rule is a pure function of times, in seconds.
-Relies on: :class:`~..settings.StreamSettings` for the bounds, and on a clock that never goes
-back.
+Owns: nothing; every rule is a pure function of times in seconds.
+Relies on: :class:`~..settings.StreamSettings` for the timeouts, and on a monotonic clock.
 """
 
 import enum
@@ -16,117 +12,117 @@
 
 from ..settings import StreamSettings
 
-# the cause of a suspicion, as it stands in the log line, for both kinds of silence
-CAUSE = "silence"
-# why a stream leaves its group, as it stands in the log line of its attempt
+# Logged cause of a suspicion.
+SUSPICION_CAUSE = "silence"
+# Logged causes of an attempt that is aborted.
 GROUP_SILENT = "group silent"
 STREAM_SILENT = "stream silent, its group is not"
-# seconds by which a stream is behind the others of its group before its connection is taken for
-# silent: an engine that runs out of memory reads a request anew, and makes no event for it
-# meanwhile
-BEHIND_SECONDS = 1.0
-# usual gaps between events after which silence is evidence enough where the group is suspected
-# already
-SUSPECTED_GAPS = 1.5
-# seconds after which another daemon's word that it hears a group is no evidence any more: a report
-# comes each 0.1 s where there are few daemons, and one may be lost
-HEARD_ELSEWHERE_SECONDS = 0.15
+# How far a stream may lag behind the others of its group. An engine that runs out of memory reads
+# a prompt again and sends no events for that stream meanwhile.
+STALL_TIMEOUT_SECONDS = 1.0
+# Timeout of a group that is suspected already, in average gaps between events.
+SUSPECTED_TIMEOUT_GAPS = 1.5
+# How long a report of another daemon proves that a group is alive; one report may be lost.
+REMOTE_CONTACT_TTL_SECONDS = 0.15
 
 
-class Verdict(enum.Enum):
-    """What the times of a group's last events say."""
+class Liveness(enum.Enum):
+    """Whether a group is alive, as the times of its last events show."""
 
     ALIVE = "alive"
     NO_FIRST_EVENT = "no first event"
     NO_FURTHER_EVENT = "no further event"
 
     @property
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         """Whether the group is silent."""
-        return self is not Verdict.ALIVE
+        return self is not Liveness.ALIVE
 
 
 class Stream(t.Protocol):
-    """What is known of one stream in a group."""
+    """The times of one stream in a group."""
 
     @property
     def started_at(self) -> float:
-        """When its request was sent."""
+        """Time at which its request was sent."""
         ...
 
     @property
     def last_at(self) -> float:
-        """When its last event came; 0 if none has come."""
+        """Time of its last event; 0 before the first one."""
         ...
 
     @property
     def gap(self) -> float:
-        """Its usual seconds between two events; 0 if that isn't known."""
+        """Average seconds between two events; 0 if unknown."""
         ...
 
 
-def judge(
+def classify_group(
     now: float,
-    heard_at: float,
+    last_contact_at: float,
     streams: t.Collection[Stream],
     settings: StreamSettings,
     *,
     suspected: bool,
-    elsewhere_at: float = float("-inf"),
-) -> Verdict:
-    """Return whether a group is silent.
+    remote_contact_at: float = float("-inf"),
+) -> Liveness:
+    """Return whether a group is alive or silent.
 
-    Once any stream has events, the newest event of all of them counts; before that, the oldest
-    request does, and a group that others hear is only busy: it reads long prompts, or many.
+    As soon as any stream has events, the latest event of all streams counts. Before that, the
+    oldest request counts, and a group that answers other daemons is busy reading prompts.
 
-    :param heard_at: when this daemon last heard anything from the group's leader.
-    :param elsewhere_at: when another daemon last told that it hears the leader.
+    :param last_contact_at: when the group's leader last answered this daemon.
+    :param remote_contact_at: when another daemon last reported an answer of the leader.
     :param streams: this daemon's streams in the group, at least one.
-    :param suspected: whether the group is suspected already, by this daemon or by another.
+    :param suspected: whether any daemon suspects the group already.
     """
-    writing = [stream for stream in streams if stream.last_at > 0]
-    if not writing:
-        first = min(stream.started_at for stream in streams)
-        overdue = now - max(heard_at, first) > settings.first_event
-        busy = now - elsewhere_at <= HEARD_ELSEWHERE_SECONDS
-        return Verdict.NO_FIRST_EVENT if overdue and not busy else Verdict.ALIVE
-    newest = max(stream.last_at for stream in writing)
-    gap = max(stream.gap for stream in writing)
-    overdue = now - max(heard_at, newest) > silence_limit(gap, settings, suspected=suspected)
-    return Verdict.NO_FURTHER_EVENT if overdue else Verdict.ALIVE
-
-
-def is_cut_off(stream: Stream, newest_at: float) -> bool:
-    """Return whether a stream gets no event while others of its group do.
-
-    Before its first event it may only be queued.
-
-    :param newest_at: when the newest event of this daemon's streams in the group came.
+    started = [stream for stream in streams if stream.last_at > 0]
+    if not started:
+        oldest_at = min(stream.started_at for stream in streams)
+        overdue = now - max(last_contact_at, oldest_at) > settings.first_event
+        is_busy = now - remote_contact_at <= REMOTE_CONTACT_TTL_SECONDS
+        return Liveness.NO_FIRST_EVENT if overdue and not is_busy else Liveness.ALIVE
+    latest_at = max(stream.last_at for stream in started)
+    gap = max(stream.gap for stream in started)
+    overdue = now - max(last_contact_at, latest_at) > silence_timeout(
+        gap, settings, suspected=suspected
+    )
+    return Liveness.NO_FURTHER_EVENT if overdue else Liveness.ALIVE
+
+
+def is_stalled(stream: Stream, latest_event_at: float) -> bool:
+    """Return whether a stream gets no events while others of its group do.
+
+    A stream that has no event yet may still be queued.
+
+    :param latest_event_at: time of the latest event of this daemon's streams in the group.
     """
-    return stream.last_at > 0 and newest_at - stream.last_at > BEHIND_SECONDS
+    return stream.last_at > 0 and latest_event_at - stream.last_at > STALL_TIMEOUT_SECONDS
 
 
-def silence_limit(gap: float, settings: StreamSettings, *, suspected: bool) -> float:
+def silence_timeout(gap: float, settings: StreamSettings, *, suspected: bool) -> float:
     """Return the seconds without an event after which a group is silent.
 
-    :param gap: the longest usual gap of its streams.
+    :param gap: the longest average gap of its streams.
     :param suspected: whether the group is suspected already.
     """
     if suspected:
-        return max(settings.suspected, SUSPECTED_GAPS * gap)
+        return max(settings.suspected, SUSPECTED_TIMEOUT_GAPS * gap)
     return min(max(settings.gaps * gap, settings.least_silence), settings.most_silence)
 
 
-def has_waited(now: float, stream: Stream, settings: StreamSettings) -> bool:
-    """Return whether a stream in a silent group has itself waited long enough to leave it."""
+def is_overdue(now: float, stream: Stream, settings: StreamSettings) -> bool:
+    """Return whether a stream has waited long enough to leave a silent group."""
     return now - max(stream.started_at, stream.last_at) > settings.suspected
 
 
-def is_believed(now: float, heard_at: float, settings: StreamSettings) -> bool:
-    """Return whether another daemon's suspicion of a group counts here.
+def is_credible(now: float, last_contact_at: float, settings: StreamSettings) -> bool:
+    """Return whether this daemon adopts another daemon's suspicion of a group.
 
-    A daemon that is cut off suspects every group, so what is heard here counts more.
+    A daemon that is cut off from the network suspects every group, so a recent answer to this
+    daemon takes precedence.
 
-    :param heard_at: when this daemon last heard anything from the group's leader.
+    :param last_contact_at: when the group's leader last answered this daemon.
     """
-    return now - heard_at > settings.least_silence
+    return now - last_contact_at > settings.least_silence
--- a/packages/gateway/src/thorncleat_gateway/peers/suspicions.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/suspicions.py
@@ -1,12 +1,10 @@
-"""Which groups are suspected, and for how long: longer each time a trial finds one silent again.
+"""Suspicions of groups, with probation and exponential backoff.
 
-A suspicion ends by itself, since nobody may be left who would hear the group. Then the group is
-on trial: it gets one request of this daemon at a time, until it is heard. If it is silent once
-more, it is suspected for twice as long as before, so that a group that is not ended (its
-controller may be cut off) costs few requests.
+A suspicion expires by itself. The group is then on probation, with one request of this daemon at a
+time, until its leader answers. If it is silent again, the next suspicion lasts longer.
 
 Owns: the suspicions, by leader.
-Relies on: :mod:`.silence` for what begins one, and on whoever hears an endpoint to end one.
+Relies on: :mod:`.failure_detector` to add suspicions and to remove them when an endpoint answers.
 """
 
 import dataclasses
@@ -15,85 +13,87 @@
 from ..store.roster import Endpoint
 from ..store.roster import GroupId
 
-# by which each suspicion of a group that was not heard since is longer than the one before
-GROWTH = 2.0
-# seconds that a suspicion lasts at most
-LONGEST_SECONDS = 8.0
-# seconds after its end for which a suspicion is remembered
-REMEMBER_SECONDS = 30.0
+# Factor by which a suspicion lasts longer than the previous one of a group without a contact since.
+DURATION_GROWTH = 2.0
+MAX_DURATION_SECONDS = 8.0
+# How long a suspicion is remembered after it has expired.
+EXPIRED_TTL_SECONDS = 30.0
 
 
 @dataclasses.dataclass
-class _Suspected:
-    """A group that was silent, and was not heard since.
+class _Entry:
+    """A suspicion of a group that has not answered since.
 
-    :param until: when the suspicion ends, and the group is on trial.
-    :param seconds: that the suspicion lasts.
-    :param own: whether this daemon found the group silent itself.
+    :param ends_at: when the suspicion expires and the probation begins.
+    :param seconds: duration of the suspicion.
+    :param is_local: whether this daemon itself found the group silent.
     """
 
     group: GroupId | None
-    until: float
+    ends_at: float
     seconds: float
-    own: bool
+    is_local: bool
 
 
 class Suspicions:
-    """Suspected groups.
+    """The suspected groups that this daemon knows of.
 
-    :param seconds: that the first suspicion of a group lasts.
+    :param seconds: duration of the first suspicion of a group.
     """
 
     def __init__(self, seconds: float, clock: t.Callable[[], float]) -> None:
-        self._seconds = seconds
+        self._first_seconds = seconds
         self._clock = clock
-        self._by_leader: dict[str, _Suspected] = {}
+        self._by_leader: dict[str, _Entry] = {}
 
-    def add(self, leader_id: str, group: GroupId | None, *, own: bool) -> None:
-        """Suspect a group, for longer if it failed its trial.
+    def add(self, leader_id: str, group: GroupId | None, *, is_local: bool) -> None:
+        """Suspect a group, for longer if it was on probation.
 
-        :param own: whether this daemon found it silent itself.
+        :param is_local: whether this daemon itself found the group silent.
         """
         now = self._clock()
-        seconds = self._seconds
-        before = self._by_leader.get(leader_id)
-        if before is not None and before.group == group:
-            # words of several daemons on the same silence are one suspicion
-            on_trial = now >= before.until
-            seconds = min(before.seconds * (GROWTH if on_trial else 1.0), LONGEST_SECONDS)
-            own = own or (before.own and not on_trial)
-        self._by_leader[leader_id] = _Suspected(group, now + seconds, seconds, own)
-        self._forget(now)
-
-    def _forget(self, now: float) -> None:
-        begin = now - REMEMBER_SECONDS
+        seconds = self._first_seconds
+        previous = self._by_leader.get(leader_id)
+        if previous is not None and previous.group == group:
+            # Reports of several daemons about the same silence count as one suspicion.
+            is_on_probation = now >= previous.ends_at
+            seconds = min(
+                previous.seconds * (DURATION_GROWTH if is_on_probation else 1.0),
+                MAX_DURATION_SECONDS,
+            )
+            is_local = is_local or (previous.is_local and not is_on_probation)
+        self._by_leader[leader_id] = _Entry(group, now + seconds, seconds, is_local)
+        self._remove_expired(now)
+
+    def _remove_expired(self, now: float) -> None:
+        oldest = now - EXPIRED_TTL_SECONDS
         self._by_leader = {
-            leader_id: suspected
-            for leader_id, suspected in self._by_leader.items()
-            if suspected.until >= begin
+            leader_id: entry
+            for leader_id, entry in self._by_leader.items()
+            if entry.ends_at >= oldest
         }
 
-    def end(self, leader_id: str) -> None:
-        """Trust a leader's group, since the leader was heard."""
+    def remove(self, leader_id: str) -> None:
+        """Remove the suspicion of a leader's group, since the leader has answered."""
         self._by_leader.pop(leader_id, None)
 
-    def holds(self, leader: Endpoint) -> bool:
+    def is_suspected(self, leader: Endpoint) -> bool:
         """Return whether a leader's group is suspected."""
-        suspected = self._of(leader)
-        return suspected is not None and self._clock() < suspected.until
+        entry = self._find(leader)
+        return entry is not None and self._clock() < entry.ends_at
 
-    def holds_here(self, leader: Endpoint) -> bool:
-        """Return whether a leader's group is suspected by this daemon itself."""
-        suspected = self._of(leader)
-        return suspected is not None and suspected.own and self._clock() < suspected.until
+    def is_suspected_locally(self, leader: Endpoint) -> bool:
+        """Return whether this daemon itself suspects a leader's group."""
+        entry = self._find(leader)
+        return entry is not None and entry.is_local and self._clock() < entry.ends_at
 
     def is_on_probation(self, leader: Endpoint) -> bool:
-        """Return whether a suspicion of a leader's group has ended and the group wasn't heard."""
-        suspected = self._of(leader)
-        return suspected is not None and self._clock() >= suspected.until
+        """Return whether a suspicion of a leader's group has expired without a contact since."""
+        entry = self._find(leader)
+        return entry is not None and self._clock() >= entry.ends_at
 
-    def _of(self, leader: Endpoint) -> _Suspected | None:
-        """Return the suspicion of the group that a leader has now."""
-        suspected = self._by_leader.get(leader.id)
+    def _find(self, leader: Endpoint) -> _Entry | None:
+        """Return the suspicion of a leader's current group."""
+        entry = self._by_leader.get(leader.id)
         group = leader.membership.group if leader.membership else None
-        return suspected if suspected is not None and suspected.group == group else None
+        return entry if entry is not None and entry.group == group else None
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Suspicions of silent groups: what a daemon hears itself counts more than what it is told."""
+"""Local and remote suspicions of silent groups."""
 
 import dataclasses
 
@@ -38,12 +38,12 @@
 @pytest.fixture
 def detector():
     time = [100.0]
-    made = FailureDetector(StreamSettings(), PeerChannel(), lambda: time[0])
-    made.time = time
-    return made
+    detector = FailureDetector(StreamSettings(), PeerChannel(), lambda: time[0])
+    detector.time = time
+    return detector
 
 
-def test_a_suspicion_is_told_and_ends_by_itself(detector):
+def test_suspicion_is_broadcast_and_expires(detector):
     detector.suspect(LEADER, "silence")
     assert detector._peers.sent == [Suspicion("w0", GROUP)]
     assert detector.is_suspected(LEADER)
@@ -53,17 +53,17 @@
     assert not detector.is_suspected_locally(LEADER)
 
 
-def test_group_that_fails_its_trial_is_suspected_for_longer(detector):
-    lasted = []
+def test_group_that_fails_its_probation_is_suspected_for_longer(detector):
+    durations = []
     for _ in range(5):
         detector.suspect(LEADER, "silence")
-        begun = detector.time[0]
+        started_at = detector.time[0]
         while detector.is_suspected(LEADER):
             assert not detector.is_on_probation(LEADER)
             detector.time[0] += 0.1
-        lasted.append(round(detector.time[0] - begun))
+        durations.append(round(detector.time[0] - started_at))
         assert detector.is_on_probation(LEADER)
-    assert lasted == [1, 2, 4, 8, 8]
+    assert durations == [1, 2, 4, 8, 8]
     detector.record_contact("w0", detector.time[0])
     assert not detector.is_on_probation(LEADER)
     detector.suspect(LEADER, "silence")
@@ -71,8 +71,8 @@
     assert not detector.is_suspected(LEADER)
 
 
-def test_own_suspicion_is_an_own_one_for_as_long_as_it_lasts(detector):
-    """Where all groups are suspected, those that only others suspect are used."""
+def test_local_suspicion_stays_local_until_it_expires(detector):
+    """Where all groups are suspected, only those suspected by other daemons are used."""
     detector.suspect(LEADER, "silence")
     detector.time[0] += 1.1
     detector.suspect(LEADER, "silence")
@@ -81,43 +81,43 @@
     assert detector.is_suspected_locally(LEADER)
 
 
-def test_words_of_several_daemons_on_one_silence_are_one_suspicion(detector):
+def test_reports_of_several_daemons_count_as_one_suspicion(detector):
     for _ in range(5):
         detector._peers.receive("another", Suspicion("w0", GROUP))
     detector.time[0] += 1.1
     assert not detector.is_suspected(LEADER)
 
 
-def test_next_group_of_the_same_leader_is_trusted(detector):
+def test_next_group_of_the_same_leader_is_not_suspected(detector):
     detector.suspect(LEADER, "silence")
-    place = Membership(GroupId(8, "g8"), 0, GroupState.OPEN)
-    leader = dataclasses.replace(LEADER, membership=place)
+    membership = Membership(GroupId(8, "g8"), 0, GroupState.OPEN)
+    leader = dataclasses.replace(LEADER, membership=membership)
     assert not detector.is_suspected(leader)
     detector.time[0] += 1.1
     assert not detector.is_on_probation(leader)
 
 
-def test_an_answer_ends_it_at_once(detector):
+def test_answer_ends_a_suspicion(detector):
     detector.suspect(LEADER, "silence")
     detector.record_contact("w0", detector.time[0])
     assert not detector.is_suspected(LEADER)
     assert not detector.is_suspected_locally(LEADER)
 
 
-def test_what_is_heard_here_counts_more_than_what_others_say(detector):
+def test_local_contact_overrides_a_remote_suspicion(detector):
     detector.record_contact("w0", detector.time[0] - 0.2)
     detector._peers.receive("cut-off", Suspicion("w0", GROUP))
     assert not detector.is_suspected(LEADER)
 
 
-def test_what_others_say_counts_where_nothing_is_heard(detector):
+def test_remote_suspicion_counts_without_local_contact(detector):
     detector._peers.receive("another", Suspicion("w0", GROUP))
     assert detector.is_suspected(LEADER)
     assert not detector.is_suspected_locally(LEADER)
 
 
 @pytest.mark.parametrize("message", [Suspicion("w0", GROUP, "w1"), Probe("w0"), GroupEnded(GROUP)])
-def test_datagrams_are_read_as_they_were_written(message):
+def test_datagrams_round_trip(message):
     assert decode(encode("edge-1", message)) == ("edge-1", message)
 
 
@@ -128,39 +128,39 @@
     assert decode(data) is None
 
 
-def _attempt(detector, left):
-    """Return a stream that has an event, and can go on elsewhere."""
-    attempt = StreamAttempt(LEADER, detector.time[0], lambda: True, lambda: left.append(attempt))
+def _started_attempt(detector, aborted):
+    """Return a watched attempt that has an event and can migrate."""
+    attempt = StreamAttempt(LEADER, detector.time[0], lambda: True, lambda: aborted.append(attempt))
     attempt.record_event(detector.time[0])
     detector.watch(attempt)
     return attempt
 
 
-def test_stream_whose_connection_falls_silent_leaves_a_group_that_is_not(detector):
-    left = []
-    silent, other = _attempt(detector, left), _attempt(detector, left)
+def test_stalled_stream_leaves_a_group_that_is_alive(detector):
+    aborted = []
+    silent, other = _started_attempt(detector, aborted), _started_attempt(detector, aborted)
     for _ in range(30):
         detector.time[0] += 0.05
         other.record_event(detector.time[0])
         detector.record_contact("w0", detector.time[0])
-        detector._look("w0", detector.time[0])
-    assert left == [silent]
+        detector._check_leader("w0", detector.time[0])
+    assert aborted == [silent]
     assert silent.abort_cause == silence.STREAM_SILENT
     assert not detector.is_suspected(LEADER)
     assert detector._peers.sent == []
 
 
 @pytest.mark.parametrize("others", [0, 1], ids=["alone", "beside another"])
-def test_stream_whose_caller_reads_slowly_says_nothing_of_its_group(detector, others):
-    """Its events aren't read while the caller has not taken the ones before."""
-    left = []
-    held = _attempt(detector, left)
-    held.is_blocked_by_caller = True
-    beside = [_attempt(detector, left) for _ in range(others)]
+def test_stream_with_a_slow_caller_does_not_make_its_group_suspected(detector, others):
+    """No events are read from the leader while the caller has not read the previous ones."""
+    aborted = []
+    blocked = _started_attempt(detector, aborted)
+    blocked.is_blocked_by_caller = True
+    beside = [_started_attempt(detector, aborted) for _ in range(others)]
     for _ in range(30):
         detector.time[0] += 0.05
         for attempt in beside:
             attempt.record_event(detector.time[0])
-        detector._look("w0", detector.time[0])
-    assert left == []
+        detector._check_leader("w0", detector.time[0])
+    assert aborted == []
     assert not detector.is_suspected(LEADER)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,15 +1,14 @@
-"""Whether a group is silent: one line for each case, with the seconds that count."""
+"""Rules that tell whether a group is silent."""
 
 import dataclasses
 
 import pytest
 
 from thorncleat_gateway.peers import silence
-from thorncleat_gateway.peers.silence import Verdict
+from thorncleat_gateway.peers.silence import Liveness
 from thorncleat_gateway.settings import StreamSettings
 
 NOW = 100.0
-# 3 gaps, between 0.25 and 0.45 s; 0.45 s for the first event; 0.07 s if suspected
 SETTINGS = StreamSettings(
     gaps=3.0, least_silence=0.25, most_silence=0.45, first_event=0.45, suspected=0.07
 )
@@ -22,117 +21,148 @@
     gap: float = 0.0
 
 
-def waiting(started_ago):
-    """A stream without an event."""
+def without_event(started_ago):
+    """Return a stream that has no event yet."""
     return Stream(NOW - started_ago)
 
 
-def writing(event_ago, gap=0.0):
-    """A stream that has events."""
+def with_events(event_ago, gap=0.0):
+    """Return a stream that has events."""
     return Stream(NOW - 60.0, NOW - event_ago, gap)
 
 
-# streams of a group, of which the first is asked for
+# The streams of a group; the first one is checked.
 @pytest.mark.parametrize(
-    ("streams", "cut_off"),
+    ("streams", "stalled"),
     [
-        pytest.param([writing(1.2), writing(0.1)], True, id="others had events for over 1 s"),
-        pytest.param([writing(1.0), writing(0.1)], False, id="not for so long"),
         pytest.param(
-            [writing(1.2), writing(0.3)], False, id="it stopped, and the others soon after"
+            [with_events(1.2), with_events(0.1)], True, id="others had events for over 1 s"
+        ),
+        pytest.param(
+            [with_events(1.0), with_events(0.1)], False, id="others had events for less than 1 s"
+        ),
+        pytest.param(
+            [with_events(1.2), with_events(0.3)], False, id="the others stopped soon after"
+        ),
+        pytest.param([with_events(9.0)], False, id="only stream of its group"),
+        pytest.param(
+            [without_event(9.0), with_events(0.1)], False, id="no event yet: may be queued"
         ),
-        pytest.param([writing(9.0)], False, id="alone: that is the group's silence"),
-        pytest.param([waiting(9.0), writing(0.1)], False, id="no event yet: it may be queued"),
     ],
 )
-def test_stream_that_is_silent_alone(streams, cut_off):
-    newest_at = max(stream.last_at for stream in streams)
-    assert silence.is_cut_off(streams[0], newest_at) is cut_off
+def test_stream_is_stalled(streams, stalled):
+    latest_event_at = max(stream.last_at for stream in streams)
+    assert silence.is_stalled(streams[0], latest_event_at) is stalled
 
 
-ALIVE, NO_FIRST, NO_FURTHER = Verdict.ALIVE, Verdict.NO_FIRST_EVENT, Verdict.NO_FURTHER_EVENT
+ALIVE, NO_FIRST, NO_FURTHER = Liveness.ALIVE, Liveness.NO_FIRST_EVENT, Liveness.NO_FURTHER_EVENT
 
 
-# streams, seconds since its leader was heard, suspected already
+# Streams of a group, seconds since its leader answered, whether it is suspected already.
 @pytest.mark.parametrize(
-    ("streams", "heard_ago", "suspected", "verdict"),
+    ("streams", "contact_ago", "suspected", "expected"),
     [
-        pytest.param([waiting(0.44)], 9.0, False, ALIVE, id="first event may still come"),
-        pytest.param([waiting(0.46)], 9.0, False, NO_FIRST, id="no first event in 0.45 s"),
-        pytest.param([waiting(0.46)], 9.0, True, NO_FIRST, id="as long if suspected"),
-        pytest.param([waiting(0.44)], 9.0, True, ALIVE, id="not sooner if suspected"),
-        pytest.param([waiting(0.46)], 0.3, False, ALIVE, id="head of the answer was heard"),
+        pytest.param([without_event(0.44)], 9.0, False, ALIVE, id="first event may still come"),
+        pytest.param([without_event(0.46)], 9.0, False, NO_FIRST, id="no first event in 0.45 s"),
+        pytest.param([without_event(0.46)], 9.0, True, NO_FIRST, id="same timeout if suspected"),
+        pytest.param([without_event(0.44)], 9.0, True, ALIVE, id="not earlier if suspected"),
+        pytest.param([without_event(0.46)], 0.3, False, ALIVE, id="head of the answer arrived"),
         pytest.param(
-            [waiting(0.1), waiting(0.46)], 9.0, False, NO_FIRST, id="the oldest request counts"
+            [without_event(0.1), without_event(0.46)],
+            9.0,
+            False,
+            NO_FIRST,
+            id="the oldest request counts",
         ),
-        pytest.param([writing(0.24)], 9.0, False, ALIVE, id="no evidence below 0.25 s"),
-        pytest.param([writing(0.26)], 9.0, False, NO_FURTHER, id="gap not known: 0.25 s"),
-        pytest.param([writing(0.29, 0.1)], 9.0, False, ALIVE, id="below 3 usual gaps"),
-        pytest.param([writing(0.31, 0.1)], 9.0, False, NO_FURTHER, id="above 3 usual gaps"),
-        pytest.param([writing(0.44, 0.3)], 9.0, False, ALIVE, id="at most 0.45 s: below"),
-        pytest.param([writing(0.46, 0.3)], 9.0, False, NO_FURTHER, id="at most 0.45 s: above"),
+        pytest.param([with_events(0.24)], 9.0, False, ALIVE, id="below the minimum of 0.25 s"),
+        pytest.param([with_events(0.26)], 9.0, False, NO_FURTHER, id="gap unknown: above 0.25 s"),
+        pytest.param([with_events(0.29, 0.1)], 9.0, False, ALIVE, id="below 3 average gaps"),
+        pytest.param([with_events(0.31, 0.1)], 9.0, False, NO_FURTHER, id="above 3 average gaps"),
+        pytest.param([with_events(0.44, 0.3)], 9.0, False, ALIVE, id="at most 0.45 s: below"),
+        pytest.param([with_events(0.46, 0.3)], 9.0, False, NO_FURTHER, id="at most 0.45 s: above"),
         pytest.param(
-            [writing(0.9, 0.01), writing(0.29, 0.1)],
+            [with_events(0.9, 0.01), with_events(0.29, 0.1)],
             9.0,
             False,
             ALIVE,
-            id="newest event and longest gap of all streams",
+            id="latest event and longest gap of all streams",
         ),
-        pytest.param([writing(0.31, 0.1)], 0.2, False, ALIVE, id="leader answered another"),
         pytest.param(
-            [writing(0.1), waiting(9.0)], 9.0, False, ALIVE, id="one waits long, others write"
+            [with_events(0.31, 0.1)], 0.2, False, ALIVE, id="leader answered another request"
         ),
         pytest.param(
-            [writing(0.31, 0.1), waiting(0.01)], 9.0, False, NO_FURTHER, id="a new request is none"
+            [with_events(0.1), without_event(9.0)],
+            9.0,
+            False,
+            ALIVE,
+            id="one stream waits, others have events",
         ),
-        pytest.param([writing(0.06)], 9.0, True, ALIVE, id="suspected: below 0.07 s"),
-        pytest.param([writing(0.08)], 9.0, True, NO_FURTHER, id="suspected: above 0.07 s"),
-        pytest.param([writing(0.14, 0.1)], 9.0, True, ALIVE, id="suspected: below 1.5 gaps"),
-        pytest.param([writing(0.16, 0.1)], 9.0, True, NO_FURTHER, id="suspected: above 1.5 gaps"),
-        pytest.param([writing(0.5, 0.4)], 9.0, True, ALIVE, id="suspected: no upper bound"),
+        pytest.param(
+            [with_events(0.31, 0.1), without_event(0.01)],
+            9.0,
+            False,
+            NO_FURTHER,
+            id="a new request does not count",
+        ),
+        pytest.param([with_events(0.06)], 9.0, True, ALIVE, id="suspected: below 0.07 s"),
+        pytest.param([with_events(0.08)], 9.0, True, NO_FURTHER, id="suspected: above 0.07 s"),
+        pytest.param([with_events(0.14, 0.1)], 9.0, True, ALIVE, id="suspected: below 1.5 gaps"),
+        pytest.param(
+            [with_events(0.16, 0.1)], 9.0, True, NO_FURTHER, id="suspected: above 1.5 gaps"
+        ),
+        pytest.param([with_events(0.5, 0.4)], 9.0, True, ALIVE, id="suspected: no upper bound"),
     ],
 )
-def test_group_is_silent(streams, heard_ago, suspected, verdict):
-    found = silence.judge(NOW, NOW - heard_ago, streams, SETTINGS, suspected=suspected)
-    assert found is verdict
-    assert found.silent is (verdict is not ALIVE)
+def test_group_is_silent(streams, contact_ago, suspected, expected):
+    found = silence.classify_group(NOW, NOW - contact_ago, streams, SETTINGS, suspected=suspected)
+    assert found is expected
+    assert found.is_silent is (expected is not ALIVE)
 
 
 @pytest.mark.parametrize(
-    ("streams", "elsewhere_ago", "verdict"),
+    ("streams", "remote_contact_ago", "expected"),
     [
-        pytest.param([waiting(0.46)], 0.14, ALIVE, id="busy: another daemon hears it"),
-        pytest.param([waiting(0.46)], 0.16, NO_FIRST, id="another daemon heard it before"),
-        pytest.param([writing(0.31, 0.1)], 0.0, NO_FURTHER, id="its streams here stand still"),
+        pytest.param([without_event(0.46)], 0.14, ALIVE, id="busy: answers another daemon"),
+        pytest.param(
+            [without_event(0.46)], 0.16, NO_FIRST, id="answered another daemon too long ago"
+        ),
+        pytest.param(
+            [with_events(0.31, 0.1)], 0.0, NO_FURTHER, id="streams of this daemon have stopped"
+        ),
     ],
 )
-def test_group_that_others_hear_is_busy(streams, elsewhere_ago, verdict):
-    found = silence.judge(
-        NOW, NOW - 9.0, streams, SETTINGS, suspected=False, elsewhere_at=NOW - elsewhere_ago
+def test_group_that_answers_other_daemons_is_busy(streams, remote_contact_ago, expected):
+    found = silence.classify_group(
+        NOW,
+        NOW - 9.0,
+        streams,
+        SETTINGS,
+        suspected=False,
+        remote_contact_at=NOW - remote_contact_ago,
     )
-    assert found is verdict
+    assert found is expected
 
 
 @pytest.mark.parametrize(
     ("stream", "expected"),
     [
-        pytest.param(waiting(0.06), False, id="request sent 0.06 s ago"),
-        pytest.param(waiting(0.08), True, id="request sent 0.08 s ago"),
-        pytest.param(writing(0.06), False, id="event 0.06 s ago"),
-        pytest.param(writing(0.08), True, id="event 0.08 s ago"),
+        pytest.param(without_event(0.06), False, id="request sent 0.06 s ago"),
+        pytest.param(without_event(0.08), True, id="request sent 0.08 s ago"),
+        pytest.param(with_events(0.06), False, id="event 0.06 s ago"),
+        pytest.param(with_events(0.08), True, id="event 0.08 s ago"),
     ],
 )
-def test_stream_has_waited_long_enough_to_leave(stream, expected):
-    assert silence.has_waited(NOW, stream, SETTINGS) is expected
+def test_stream_is_overdue(stream, expected):
+    assert silence.is_overdue(NOW, stream, SETTINGS) is expected
 
 
 @pytest.mark.parametrize(
-    ("heard_ago", "expected"),
+    ("contact_ago", "expected"),
     [
-        pytest.param(0.24, False, id="heard here 0.24 s ago"),
-        pytest.param(0.26, True, id="heard here 0.26 s ago"),
-        pytest.param(NOW, True, id="never heard here"),
+        pytest.param(0.24, False, id="answered this daemon 0.24 s ago"),
+        pytest.param(0.26, True, id="answered this daemon 0.26 s ago"),
+        pytest.param(NOW, True, id="never answered this daemon"),
     ],
 )
-def test_suspicion_of_another_daemon_counts(heard_ago, expected):
-    assert silence.is_believed(NOW, NOW - heard_ago, SETTINGS) is expected
+def test_suspicion_of_another_daemon_is_credible(contact_ago, expected):
+    assert silence.is_credible(NOW, NOW - contact_ago, SETTINGS) is expected
