--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -85,14 +85,14 @@
         self.handlers: list[datagrams.Handler] = []
 
     @property
-    def others(self) -> set[str]:
+    def other_daemons(self) -> set[str]:
         return set(self._sim.daemons) - {self.id}
 
     def on_message(self, handler: datagrams.Handler) -> None:
         self.handlers.append(handler)
 
     def broadcast(self, message: Message) -> None:
-        for other in sorted(self.others):
+        for other in sorted(self.other_daemons):
             self.send(other, message)
 
     def send(self, other: str, message: Message) -> None:
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -117,7 +117,7 @@
             self._settings, self._registration.addresses, self._registration.neighbours
         )
         self._detector = FailureDetector(self._settings.streams, self._peers, self._clock)
-        self.load_table = LoadTable(self._clock, self._peers.interval)
+        self.load_table = LoadTable(self._clock, self._peers.report_interval_seconds)
         self._reporter = LoadReporter(
             self._peers, self.load_table, self._detector, self._settings.failure_domain
         )
@@ -162,13 +162,13 @@
         add("configuration_version", "In force here", self.view.configuration_version)
         add("requests_running", "Requests being answered", self._running)
         add("endpoints_listed", "Endpoints known", lambda: len(self.view.roster.endpoints))
-        add("daemons_registered", "Daemons known", lambda: self._peers.daemons)
+        add("daemons_registered", "Daemons known", lambda: self._peers.daemon_count)
         add("controls_groups", "1 if this daemon does", lambda: float(self._election.leads))
         add("controller_lease_seconds", "Left of the lease", lambda: self._election.left)
         add("endpoint_calls_allowed", "At once, by the controller", lambda: self._calls.limit)
         add("endpoint_calls_waiting", "For their turn", lambda: self._calls.waiting)
         add("loop_late_seconds", "At most, of the last second", self._lateness)
-        add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected)
+        add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected_count)
         add("requests_quarantined", "Held back", lambda: len(self._quarantine.held))
         add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
 
@@ -193,7 +193,7 @@
         if asks_store and self._relays():
             return self._settings.coalesce
         return gather_seconds(
-            self._settings.quick_coalesce, self._peers.daemons, asks_store=asks_store
+            self._settings.quick_coalesce, self._peers.daemon_count, asks_store=asks_store
         )
 
     def _daemons(self) -> t.Iterable[Daemon]:
@@ -252,7 +252,7 @@
             clock,
             settings.failure_domain,
         )
-        retry_budgets = RetryBudgets(settings.retry, clock, lambda: self._peers.daemons)
+        retry_budgets = RetryBudgets(settings.retry, clock, lambda: self._peers.daemon_count)
         crash_watch = CrashWatch(
             self._quarantine, self.view, self._detector, self._crash_reporter, clock
         )
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -122,7 +122,7 @@
         """
         asked_at = self._ask_others(leader)
         await asyncio.sleep(REPORTED_SECONDS)
-        silent = self._peers.others - self._load_table.reporters_since(asked_at)
+        silent = self._peers.other_daemons - self._load_table.reporters_since(asked_at)
         requests = self._load_table.request_count(leader.id)
         listed = self._view.roster.endpoints.get(leader.id)
         idle = is_idle(requests=requests, silent_daemons=silent)
@@ -139,7 +139,9 @@
         Reports go on naming an endpoint for some time after its last answer, which may have come
         before its end; so the question is asked only after that time.
         """
-        await asyncio.sleep(min(contact_ttl_seconds(self._peers.interval()), LONGEST_FADE_SECONDS))
+        await asyncio.sleep(
+            min(contact_ttl_seconds(self._peers.report_interval_seconds()), LONGEST_FADE_SECONDS)
+        )
         asked_at = self._ask_others(leader)
         await asyncio.sleep(PROBED_SECONDS)
         return self._detector.has_contact_since(leader.id, asked_at)
--- a/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -331,32 +331,32 @@
         self._neighbours = domain_peers
         self._handlers: list[Handler] = []
         self._transport: asyncio.DatagramTransport | None = None
-        self.rejected = 0
+        self.rejected_count = 0
 
     @property
-    def daemons(self) -> int:
+    def daemon_count(self) -> int:
         """The number of daemons that are registered, at least 1 for this one."""
         return max(1, len(self._addresses()))
 
     @property
-    def others(self) -> set[str]:
+    def other_daemons(self) -> set[str]:
         """The ids of the other registered daemons."""
         return set(self._addresses()) - {self.id}
 
     @property
     def is_full_mesh(self) -> bool:
         """Whether each daemon reports its load to all others."""
-        return domain_loads.is_full_mesh(self.daemons)
+        return domain_loads.is_full_mesh(self.daemon_count)
 
     @property
     def domain_peers(self) -> frozenset[str]:
         """The ids of the other daemons of this one's failure domain."""
         return self._neighbours()
 
-    def interval(self) -> float:
+    def report_interval_seconds(self) -> float:
         """Return the seconds between two reports of a daemon."""
         if self.is_full_mesh:
-            return report_interval(self.daemons)
+            return report_interval(self.daemon_count)
         return report_interval(DOMAIN_PEER_WEIGHT * (1 + len(self._neighbours())))
 
     async def on_start(self) -> None:
@@ -408,10 +408,12 @@
     def _received(self, data: bytes, source: tuple[str, int]) -> None:
         datagram = decode(data)
         if datagram is None or self._addresses().get(datagram.sender) != source:
-            self.rejected += 1
-            if self.rejected.bit_count() == 1:
+            self.rejected_count += 1
+            if self.rejected_count.bit_count() == 1:
                 # the first, and then each time the number has doubled
-                events.PEER_REJECTED.log(source=f"{source[0]}:{source[1]}", count=self.rejected)
+                events.PEER_REJECTED.log(
+                    source=f"{source[0]}:{source[1]}", count=self.rejected_count
+                )
             return
         for handler in self._handlers:
             handler(datagram.sender, datagram.message)
--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -69,7 +69,7 @@
 class FailureDetector(mode.Service):
     """Watches this daemon's streams in all groups and tells which groups are suspected.
 
-    :param lateness: how late_seconds the event loop of this daemon runs the checks of the streams.
+    :param lateness: how late the event loop of this daemon runs the checks of the streams.
     """
 
     def __init__(
@@ -111,7 +111,10 @@
         self._reported_at.pop(endpoint_id, None)
 
     def contacted_within(self, seconds: float) -> list[str]:
-        """Return the ids of the endpoints that answered this daemon in the last seconds."""
+        """Return the ids of the endpoints that answered this daemon recently.
+
+        :param seconds: maximum age of an answer.
+        """
         now = self._clock()
         self._contacts = {
             key: at for key, at in self._contacts.items() if now - at < CONTACT_TTL_SECONDS
--- a/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
@@ -61,7 +61,7 @@
 
     def build_report(self) -> LoadReport:
         """Return what this daemon has under way now."""
-        lately = contact_ttl_seconds(self._peers.interval())
+        lately = contact_ttl_seconds(self._peers.report_interval_seconds())
         return LoadReport(
             dict(self._load_table.local_counts), self._detector.contacted_within(lately)
         )
@@ -84,7 +84,7 @@
     async def _report_task(self) -> None:
         empty_reports = 0
         while not self.should_stop:
-            await asyncio.sleep(self._peers.interval())
+            await asyncio.sleep(self._peers.report_interval_seconds())
             self._load_table.remove_expired()
             report = self.build_report()
             is_empty = not report.counts and not report.heard
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
@@ -131,7 +131,7 @@
 
     def _repeat(self) -> None:
         repeated = self._quarantine.repeated()
-        others = sorted(self._peers.others)
+        others = sorted(self._peers.other_daemons)
         if not repeated or not others:
             return
         # where there is more than a datagram holds, each repetition tells another part of it
--- a/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
@@ -91,7 +91,7 @@
             for life, notice in self._limits.notices.items()
             if notice.heard_at >= begin
         ]
-        others = sorted(self._peers.others)
+        others = sorted(self._peers.other_daemons)
         if not lately or not others:
             return
         # where there is more than a datagram holds, each repetition tells another part of it
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -212,17 +212,17 @@
         self.cut = False
 
     @property
-    def others(self):
+    def other_daemons(self):
         return {daemon.peers.id for daemon in self._world.daemons} - {self.id}
 
-    def interval(self) -> float:
+    def report_interval_seconds(self) -> float:
         return datagrams.MIN_REPORT_INTERVAL_SECONDS
 
     def on_message(self, handler) -> None:
         self.handlers.append(handler)
 
     def broadcast(self, message) -> None:
-        for other in sorted(self.others):
+        for other in sorted(self.other_daemons):
             self.send(other, message)
 
     def send(self, other: str, message) -> None:
@@ -269,7 +269,7 @@
         self.world = world
         self.peers = Peers(world, f"edge-{number}")
         self.detector = FailureDetector(StreamSettings(), self.peers, clock)
-        self.table = LoadTable(clock, self.peers.interval)
+        self.table = LoadTable(clock, self.peers.report_interval_seconds)
         self.quarantine = Quarantine(clock)
         self.reporter = CrashReporter(self.quarantine, self.peers, clock)
         self.ended = ended = EndedGroups(self.peers, clock)
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -64,11 +64,11 @@
     def on_message(self, handler) -> None:
         self.handlers.append(handler)
 
-    def interval(self) -> float:
+    def report_interval_seconds(self) -> float:
         return MIN_REPORT_INTERVAL_SECONDS
 
     @property
-    def others(self) -> set[str]:
+    def other_daemons(self) -> set[str]:
         return {node.name for node in self._world.nodes if node is not self._node}
 
     def broadcast(self, message) -> None:
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -152,7 +152,7 @@
         self.peers = Peers(world, f"edge-{number}")
         self.view = View(world.size)
         self.detector = FailureDetector(StreamSettings(), self.peers, clock)
-        self.table = LoadTable(clock, self.peers.interval)
+        self.table = LoadTable(clock, self.peers.report_interval_seconds)
         quarantine = Quarantine(clock)
         reporter = CrashReporter(quarantine, self.peers, clock)
         ended = EndedGroups(self.peers, clock)
--- a/tests/test_limit_reporter.py
+++ b/tests/test_limit_reporter.py
@@ -28,7 +28,7 @@
 
 class Peers:
     def __init__(self):
-        self.others = {f"edge-{number}" for number in range(8)}
+        self.other_daemons = {f"edge-{number}" for number in range(8)}
         self.told = []
         self.handlers = []
 
@@ -104,7 +104,7 @@
     scene.reporter.repeat()
     receivers = {to for to, _ in scene.peers.told}
     assert len(receivers) == limit_reporter.REPEAT_TO
-    assert receivers <= scene.peers.others
+    assert receivers <= scene.peers.other_daemons
     scene.peers.told.clear()
     scene.now += limit_reporter.TOLD_SECONDS + 1
     scene.reporter.repeat()
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -92,12 +92,12 @@
     peers = _peers(count, failure_domains)
     reporting = count - 1 if peers.is_full_mesh else len(peers.domain_peers)
     sums = 0 if peers.is_full_mesh else (failure_domains - 1) * SUM_SENDERS / SUM_INTERVAL_SECONDS
-    received = reporting / peers.interval() + sums
+    received = reporting / peers.report_interval_seconds() + sums
     assert received <= MAX_DAEMONS_AT_MIN_INTERVAL / MIN_REPORT_INTERVAL_SECONDS
 
 
 def test_few_daemons_report_at_the_shortest_interval():
-    assert _peers(9).interval() == MIN_REPORT_INTERVAL_SECONDS
+    assert _peers(9).report_interval_seconds() == MIN_REPORT_INTERVAL_SECONDS
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,9 @@
     [(9, 3, 0.1), (22, 5, 0.1), (68, 3, 0.2875), (195, 5, 0.4875), (980, 13, 0.95)],
 )
 def test_reports_to_neighbours_come_more_often_than_to_all(count, failure_domains, seconds):
-    assert _peers(count, failure_domains).interval() == pytest.approx(seconds, abs=0.02)
+    assert _peers(count, failure_domains).report_interval_seconds() == pytest.approx(
+        seconds, abs=0.02
+    )
 
 
 def test_sum_of_a_failure_domain_is_that_of_its_daemons_alone():
