--- a/packages/gateway/src/thorncleat_gateway/peers/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What daemons tell each other."""
+"""Communication between daemons, failure detection and load reports."""
--- a/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -1,7 +1,6 @@
-"""Datagrams between daemons: soft state that the next datagram replaces.
+"""Datagrams between daemons, which carry soft state without acknowledgements.
 
-A lost datagram costs a little accuracy and nothing else, so nothing is acknowledged. A datagram
-whose sender is not registered at the address that it came from is rejected.
+Datagrams that do not come from the registered address of their sender are rejected.
 
 Owns: the socket, and the count of rejected datagrams.
 Relies on: the addresses of the registered daemons (:mod:`..store.registration`).
@@ -20,25 +19,23 @@
 from ..store.roster import GroupId
 from . import domain_loads
 
-# the first field of each datagram; :func:`decode` knows this one only
-FORMAT = 1
-# times are told in these, as whole numbers
-MILLISECONDS = 1000
-# between two reports of a daemon, while there are few daemons
+# The first field of each datagram; :func:`decode` accepts this version only.
+FORMAT_VERSION = 1
+MILLISECONDS_PER_SECOND = 1000
+# Interval of the load reports of a daemon while there are few daemons.
 MIN_REPORT_INTERVAL_SECONDS = 0.1
-# daemons up to which that interval holds, so that each receives at most 160 reports a second
+# Beyond this number of daemons the interval grows, which bounds the reports that each receives.
 MAX_DAEMONS_AT_MIN_INTERVAL = 16
-# daemons as which each neighbour counts where reports go to neighbours only, so that each daemon
-# receives at most 80 reports a second
+# Weight of a domain peer in the interval of reports that go to domain peers only.
 DOMAIN_PEER_WEIGHT = 2
 
 
 @dataclasses.dataclass(frozen=True)
 class LoadReport:
-    """What a daemon has under way, and whom it has heard from lately.
+    """The running requests of a daemon, and the endpoints that answered it recently.
 
-    :param counts: requests by endpoint.
-    :param heard: endpoints that answered lately (:data:`.load_reporter.HEARD_SECONDS`).
+    :param counts: running requests by endpoint.
+    :param heard: endpoints that answered recently (:func:`.load_reporter.contact_ttl_seconds`).
     """
 
     counts: t.Mapping[str, int]
@@ -47,9 +44,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class DomainLoad:
-    """What the daemons of a failure domain have under way together.
+    """The running requests of all daemons of a failure domain.
 
-    :param counts: requests by endpoint.
+    :param counts: running requests by endpoint.
     """
 
     failure_domain: str
@@ -58,9 +55,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Suspicion:
-    """A group's leader is silent.
+    """A notice that a group's leader is silent.
 
-    :param fault: the member that is at fault as far as it is known, or an empty string.
+    :param fault: the faulty member if it is known, else an empty string.
     """
 
     leader: str
@@ -70,9 +67,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Probe:
-    """The controller wants to know who has requests at an endpoint, and whether anyone hears it.
+    """A question of the controller: who has requests at an endpoint, and does it answer anyone?
 
-    Each daemon reports at once, and again if the endpoint answers it.
+    Each daemon sends a load report at once, and another one if the endpoint answers it.
     """
 
     endpoint_id: str
@@ -80,17 +77,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class GroupEnded:
-    """The controller is ending a group."""
+    """A notice that the controller is ending a group."""
 
     group: GroupId
 
 
 @dataclasses.dataclass(frozen=True)
 class ReportedRequest:
-    """A request that was under way at a crash.
+    """A request that was running at a crash.
 
-    :param fingerprint: of what it asked for, see :mod:`..requests.fingerprint`.
-    :param points: what the crash counts against it, see :mod:`..requests.quarantine`.
+    :param fingerprint: see :mod:`..requests.fingerprint`.
+    :param points: what the crash adds to its score, see :mod:`..requests.quarantine`.
     :param ran: seconds from the head of its answer to the crash.
     """
 
@@ -101,9 +98,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReportedCrash:
-    """An endpoint's life that ended by a crash.
+    """An incarnation of an endpoint that ended by a crash.
 
-    :param born: as in :class:`~..store.roster.Life`.
+    :param born: Unix milliseconds of its start; None if unknown.
     :param age: seconds since the crash.
     """
 
@@ -115,18 +112,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class CrashReport:
-    """Endpoints have crashed, with the requests that were under way there."""
+    """A notice of crashed endpoints, with the requests that were running there."""
 
     crashes: t.Sequence[ReportedCrash]
 
 
 @dataclasses.dataclass(frozen=True)
 class CrashWithdrawal:
-    """An endpoint has not crashed, since it lived later; or a request is no cause of crashes.
+    """A notice that an endpoint has not crashed, or that a request causes no crashes.
 
-    :param endpoint_id: an empty string if it tells of a request.
-    :param fingerprint: of a request that was served; no bytes if it tells of an endpoint.
-    :param age: seconds since the endpoint lived, or the request was served.
+    :param endpoint_id: the endpoint that answered after the crash; empty for a request.
+    :param fingerprint: of a request that was served; empty for an endpoint.
+    :param age: seconds since the endpoint answered, or the request was served.
     """
 
     endpoint_id: str
@@ -137,12 +134,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReportedLimit:
-    """What an endpoint has said of the requests that it takes from all daemons together.
+    """The rate limit that an endpoint sets for all daemons together.
 
-    :param born: as in :class:`~..store.roster.Life`.
-    :param limit: requests a second; None if it names none any more.
-    :param sent_age: seconds since the request was sent whose answer says so.
-    :param heard_age: seconds since that answer came.
+    :param born: Unix milliseconds of the endpoint's start; None if unknown.
+    :param limit: requests per second; None if the endpoint no longer sets a limit.
+    :param sent_age: seconds since the request whose answer set the limit was sent.
+    :param heard_age: seconds since that answer arrived.
     """
 
     endpoint_id: str
@@ -154,7 +151,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LimitReport:
-    """Endpoints have named limits, or name none any more."""
+    """Current rate limits of endpoints."""
 
     limits: t.Sequence[ReportedLimit]
 
@@ -172,7 +169,7 @@
 
 
 class Datagram(t.NamedTuple):
-    """A message with the id of the daemon that says it sent it."""
+    """A message with the id of its claimed sender."""
 
     sender: str
     message: Message
@@ -182,7 +179,7 @@
 
 
 def encode(sender: str, message: Message) -> bytes:
-    """Return a message as a datagram."""
+    """Return the bytes of a message."""
     match message:
         case LoadReport(counts, heard):
             content: list[t.Any] = ["load", dict(counts), list(heard)]
@@ -195,23 +192,23 @@
         case GroupEnded(group):
             content = ["ended", group.epoch, group.name]
         case CrashReport(crashes):
-            content = ["crash", [_crash_content(crash) for crash in crashes]]
+            content = ["crash", [_pack_crash(crash) for crash in crashes]]
         case CrashWithdrawal(endpoint_id, born, fingerprint, age):
-            content = ["no crash", endpoint_id, born, fingerprint, _milliseconds(age)]
+            content = ["no crash", endpoint_id, born, fingerprint, _to_milliseconds(age)]
         case LimitReport(limits):
-            content = ["limits", [_limit_content(limit) for limit in limits]]
-    packed: bytes = msgpack.packb([FORMAT, sender, *content])
+            content = ["limits", [_pack_limit(limit) for limit in limits]]
+    packed: bytes = msgpack.packb([FORMAT_VERSION, sender, *content])
     return packed
 
 
 def decode(data: bytes) -> Datagram | None:
-    """Return a datagram; None if the bytes are none, or one of another format."""
+    """Return a decoded datagram; None if the bytes are malformed or of another version."""
     try:
         match msgpack.unpackb(data):
             case [1, str(sender), "load", dict(counts), list(heard)]:
-                return Datagram(sender, LoadReport(_numbers(counts), heard))
+                return Datagram(sender, LoadReport(_parse_counts(counts), heard))
             case [1, str(sender), "domain", str(failure_domain), dict(counts)]:
-                return Datagram(sender, DomainLoad(failure_domain, _numbers(counts)))
+                return Datagram(sender, DomainLoad(failure_domain, _parse_counts(counts)))
             case [1, str(sender), "suspect", str(leader), int(epoch), str(name), str(fault)]:
                 return Datagram(sender, Suspicion(leader, GroupId(epoch, name), fault))
             case [1, str(sender), "probe", str(endpoint_id)]:
@@ -219,103 +216,115 @@
             case [1, str(sender), "ended", int(epoch), str(name)]:
                 return Datagram(sender, GroupEnded(GroupId(epoch, name)))
             case [1, str(sender), "crash", list(crashes)]:
-                return Datagram(sender, CrashReport([_crash(*crash) for crash in crashes]))
+                return Datagram(sender, CrashReport([_parse_crash(*crash) for crash in crashes]))
             case [1, str(sender), "no crash", str(endpoint_id), born, bytes(digest), int(age)]:
-                seconds = _natural(age) / MILLISECONDS
-                return Datagram(sender, CrashWithdrawal(endpoint_id, _born(born), digest, seconds))
+                seconds = _parse_natural(age) / MILLISECONDS_PER_SECOND
+                return Datagram(
+                    sender, CrashWithdrawal(endpoint_id, _parse_born(born), digest, seconds)
+                )
             case [1, str(sender), "limits", list(limits)]:
-                return Datagram(sender, LimitReport([_limit(*limit) for limit in limits]))
+                return Datagram(sender, LimitReport([_parse_limit(*limit) for limit in limits]))
     except (ValueError, TypeError, msgpack.UnpackException):
-        # any process may send anything here; the channel counts what it rejects
+        # Any process can send to this socket; the channel counts what it rejects.
         pass
     return None
 
 
-def _numbers(counts: t.Mapping[t.Any, t.Any]) -> dict[str, int]:
+def _parse_counts(counts: t.Mapping[t.Any, t.Any]) -> dict[str, int]:
     return {str(endpoint): int(count) for endpoint, count in counts.items()}
 
 
-def _milliseconds(seconds: float) -> int:
-    return round(seconds * MILLISECONDS)
+def _to_milliseconds(seconds: float) -> int:
+    return round(seconds * MILLISECONDS_PER_SECOND)
 
 
-def _crash_content(crash: ReportedCrash) -> list[t.Any]:
+def _pack_crash(crash: ReportedCrash) -> list[t.Any]:
     requests = [
-        [request.fingerprint, request.points, _milliseconds(request.ran)]
+        [request.fingerprint, request.points, _to_milliseconds(request.ran)]
         for request in crash.requests
     ]
-    return [crash.endpoint_id, crash.born, _milliseconds(crash.age), requests]
+    return [crash.endpoint_id, crash.born, _to_milliseconds(crash.age), requests]
 
 
-def _crash(endpoint_id: t.Any, born: t.Any, age: t.Any, requests: t.Any) -> ReportedCrash:
-    """Return a crash from its plain form.
+def _parse_crash(endpoint_id: t.Any, born: t.Any, age: t.Any, requests: t.Any) -> ReportedCrash:
+    """Return a crash from its unpacked fields.
 
-    :raises TypeError, ValueError: if it has another form.
+    :raises TypeError, ValueError: if a field has another type or value.
     """
-    found = [
-        ReportedRequest(_digest(digest), _natural(points), _natural(ran) / MILLISECONDS)
+    reported = [
+        ReportedRequest(
+            _parse_digest(digest),
+            _parse_natural(points),
+            _parse_natural(ran) / MILLISECONDS_PER_SECOND,
+        )
         for digest, points, ran in requests
     ]
-    return ReportedCrash(str(endpoint_id), _born(born), _natural(age) / MILLISECONDS, found)
+    return ReportedCrash(
+        str(endpoint_id),
+        _parse_born(born),
+        _parse_natural(age) / MILLISECONDS_PER_SECOND,
+        reported,
+    )
 
 
-def _limit_content(limit: ReportedLimit) -> list[t.Any]:
-    ages = [_milliseconds(limit.sent_age), _milliseconds(limit.heard_age)]
+def _pack_limit(limit: ReportedLimit) -> list[t.Any]:
+    ages = [_to_milliseconds(limit.sent_age), _to_milliseconds(limit.heard_age)]
     return [limit.endpoint_id, limit.born, limit.limit, *ages]
 
 
-def _limit(
+def _parse_limit(
     endpoint_id: t.Any, born: t.Any, limit: t.Any, sent_age: t.Any, heard_age: t.Any
 ) -> ReportedLimit:
-    """Return a limit from its plain form.
+    """Return a limit from its unpacked fields.
 
-    :raises TypeError, ValueError: if it has another form.
+    :raises TypeError, ValueError: if a field has another type or value.
     """
-    sent, heard = _natural(sent_age) / MILLISECONDS, _natural(heard_age) / MILLISECONDS
-    return ReportedLimit(str(endpoint_id), _born(born), _rate(limit), sent, heard)
+    sent, heard = (
+        _parse_natural(sent_age) / MILLISECONDS_PER_SECOND,
+        _parse_natural(heard_age) / MILLISECONDS_PER_SECOND,
+    )
+    return ReportedLimit(str(endpoint_id), _parse_born(born), _parse_rate(limit), sent, heard)
 
 
-def _rate(value: t.Any) -> float | None:
+def _parse_rate(value: t.Any) -> float | None:
     if value is None:
         return None
     rate = float(value)
     if not 0 <= rate < math.inf:
-        raise ValueError(f"{value!r} is no rate")
+        raise ValueError(f"{value!r} is not a valid rate: it must be finite and not negative")
     return rate
 
 
-def _natural(value: t.Any) -> int:
+def _parse_natural(value: t.Any) -> int:
     number = int(value)
     if number < 0:
         raise ValueError(f"{value!r} is negative")
     return number
 
 
-def _born(value: t.Any) -> int | None:
+def _parse_born(value: t.Any) -> int | None:
     return None if value is None else int(value)
 
 
-def _digest(value: t.Any) -> bytes:
+def _parse_digest(value: t.Any) -> bytes:
     if not isinstance(value, bytes):
-        raise TypeError(f"{value!r} is no digest")
+        raise TypeError(f"{value!r} is not a digest of type bytes")
     return value
 
 
 def report_interval(daemons: int) -> float:
-    """Return the seconds between two reports of each of a number of daemons.
+    """Return the seconds between two load reports of each daemon.
 
-    It grows with their number, so that each receives as many reports a second however many
-    there are.
+    The interval grows with the number of daemons, which bounds the reports that each receives.
     """
     return MIN_REPORT_INTERVAL_SECONDS * max(1.0, daemons / MAX_DAEMONS_AT_MIN_INTERVAL)
 
 
 class PeerChannel(mode.Service):
-    """Sends to the other daemons, and passes on what they send.
+    """Sends messages to other daemons and dispatches theirs.
 
-    :param addresses: returns the address of each registered daemon.
-    :param neighbours: returns the other registered daemons of this one's failure domain.
-    :param id: of this daemon.
+    :param addresses: returns the address of each registered daemon, by id.
+    :param domain_peers: returns the ids of the other registered daemons of the same failure domain.
     """
 
     def __init__(
@@ -328,14 +337,14 @@
         self.id = settings.id
         self._listen = settings.peers
         self._addresses = addresses
-        self._neighbours = domain_peers
+        self._domain_peers = domain_peers
         self._handlers: list[Handler] = []
         self._transport: asyncio.DatagramTransport | None = None
         self.rejected_count = 0
 
     @property
     def daemon_count(self) -> int:
-        """The number of daemons that are registered, at least 1 for this one."""
+        """The number of registered daemons, at least 1 for this one."""
         return max(1, len(self._addresses()))
 
     @property
@@ -345,24 +354,24 @@
 
     @property
     def is_full_mesh(self) -> bool:
-        """Whether each daemon reports its load to all others."""
+        """Whether each daemon reports its load to all other daemons."""
         return domain_loads.is_full_mesh(self.daemon_count)
 
     @property
     def domain_peers(self) -> frozenset[str]:
-        """The ids of the other daemons of this one's failure domain."""
-        return self._neighbours()
+        """The ids of the other registered daemons of the same failure domain."""
+        return self._domain_peers()
 
     def report_interval_seconds(self) -> float:
-        """Return the seconds between two reports of a daemon."""
+        """Return the seconds between two load reports of a daemon."""
         if self.is_full_mesh:
             return report_interval(self.daemon_count)
-        return report_interval(DOMAIN_PEER_WEIGHT * (1 + len(self._neighbours())))
+        return report_interval(DOMAIN_PEER_WEIGHT * (1 + len(self._domain_peers())))
 
     async def on_start(self) -> None:
         """Open the socket."""
         loop = asyncio.get_running_loop()
-        receiver = _Receiver(self._received)
+        receiver = _Receiver(self._on_datagram)
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: receiver, local_addr=self._listen
         )
@@ -373,44 +382,46 @@
             self._transport.close()
 
     def on_message(self, handler: Handler) -> None:
-        """Call a function for each message."""
+        """Call a function for each message with the id of its sender."""
         self._handlers.append(handler)
 
     def broadcast(self, message: Message) -> None:
         """Send a message to all other daemons."""
         others = (address for daemon, address in self._addresses().items() if daemon != self.id)
-        self._send(message, others)
+        self._send_datagram(message, others)
 
     def broadcast_to_domain(self, message: Message) -> None:
-        """Send a message to the other daemons of this one's failure domain."""
-        known = self._addresses()
-        self._send(message, (known[name] for name in self._neighbours()))
+        """Send a message to the other daemons of the same failure domain."""
+        addresses = self._addresses()
+        self._send_datagram(message, (addresses[name] for name in self._domain_peers()))
 
     def broadcast_to_other_domains(self, message: Message) -> None:
         """Send a message to all daemons of other failure domains."""
-        near = self._neighbours() | {self.id}
-        far = (address for daemon, address in self._addresses().items() if daemon not in near)
-        self._send(message, far)
+        own_domain = self._domain_peers() | {self.id}
+        remote = (
+            address for daemon, address in self._addresses().items() if daemon not in own_domain
+        )
+        self._send_datagram(message, remote)
 
     def send(self, daemon: str, message: Message) -> None:
         """Send a message to one daemon, if it is registered."""
         address = self._addresses().get(daemon)
         if address is not None:
-            self._send(message, [address])
+            self._send_datagram(message, [address])
 
-    def _send(self, message: Message, addresses: t.Iterable[tuple[str, int]]) -> None:
+    def _send_datagram(self, message: Message, addresses: t.Iterable[tuple[str, int]]) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         data = encode(self.id, message)
         for address in addresses:
             self._transport.sendto(data, address)
 
-    def _received(self, data: bytes, source: tuple[str, int]) -> None:
+    def _on_datagram(self, data: bytes, source: tuple[str, int]) -> None:
         datagram = decode(data)
         if datagram is None or self._addresses().get(datagram.sender) != source:
             self.rejected_count += 1
             if self.rejected_count.bit_count() == 1:
-                # the first, and then each time the number has doubled
+                # Log the first one, and then each time the count has doubled.
                 events.PEER_REJECTED.log(
                     source=f"{source[0]}:{source[1]}", count=self.rejected_count
                 )
@@ -420,10 +431,10 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    """Hands each datagram with its source's address to a function."""
+    """Calls a function with each datagram and its source address."""
 
-    def __init__(self, received: t.Callable[[bytes, tuple[str, int]], None]) -> None:
-        self._received = received
+    def __init__(self, handler: t.Callable[[bytes, tuple[str, int]], None]) -> None:
+        self._handler = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._received(data, (addr[0], addr[1]))
+        self._handler(data, (addr[0], addr[1]))
--- a/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
@@ -1,33 +1,28 @@
-"""Who tells whom how many requests are under way, where there are hundreds of daemons.
+"""Rules for the exchange of load reports among many daemons.
 
-Where there are many daemons, reports from each to each would be old or too many. So each reports to
-its neighbours, the daemons of its failure domain, and two of these tell all others the sum.
-
-Pure.
+Few daemons form a full mesh. Otherwise each daemon reports to its failure domain only, and some
+daemons of each domain send its total to all other domains.
 
 Owns: nothing.
-Relies on: the registered daemons, which all know alike but for moments; a sum that is told by more
-daemons or fewer is still replaced by the next one.
+Relies on: a list of registered daemons that is nearly the same at all daemons.
 """
 
 import typing as t
 
 from thorncleat_core import rendezvous
 
-# daemons up to which each reports to all others
-MOST_THAT_REPORT_TO_ALL = 16
-# daemons of a failure domain that tell its sum, so that one may have died
+MAX_FULL_MESH_DAEMONS = 16
+# Daemons of a failure domain that send its total; more than one, so that one may fail.
 SUM_SENDERS = 2
-# between two sums of one teller, in seconds: the tellers together tell it twice as often, which
-# bounds its age for the choice of an endpoint in another failure domain
+# Interval at which each of these daemons sends the total of its failure domain.
 SUM_INTERVAL_SECONDS = 0.5
 
 
 def is_full_mesh(daemons: int) -> bool:
-    """Return whether each daemon reports to all others."""
-    return daemons <= MOST_THAT_REPORT_TO_ALL
+    """Return whether each daemon reports to all other daemons."""
+    return daemons <= MAX_FULL_MESH_DAEMONS
 
 
 def is_sum_sender(own_id: str, domain_peers: t.Iterable[str]) -> bool:
-    """Return whether this daemon tells the sum of its failure domain."""
+    """Return whether this daemon sends the total of its failure domain to the others."""
     return own_id in rendezvous.ranked("sum", {*domain_peers, own_id})[:SUM_SENDERS]
--- a/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
@@ -1,7 +1,7 @@
-"""Telling the other daemons what this one has under way, and keeping what they tell.
+"""Sends load reports to the other daemons, and records theirs.
 
 Owns: whether another daemon has reported requests since this one started.
-Relies on: the datagrams of :mod:`.datagrams`; a report that is lost is replaced by the next.
+Relies on: :mod:`.datagrams`; the next report replaces one that is lost.
 """
 
 import asyncio
@@ -16,27 +16,26 @@
 from .failure_detector import FailureDetector
 from .load_table import LoadTable
 
-# seconds for which an endpoint's answer is told to the others: three reports where there are few
-# daemons, so that two may be lost
-HEARD_SECONDS = 0.3
-# where reports are rarer than that, reports that tell of an answer; so that one may be lost
-HEARD_REPORTS = 2
-# reports without content that are sent before a daemon falls silent
-EMPTY_REPORTS = 2
+# How long reports name an endpoint after its last answer: the longer of this time and
+# CONTACT_TTL_REPORTS report intervals, so that some reports may be lost.
+MIN_CONTACT_TTL_SECONDS = 0.3
+CONTACT_TTL_REPORTS = 2
+# Empty reports that are sent before a daemon stops sending them.
+MAX_EMPTY_REPORTS = 2
 
 
 def contact_ttl_seconds(interval: float) -> float:
-    """Return for how many seconds after an endpoint's answer reports name it.
+    """Return the seconds for which reports name an endpoint after its last answer.
 
     :param interval: seconds between two reports of a daemon.
     """
-    return max(HEARD_SECONDS, HEARD_REPORTS * interval)
+    return max(MIN_CONTACT_TTL_SECONDS, CONTACT_TTL_REPORTS * interval)
 
 
 class LoadReporter(mode.Service):
     """Sends this daemon's load reports at the interval of the channel.
 
-    :param failure_domain: of this daemon.
+    :param failure_domain: the failure domain of this daemon.
     """
 
     def __init__(
@@ -51,34 +50,34 @@
         self._peers = peers
         self._load_table = load_table
         self._detector = detector
-        self._others_had_requests = False
-        peers.on_message(self._message)
+        self._has_seen_remote_requests = False
+        peers.on_message(self._on_message)
 
     @property
     def has_seen_remote_requests(self) -> bool:
         """Whether another daemon has reported a request since this one started."""
-        return self._others_had_requests
+        return self._has_seen_remote_requests
 
     def build_report(self) -> LoadReport:
-        """Return what this daemon has under way now."""
-        lately = contact_ttl_seconds(self._peers.report_interval_seconds())
+        """Return a report of the running requests and recent contacts of this daemon."""
+        contact_ttl = contact_ttl_seconds(self._peers.report_interval_seconds())
         return LoadReport(
-            dict(self._load_table.local_counts), self._detector.contacted_within(lately)
+            dict(self._load_table.local_counts), self._detector.contacted_within(contact_ttl)
         )
 
-    def _message(self, sender: str, message: Message) -> None:
+    def _on_message(self, sender: str, message: Message) -> None:
         match message:
             case LoadReport(counts):
                 self._load_table.report(sender, counts)
             case DomainLoad(failure_domain, counts):
                 if failure_domain == self._failure_domain:
-                    # its daemons report here themselves
+                    # The daemons of this domain send their reports to this one directly.
                     return
                 self._load_table.report_domain(failure_domain, counts)
             case _:
                 return
         if counts:
-            self._others_had_requests = True
+            self._has_seen_remote_requests = True
 
     @mode.Service.task
     async def _report_task(self) -> None:
@@ -89,7 +88,7 @@
             report = self.build_report()
             is_empty = not report.counts and not report.heard
             empty_reports = empty_reports + 1 if is_empty else 0
-            if empty_reports > EMPTY_REPORTS:
+            if empty_reports > MAX_EMPTY_REPORTS:
                 continue
             if self._peers.is_full_mesh:
                 self._peers.broadcast(report)
@@ -108,5 +107,5 @@
                 continue
             counts = self._load_table.sum_with(domain_peers)
             empty_sums = 0 if counts else empty_sums + 1
-            if empty_sums <= EMPTY_REPORTS:
+            if empty_sums <= MAX_EMPTY_REPORTS:
                 self._peers.broadcast_to_other_domains(DomainLoad(self._failure_domain, counts))
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -1,9 +1,8 @@
-"""How many requests each endpoint has, from this daemon and, as far as heard, from others.
+"""The number of running requests at each endpoint, of this daemon and of all others.
 
-Owns: this daemon's requests under way, the newest report of each other daemon that reports here,
-and the newest sum of each other failure domain.
-Relies on: :mod:`.load_reporter` for the reports, and :mod:`.datagrams` for the interval between
-them.
+Owns: the running requests of this daemon, the latest report of each daemon that sends reports to
+this one, and the latest total of each other failure domain.
+Relies on: :mod:`.load_reporter` for the reports, and :mod:`.datagrams` for their interval.
 """
 
 import collections
@@ -12,17 +11,15 @@
 
 from .datagrams import MIN_REPORT_INTERVAL_SECONDS
 
-# a report of another daemon counts no longer than this, in seconds, or than so many intervals,
-# whichever is longer, so that two lost datagrams make nobody forget it
-REPORT_SECONDS = 1.0
-# see REPORT_SECONDS
-REPORT_INTERVALS = 3.0
+# A report expires after the longer of these two times, so that two lost datagrams do no harm.
+MIN_REPORT_TTL_SECONDS = 1.0
+REPORT_TTL_INTERVALS = 3.0
 
 
-class Report(t.NamedTuple):
-    """What another daemon had under way.
+class _Report(t.NamedTuple):
+    """The running requests in a report of another daemon or failure domain.
 
-    :param at: when the report came, on the gateway's clock.
+    :param at: when the report arrived, in seconds on the gateway's clock.
     """
 
     at: float
@@ -30,7 +27,7 @@
 
 
 class LoadTable:
-    """Requests under way by endpoint.
+    """Running requests by endpoint.
 
     :param interval: returns the seconds between two reports of a daemon.
     """
@@ -38,70 +35,69 @@
     def __init__(self, clock: t.Callable[[], float], interval: t.Callable[[], float]) -> None:
         self._clock = clock
         self._interval = interval
-        self._others: dict[str, Report] = {}
-        # of failure domains whose daemons don't report here one by one
-        self._domains: dict[str, Report] = {}
-        self._sum: collections.Counter[str] = collections.Counter()
+        self._daemon_reports: dict[str, _Report] = {}
+        # Failure domains whose daemons do not send their reports to this one.
+        self._domain_reports: dict[str, _Report] = {}
+        self._remote_counts: collections.Counter[str] = collections.Counter()
         self.local_counts: collections.Counter[str] = collections.Counter()
 
     def request_count(self, endpoint_id: str) -> int:
-        """Return the requests that an endpoint has."""
-        return self.local_counts[endpoint_id] + self._sum[endpoint_id]
+        """Return the number of requests that run at an endpoint."""
+        return self.local_counts[endpoint_id] + self._remote_counts[endpoint_id]
 
     def report(self, daemon: str, counts: t.Mapping[str, int]) -> None:
-        """Replace what another daemon has under way."""
-        self._replace(self._others, daemon, counts)
+        """Replace the report of another daemon."""
+        self._replace(self._daemon_reports, daemon, counts)
 
     def report_domain(self, failure_domain: str, counts: t.Mapping[str, int]) -> None:
-        """Replace what the daemons of another failure domain have under way."""
-        self._replace(self._domains, failure_domain, counts)
+        """Replace the report of another failure domain."""
+        self._replace(self._domain_reports, failure_domain, counts)
 
     def sum_with(self, daemons: t.Container[str]) -> collections.Counter[str]:
-        """Return what this daemon and some others have under way together."""
+        """Return the running requests by endpoint of this daemon and some others together."""
         total = self.local_counts.copy()
-        for name, report in self._others.items():
+        for name, report in self._daemon_reports.items():
             if name in daemons:
                 total.update(report.counts)
         return total
 
-    def reporters_since(self, moment: float) -> set[str]:
-        """Return the daemons whose newest report came after a moment."""
-        return {name for name, report in self._others.items() if report.at >= moment}
+    def reporters_since(self, since: float) -> set[str]:
+        """Return the daemons whose latest report arrived at or after an instant."""
+        return {name for name, report in self._daemon_reports.items() if report.at >= since}
 
     def remove_expired(self) -> None:
-        """Forget the reports that are too old."""
-        begin = self._clock() - self._lasting()
-        for reports in (self._others, self._domains):
-            for name in [name for name, report in reports.items() if report.at < begin]:
+        """Remove the reports that have expired."""
+        oldest = self._clock() - self._report_ttl_seconds()
+        for reports in (self._daemon_reports, self._domain_reports):
+            for name in [name for name, report in reports.items() if report.at < oldest]:
                 self._subtract(reports, name)
 
-    def _replace(self, reports: dict[str, Report], name: str, counts: t.Mapping[str, int]) -> None:
-        # only what one daemon reports is added up, so that a report's cost does not grow with
-        # the number of daemons
+    def _replace(self, reports: dict[str, _Report], name: str, counts: t.Mapping[str, int]) -> None:
+        # An incremental update, whose cost does not grow with the number of daemons.
         self._subtract(reports, name)
-        reports[name] = Report(self._clock(), counts)
-        self._sum.update(counts)
+        reports[name] = _Report(self._clock(), counts)
+        self._remote_counts.update(counts)
 
-    def _subtract(self, reports: dict[str, Report], name: str) -> None:
+    def _subtract(self, reports: dict[str, _Report], name: str) -> None:
         report = reports.pop(name, None)
         if report is None:
             return
         for endpoint_id, count in report.counts.items():
-            self._sum[endpoint_id] -= count
-            if not self._sum[endpoint_id]:
-                del self._sum[endpoint_id]
+            self._remote_counts[endpoint_id] -= count
+            if not self._remote_counts[endpoint_id]:
+                del self._remote_counts[endpoint_id]
 
-    def _lasting(self) -> float:
-        return max(REPORT_SECONDS, REPORT_INTERVALS * self._interval())
+    def _report_ttl_seconds(self) -> float:
+        return max(MIN_REPORT_TTL_SECONDS, REPORT_TTL_INTERVALS * self._interval())
 
     @property
     def has_individual_reports(self) -> bool:
-        """Whether all daemons report here one by one, each as often as it can."""
-        return not self._domains and self._interval() <= MIN_REPORT_INTERVAL_SECONDS
+        """Whether each daemon sends its reports to this one at the shortest interval."""
+        return not self._domain_reports and self._interval() <= MIN_REPORT_INTERVAL_SECONDS
 
     @contextlib.contextmanager
     def track_request(self, endpoint_id: str) -> t.Iterator[None]:
-        """Count a request while it is under way."""
+        """Count a request at an endpoint while the context is open."""
         self.local_counts[endpoint_id] += 1
         try:
             yield
--- a/packages/gateway/src/thorncleat_gateway/peers/own_lateness.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/own_lateness.py
@@ -1,57 +1,60 @@
-"""How late this daemon's own event loop runs.
+"""Measures how late the event loop of this daemon runs.
 
-A daemon that is late misses answers that came in time: then the silence of others says something of
-this daemon, and nothing of them.
+While the loop is late, answers that arrived in time may be unread, so a missing answer proves
+nothing about the endpoint.
 
 Owns: the lateness of the last ticks.
-Relies on: whoever wakes up at a steady interval (:class:`.FailureDetector`) to note each tick.
+Relies on: :class:`.FailureDetector`, which records a tick at a steady interval.
 """
 
 import collections
 import typing as t
 
-# ticks that are remembered, 1.3 s at the detector's interval: longer than any call to an endpoint
-# may take
-TICKS = 64
-# lateness from which on a silence proves nothing, in seconds: a fourth of the shortest time-out of
-# a call
+# Number of ticks to remember; together they span more time than any call to an endpoint.
+MAX_TICKS = 64
+# A missing answer proves nothing about an endpoint if the loop was later than this.
 MAX_LATENESS_SECONDS = 0.04
 
 
 class _Tick(t.NamedTuple):
-    """A wake-up.
+    """A wake-up of the event loop.
 
-    :param at: when it came, in seconds on the gateway's clock.
-    :param late: seconds after it was due.
+    :param at: time of the wake-up, in seconds on the gateway's clock.
+    :param late_seconds: how long after the due time it came.
     """
 
     at: float
-    late: float
+    late_seconds: float
 
 
 class OwnLateness:
-    """Remembers how late the loop's last ticks were.
+    """Remembers how late the last ticks of the event loop were.
 
-    :param interval: seconds between two ticks that come in time.
+    :param interval: seconds between two ticks that are on time.
     """
 
     def __init__(self, clock: t.Callable[[], float], interval: float) -> None:
         self._clock = clock
         self._interval = interval
-        self._ticks: collections.deque[_Tick] = collections.deque(maxlen=TICKS)
+        self._ticks: collections.deque[_Tick] = collections.deque(maxlen=MAX_TICKS)
 
     def record_tick(self) -> float:
-        """Note a wake-up; return by how many seconds it was late."""
-        late = self._overdue()
-        self._ticks.append(_Tick(self._clock(), late))
-        return late
-
-    def max_lateness_since(self, moment: float) -> float:
-        """Return by how many seconds the loop was late at most since a moment, or is now."""
-        return max([self._overdue(), *(tick.late for tick in self._ticks if tick.at >= moment)])
-
-    def _overdue(self) -> float:
-        """Return for how many seconds the next tick has been due; 0 before the first."""
+        """Record a wake-up and return by how many seconds it was late."""
+        late_seconds = self._overdue_seconds()
+        self._ticks.append(_Tick(self._clock(), late_seconds))
+        return late_seconds
+
+    def max_lateness_since(self, since: float) -> float:
+        """Return the maximum lateness since an instant in seconds, including the pending tick's."""
+        return max(
+            [
+                self._overdue_seconds(),
+                *(tick.late_seconds for tick in self._ticks if tick.at >= since),
+            ]
+        )
+
+    def _overdue_seconds(self) -> float:
+        """Return for how many seconds the next tick has been due; 0 before the first one."""
         if not self._ticks:
             return 0.0
         return max(0.0, self._clock() - self._ticks[-1].at - self._interval)
--- a/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
@@ -1,10 +1,10 @@
-"""Answering the controller's probes: what is under way here, and whether an endpoint answers here.
+"""Answers the controller's probes with load reports.
 
-The first report comes at once, also from a daemon that has nothing under way: the controller
-must not take a daemon that it can't hear for one that has no requests at the endpoint.
+A daemon without requests answers too, so that the controller can tell it from one that is
+unreachable.
 
-Owns: the questions under way.
-Relies on: the view for the endpoint's address, also of one that is no longer listed.
+Owns: the calls to probed endpoints.
+Relies on: the view for the address of an endpoint, even if it is no longer listed.
 """
 
 import typing as t
@@ -20,7 +20,7 @@
 
 
 class ProbeAnswers(mode.Service):
-    """Asks the endpoint that a probe names, and tells the asker at once if it answers.
+    """Calls the endpoint that a probe names, and reports to the controller if it answers.
 
     :param endpoint_answers: asks an endpoint for a report and returns whether it answered.
     """
@@ -37,23 +37,23 @@
         self._peers = peers
         self._reporter = reporter
         self._endpoint_answers = endpoint_answers
-        peers.on_message(self._message)
+        peers.on_message(self._on_message)
 
-    def _message(self, sender: str, message: Message) -> None:
+    def _on_message(self, sender: str, message: Message) -> None:
         if not isinstance(message, Probe):
             return
         self._peers.send(sender, self._reporter.build_report())
-        endpoint = self._known(message.endpoint_id)
+        endpoint = self._find_endpoint(message.endpoint_id)
         if endpoint is not None:
-            self.add_future(self._ask(sender, endpoint))
+            self.add_future(self._probe_endpoint(sender, endpoint))
 
-    def _known(self, endpoint_id: str) -> Endpoint | None:
+    def _find_endpoint(self, endpoint_id: str) -> Endpoint | None:
         roster = self._view.roster
         listed = roster.endpoints.get(endpoint_id)
         gone = roster.gone.get(endpoint_id)
         return listed or (gone.endpoint if gone else None)
 
-    async def _ask(self, asker: str, endpoint: Endpoint) -> None:
+    async def _probe_endpoint(self, controller: str, endpoint: Endpoint) -> None:
         if await self._endpoint_answers(endpoint):
-            # the report names the endpoint among those that were heard
-            self._peers.send(asker, self._reporter.build_report())
+            # This report names the endpoint among the recent contacts.
+            self._peers.send(controller, self._reporter.build_report())
--- a/tests/test_probe_answers.py
+++ b/tests/test_probe_answers.py
@@ -1,4 +1,4 @@
-"""What a daemon tells the controller that asks for an endpoint."""
+"""Reports that a daemon sends to a controller that probes an endpoint."""
 
 import asyncio
 
@@ -10,18 +10,18 @@
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import Roster
 
-KNOWN = Endpoint("w0", "narrator", "", "a")
+ENDPOINT = Endpoint("w0", "narrator", "", "a")
 
 
 class PeerChannel:
     def __init__(self):
-        self.told = []
+        self.sent = []
 
     def on_message(self, handler):
         self.receive = handler
 
     def send(self, daemon, message):
-        self.told.append((daemon, message))
+        self.sent.append((daemon, message))
 
 
 class LoadReporter:
@@ -36,27 +36,27 @@
 class StoreView:
     def __init__(self):
         self.roster = Roster()
-        self.roster.put(KNOWN)
+        self.roster.put(ENDPOINT)
 
 
 @pytest.mark.parametrize(
-    ("asked", "answers", "told"),
+    ("probed", "answers", "sent"),
     [
-        pytest.param("w0", True, 2, id="it answers here: told again"),
-        pytest.param("w0", False, 1, id="it doesn't"),
-        pytest.param("w9", True, 1, id="nobody knows it"),
+        pytest.param("w0", True, 2, id="endpoint answers: second report"),
+        pytest.param("w0", False, 1, id="endpoint does not answer"),
+        pytest.param("w9", True, 1, id="unknown endpoint"),
     ],
 )
-async def test_daemon_tells_at_once_what_it_has_under_way(asked, answers, told):
+async def test_daemon_reports_its_running_requests_at_once(probed, answers, sent):
     peers = PeerChannel()
 
     async def endpoint_answers(_endpoint):
         return answers
 
-    service = ProbeAnswers(StoreView(), peers, LoadReporter(), endpoint_answers)
-    peers.receive("controller", Probe(asked))
-    assert peers.told == [("controller", LoadReport({"w0": 1}, []))]
+    probe_answers = ProbeAnswers(StoreView(), peers, LoadReporter(), endpoint_answers)
+    peers.receive("controller", Probe(probed))
+    assert peers.sent == [("controller", LoadReport({"w0": 1}, []))]
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    await service.stop()
-    assert len(peers.told) == told
+    await probe_answers.stop()
+    assert len(peers.sent) == sent
