--- a/packages/gateway/src/thorncleat_gateway/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The request path and the control of groups, where the platform's store keeps all state."""
+"""Gateway that forwards requests and controls groups, with its state in the platform's store."""
--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the gateway's layers; each adapter turns those of its library into these.
+"""Errors of the gateway, into which each adapter converts those of its library.
 
 Owns: nothing.
-Relies on: the base class that all parts of the product share.
+Relies on: the base class of all errors of the product.
 """
 
 import enum
@@ -14,23 +14,23 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not answer a read, or refused a call without carrying it out."""
+    """The store did not answer a read, or rejected a call without executing it."""
 
 
 class RelayError(StoreUnavailableError):
-    """A relay gave no answer that can be used; it is left for the store."""
+    """A relay gave no usable answer."""
 
 
 class StoreOutcomeUnknownError(StoreError):
-    """A write got no answer; it may have taken effect, or may still do so."""
+    """A write got no answer; it may have taken effect, or may still take effect."""
 
 
 class HistoryCompactedError(StoreError):
-    """The store no longer has the changes since a revision; all has to be read again."""
+    """The store no longer has the changes since a revision; everything has to be read again."""
 
 
 class LeaseExpiredError(StoreError):
-    """A lease is over."""
+    """A lease has expired."""
 
 
 class EndpointError(ThorncleatError):
@@ -38,32 +38,32 @@
 
 
 class EndpointTimeoutError(EndpointError):
-    """No answer came in time; the call may have been taken, or may be later."""
+    """No answer came in time; the call may have been executed, or may still be."""
 
 
 class EndpointReplacedError(EndpointError):
-    """The process that was meant has ended: another one answers at its address."""
+    """Another process than the expected one answers at the address of an endpoint."""
 
 
 class EndpointRefusedError(EndpointError):
-    """Nobody listens at the address: the process has ended, or takes nothing new and works on."""
+    """The connection was refused: the process has ended, or no longer accepts connections."""
 
 
 class EndpointNotAcceptingError(EndpointError):
-    """An endpoint takes no requests of this daemon now; nothing was sent to it."""
+    """An endpoint does not accept requests of this daemon now; nothing was sent to it."""
 
 
 class Ran(enum.Enum):
-    """Whether a request may have run in a failed attempt; the value stands in the log line."""
+    """Whether a request may have run in a failed attempt; the value is logged."""
 
     NO = "no"
     MAYBE = "maybe"
 
 
 class ConnectionBreak(enum.Enum):
-    """When the connection of an attempt broke; the value stands in the log line.
+    """When the connection of an attempt broke; the value is logged.
 
-    A streamed request that waits at its endpoint has no head yet; one that runs has.
+    The head of a streamed answer arrives when the request leaves the endpoint's queue.
     """
 
     BEFORE_HEAD = "before head"
@@ -71,14 +71,15 @@
 
 
 class AttemptError(ThorncleatError):
-    """An attempt at an endpoint brought no answer for the caller.
+    """An attempt at an endpoint produced no answer for the caller.
 
+    :param cause: as logged.
     :param ran: whether the request may have run.
-    :param sent: whether any of it can have reached the endpoint.
-    :param broken: when the endpoint's side of the connection ended before the answer was whole;
-        None if it didn't.
+    :param sent: whether any part of the request may have reached the endpoint.
+    :param broken: when the endpoint closed the connection before the answer was complete; None if
+        it didn't.
     :param retry_after: seconds for which the endpoint wants no requests of this daemon; None if it
-        named none.
+        didn't say.
     """
 
     def __init__(
@@ -99,10 +100,11 @@
 
 
 class RefusalError(ThorncleatError):
-    """A request gets an answer of the gateway's own.
+    """The gateway itself answers a request with an error.
 
     :param status: HTTP status.
-    :param retry_after: seconds after which coming back helps; None if it doesn't.
+    :param cause: as logged.
+    :param retry_after: seconds after which the caller may retry; None if a retry is no use.
     """
 
     def __init__(self, status: int, cause: str, *, retry_after: float | None = None) -> None:
@@ -113,7 +115,7 @@
 
 
 class AnswerAbortedError(RefusalError):
-    """An answer that has begun can't be completed; the caller's connection has to be cut."""
+    """An answer that has begun can't be completed; the caller's connection must be closed."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(502, cause)
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -1,9 +1,6 @@
-"""One daemon of the gateway: builds its parts and runs them.
+"""One daemon of the gateway: creates its services, wires them together and runs them.
 
-This is the one place that wires the parts; what they decide stands in their modules, which
-docs/ARCHITECTURE.md lists.
-
-Owns: the parts, the order in which they start and end, and the HTTP client to the endpoints.
+Owns: the services, the order in which they start and stop, and the HTTP client for the endpoints.
 Relies on: the adapter's ports for the store, the engines and the names of headers.
 """
 
@@ -58,23 +55,22 @@
 from .store.relays import gather_seconds
 from .store.view import StoreView
 
-# for the first configuration to come before callers' connections are taken; they wait that long
-# at most, since a daemon without one has to say so
-FIRST_CONFIGURATION_SECONDS = 0.25
-# over which the lateness of the event loop is shown as a metric, in seconds
-LATENESS_SECONDS = 1.0
+# How long callers' connections wait for the first configuration before they are accepted.
+FIRST_CONFIGURATION_TIMEOUT_SECONDS = 0.25
+# Window of the metric that shows the lateness of the event loop.
+LATENESS_WINDOW_SECONDS = 1.0
 
 
 class Gateway(mode.Service):
-    """One daemon.
+    """One daemon of the gateway.
 
-    :param feed: what the platform's store says.
+    :param feed: changes of the platform's store.
     :param records: the gateway's own records in that store.
-    :param engines: reports from engines, and orders to them.
-    :param codec: the names of headers.
-    :param clock: seconds that never go back.
+    :param engines: reports of engines and orders to them.
+    :param codec: translates between headers and their meaning.
+    :param clock: a clock that never goes back, in seconds.
     :param first_start: whether this is the very first start of the whole system.
-    :param callers: a socket that listens at the callers' address; None to open one.
+    :param callers: a socket that already listens at the callers' address; None to open one.
     """
 
     def __init__(
@@ -173,21 +169,21 @@
         add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
 
     def _lateness(self) -> float:
-        return self._detector.lateness.max_lateness_since(self._clock() - LATENESS_SECONDS)
+        return self._detector.lateness.max_lateness_since(self._clock() - LATENESS_WINDOW_SECONDS)
 
     def _running(self) -> float:
         return self._frontend.running if self._frontend is not None else 0
 
     @property
     def _before_requests(self) -> bool:
-        """Whether no caller has sent anything since the very first start, to any daemon."""
+        """Whether no daemon has received a request since the very first start of the system."""
         own = self._frontend is not None and self._frontend.requests > 0
         return self._first_start and not own and not self._reporter.has_seen_remote_requests
 
     def _coalesce(self) -> float:
-        """Return the seconds to let changes gather.
+        """Return the delay in seconds between two calls for changes.
 
-        They are more for a daemon that asks the store though there are relays for it.
+        It is longer for a daemon that reads from the store although there are relays for it.
         """
         asks_store = self._feed.asks_store
         if asks_store and self._relays():
@@ -200,17 +196,17 @@
         return self._registration.daemons().values()
 
     def _relays(self) -> t.Sequence[Daemon]:
-        """Return the relays to learn from."""
+        """Return the relays from which to read changes."""
         return self._registration.sources(controls=self._election.leads)
 
     async def _listed_relays(self) -> t.Sequence[Daemon]:
-        """Return the relays as the store lists their records."""
+        """Return the relays that are recorded in the store."""
         return self._registration.listed_relays(await self._records.list_records(RELAYS))
 
     async def on_start(self) -> None:
-        """Start all parts, then listen."""
+        """Start all services, then listen for callers."""
         self._frontend = self._build_requests()
-        for part in (
+        for service in (
             self.view,
             self._registration,
             self._peers,
@@ -218,7 +214,7 @@
             self._election,
             self._controller,
         ):
-            await self.add_runtime_dependency(part)
+            await self.add_runtime_dependency(service)
         await self._listeners.open(self._relay_server.handle, self._settings.peers)
         if self._settings.metrics is not None:
             await self._listeners.open(self.metrics.handle, self._settings.metrics)
@@ -232,9 +228,9 @@
         events.STARTED.log(callers=self._settings.callers, first_start=self._first_start)
 
     async def _first_configuration(self) -> None:
-        """Wait a little for the configuration, without which every request would be refused."""
+        """Wait for the first configuration, without which every request would be refused."""
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.view.wait_loaded(), FIRST_CONFIGURATION_SECONDS)
+            await asyncio.wait_for(self.view.wait_loaded(), FIRST_CONFIGURATION_TIMEOUT_SECONDS)
 
     def _build_requests(self) -> Frontend:
         settings, clock = self._settings, self._clock
@@ -269,7 +265,7 @@
         return Frontend(settings, self.view, self._codec, plain, streams, clock)
 
     async def drain(self) -> None:
-        """Finish what runs before the end, while the balancer and the callers notice."""
+        """Finish the running requests before a planned stop."""
         assert self._frontend is not None
         stop = PlannedStop(self._frontend, self._election, self._settings.grace, self._clock)
         await stop.wait()
@@ -279,7 +275,7 @@
         await self._listeners.close()
 
     async def on_shutdown(self) -> None:
-        """Close what the parts used."""
+        """Close the HTTP client and the feed."""
         if self._client is not None:
             await self._client.close()
         await self._feed.close()
--- a/packages/gateway/src/thorncleat_gateway/http_session.py
+++ b/packages/gateway/src/thorncleat_gateway/http_session.py
@@ -1,18 +1,19 @@
-"""HTTP sessions of the parts that call the store, relays and engines.
+"""HTTP sessions for calls to the store, relays and engines.
+
+Not for requests of callers, which aiohttp must not retry by itself; these use
+:func:`thorncleat_gateway.requests.endpoint_client.session`.
 
 Owns: the session and its connections.
-Relies on: aiohttp, which repeats a call by itself if its method allows that and a kept
-connection turns out to be closed. Requests of callers must never be repeated so; they go
-through :func:`thorncleat_gateway.requests.endpoint_client.session`.
+Relies on: aiohttp, which retries an idempotent call if a pooled connection turns out to be closed.
 """
 
 import aiohttp
 
 
 class LazySession:
-    """A session that is opened by its first use, since it needs a running event loop.
+    """A session that is opened on first use, since it needs a running event loop.
 
-    :param keep_connections: whether a connection serves several calls.
+    :param keep_connections: whether to reuse a connection for several calls.
     """
 
     def __init__(self, *, keep_connections: bool) -> None:
@@ -20,9 +21,9 @@
         self._session: aiohttp.ClientSession | None = None
 
     def get(self) -> aiohttp.ClientSession:
-        """Return the open session."""
+        """Return the session, opened if necessary."""
         if self._session is None:
-            # addresses are IP numbers: there is never a second address to try at the same time
+            # Addresses are IP addresses, so there is never a second one to try in parallel.
             connector = aiohttp.TCPConnector(
                 limit=0, force_close=not self._keep_connections, happy_eyeballs_delay=None
             )
@@ -30,6 +31,6 @@
         return self._session
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the session with its connections."""
         if self._session is not None:
             await self._session.close()
--- a/packages/gateway/src/thorncleat_gateway/logs.py
+++ b/packages/gateway/src/thorncleat_gateway/logs.py
@@ -1,7 +1,7 @@
-"""Logging as JSON lines on standard output: bounded, and never waiting for a reader.
+"""Rate-limited, non-blocking logging as JSON lines.
 
-Owns: the rest of a line that the reader had no room for, and how many lines were left out.
-Relies on: :mod:`thorncleat_core.log_events` for the form of a line.
+Owns: the unwritten rest of a line, and the number of dropped lines.
+Relies on: :mod:`thorncleat_core.log_events` for the format of a line.
 """
 
 import logging
@@ -14,63 +14,63 @@
 
 from . import events
 
-# written on average
-LINES_PER_SECOND = 200
-# written at once after a quiet time, three seconds' worth
-BURST_LINES = 600
+MAX_LINES_PER_SECOND = 200
+MAX_BURST_LINES = 600
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor that doesn't block, at a bounded rate.
+    """Writes lines to a non-blocking descriptor at a limited rate.
 
-    Lines over the rate, and those that the reader has no room for, are counted and left out;
-    a line says how many.
+    Lines that exceed the rate, or that the reader doesn't read in time, are dropped; a later line
+    logs their number.
 
-    :param clock: seconds that never go back.
+    :param descriptor: a non-blocking file descriptor.
+    :param clock: a clock that never goes back, in seconds.
     """
 
     def __init__(self, descriptor: int, clock: Clock = boot_clock.now) -> None:
         super().__init__()
         self._descriptor = descriptor
         self._clock = clock
-        self._tokens = float(BURST_LINES)
+        self._tokens = float(MAX_BURST_LINES)
         self._filled_at = clock()
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or count it as dropped."""
+        """Write a record as a line, or count it as dropped."""
         now = self._clock()
-        gained = (now - self._filled_at) * LINES_PER_SECOND
-        self._tokens = min(float(BURST_LINES), self._tokens + gained)
+        refill = (now - self._filled_at) * MAX_LINES_PER_SECOND
+        self._tokens = min(float(MAX_BURST_LINES), self._tokens + refill)
         self._filled_at = now
-        if self._tokens < 1 or not self._flush(b""):
+        if self._tokens < 1 or not self._write(b""):
             self.dropped += 1
             return
         self._tokens -= 1
         if self.dropped:
-            lost, self.dropped = self.dropped, 0
-            events.LINES_DROPPED.log(count=lost)
-        self._flush(self.format(record).encode() + b"\n")
+            dropped_count, self.dropped = self.dropped, 0
+            events.LINES_DROPPED.log(count=dropped_count)
+        self._write(self.format(record).encode() + b"\n")
 
-    def _flush(self, line: bytes) -> bool:
-        """Write what is left and a line; return whether all was written."""
-        data = self._rest + line
+    def _write(self, line: bytes) -> bool:
+        """Write the unwritten rest and a line; return whether everything was written."""
+        data = self._unwritten + line
         try:
             written = os.write(self._descriptor, data) if data else 0
         except BlockingIOError:
             written = 0
         except OSError:
             written = len(data)
-        self._rest = data[written:]
-        return not self._rest
+        self._unwritten = data[written:]
+        return not self._unwritten
 
 
 def setup(level: str, daemon: str, descriptor: int = 1) -> BoundedHandler:
-    """Send all logging to a descriptor, a JSON object a line.
+    """Send all log records to a descriptor, one JSON object per line.
 
-    :param level: the lowest level that is written.
-    :param daemon: this daemon's id, put into each line.
+    :param level: the lowest level to write.
+    :param daemon: id of this daemon, which each line contains.
+    :param descriptor: the file descriptor to write to, which is made non-blocking.
     """
     os.set_blocking(descriptor, False)
     handler = BoundedHandler(descriptor)
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -1,11 +1,10 @@
-"""What this daemon counts and measures, served in the Prometheus text format.
+"""Metrics of this daemon in the Prometheus text format.
 
-Whatever is decided is an event (:mod:`.events`); each is counted here, whether its log line is
-written or left out.
+Each log event is counted, even if its line is dropped.
 
 Owns: the counters of events and requests.
-Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text form, and on
-:func:`thorncleat_core.log_events.observe` to be shown each event.
+Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text format, and on
+:func:`thorncleat_core.log_events.observe` to receive each event.
 """
 
 import re
@@ -18,13 +17,12 @@
 
 from . import events
 
-# targets whose durations are kept apart, later ones are counted together; a histogram takes some
-# kilobytes, and configurations may have hundreds of routes
+# Targets with a histogram of their own, which bounds the memory; all further ones share one.
 MAX_TARGETS = 64
-OTHERS = "others"
-# a cause's varying part: numbers, names and reprs
-_VARYING = re.compile(r"[:'\"(\d]")
-# durations that an event carries: its field, and the field that says for whom
+OTHER_TARGETS = "others"
+# Where the variable part of a cause begins: a number, a name or a repr.
+_VARIABLE_PART = re.compile(r"[:'\"(\d]")
+# The durations of an event, each as its field and the field that names the target.
 DURATIONS: t.Mapping[int, tuple[tuple[str, str], ...]] = {
     events.REQUEST_DONE.number: (
         ("first_event", "route"),
@@ -41,7 +39,7 @@
 
 
 class Metrics(MetricsRegistry):
-    """All that one daemon counts."""
+    """Counters, gauges and histograms of one daemon."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -51,8 +49,8 @@
         )
 
     def record(self, event: Event, fields: t.Mapping[str, t.Any]) -> None:
-        """Count an event and the durations that it carries."""
-        cause = _kind(str(fields.get("cause", "")))
+        """Count an event and record its durations."""
+        cause = _constant_part(str(fields.get("cause", "")))
         self._events.labels(event.name, cause).inc()
         if event is events.REQUEST_DONE:
             labels = (fields["route"], fields["workspace"] or "", fields["status"])
@@ -60,23 +58,25 @@
         for field, target in DURATIONS.get(event.number, ()):
             seconds = fields.get(field)
             if seconds is not None:
-                self._measure(event.name, field, target, fields, seconds)
+                self._record_duration(event.name, field, target, fields, seconds)
 
-    def _measure(
+    def _record_duration(
         self, name: str, field: str, target: str, fields: t.Mapping[str, t.Any], seconds: float
     ) -> None:
-        what = f"{name}_{field}_by_{target}" if target else f"{name}_{field}"
-        label = _kind(str(fields.get(target, ""))) if target == "cause" else fields.get(target)
-        key = (what, str(label or ""))
+        series = f"{name}_{field}_by_{target}" if target else f"{name}_{field}"
+        label = (
+            _constant_part(str(fields.get(target, ""))) if target == "cause" else fields.get(target)
+        )
+        key = (series, str(label or ""))
         if key not in self._distributions and len(self._distributions) >= MAX_TARGETS:
-            key = (what, OTHERS)
+            key = (series, OTHER_TARGETS)
         self._distributions.of(*key).note(seconds)
 
     async def handle(self, _: web.BaseRequest) -> web.StreamResponse:
-        """Answer whoever collects metrics."""
+        """Answer a request for the metrics."""
         return web.Response(body=self.text(), content_type="text/plain")
 
 
-def _kind(cause: str) -> str:
-    """Return the part of a cause that does not vary from case to case."""
-    return _VARYING.split(cause, maxsplit=1)[0].strip()
+def _constant_part(cause: str) -> str:
+    """Return the constant part of a cause, which is used as a label."""
+    return _VARIABLE_PART.split(cause, maxsplit=1)[0].strip()
--- a/packages/gateway/src/thorncleat_gateway/planned_stop.py
+++ b/packages/gateway/src/thorncleat_gateway/planned_stop.py
@@ -1,11 +1,11 @@
-"""A planned stop: when this daemon stops taking requests, and when it ends.
+"""Drains the requests of this daemon before a planned stop.
 
-A daemon that was told to stop is no longer ready at once, but the balancer and callers with open
-connections go on sending for some time. Those requests are served; after :data:`LEAVE_SECONDS`
-new ones are refused, so that the daemon ends as soon as the requests that run are answered.
+Readiness ends at once. Requests are served until the load balancer has noticed and refused later,
+and the daemon stops as soon as the running ones are answered.
 
 Owns: nothing beyond one stop.
-Relies on: the frontend to refuse, and on the deployment's grace, after which the process is killed.
+Relies on: the frontend to refuse requests, and on the deployment's grace period, after which the
+process is killed.
 """
 
 import asyncio
@@ -15,13 +15,12 @@
 from .groups.election import Election
 from .requests.frontend import Frontend
 
-# seconds after the order to stop in which the balancer notices: it takes a daemon out after two
-# misses, one second apart. Without an end of this time requests that keep coming would be cut
-LEAVE_SECONDS = 2.5
-# seconds before the kill at which the daemon ends, for closing its sockets
+# How long requests are accepted after the order to stop, until the load balancer has noticed.
+ACCEPT_SECONDS = 2.5
+# How long before the kill the daemon stops, for closing its sockets.
 STOP_MARGIN_SECONDS = 0.7
-# seconds between two looks at the requests that run
-LOOK_SECONDS = 0.05
+# Interval of the checks for running requests.
+POLL_INTERVAL_SECONDS = 0.05
 
 
 def refuses_requests(elapsed: float) -> bool:
@@ -29,11 +28,11 @@
 
     :param elapsed: seconds since the order to stop.
     """
-    return elapsed > LEAVE_SECONDS
+    return elapsed > ACCEPT_SECONDS
 
 
 def must_end(elapsed: float, grace: float) -> bool:
-    """Return whether the daemon ends though requests may still run.
+    """Return whether the daemon stops even if requests are still running.
 
     :param elapsed: seconds since the order to stop.
     :param grace: seconds from the order to stop to the kill.
@@ -42,10 +41,10 @@
 
 
 class PlannedStop:
-    """Lets the requests of a daemon finish.
+    """Drains the requests of a daemon.
 
     :param grace: seconds from the order to stop to the kill.
-    :param clock: seconds that never go back.
+    :param clock: a clock that never goes back, in seconds.
     """
 
     def __init__(
@@ -61,15 +60,15 @@
         self._clock = clock
 
     async def wait(self) -> None:
-        """Return when the daemon may end."""
+        """Return as soon as the daemon may stop."""
         events.STOPPING.log(running=self._frontend.running)
-        begun = self._clock()
+        started_at = self._clock()
         self._frontend.stopping = True
-        # another daemon takes over the control of groups while this one still serves
+        # Another daemon takes over as controller while this one still serves requests.
         self._election.stopping = True
-        while not must_end(self._clock() - begun, self._grace):
-            await asyncio.sleep(LOOK_SECONDS)
-            if refuses_requests(self._clock() - begun):
+        while not must_end(self._clock() - started_at, self._grace):
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            if refuses_requests(self._clock() - started_at):
                 self._frontend.closed = True
                 if not self._frontend.running:
                     return
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -412,7 +412,7 @@
 
 
 async def test_planned_stop_ends_though_requests_keep_coming(tmp_path, monkeypatch):
-    monkeypatch.setattr(planned_stop, "LEAVE_SECONDS", 0.2)
+    monkeypatch.setattr(planned_stop, "ACCEPT_SECONDS", 0.2)
     async with site(tmp_path) as made:
         for worker in made.workers:
             worker.events = LONG_EVENTS
--- a/tests/test_gateway_logs.py
+++ b/tests/test_gateway_logs.py
@@ -45,7 +45,7 @@
     os.set_blocking(writer, False)
     now = [0.0]
     handler = logs.BoundedHandler(writer, clock=lambda: now[0])
-    for number in range(logs.BURST_LINES + 50):
+    for number in range(logs.MAX_BURST_LINES + 50):
         handler.emit(_record(f"line {number}"))
     assert handler.dropped == 50
     now[0] = 1.0
