--- a/packages/gateway/src/thorncleat_gateway/peers/silence.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/silence.py
@@ -4,7 +4,7 @@
 stronger evidence than a pause of a single stream, whose connection alone may be broken.
 
 Owns: nothing; every rule is a pure function of times in seconds.
-Relies on: :class:`~..settings.StreamSettings` for the timeouts, and on a clock that never goes back.
+Relies on: :class:`~..settings.StreamSettings` for the timeouts; the clock must never go back.
 """
 
 import enum
