--- a/tests/recording.py
+++ b/tests/recording.py
@@ -1,4 +1,4 @@
-"""A server that keeps what it is sent, for the tests of the running program's forms."""
+"""An HTTP server that records the requests it gets."""
 
 import asyncio
 import contextlib
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-# headers that the libraries set from the time, their versions or the port
+# Headers that depend on the time, the versions of libraries, or the port.
 VARYING_HEADERS = ("date", "server", "host", "user-agent")
 
 
@@ -22,10 +22,11 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a recording server answers next.
+    """An answer of a recording server.
 
-    :param cut: whether the connection is cut after the body; with no status, in place of it.
-    :param hang: seconds before the answer.
+    :param cut: whether to close the connection after the body, or without any answer if the status
+        is 0.
+    :param hang: delay of the answer in seconds.
     """
 
     status: int = 200
@@ -37,7 +38,7 @@
 
 
 class Recorder:
-    """A server that keeps what it is sent and answers as it was told to."""
+    """Records requests and sends prepared answers."""
 
     def __init__(self) -> None:
         self.calls: list[t.Any] = []
@@ -73,10 +74,10 @@
 
 @contextlib.asynccontextmanager
 async def recorder() -> t.AsyncIterator[Recorder]:
-    made = Recorder()
-    async with serving(made.handle) as address:
-        made.address = address
-        yield made
+    server = Recorder()
+    async with serving(server.handle) as address:
+        server.address = address
+        yield server
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The whole path with real sockets: gateway, adapter, and stand-ins of the platform."""
+"""The gateway with real sockets, the platform's adapter and stand-ins of the platform."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 KEY = "secret-key"
 HOST = "shop.example"
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 def configuration(version: int = 1, keys=(KEY,)):
@@ -63,7 +63,7 @@
 
 
 class Site:
-    """Gateways before stand-ins; one unless more are asked for."""
+    """Gateways in front of stand-ins of the platform; one gateway by default."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         self._directory = directory
@@ -149,10 +149,10 @@
         )
         return path
 
-    async def until(self, true) -> None:
-        end = time.monotonic() + PATIENCE_SECONDS
-        while not true():
-            assert time.monotonic() < end, "it did not come to be in time"
+    async def until(self, condition) -> None:
+        deadline = time.monotonic() + TIMEOUT_SECONDS
+        while not condition():
+            assert time.monotonic() < deadline, "the condition was not met in time"
             await asyncio.sleep(0.01)
 
     async def stop(self) -> None:
@@ -183,7 +183,7 @@
         )
 
     async def try_fatal(self, body, number):
-        """Send a request that no endpoint survives, to one daemon after the other."""
+        """Send a request that crashes its endpoint, to the daemons in turn."""
         daemon = number % len(self.frontends)
         try:
             status, headers, _ = await self.chat(body, daemon=daemon, number=f"fatal-{number}")
@@ -197,12 +197,12 @@
 
 @contextlib.asynccontextmanager
 async def site(directory, **sizes):
-    made = Site(directory)
-    await made.start(**sizes)
+    cluster = Site(directory)
+    await cluster.start(**sizes)
     try:
-        yield made
+        yield cluster
     finally:
-        await made.stop()
+        await cluster.stop()
 
 
 def events(*numbers):
@@ -210,39 +210,41 @@
 
 
 async def test_stream_is_served_from_a_group(tmp_path):
-    async with site(tmp_path) as made:
-        status, headers, body = await made.chat()
+    async with site(tmp_path) as cluster:
+        status, headers, body = await cluster.chat()
         assert status == 200
         assert body == events(1, 2, 3, 4, 5)
         assert headers["X-Thorncleat-Response-Stamp"].startswith("stamp-w")
 
 
-def _leaders(made):
-    return [worker for worker in made.workers if worker.domain and worker.leads]
+def _group_leaders(cluster):
+    return [worker for worker in cluster.workers if worker.domain and worker.leads]
 
 
-async def test_stream_goes_on_elsewhere_when_its_group_answers_with_a_failure(tmp_path):
-    async with site(tmp_path) as made:
-        failing, _ = _leaders(made)
+async def test_stream_is_served_by_another_group_after_a_failure_status(tmp_path):
+    async with site(tmp_path) as cluster:
+        failing, _ = _group_leaders(cluster)
         failing.fail = 500
         for number in range(6):
-            status, _, body = await made.chat(**{"X-Thorncleat-Attempt-Id": f"r{number}"})
+            status, _, body = await cluster.chat(**{"X-Thorncleat-Attempt-Id": f"r{number}"})
             assert (status, body) == (200, events(1, 2, 3, 4, 5))
 
 
-async def test_failure_of_all_groups_is_passed_on_as_they_gave_it(tmp_path):
-    async with site(tmp_path) as made:
-        for leader in _leaders(made):
+async def test_failure_status_of_all_groups_is_passed_on(tmp_path):
+    async with site(tmp_path) as cluster:
+        for leader in _group_leaders(cluster):
             leader.fail = 500
-        status, headers, body = await made.chat()
+        status, headers, body = await cluster.chat()
         assert (status, body) == (500, b"failed")
         assert headers["X-Thorncleat-Response-Stamp"].startswith("stamp-w")
 
 
-async def test_key_stays_here_and_workspace_goes_on(tmp_path):
-    async with site(tmp_path) as made:
-        await made.call("POST", "/status/a%20b?c=d", b"body", **{"X-Thorncleat-Tenant": "forged"})
-        (run,) = made.runs("desk")
+async def test_workspace_is_forwarded_and_key_is_not(tmp_path):
+    async with site(tmp_path) as cluster:
+        await cluster.call(
+            "POST", "/status/a%20b?c=d", b"body", **{"X-Thorncleat-Tenant": "forged"}
+        )
+        (run,) = cluster.runs("desk")
         assert run.path == "/status/a%20b?c=d"
         assert run.body == b"body"
         assert run.headers.getall("X-Thorncleat-Tenant") == ["growers"]
@@ -252,92 +254,92 @@
 
 @pytest.mark.parametrize("key", [None, "another"])
 async def test_unknown_key_is_refused(tmp_path, key):
-    async with site(tmp_path) as made:
-        status, _, _ = await made.call("POST", "/status/x", key=key)
+    async with site(tmp_path) as cluster:
+        status, _, _ = await cluster.call("POST", "/status/x", key=key)
         assert status == 401
-        assert made.runs("desk") == []
+        assert cluster.runs("desk") == []
 
 
 async def test_unknown_route_is_refused(tmp_path):
-    async with site(tmp_path) as made:
-        status, _, _ = await made.call("POST", "/nowhere/x")
+    async with site(tmp_path) as cluster:
+        status, _, _ = await cluster.call("POST", "/nowhere/x")
         assert status == 404
 
 
 async def test_oversize_body_is_refused(tmp_path):
-    async with site(tmp_path) as made:
-        status, _, _ = await made.call("POST", "/status/x", b"x" * 1001)
+    async with site(tmp_path) as cluster:
+        status, _, _ = await cluster.call("POST", "/status/x", b"x" * 1001)
         assert status == 413
 
 
-async def test_stream_goes_on_in_another_group_when_its_connection_is_cut(tmp_path):
-    async with site(tmp_path) as made:
-        for worker in made.workers:
+async def test_stream_resumes_on_another_group_when_its_connection_is_cut(tmp_path):
+    async with site(tmp_path) as cluster:
+        for worker in cluster.workers:
             worker.cut_after = 2
-        status, _, body = await made.chat()
+        status, _, body = await cluster.chat()
         assert status == 200
         assert body.startswith(events(1, 2, 3, 4))
-        first, second = made.runs("narrator")
+        first, second = cluster.runs("narrator")
         assert first.worker != second.worker
         assert second.headers["Last-Event-Id"] == "2"
 
 
-async def test_stream_goes_on_in_another_group_when_its_own_is_silent(tmp_path):
-    async with site(tmp_path) as made:
-        for worker in made.workers:
+async def test_stream_resumes_on_another_group_when_its_own_is_silent(tmp_path):
+    async with site(tmp_path) as cluster:
+        for worker in cluster.workers:
             worker.silent_after = 3
-        _, _, body = await made.chat()
+        _, _, body = await cluster.chat()
         assert body == events(1, 2, 3, 4, 5)
 
 
 async def test_stream_that_cannot_be_completed_is_cut(tmp_path):
-    async with site(tmp_path, domains=1) as made:
-        for worker in made.workers:
+    async with site(tmp_path, domains=1) as cluster:
+        for worker in cluster.workers:
             worker.cut_after = 2
         with pytest.raises(aiohttp.ClientPayloadError):
-            await made.chat(**{"X-Thorncleat-Deadline-Ms": "400"})
+            await cluster.chat(**{"X-Thorncleat-Deadline-Ms": "400"})
 
 
-async def test_answer_without_a_length_that_is_reset_is_not_whole(tmp_path):
-    async with site(tmp_path) as made:
-        for worker in made.workers:
+async def test_answer_without_a_length_that_is_reset_is_incomplete(tmp_path):
+    async with site(tmp_path) as cluster:
+        for worker in cluster.workers:
             worker.reset_body = True
-        status, headers, _ = await made.call("POST", "/status/x")
+        status, headers, _ = await cluster.call("POST", "/status/x")
         assert status == 502
         assert "X-Thorncleat-Response-Stamp" not in headers
-        assert len(made.runs("desk")) == 1
+        assert len(cluster.runs("desk")) == 1
 
 
 async def test_repeatable_request_is_tried_at_another_endpoint(tmp_path):
-    async with site(tmp_path) as made:
-        made.workers[-1].fail = 500
+    async with site(tmp_path) as cluster:
+        cluster.workers[-1].fail = 500
         for number in range(4):
-            status, _, _ = await made.call("GET", "/ack/x", number=f"r{number}")
+            status, _, _ = await cluster.call("GET", "/ack/x", number=f"r{number}")
             assert status == 200
 
 
-async def test_draining_endpoint_gets_nothing(tmp_path):
-    async with site(tmp_path) as made:
-        draining, other = made.workers[-1], made.workers[-2]
+async def test_draining_endpoint_gets_no_requests(tmp_path):
+    async with site(tmp_path) as cluster:
+        draining, other = cluster.workers[-1], cluster.workers[-2]
         draining.draining = True
         draining.publish()
-        roster = made.gateway.view.roster
-        await made.until(lambda: roster.endpoints[draining.id].draining)
+        roster = cluster.gateway.view.roster
+        await cluster.until(lambda: roster.endpoints[draining.id].draining)
         other.fail = 500
-        status, _, _ = await made.call("GET", "/ack/x")
+        status, _, _ = await cluster.call("GET", "/ack/x")
         assert status == 500
         assert draining.runs == []
 
 
-async def test_key_that_was_taken_away_is_refused(tmp_path):
-    async with site(tmp_path) as made:
-        made.store.write("op/config", configuration(version=4, keys=("new-key",)))
-        await made.until(lambda: made.gateway.view.configuration.version == 4)
-        assert (await made.call("POST", "/status/x"))[0] == 401
-        assert (await made.call("POST", "/status/x", key="new-key"))[0] == 200
+async def test_revoked_key_is_refused(tmp_path):
+    async with site(tmp_path) as cluster:
+        cluster.store.write("op/config", configuration(version=4, keys=("new-key",)))
+        await cluster.until(lambda: cluster.gateway.view.configuration.version == 4)
+        assert (await cluster.call("POST", "/status/x"))[0] == 401
+        assert (await cluster.call("POST", "/status/x", key="new-key"))[0] == 200
 
 
-MARK = {
+MARKER = {
     "service": "x",
     "address": "",
     "zone": "",
@@ -349,89 +351,91 @@
 }
 
 
-async def test_older_configuration_never_comes_back(tmp_path):
-    async with site(tmp_path) as made:
-        made.store.write("op/config", configuration(version=4, keys=("new-key",)))
-        await made.until(lambda: made.gateway.view.configuration.version == 4)
-        made.store.write("op/config", configuration(version=3))
-        made.store.write("servers/mark", MARK)
-        await made.until(lambda: "mark" in made.gateway.view.roster.endpoints)
-        assert made.gateway.view.configuration.version == 4
+async def test_older_configuration_is_ignored(tmp_path):
+    async with site(tmp_path) as cluster:
+        cluster.store.write("op/config", configuration(version=4, keys=("new-key",)))
+        await cluster.until(lambda: cluster.gateway.view.configuration.version == 4)
+        cluster.store.write("op/config", configuration(version=3))
+        cluster.store.write("servers/mark", MARKER)
+        await cluster.until(lambda: "mark" in cluster.gateway.view.roster.endpoints)
+        assert cluster.gateway.view.configuration.version == 4
 
 
-async def test_keys_are_refused_when_the_configuration_is_too_old_to_be_sure(tmp_path):
-    async with site(tmp_path) as made:
-        made.store.refuse = True
-        await made.until(lambda: made.gateway.view.age() > 1.9)
-        status, headers, _ = await made.call("POST", "/status/x")
+async def test_keys_are_refused_when_the_configuration_is_too_old(tmp_path):
+    async with site(tmp_path) as cluster:
+        cluster.store.refuse = True
+        await cluster.until(lambda: cluster.gateway.view.age() > 1.9)
+        status, headers, _ = await cluster.call("POST", "/status/x")
         assert status == 503
         assert float(headers["Retry-After"]) > 0
-        assert made.runs("desk") == []
-        made.store.refuse = False
-        await made.until(lambda: made.gateway.view.age() < 1.0)
-        assert (await made.call("POST", "/status/x"))[0] == 200
+        assert cluster.runs("desk") == []
+        cluster.store.refuse = False
+        await cluster.until(lambda: cluster.gateway.view.age() < 1.0)
+        assert (await cluster.call("POST", "/status/x"))[0] == 200
 
 
-async def test_history_that_is_gone_is_read_again(tmp_path):
-    async with site(tmp_path) as made:
-        made.store.write("op/config", configuration(version=7))
-        made.store.forget()
-        await made.until(lambda: made.gateway.view.configuration.version == 7)
+async def test_snapshot_is_read_when_the_change_history_is_gone(tmp_path):
+    async with site(tmp_path) as cluster:
+        cluster.store.write("op/config", configuration(version=7))
+        cluster.store.forget()
+        await cluster.until(lambda: cluster.gateway.view.configuration.version == 7)
 
 
-async def test_control_goes_on_when_answers_of_writes_are_lost(tmp_path):
-    made = Site(tmp_path)
-    made.store.lose_answers = 2
-    await made.start()
+async def test_control_continues_when_answers_of_writes_are_lost(tmp_path):
+    cluster = Site(tmp_path)
+    cluster.store.lose_answers = 2
+    await cluster.start()
     try:
-        assert (await made.chat())[0] == 200
+        assert (await cluster.chat())[0] == 200
     finally:
-        await made.stop()
+        await cluster.stop()
 
 
-async def test_planned_stop_finishes_what_runs(tmp_path):
-    async with site(tmp_path) as made:
-        for worker in made.workers:
+async def test_planned_stop_finishes_running_requests(tmp_path):
+    async with site(tmp_path) as cluster:
+        for worker in cluster.workers:
             worker.events = 40
-        running = asyncio.create_task(made.chat())
-        await made.until(lambda: made.runs("narrator"))
-        drained = asyncio.create_task(made.gateway.drain())
+        running = asyncio.create_task(cluster.chat())
+        await cluster.until(lambda: cluster.runs("narrator"))
+        stopping = asyncio.create_task(cluster.gateway.drain())
         async with aiohttp.ClientSession() as client:
-            url = f"http://{made.readiness}/thorncleat/readyz"
-            await made.until(lambda: made.gateway._frontend.stopping)
+            url = f"http://{cluster.readiness}/thorncleat/readyz"
+            await cluster.until(lambda: cluster.gateway._frontend.stopping)
             async with client.get(url) as answer:
                 assert answer.status == 503
         status, _, body = await running
         assert status == 200
         assert body == events(*range(1, 41))
-        await drained
+        await stopping
 
 
-# of a stream that lasts for longer than requests are let in after the order to stop
+# Events of a stream that outlasts the time in which requests are accepted after the order to stop.
 LONG_EVENTS = 80
 
 
-async def test_planned_stop_ends_though_requests_keep_coming(tmp_path, monkeypatch):
+async def test_planned_stop_ends_even_if_requests_keep_arriving(tmp_path, monkeypatch):
     monkeypatch.setattr(planned_stop, "ACCEPT_SECONDS", 0.2)
-    async with site(tmp_path) as made:
-        for worker in made.workers:
+    async with site(tmp_path) as cluster:
+        for worker in cluster.workers:
             worker.events = LONG_EVENTS
-        # runs on while others are refused; with none running, the stop would end and refuse nobody
-        long = asyncio.create_task(made.chat())
-        await made.until(lambda: made.runs("narrator"))
-        for worker in made.workers:
+        # Keeps the daemon from stopping while other requests are refused.
+        long_stream = asyncio.create_task(cluster.chat())
+        await cluster.until(lambda: cluster.runs("narrator"))
+        for worker in cluster.workers:
             worker.events = 20
-        drained = asyncio.create_task(made.gateway.drain())
+        stopping = asyncio.create_task(cluster.gateway.drain())
         answers = []
 
         async def keep_calling(caller):
             for number in range(1000):
-                if drained.done():
+                if stopping.done():
                     return
-                answers.append(await made.chat(**{"X-Thorncleat-Attempt-Id": f"{caller}-{number}"}))
+                answers.append(
+                    await cluster.chat(**{"X-Thorncleat-Attempt-Id": f"{caller}-{number}"})
+                )
 
         callers = [asyncio.create_task(keep_calling(number)) for number in range(4)]
-        await asyncio.wait_for(drained, 3.0)
+        await asyncio.wait_for(stopping, 3.0)
         await asyncio.gather(*callers)
         served = [body for status, _, body in answers if status == 200]
         refused = [headers for status, headers, _ in answers if status == 503]
@@ -440,23 +444,23 @@
         assert served
         assert all(body == events(*range(1, 21)) for body in served)
         assert all(float(headers["Retry-After"]) > 0 for headers in refused)
-        status, _, body = await long
+        status, _, body = await long_stream
         assert status == 200
         assert body == events(*range(1, LONG_EVENTS + 1))
-        assert len(made.runs("narrator")) == len(served) + 1
+        assert len(cluster.runs("narrator")) == len(served) + 1
 
 
-async def test_caller_that_leaves_ends_the_run(tmp_path):
-    async with site(tmp_path) as made:
-        for worker in made.workers:
+async def test_request_ends_when_its_caller_disconnects(tmp_path):
+    async with site(tmp_path) as cluster:
+        for worker in cluster.workers:
             worker.events = 500
-        running = asyncio.create_task(made.chat())
-        await made.until(lambda: made.gateway.load_table.local_counts)
+        running = asyncio.create_task(cluster.chat())
+        await cluster.until(lambda: cluster.gateway.load_table.local_counts)
         running.cancel()
-        await made.until(lambda: not made.gateway.load_table.local_counts)
+        await cluster.until(lambda: not cluster.gateway.load_table.local_counts)
 
 
-async def test_groups_are_recorded_and_kept_under_one_controller(tmp_path):
-    async with site(tmp_path) as made:
-        assert len(made.store.keys("thorncleat/groups/")) == 2
-        assert made.store.keys("thorncleat/controller") == ["thorncleat/controller"]
+async def test_groups_are_recorded_under_one_controller(tmp_path):
+    async with site(tmp_path) as cluster:
+        assert len(cluster.store.keys("thorncleat/groups/")) == 2
+        assert cluster.store.keys("thorncleat/controller") == ["thorncleat/controller"]
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""What the gateway counts, and how it is served."""
+"""Metrics of the gateway, and the listener that serves them."""
 
 import re
 
@@ -53,21 +53,21 @@
     assert value(metrics.text(), series) == pytest.approx(1.5, rel=0.02)
 
 
-def test_distribution_is_made_once_for_each_target(monkeypatch):
-    """One takes 25 kB, and a request notes up to five durations."""
-    made = []
+def test_distribution_is_created_once_for_each_target(monkeypatch):
+    """A distribution is large, and each request records several durations."""
+    created = []
 
     class Counted(distributions.Distribution):
         def __init__(self) -> None:
             super().__init__()
-            made.append(self)
+            created.append(self)
 
     monkeypatch.setattr(distributions, "Distribution", Counted)
-    kept = distributions.Distributions()
+    distribution_set = distributions.Distributions()
     for _ in range(3):
-        kept.of("seconds", "chat").note(0.1)
-    assert kept.of("seconds", "chat").count == 3
-    assert len(made) == 1
+        distribution_set.of("seconds", "chat").note(0.1)
+    assert distribution_set.of("seconds", "chat").count == 3
+    assert len(created) == 1
 
 
 @pytest.mark.parametrize(
@@ -78,14 +78,14 @@
         ("out of time", "out of time"),
     ],
 )
-def test_causes_are_counted_without_their_varying_part(cause, kind):
+def test_causes_are_counted_by_their_constant_part(cause, kind):
     metrics = Metrics()
     metrics.record(events.REQUEST_REFUSED, {"cause": cause, "after": 0.1})
     series = f'thorncleat_events_total{{cause="{kind}",name="request_refused"}}'
     assert value(metrics.text(), series) == 1
 
 
-def test_targets_that_are_kept_apart_are_bounded():
+def test_number_of_targets_is_limited():
     metrics = Metrics()
     for number in range(3 * MAX_TARGETS):
         metrics.record(events.REQUEST_DONE, done(route=f"route-{number}"))
@@ -94,7 +94,7 @@
     assert 'target="others"' in text
 
 
-def test_events_are_counted_though_their_lines_are_not_written(monkeypatch):
+def test_events_are_counted_even_if_their_lines_are_dropped(monkeypatch):
     monkeypatch.setattr(log_events, "_observers", [])
     metrics = Metrics()
     log_events.observe(metrics.record)
@@ -105,8 +105,8 @@
 
 async def test_metrics_are_served_at_their_address(tmp_path):
     port = free_port()
-    async with site(tmp_path, metrics=f"{port}/metrics") as made:
-        await made.chat()
+    async with site(tmp_path, metrics=f"{port}/metrics") as cluster:
+        await cluster.chat()
         async with (
             aiohttp.ClientSession() as client,
             client.get(f"http://127.0.0.1:{port}/metrics") as response,
@@ -117,7 +117,7 @@
     assert value(text, "thorncleat_controls_groups") == 1
 
 
-def test_place_that_is_no_port_is_an_error(tmp_path):
+def test_metrics_address_without_a_port_is_an_error(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(
         'node_name = "e"\nip = "127.0.0.1"\ninternal_ports = [1, 2]\n'
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -1,4 +1,4 @@
-"""The listeners: what becomes of a request whose caller leaves."""
+"""Requests whose caller disconnects."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 
 from thorncleat_gateway.listeners import Listeners
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 def _close(writer):
@@ -18,39 +18,39 @@
 
 
 def _reset(writer):
-    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
-@pytest.mark.parametrize("leave", [_close, _reset])
+@pytest.mark.parametrize("disconnect", [_close, _reset])
 @pytest.mark.parametrize("body", [b"", b"hello"], ids=["no body", "body"])
-async def test_caller_who_leaves_cancels_the_handler_of_its_request(leave, body):
-    began, cancelled = asyncio.Event(), asyncio.Event()
+async def test_disconnect_cancels_the_handler_of_a_request(disconnect, body):
+    started, cancelled = asyncio.Event(), asyncio.Event()
 
     async def handler(request):
         while await request.content.readany():
             pass
-        began.set()
+        started.set()
         try:
             await asyncio.Event().wait()
         except asyncio.CancelledError:
             cancelled.set()
             raise
 
-    listening = socket.create_server(("127.0.0.1", 0))
-    address = listening.getsockname()
+    bound_socket = socket.create_server(("127.0.0.1", 0))
+    address = bound_socket.getsockname()
     listeners = Listeners()
-    await listeners.open(handler, address, listening)
+    await listeners.open(handler, address, bound_socket)
     _, writer = await asyncio.open_connection(*address)
     writer.write(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    await asyncio.wait_for(began.wait(), 5.0)
-    leave(writer)
+    await asyncio.wait_for(started.wait(), 5.0)
+    disconnect(writer)
     await asyncio.wait_for(cancelled.wait(), 5.0)
     await listeners.close()
 
 
-async def test_caller_who_leaves_before_its_request_is_read_has_none_running():
-    """The socket listens before the program's imports, so requests wait there unread."""
+async def test_request_of_a_caller_that_disconnected_early_does_not_keep_running():
+    """The socket listens before the program serves it, so requests may wait unread."""
     running = []
 
     async def handler(request):
@@ -63,15 +63,15 @@
         finally:
             running.remove(name)
 
-    listening = socket.create_server(("127.0.0.1", 0))
-    address = listening.getsockname()
-    for leave in (_close, _reset):
+    bound_socket = socket.create_server(("127.0.0.1", 0))
+    address = bound_socket.getsockname()
+    for disconnect in (_close, _reset):
         _, writer = await asyncio.open_connection(*address)
         writer.write(b"GET /leaves HTTP/1.1\r\nHost: h\r\n\r\n")
         await writer.drain()
-        leave(writer)
+        disconnect(writer)
     listeners = Listeners()
-    await listeners.open(handler, address, listening)
+    await listeners.open(handler, address, bound_socket)
     async with aiohttp.ClientSession() as session:
         for _ in range(2):
             async with session.get(f"http://{address[0]}:{address[1]}/stays") as response:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,10 +1,7 @@
-"""An instance that is suspended for seconds, as when its host moves it.
+"""Suspension of an instance for some seconds, as when its host moves it.
 
-The monotonic clock stands still meanwhile, and the boot clock goes on. Whatever the gateway counts
-on the monotonic clock seems younger by the whole suspension: the controller's lease seems to hold
-though the store has given it to another daemon, keys that were taken away seem fresh, and timers
-are late. The program was started with time.monotonic: of a suspension of 10 s it saw 0.000003 s,
-and a timer that was due within it did not run.
+The monotonic clock stops meanwhile, and the boot clock does not. With the monotonic clock, expired
+leases and revoked keys would still seem valid, and timers would be late.
 """
 
 import asyncio
@@ -19,15 +16,15 @@
 from thorncleat_platform import settings
 
 SUSPENDED_SECONDS = 10.0
-# a timer that is due within the suspension
+# A timer that is due during the suspension.
 TIMER_SECONDS = 5.0
-# turns of the event loop in which a timer that is due is run
-TURNS = 10
+# Iterations of the event loop in which a due timer runs.
+LOOP_ITERATIONS = 10
 
 
 @pytest.fixture
 def boot_clock(monkeypatch):
-    """Yield a list whose element is how far the boot clock is ahead, in seconds."""
+    """Return a list of one element: the seconds by which the boot clock is ahead."""
     ahead = [0.0]
     monotonic = time.monotonic
     monkeypatch.setattr(time, "clock_gettime", lambda clock: monotonic() + ahead[0])
@@ -36,11 +33,11 @@
 
 @pytest.fixture
 def program(monkeypatch, tmp_path, boot_clock):
-    """Run the program, with a gateway that is suspended once; yield what its clocks showed."""
-    found = {}
+    """Run the program with a gateway that is suspended once; return what its clocks showed."""
+    observed = {}
 
     class Gateway:
-        def __init__(self, *parts, **more):
+        def __init__(self, *parts, **options):
             self._clock = next(part for part in parts if part is not None and _is_clock(part))
             self.metrics = self
             self.record = lambda event, fields: None
@@ -50,10 +47,10 @@
             await asyncio.sleep(0)
             before = self._clock()
             boot_clock[0] += SUSPENDED_SECONDS
-            found["passed"] = self._clock() - before
-            for _ in range(TURNS):
+            observed["passed"] = self._clock() - before
+            for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
-            found["timer"] = timer.done()
+            observed["timer"] = timer.done()
             timer.cancel()
             os.kill(os.getpid(), signal.SIGTERM)
 
@@ -84,9 +81,9 @@
     monkeypatch.setattr(logs, "setup", lambda *_: None)
     assert settings.load(path)
     main.main()
-    return found
+    return observed
 
 
-def test_times_of_the_gateway_go_on_while_its_instance_is_suspended(program):
+def test_clock_of_the_gateway_advances_while_its_instance_is_suspended(program):
     assert program["passed"] == pytest.approx(SUSPENDED_SECONDS, abs=1.0)
     assert program["timer"]
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer, so that minutes pass in no time."""
+"""An event loop in virtual time, which jumps to the next timer."""
 
 import asyncio
 import selectors
@@ -6,34 +6,34 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Never waits: it tells the loop how long it would have waited."""
+    """A selector that never blocks, but advances the virtual time by the timeout."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.waited = 0.0
+        self.virtual_seconds = 0.0
 
     def select(self, timeout: float | None = None) -> t.Any:
         if timeout is None:
-            raise RuntimeError("nothing is left that could ever happen")
-        self.waited += max(0.0, timeout)
+            raise RuntimeError("deadlock: no timer or callback is pending")
+        self.virtual_seconds += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop in virtual time."""
+    """An event loop in virtual time."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._jumping_selector = _JumpingSelector()
+        super().__init__(self._jumping_selector)
 
     def time(self) -> float:
-        return 1000.0 + self._jumping.waited
+        return 1000.0 + self._jumping_selector.virtual_seconds
 
 
-def run(work: t.Coroutine[t.Any, t.Any, t.Any]) -> t.Any:
-    """Run something in a virtual loop of its own."""
+def run(coroutine: t.Coroutine[t.Any, t.Any, t.Any]) -> t.Any:
+    """Run a coroutine in a virtual loop of its own and return its result."""
     loop = VirtualLoop()
     try:
-        return loop.run_until_complete(work)
+        return loop.run_until_complete(coroutine)
     finally:
         loop.close()
