--- a/tests/test_forms_datagrams.py
+++ b/tests/test_forms_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons, byte by byte, as at b7c2758."""
+"""Bytes of the datagrams between daemons, which other builds must be able to read."""
 
 import msgpack
 import pytest
@@ -38,23 +38,20 @@
         [ReportedLimit("i-1", 7, 1.5, 0.75, 0.25), ReportedLimit("i-2", None, None, 2.0, 0.0)]
     ),
 }
-# from daemon edge-1, written by b7c2758
-WRITTEN = {
+# Sent by daemon edge-1.
+ENCODED = {
     "load": "9501a6656467652d31a46c6f616482a3692d3103a3692d320192a3692d31a3692d33",
     "quiet": "9501a6656467652d31a46c6f61648090",
     "suspicion": "9701a6656467652d31a773757370656374a3692d3103aa6e61727261746f722d30a3692d32",
     "suspicion of nobody": "9701a6656467652d31a773757370656374a3692d3103aa6e61727261746f722d30a0",
     "probe": "9401a6656467652d31a570726f6265a3692d31",
     "ended": "9501a6656467652d31a5656e64656403aa6e61727261746f722d30",
-    # new: a daemon that doesn't know it yet rejects it
     "domain": "9501a6656467652d31a6646f6d61696ea6726967612d6181a3692d3103",
-    # new likewise
     "crash": (
         "9401a6656467652d31a563726173689294a3692d3107cd01f49193c40201ff022494a3692d32c0ce0036ee8090"
     ),
     "no crash": "9701a6656467652d31a86e6f206372617368a3692d3107c400ccfa",
     "request served": "9701a6656467652d31a86e6f206372617368a0c0c40201ff00",
-    # new likewise
     "limits": (
         "9401a6656467652d31a66c696d6974739295a3692d3107cb3ff800000000"
         "0000cd02eeccfa95a3692d32c0c0cd07d000"
@@ -63,13 +60,13 @@
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_written_as_before(name):
-    assert peers.encode("edge-1", MESSAGES[name]).hex() == WRITTEN[name]
+def test_encoding_is_unchanged(name):
+    assert peers.encode("edge-1", MESSAGES[name]).hex() == ENCODED[name]
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_read_as_before(name):
-    assert peers.decode(bytes.fromhex(WRITTEN[name])) == ("edge-1", MESSAGES[name])
+def test_decoding_is_unchanged(name):
+    assert peers.decode(bytes.fromhex(ENCODED[name])) == ("edge-1", MESSAGES[name])
 
 
 @pytest.mark.parametrize("name", MESSAGES)
@@ -116,10 +113,10 @@
         [1, "edge-1", "limits", [["i-1", [], 1.5, 0, 0]]],
     ],
 )
-def test_other_content_is_no_message(content):
+def test_malformed_content_is_rejected(content):
     assert peers.decode(msgpack.packb(content)) is None
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"GET / HTTP/1.1", b"\x94\x01"])
-def test_other_bytes_are_no_message(data):
+def test_malformed_bytes_are_rejected(data):
     assert peers.decode(data) is None
--- a/tests/test_forms_events.py
+++ b/tests/test_forms_events.py
@@ -1,4 +1,4 @@
-"""Log events: numbers, names, levels, texts and fields of both programs, as at b7c2758."""
+"""Numbers, names, levels, texts and fields of the log events of both programs."""
 
 import ast
 import json
@@ -37,56 +37,56 @@
     "gateway": (gateway_events, ("packages/gateway/src", "platform/src")),
     "daemon": (daemon_events, ("packages/daemon/src",)),
 }
-# lines of requests and orders; others come with a daemon's start
-NOTED = {7210, 7211, *range(7302, 7308)}
+# Events of requests and orders; others also occur when a daemon starts.
+OBSERVED_NUMBERS = {7210, 7211, *range(7302, 7308)}
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
 def test_catalogue(program, snapshot):
     events, _ = PROGRAMS[program]
-    found = [
-        [one.number, one.name, logging.getLevelName(one.level), one.text]
-        for one in sorted(events.catalogue.values(), key=lambda one: one.number)
+    observed = [
+        [event.number, event.name, logging.getLevelName(event.level), event.text]
+        for event in sorted(events.catalogue.values(), key=lambda event: event.number)
     ]
-    assert found == snapshot
+    assert observed == snapshot
 
 
 def logged(source, names):
-    """Yield the number and the fields of each call that logs one of some events."""
+    """Yield the number and the fields of each call that logs one of the named events."""
     for node in ast.walk(ast.parse(source)):
         match node:
             case ast.Call(
                 func=ast.Attribute(value=ast.Attribute(attr=name) | ast.Name(id=name), attr="log")
             ) if name in names:
-                fields = [one.arg or "**" for one in node.keywords]
+                fields = [keyword.arg or "**" for keyword in node.keywords]
                 yield names[name].number, sorted(fields)
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
 def test_fields(program, snapshot):
-    events, places = PROGRAMS[program]
-    names = {name: one for name, one in vars(events).items() if isinstance(one, Event)}
-    found = {
+    events, source_directories = PROGRAMS[program]
+    names = {name: event for name, event in vars(events).items() if isinstance(event, Event)}
+    observed = {
         (number, *fields)
-        for place in places
-        for path in (ROOT / place).rglob("*.py")
+        for directory in source_directories
+        for path in (ROOT / directory).rglob("*.py")
         for number, fields in logged(path.read_text(), names)
     }
-    assert [list(one) for one in sorted(found)] == snapshot
+    assert [list(row) for row in sorted(observed)] == snapshot
 
 
 def test_line(snapshot):
     reader, writer = os.pipe()
     root, own = logging.getLogger(), logging.getLogger(log_events.LOGGER_NAME)
-    kept = root.handlers[:], root.level, own.level
+    saved = root.handlers[:], root.level, own.level
     try:
         logs.setup("info", "edge-1", writer)
         gateway_events.REQUEST_SENT.log(request="r1", endpoint="w1", load=2, last=None)
         text = os.read(reader, 10_000).decode()
     finally:
-        root.handlers[:] = kept[0]
-        root.setLevel(kept[1])
-        own.setLevel(kept[2])
+        root.handlers[:] = saved[0]
+        root.setLevel(saved[1])
+        own.setLevel(saved[2])
         os.close(reader)
         os.close(writer)
     line = json.loads(text)
@@ -97,17 +97,17 @@
 
 @pytest.fixture
 def lines(monkeypatch):
-    """Return what is logged of requests and orders, with measured times replaced by their type."""
-    found = []
+    """Return the logged events of requests and orders, with a placeholder for measured times."""
+    observed = []
 
-    def note(event, fields):
-        if event.number in NOTED:
-            varying = {key: "<s>" for key, one in fields.items() if type(one) is float}
-            kept = {"retry_after": fields["retry_after"]} if "retry_after" in fields else {}
-            found.append([event.number, event.name, {**fields, **varying, **kept}])
+    def observe(event, fields):
+        if event.number in OBSERVED_NUMBERS:
+            varying = {key: "<s>" for key, value in fields.items() if type(value) is float}
+            exact = {"retry_after": fields["retry_after"]} if "retry_after" in fields else {}
+            observed.append([event.number, event.name, {**fields, **varying, **exact}])
 
-    monkeypatch.setattr(log_events, "_observers", [note])
-    return found
+    monkeypatch.setattr(log_events, "_observers", [observe])
+    return observed
 
 
 class _Answering(wire_forms.SilentEngines):
@@ -120,10 +120,10 @@
 @pytest.mark.parametrize("name", ORDERS)
 async def test_lines_of_an_order(name, lines, snapshot):
     mirror = wire_forms.mirror(wire_forms.FixedFeed([]), lambda: 0.0)
-    heard = []
+    contacts = []
     calls = CallWindow(OwnLateness(lambda: 0.0, 0.02), lambda: 0.0)
     orders = Orders(
-        ControlSettings(), _Answering(), mirror, lambda: True, heard.append, calls, lambda: 0.0
+        ControlSettings(), _Answering(), mirror, lambda: True, contacts.append, calls, lambda: 0.0
     )
     await orders.give(wire_forms.LONER, ORDERS[name], expected=7)
     with pytest.raises(EndpointTimeoutError):
--- a/tests/test_forms_metrics.py
+++ b/tests/test_forms_metrics.py
@@ -1,4 +1,4 @@
-"""Names, help texts, types and labels of the metrics, as at b7c2758."""
+"""Names, help texts, types and labels of the metrics."""
 
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
@@ -9,8 +9,8 @@
 from . import wire_forms
 from .wire_forms import FixedFeed
 
-# fields of the events that carry durations, and of one that carries none
-NOTED = {
+# Fields of the events with durations, and of one event without.
+EVENT_FIELDS = {
     7303: {
         "route": "chat",
         "workspace": "growers",
@@ -38,8 +38,8 @@
 ]
 
 
-def forms(text):
-    """Return each family with its samples, without their values."""
+def describe_metrics(text):
+    """Return each metric family with its samples, without values."""
     return [
         {
             "name": family.name,
@@ -49,30 +49,34 @@
                 [sample.name, sorted(map(list, sample.labels.items()))] for sample in family.samples
             ),
         }
-        for family in sorted(text_string_to_metric_families(text), key=lambda one: one.name)
+        for family in sorted(text_string_to_metric_families(text), key=lambda family: family.name)
     ]
 
 
 async def test_all_of_a_daemon(snapshot):
     metrics = wire_forms.Daemons(FixedFeed([])).gateway.metrics
-    for number, fields in NOTED.items():
+    for number, fields in EVENT_FIELDS.items():
         metrics.record(events.catalogue[number], fields)
-    assert forms(metrics.text().decode()) == snapshot
+    assert describe_metrics(metrics.text().decode()) == snapshot
 
 
 @pytest.mark.parametrize("number", sorted(events.catalogue))
 def test_each_event_is_counted_by_its_name(number, snapshot):
     metrics = Metrics()
-    metrics.record(events.catalogue[number], {**NOTED[7303], **NOTED.get(number, {})})
-    counted = [one for one in forms(metrics.text().decode()) if one["name"] != "thorncleat_seconds"]
-    assert counted == snapshot
+    metrics.record(events.catalogue[number], {**EVENT_FIELDS[7303], **EVENT_FIELDS.get(number, {})})
+    event_metrics = [
+        family
+        for family in describe_metrics(metrics.text().decode())
+        if family["name"] != "thorncleat_seconds"
+    ]
+    assert event_metrics == snapshot
 
 
 @pytest.mark.parametrize("cause", CAUSES)
 def test_cause_as_a_label(cause, snapshot):
     metrics = Metrics()
     metrics.record(events.catalogue[7305], {"cause": cause, "after": 0.1})
-    assert forms(metrics.text().decode()) == snapshot
+    assert describe_metrics(metrics.text().decode()) == snapshot
 
 
 async def test_answer_to_whoever_collects_them(snapshot):
