--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -104,7 +104,7 @@
 
     :param status: HTTP status.
     :param cause: as logged.
-    :param retry_after: seconds after which the caller may retry; None if a retry is no use.
+    :param retry_after: seconds after which the caller may retry; None if a retry won't help.
     """
 
     def __init__(self, status: int, cause: str, *, retry_after: float | None = None) -> None:
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -55,7 +55,7 @@
 from .store.relays import gather_seconds
 from .store.view import StoreView
 
-# How long callers' connections wait for the first configuration before they are accepted.
+# How long to wait for the first configuration before callers' connections are accepted.
 FIRST_CONFIGURATION_TIMEOUT_SECONDS = 0.25
 # Window of the metric that shows the lateness of the event loop.
 LATENESS_WINDOW_SECONDS = 1.0
@@ -96,19 +96,19 @@
         self._frontend: Frontend | None = None
         self._records = records
         self._feed = RelayFeed(settings.relay, feed, self._relays, self._listed_relays, clock)
-        self.view = StoreView(self._feed, clock, settings.watch, self._coalesce)
+        self.view = StoreView(self._feed, clock, settings.watch, self._coalesce_seconds)
         self._registration = Registration(settings, records, self.view, clock)
         self._relay_server = RelayServer(self.view, self._daemons)
         self._notices = EndpointNotices(self.view, clock)
         self._limits = EndpointLimits(self._registration, clock)
-        self._wire_peers()
+        self._create_peer_services()
         engines.on_answer(self._notices.answered)
         engines.on_answer(lambda endpoint, meta: self._limits.answered(endpoint, meta, None))
-        self._wire_control(records, engines)
+        self._create_control_services(records, engines)
         self.metrics = Metrics()
         self._add_gauges()
 
-    def _wire_peers(self) -> None:
+    def _create_peer_services(self) -> None:
         self._peers = PeerChannel(
             self._settings, self._registration.addresses, self._registration.neighbours
         )
@@ -117,23 +117,23 @@
         self._reporter = LoadReporter(
             self._peers, self.load_table, self._detector, self._settings.failure_domain
         )
-        self._ended = EndedGroups(self._peers, self._clock)
+        self._ended_groups = EndedGroups(self._peers, self._clock)
         self._quarantine = Quarantine(self._clock)
         self._crash_reporter = CrashReporter(self._quarantine, self._peers, self._clock)
         self._lifted_holds = LiftedHolds(self.view, self._quarantine)
         self._limit_reporter = LimitReporter(self._limits, self.view, self._peers, self._clock)
 
-    def _wire_control(self, records: RecordStore, engines: Engines) -> None:
+    def _create_control_services(self, records: RecordStore, engines: Engines) -> None:
         settings, clock, view = self._settings, self._clock, self.view
         self._election = Election(settings, records, view, clock, self._registration.capacities)
-        self._calls = CallWindow(self._detector.lateness, clock)
+        self._call_window = CallWindow(self._detector.lateness, clock)
         orders = Orders(
             settings.control,
             engines,
             view,
             lambda: self._election.leads,
             lambda endpoint_id: self._detector.record_contact(endpoint_id, clock()),
-            self._calls,
+            self._call_window,
             clock,
         )
         self._probe_answers = ProbeAnswers(view, self._peers, self._reporter, orders.answers)
@@ -145,42 +145,46 @@
             self._detector,
             self.load_table,
             self._peers,
-            self._ended,
+            self._ended_groups,
             clock,
         )
         self._controller = Controller(
-            view, self._election, self._detector, terms, clock, lambda: self._before_requests
+            view, self._election, self._detector, terms, clock, lambda: self._has_no_requests_yet
         )
 
     def _add_gauges(self) -> None:
         add = self.metrics.gauge
         add("configuration_age_seconds", "Since a newer one was excluded", self.view.age)
         add("configuration_version", "In force here", self.view.configuration_version)
-        add("requests_running", "Requests being answered", self._running)
+        add("requests_running", "Requests being answered", self._running_requests)
         add("endpoints_listed", "Endpoints known", lambda: len(self.view.roster.endpoints))
         add("daemons_registered", "Daemons known", lambda: self._peers.daemon_count)
         add("controls_groups", "1 if this daemon does", lambda: float(self._election.leads))
         add("controller_lease_seconds", "Left of the lease", lambda: self._election.left)
-        add("endpoint_calls_allowed", "At once, by the controller", lambda: self._calls.limit)
-        add("endpoint_calls_waiting", "For their turn", lambda: self._calls.waiting)
-        add("loop_late_seconds", "At most, of the last second", self._lateness)
+        add("endpoint_calls_allowed", "At once, by the controller", lambda: self._call_window.limit)
+        add("endpoint_calls_waiting", "For their turn", lambda: self._call_window.waiting)
+        add("loop_late_seconds", "At most, of the last second", self._recent_lateness)
         add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected_count)
         add("requests_quarantined", "Held back", lambda: len(self._quarantine.held))
         add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
 
-    def _lateness(self) -> float:
+    def _recent_lateness(self) -> float:
         return self._detector.lateness.max_lateness_since(self._clock() - LATENESS_WINDOW_SECONDS)
 
-    def _running(self) -> float:
+    def _running_requests(self) -> float:
         return self._frontend.running if self._frontend is not None else 0
 
     @property
-    def _before_requests(self) -> bool:
+    def _has_no_requests_yet(self) -> bool:
         """Whether no daemon has received a request since the very first start of the system."""
-        own = self._frontend is not None and self._frontend.requests > 0
-        return self._first_start and not own and not self._reporter.has_seen_remote_requests
+        has_local_requests = self._frontend is not None and self._frontend.requests > 0
+        return (
+            self._first_start
+            and not has_local_requests
+            and not self._reporter.has_seen_remote_requests
+        )
 
-    def _coalesce(self) -> float:
+    def _coalesce_seconds(self) -> float:
         """Return the delay in seconds between two calls for changes.
 
         It is longer for a daemon that reads from the store although there are relays for it.
@@ -205,7 +209,7 @@
 
     async def on_start(self) -> None:
         """Start all services, then listen for callers."""
-        self._frontend = self._build_requests()
+        self._frontend = self._build_frontend()
         for service in (
             self.view,
             self._registration,
@@ -219,7 +223,7 @@
         if self._settings.metrics is not None:
             await self._listeners.open(self.metrics.handle, self._settings.metrics)
         await self._listeners.open(self._frontend.readiness, self._settings.readiness)
-        await self._first_configuration()
+        await self._wait_for_first_configuration()
         await self._listeners.open(self._frontend.handle, self._settings.callers, self._callers)
         await self.add_runtime_dependency(self._reporter)
         await self.add_runtime_dependency(self._crash_reporter)
@@ -227,22 +231,22 @@
         await self.add_runtime_dependency(self._probe_answers)
         events.STARTED.log(callers=self._settings.callers, first_start=self._first_start)
 
-    async def _first_configuration(self) -> None:
+    async def _wait_for_first_configuration(self) -> None:
         """Wait for the first configuration, without which every request would be refused."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.view.wait_loaded(), FIRST_CONFIGURATION_TIMEOUT_SECONDS)
 
-    def _build_requests(self) -> Frontend:
+    def _build_frontend(self) -> Frontend:
         settings, clock = self._settings, self._clock
         self._client = endpoint_client.session()
-        calls = EndpointClient(
+        client = EndpointClient(
             self._client, self._codec, self._notices, self._limits, settings.connect_timeout
         )
         selector = EndpointSelector(
             self.view,
             self.load_table,
             self._detector,
-            self._ended,
+            self._ended_groups,
             self._notices,
             self._limits,
             clock,
@@ -252,8 +256,8 @@
         crash_watch = CrashWatch(
             self._quarantine, self.view, self._detector, self._crash_reporter, clock
         )
-        parts = (
-            calls,
+        dependencies = (
+            client,
             selector,
             self.load_table,
             retry_budgets,
@@ -261,14 +265,16 @@
             crash_watch,
             clock,
         )
-        plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
+        plain, streams = PlainForwarder(*dependencies), StreamForwarder(*dependencies)
         return Frontend(settings, self.view, self._codec, plain, streams, clock)
 
     async def drain(self) -> None:
         """Finish the running requests before a planned stop."""
         assert self._frontend is not None
-        stop = PlannedStop(self._frontend, self._election, self._settings.grace, self._clock)
-        await stop.wait()
+        planned_stop = PlannedStop(
+            self._frontend, self._election, self._settings.grace, self._clock
+        )
+        await planned_stop.wait()
 
     async def on_stop(self) -> None:
         """Close the listeners."""
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -17,7 +17,7 @@
 
 from . import events
 
-# Targets with a histogram of their own, which bounds the memory; all further ones share one.
+# Targets with a distribution of their own; all others share one, which limits the memory.
 MAX_TARGETS = 64
 OTHER_TARGETS = "others"
 # Where the variable part of a cause begins: a number, a name or a repr.
@@ -39,7 +39,7 @@
 
 
 class Metrics(MetricsRegistry):
-    """Counters, gauges and histograms of one daemon."""
+    """The metrics of one daemon."""
 
     def __init__(self) -> None:
         super().__init__()
