--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -53,8 +53,8 @@
     """An endpoint does not accept requests of this daemon now; nothing was sent to it."""
 
 
-class Ran(enum.Enum):
-    """Whether a request may have run in a failed attempt; the value is logged."""
+class Executed(enum.Enum):
+    """Whether a failed attempt may have executed its request; the value is logged."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -85,7 +85,7 @@
     def __init__(
         self,
         cause: str,
-        ran: Ran,
+        ran: Executed,
         *,
         sent: bool = True,
         broken: ConnectionBreak | None = None,
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -22,7 +22,7 @@
 
 from ..exceptions import AttemptError
 from ..exceptions import ConnectionBreak
-from ..exceptions import Ran
+from ..exceptions import Executed
 from ..ports import ForwardMeta
 from ..ports import HeaderCodec
 from ..ports import Headers
@@ -150,7 +150,7 @@
 
 def _answer_cut(error: Exception) -> AttemptError:
     cause = f"answer cut: {type(error).__name__}"
-    return AttemptError(cause, Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
+    return AttemptError(cause, Executed.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
 
 
 class EndpointClient:
@@ -201,11 +201,11 @@
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
                 self._limits.give_back(leave)
                 cause = f"no connection: {type(error).__name__}"
-                raise AttemptError(cause, Ran.NO, sent=False) from error
+                raise AttemptError(cause, Executed.NO, sent=False) from error
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
                 broken = ConnectionBreak.BEFORE_HEAD if is_lost(error) else None
                 cause = f"no answer: {type(error).__name__}"
-                raise AttemptError(cause, Ran.MAYBE, broken=broken) from error
+                raise AttemptError(cause, Executed.MAYBE, broken=broken) from error
             stack.callback(response.close)
             self._check(response, endpoint, request)
             yield Exchange(response, self._codec)
@@ -215,14 +215,14 @@
     ) -> None:
         meta = self._codec.read_answer(response.status, response.headers)
         if meta.request_id is not None and meta.request_id != request.meta.id:
-            raise AttemptError("answer of another request", Ran.MAYBE)
+            raise AttemptError("answer of another request", Executed.MAYBE)
         self._notices.answered(endpoint, meta)
         self._limits.answered(endpoint, meta, request.sent_at)
         if meta.not_run:
             cause = f"declined with {response.status}"
-            raise AttemptError(cause, Ran.NO, retry_after=meta.retry_after)
+            raise AttemptError(cause, Executed.NO, retry_after=meta.retry_after)
         if meta.encoded or (not meta.signed and response.status < UNSIGNED_STATUS):
-            raise AttemptError("not the endpoint's own answer", Ran.MAYBE)
+            raise AttemptError("not the endpoint's own answer", Executed.MAYBE)
 
 
 async def within(seconds: float, work: t.Awaitable[t.Any]) -> t.Any:
@@ -233,4 +233,4 @@
     try:
         return await asyncio.wait_for(work, max(0.0, seconds))
     except TimeoutError:
-        raise AttemptError(f"no answer in {seconds:.3f} s", Ran.MAYBE) from None
+        raise AttemptError(f"no answer in {seconds:.3f} s", Executed.MAYBE) from None
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -9,7 +9,7 @@
 
 from ..exceptions import AttemptError
 from ..exceptions import EndpointNotAcceptingError
-from ..exceptions import Ran
+from ..exceptions import Executed
 from ..store.roster import Endpoint
 from . import request_log
 from . import retry_policy
@@ -50,7 +50,7 @@
                     return kept
                 if not self._may_try_elsewhere(request):
                     return kept
-                failure = AttemptError(f"status {kept.status}", Ran.MAYBE)
+                failure = AttemptError(f"status {kept.status}", Executed.MAYBE)
             except EndpointNotAcceptingError:
                 # it has said so since it was chosen; another one is chosen now
                 request.tried.add(endpoint.id)
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -10,7 +10,7 @@
 import functools
 
 from ..exceptions import AttemptError
-from ..exceptions import Ran
+from ..exceptions import Executed
 from ..ports import ForwardMeta
 from ..ports import Headers
 from ..ports import RequestMeta
@@ -129,7 +129,7 @@
             self.sends += 1
         else:
             self.unsent += 1
-        if failure.ran is Ran.MAYBE:
+        if failure.ran is Executed.MAYBE:
             self.may_have_run = True
 
     def used(self, now: float) -> AttemptsUsed:
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -15,7 +15,7 @@
 
 from ..exceptions import AnswerAbortedError
 from ..exceptions import AttemptError
-from ..exceptions import Ran
+from ..exceptions import Executed
 from ..store.serving import Route
 from . import retry_after
 from .refusal import Refusal
@@ -104,7 +104,7 @@
     :param take_token: takes a token of the retry budget; returns whether there was one.
     :param begun: whether the caller has got the head of the answer.
     """
-    movable = failure.ran is Ran.NO or route.resumable
+    movable = failure.ran is Executed.NO or route.resumable
     allowed = not used.late and movable and within_attempts(route, used.sends, used.unsent)
     if allowed and take_token():
         return Next.SEND_AGAIN
@@ -222,4 +222,4 @@
     The route bounds how many endpoints may run a request. One that declined it has not run it;
     nor has a group that nobody has heard since: it was silent before.
     """
-    return failure.ran is Ran.MAYBE and heard_since_sent
+    return failure.ran is Executed.MAYBE and heard_since_sent
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -12,7 +12,7 @@
 from ..exceptions import AttemptError
 from ..exceptions import ConnectionBreak
 from ..exceptions import EndpointNotAcceptingError
-from ..exceptions import Ran
+from ..exceptions import Executed
 from ..exceptions import RefusalError
 from ..peers.failure_detector import StreamAttempt
 from ..ports import Headers
@@ -95,7 +95,7 @@
                     return
                 kept.append(answer)
                 self._selector.avoid(endpoint)
-                raise AttemptError(f"status {answer.status}", Ran.MAYBE)
+                raise AttemptError(f"status {answer.status}", Executed.MAYBE)
             except EndpointNotAcceptingError:
                 # it has said so since it was chosen; another one is chosen now
                 request.tried.add(endpoint.id)
@@ -186,7 +186,9 @@
                     return await self._exchange(request, attempt, splitter, caller)
             except TimeoutError:
                 abort_cause = attempt.abort_cause if attempt is not None else ""
-                raise AttemptError(abort_cause or retry_policy.OUT_OF_TIME, Ran.MAYBE) from None
+                raise AttemptError(
+                    abort_cause or retry_policy.OUT_OF_TIME, Executed.MAYBE
+                ) from None
             finally:
                 if attempt is not None:
                     self._detector.unwatch(attempt)
@@ -242,7 +244,7 @@
             attempt.is_blocked_by_caller = False
         if splitter.mid_event or not splitter.events:
             cause = "the stream ended within an event"
-            raise AttemptError(cause, Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
+            raise AttemptError(cause, Executed.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
         await caller.end()
 
     async def _without_stream(
@@ -253,7 +255,7 @@
         :raises AttemptError: if the caller has got the head of another answer.
         """
         if caller.begun:
-            raise AttemptError(f"status {exchange.status}", Ran.MAYBE)
+            raise AttemptError(f"status {exchange.status}", Executed.MAYBE)
         answer = await exchange.whole()
         if answer.failed:
             return answer
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -14,7 +14,7 @@
 from thorncleat_gateway.exceptions import AnswerAbortedError
 from thorncleat_gateway.exceptions import AttemptError
 from thorncleat_gateway.exceptions import ConnectionBreak
-from thorncleat_gateway.exceptions import Ran
+from thorncleat_gateway.exceptions import Executed
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.groups.ended import EndedGroups
 from thorncleat_gateway.peers import datagrams
@@ -120,7 +120,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.died.wait(), seconds)
         if not self.alive:
-            raise AttemptError("answer cut: X", Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
+            raise AttemptError("answer cut: X", Executed.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
 
     async def slot(self) -> None:
         """Wait for a place.
@@ -133,7 +133,7 @@
         died.cancel()
         if not self.alive:
             taken.cancel()
-            raise AttemptError("no answer: X", Ran.MAYBE, broken=ConnectionBreak.BEFORE_HEAD)
+            raise AttemptError("no answer: X", Executed.MAYBE, broken=ConnectionBreak.BEFORE_HEAD)
 
 
 class Exchange:
@@ -171,7 +171,7 @@
         await asyncio.sleep(WAY)
         worker = world.workers.get(endpoint.id)
         if worker is None or not worker.alive or worker.endpoint.life.is_over(endpoint.life):
-            raise AttemptError("no connection: X", Ran.NO, sent=False)
+            raise AttemptError("no connection: X", Executed.NO, sent=False)
         world.arrived(request, worker)
         await worker.slot()
         try:
@@ -183,7 +183,7 @@
             except AttemptError as error:
                 # a plain endpoint sends its head with its answer
                 raise AttemptError(
-                    "no answer: X", Ran.MAYBE, broken=ConnectionBreak.BEFORE_HEAD
+                    "no answer: X", Executed.MAYBE, broken=ConnectionBreak.BEFORE_HEAD
                 ) from error
             yield Exchange(worker, request)
         finally:
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -6,7 +6,7 @@
 
 from thorncleat_gateway.exceptions import AttemptError
 from thorncleat_gateway.exceptions import ConnectionBreak
-from thorncleat_gateway.exceptions import Ran
+from thorncleat_gateway.exceptions import Executed
 from thorncleat_gateway.peers.datagrams import GroupEnded
 from thorncleat_gateway.requests.endpoint_client import EndpointAnswer
 from thorncleat_gateway.requests.quarantine import LIMIT_CRASHES
@@ -19,7 +19,7 @@
 from .crash_world import Size
 
 SIZE = Size(2, 3, 4, 1.0)
-CUT = AttemptError("answer cut: X", Ran.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
+CUT = AttemptError("answer cut: X", Executed.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
 
 
 class Scene:
@@ -59,7 +59,7 @@
 
 
 def test_attempt_that_did_not_break_is_not():
-    assert not play(lambda scene: scene.fails(AttemptError("group silent", Ran.MAYBE)))
+    assert not play(lambda scene: scene.fails(AttemptError("group silent", Executed.MAYBE)))
 
 
 def test_endpoint_that_leaves_is_no_crash():
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -4,7 +4,7 @@
 
 from thorncleat_gateway.exceptions import AnswerAbortedError
 from thorncleat_gateway.exceptions import AttemptError
-from thorncleat_gateway.exceptions import Ran
+from thorncleat_gateway.exceptions import Executed
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.requests import retry_after
 from thorncleat_gateway.requests import retry_policy
@@ -17,9 +17,9 @@
 from thorncleat_gateway.store.serving import RouteKind
 from thorncleat_gateway.store.serving import Split
 
-NO = AttemptError("no connection: X", Ran.NO, sent=False)
-DECLINED = AttemptError("declined with 503", Ran.NO)
-MAYBE = AttemptError("answer cut: X", Ran.MAYBE)
+NO = AttemptError("no connection: X", Executed.NO, sent=False)
+DECLINED = AttemptError("declined with 503", Executed.NO)
+MAYBE = AttemptError("answer cut: X", Executed.MAYBE)
 
 
 def route(kind=RouteKind.REPEATABLE, max_attempts=2, resumable=False):
