--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -42,7 +42,7 @@
 
 
 class EndpointReplacedError(EndpointError):
-    """Another process than the expected one answers at the address of an endpoint."""
+    """A process other than the expected one answers at an endpoint's address."""
 
 
 class EndpointRefusedError(EndpointError):
--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -204,7 +204,7 @@
             self._contacts.get(leader_id, 0.0),
             attempts,
             self._settings,
-            suspected=self.is_suspected(leader),
+            is_suspected=self.is_suspected(leader),
             remote_contact_at=self._remote_contacts.get(leader_id, float("-inf")),
         )
         if not liveness.is_silent:
--- a/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/probe_answers.py
@@ -50,8 +50,8 @@
     def _find_endpoint(self, endpoint_id: str) -> Endpoint | None:
         roster = self._view.roster
         listed = roster.endpoints.get(endpoint_id)
-        gone = roster.gone.get(endpoint_id)
-        return listed or (gone.endpoint if gone else None)
+        removed = roster.gone.get(endpoint_id)
+        return listed or (removed.endpoint if removed else None)
 
     async def _probe_endpoint(self, controller: str, endpoint: Endpoint) -> None:
         if await self._endpoint_answers(endpoint):
--- a/packages/gateway/src/thorncleat_gateway/peers/silence.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/silence.py
@@ -22,7 +22,7 @@
 STALL_TIMEOUT_SECONDS = 1.0
 # Timeout of a group that is suspected already, in average gaps between events.
 SUSPECTED_TIMEOUT_GAPS = 1.5
-# How long a report of another daemon proves that a group is alive; one report may be lost.
+# How long a contact that another daemon reports counts, which allows for one lost report.
 REMOTE_CONTACT_TTL_SECONDS = 0.15
 
 
@@ -64,7 +64,7 @@
     streams: t.Collection[Stream],
     settings: StreamSettings,
     *,
-    suspected: bool,
+    is_suspected: bool,
     remote_contact_at: float = float("-inf"),
 ) -> Liveness:
     """Return whether a group is alive or silent.
@@ -75,7 +75,7 @@
     :param last_contact_at: when the group's leader last answered this daemon.
     :param remote_contact_at: when another daemon last reported an answer of the leader.
     :param streams: this daemon's streams in the group, at least one.
-    :param suspected: whether any daemon suspects the group already.
+    :param is_suspected: whether any daemon suspects the group already.
     """
     started = [stream for stream in streams if stream.last_at > 0]
     if not started:
@@ -86,7 +86,7 @@
     latest_at = max(stream.last_at for stream in started)
     gap = max(stream.gap for stream in started)
     overdue = now - max(last_contact_at, latest_at) > silence_timeout(
-        gap, settings, suspected=suspected
+        gap, settings, is_suspected=is_suspected
     )
     return Liveness.NO_FURTHER_EVENT if overdue else Liveness.ALIVE
 
@@ -101,13 +101,13 @@
     return stream.last_at > 0 and latest_event_at - stream.last_at > STALL_TIMEOUT_SECONDS
 
 
-def silence_timeout(gap: float, settings: StreamSettings, *, suspected: bool) -> float:
+def silence_timeout(gap: float, settings: StreamSettings, *, is_suspected: bool) -> float:
     """Return the seconds without an event after which a group is silent.
 
     :param gap: the longest average gap of its streams.
-    :param suspected: whether the group is suspected already.
+    :param is_suspected: whether the group is suspected already.
     """
-    if suspected:
+    if is_suspected:
         return max(settings.suspected, SUSPECTED_TIMEOUT_GAPS * gap)
     return min(max(settings.gaps * gap, settings.least_silence), settings.most_silence)
 
--- a/packages/gateway/src/thorncleat_gateway/planned_stop.py
+++ b/packages/gateway/src/thorncleat_gateway/planned_stop.py
@@ -1,9 +1,9 @@
 """Drains the requests of this daemon before a planned stop.
 
-Readiness ends at once. Requests are served until the load balancer has noticed and refused later,
-and the daemon stops as soon as the running ones are answered.
+The daemon reports itself as not ready at once, serves requests until the load balancer has
+noticed, and refuses them from then on. It stops as soon as the running requests are answered.
 
-Owns: nothing beyond one stop.
+Owns: nothing.
 Relies on: the frontend to refuse requests, and on the deployment's grace period, after which the
 process is killed.
 """
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -114,7 +114,9 @@
     ],
 )
 def test_group_is_silent(streams, contact_ago, suspected, expected):
-    found = silence.classify_group(NOW, NOW - contact_ago, streams, SETTINGS, suspected=suspected)
+    found = silence.classify_group(
+        NOW, NOW - contact_ago, streams, SETTINGS, is_suspected=suspected
+    )
     assert found is expected
     assert found.is_silent is (expected is not ALIVE)
 
