--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -60,7 +60,7 @@
 
 # Streams of a group, seconds since its leader answered, whether it is suspected already.
 @pytest.mark.parametrize(
-    ("streams", "contact_ago", "suspected", "expected"),
+    ("streams", "contact_ago", "is_suspected", "expected"),
     [
         pytest.param([without_event(0.44)], 9.0, False, ALIVE, id="first event may still come"),
         pytest.param([without_event(0.46)], 9.0, False, NO_FIRST, id="no first event in 0.45 s"),
@@ -113,9 +113,9 @@
         pytest.param([with_events(0.5, 0.4)], 9.0, True, ALIVE, id="suspected: no upper bound"),
     ],
 )
-def test_group_is_silent(streams, contact_ago, suspected, expected):
+def test_group_is_silent(streams, contact_ago, is_suspected, expected):
     found = silence.classify_group(
-        NOW, NOW - contact_ago, streams, SETTINGS, is_suspected=suspected
+        NOW, NOW - contact_ago, streams, SETTINGS, is_suspected=is_suspected
     )
     assert found is expected
     assert found.is_silent is (expected is not ALIVE)
@@ -139,7 +139,7 @@
         NOW - 9.0,
         streams,
         SETTINGS,
-        suspected=False,
+        is_suspected=False,
         remote_contact_at=NOW - remote_contact_ago,
     )
     assert found is expected
