--- a/packages/gateway/src/thorncleat_gateway/events.py
+++ b/packages/gateway/src/thorncleat_gateway/events.py
@@ -20,8 +20,10 @@
 STARTED = _event(7001, "gateway_started", INFO, "the gateway accepts requests")
 STOPPING = _event(7002, "gateway_stopping", INFO, "the gateway drains its running requests")
 STOPPED = _event(7003, "gateway_stopped", INFO, "the gateway has stopped")
-TASK_FAILED = _event(7004, "gateway_task_failed", ERROR, "a background task failed and is retried")
-RELOADED = _event(7005, "gateway_reloaded", INFO, "a reload of the settings was requested")
+TASK_FAILED = _event(
+    7004, "gateway_task_failed", ERROR, "a background task failed; the daemon continues"
+)
+RELOADED = _event(7005, "gateway_reloaded", INFO, "the settings file was checked again")
 LINES_DROPPED = _event(7006, "lines_dropped", WARNING, "log lines were dropped")
 
 STORE_LOST = _event(7101, "feed_lost", WARNING, "the store does not answer")
@@ -78,7 +80,7 @@
 BAD_HEADER = _event(7311, "bad_header", WARNING, "a header of an endpoint's answer is invalid")
 ENDPOINT_PAUSED = _event(7312, "endpoint_paused", INFO, "an endpoint asked for a pause in requests")
 ENDPOINT_LIMITED = _event(
-    7313, "endpoint_limited", INFO, "an endpoint set a limit on requests per second"
+    7313, "endpoint_limited", INFO, "an endpoint changed its limit on requests per second"
 )
 
 PEER_REJECTED = _event(
