--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -85,17 +85,17 @@
         self.handlers: list[datagrams.Handler] = []
 
     @property
-    def others(self) -> set[str]:
+    def other_daemons(self) -> set[str]:
         return set(self._sim.daemons) - {self.id}
 
     def on_message(self, handler: datagrams.Handler) -> None:
         self.handlers.append(handler)
 
-    def tell_all(self, message: Message) -> None:
-        for other in sorted(self.others):
-            self.tell(other, message)
+    def broadcast(self, message: Message) -> None:
+        for other in sorted(self.other_daemons):
+            self.send(other, message)
 
-    def tell(self, other: str, message: Message) -> None:
+    def send(self, other: str, message: Message) -> None:
         sim = self._sim
         if sim.random.random() < LOST or sim.is_cut(self.id, other):
             return
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -1,9 +1,6 @@
-"""One daemon of the gateway: builds its parts and runs them.
+"""One daemon of the gateway: creates its services, wires them together and runs them.
 
-This is the one place that wires the parts; what they decide stands in their modules, which
-docs/ARCHITECTURE.md lists.
-
-Owns: the parts, the order in which they start and end, and the HTTP client to the endpoints.
+Owns: the services, the order in which they start and stop, and the HTTP client for the endpoints.
 Relies on: the adapter's ports for the store, the engines and the names of headers.
 """
 
@@ -58,23 +55,22 @@
 from .store.relays import coalescing_seconds
 from .store.view import StoreView
 
-# for the first configuration to come before callers' connections are taken; they wait that long
-# at most, since a daemon without one has to say so
-FIRST_CONFIGURATION_SECONDS = 0.25
-# over which the lateness of the event loop is shown as a metric, in seconds
-LATENESS_SECONDS = 1.0
+# How long to wait for the first configuration before callers' connections are accepted.
+FIRST_CONFIGURATION_TIMEOUT_SECONDS = 0.25
+# Window of the metric that shows the lateness of the event loop.
+LATENESS_WINDOW_SECONDS = 1.0
 
 
 class Gateway(mode.Service):
-    """One daemon.
+    """One daemon of the gateway.
 
-    :param feed: what the platform's store says.
+    :param feed: changes of the platform's store.
     :param records: the gateway's own records in that store.
-    :param engines: reports from engines, and orders to them.
-    :param codec: the names of headers.
-    :param clock: seconds that never go back.
+    :param engines: reports of engines and orders to them.
+    :param codec: translates between headers and their meaning.
+    :param clock: a clock that never goes back, in seconds.
     :param first_start: whether this is the very first start of the whole system.
-    :param callers: a socket that listens at the callers' address; None to open one.
+    :param callers: a socket that already listens at the callers' address; None to open one.
     """
 
     def __init__(
@@ -100,44 +96,44 @@
         self._frontend: Frontend | None = None
         self._records = records
         self._feed = RelayFeed(settings.relay, feed, self._relays, self._listed_relays, clock)
-        self.view = StoreView(self._feed, clock, settings.watch, self._coalesce)
+        self.view = StoreView(self._feed, clock, settings.watch, self._coalesce_seconds)
         self._registration = Registration(settings, records, self.view, clock)
         self._relay_server = RelayServer(self.view, self._daemons)
         self._notices = EndpointNotices(self.view, clock)
         self._limits = EndpointLimits(self._registration, clock)
-        self._wire_peers()
+        self._create_peer_services()
         engines.on_answer(self._notices.answered)
         engines.on_answer(lambda endpoint, meta: self._limits.answered(endpoint, meta, None))
-        self._wire_control(records, engines)
+        self._create_control_services(records, engines)
         self.metrics = Metrics()
         self._add_gauges()
 
-    def _wire_peers(self) -> None:
+    def _create_peer_services(self) -> None:
         self._peers = PeerChannel(
             self._settings, self._registration.addresses, self._registration.domain_peers
         )
         self._detector = FailureDetector(self._settings.streams, self._peers, self._clock)
-        self.load_table = LoadTable(self._clock, self._peers.interval)
+        self.load_table = LoadTable(self._clock, self._peers.report_interval_seconds)
         self._reporter = LoadReporter(
             self._peers, self.load_table, self._detector, self._settings.failure_domain
         )
-        self._ended = EndedGroups(self._peers, self._clock)
+        self._ended_groups = EndedGroups(self._peers, self._clock)
         self._quarantine = Quarantine(self._clock)
         self._crash_reporter = CrashReporter(self._quarantine, self._peers, self._clock)
         self._lifted_holds = LiftedHolds(self.view, self._quarantine)
         self._limit_reporter = LimitReporter(self._limits, self.view, self._peers, self._clock)
 
-    def _wire_control(self, records: RecordStore, engines: Engines) -> None:
+    def _create_control_services(self, records: RecordStore, engines: Engines) -> None:
         settings, clock, view = self._settings, self._clock, self.view
         self._election = Election(settings, records, view, clock, self._registration.capacities)
-        self._calls = CallWindow(self._detector.lateness, clock)
+        self._call_window = CallWindow(self._detector.lateness, clock)
         orders = Orders(
             settings.control,
             engines,
             view,
             lambda: self._election.is_controller,
-            lambda endpoint_id: self._detector.heard(endpoint_id, clock()),
-            self._calls,
+            lambda endpoint_id: self._detector.record_contact(endpoint_id, clock()),
+            self._call_window,
             clock,
         )
         self._probe_answers = ProbeAnswers(view, self._peers, self._reporter, orders.is_responding)
@@ -149,72 +145,76 @@
             self._detector,
             self.load_table,
             self._peers,
-            self._ended,
+            self._ended_groups,
             clock,
         )
         self._controller = Controller(
-            view, self._election, self._detector, terms, clock, lambda: self._before_requests
+            view, self._election, self._detector, terms, clock, lambda: self._has_no_requests_yet
         )
 
     def _add_gauges(self) -> None:
         add = self.metrics.gauge
         add("configuration_age_seconds", "Since a newer one was excluded", self.view.age)
         add("configuration_version", "In force here", self.view.configuration_version)
-        add("requests_running", "Requests being answered", self._running)
+        add("requests_running", "Requests being answered", self._running_requests)
         add("endpoints_listed", "Endpoints known", lambda: len(self.view.roster.endpoints))
-        add("daemons_registered", "Daemons known", lambda: self._peers.daemons)
+        add("daemons_registered", "Daemons known", lambda: self._peers.daemon_count)
         add("controls_groups", "1 if this daemon does", lambda: float(self._election.is_controller))
         add(
             "controller_lease_seconds",
             "Left of the lease",
             lambda: self._election.lease_seconds_left,
         )
-        add("endpoint_calls_allowed", "At once, by the controller", lambda: self._calls.limit)
-        add("endpoint_calls_waiting", "For their turn", lambda: self._calls.waiting)
-        add("loop_late_seconds", "At most, of the last second", self._lateness)
-        add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected)
+        add("endpoint_calls_allowed", "At once, by the controller", lambda: self._call_window.limit)
+        add("endpoint_calls_waiting", "For their turn", lambda: self._call_window.waiting)
+        add("loop_late_seconds", "At most, of the last second", self._recent_lateness)
+        add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected_count)
         add("requests_quarantined", "Held back", lambda: len(self._quarantine.held))
         add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
 
-    def _lateness(self) -> float:
-        return self._detector.lateness.worst_since(self._clock() - LATENESS_SECONDS)
+    def _recent_lateness(self) -> float:
+        return self._detector.lateness.max_lateness_since(self._clock() - LATENESS_WINDOW_SECONDS)
 
-    def _running(self) -> float:
+    def _running_requests(self) -> float:
         return self._frontend.running if self._frontend is not None else 0
 
     @property
-    def _before_requests(self) -> bool:
-        """Whether no caller has sent anything since the very first start, to any daemon."""
-        own = self._frontend is not None and self._frontend.requests > 0
-        return self._first_start and not own and not self._reporter.others_had_requests
+    def _has_no_requests_yet(self) -> bool:
+        """Whether no daemon has received a request since the very first start of the system."""
+        has_local_requests = self._frontend is not None and self._frontend.requests > 0
+        return (
+            self._first_start
+            and not has_local_requests
+            and not self._reporter.has_seen_remote_requests
+        )
 
-    def _coalesce(self) -> float:
-        """Return the seconds to let changes gather.
+    def _coalesce_seconds(self) -> float:
+        """Return the delay in seconds between two calls for changes.
 
-        They are more for a daemon that asks the store though there are relays for it.
+        It is longer for a daemon that reads from the store although there are relays for it.
         """
         asks_store = self._feed.asks_store
         if asks_store and self._relays():
             return self._settings.coalesce
         return coalescing_seconds(
-            self._settings.quick_coalesce, self._peers.daemons, asks_store=asks_store
+            self._settings.quick_coalesce, self._peers.daemon_count, asks_store=asks_store
         )
 
     def _daemons(self) -> t.Iterable[Daemon]:
         return self._registration.daemons().values()
 
     def _relays(self) -> t.Sequence[Daemon]:
-        """Return the relays to learn from."""
+        """Return the relays from which to read changes."""
         return self._registration.sources(is_controller=self._election.is_controller)
 
     async def _listed_relays(self) -> t.Sequence[Daemon]:
-        """Return the relays as the store lists their records."""
+        """Return the relays that are recorded in the store."""
         return self._registration.listed_relays(await self._records.list_records(RELAYS))
 
     async def on_start(self) -> None:
-        """Start all parts, then listen."""
-        self._frontend = self._build_requests()
-        for part in (
+        """Start all services, then listen for callers."""
+        self._frontend = self._build_frontend()
+        for service in (
             self.view,
             self._registration,
             self._peers,
@@ -222,12 +222,12 @@
             self._election,
             self._controller,
         ):
-            await self.add_runtime_dependency(part)
+            await self.add_runtime_dependency(service)
         await self._listeners.open(self._relay_server.handle, self._settings.peers)
         if self._settings.metrics is not None:
             await self._listeners.open(self.metrics.handle, self._settings.metrics)
         await self._listeners.open(self._frontend.readiness, self._settings.readiness)
-        await self._first_configuration()
+        await self._wait_for_first_configuration()
         await self._listeners.open(self._frontend.handle, self._settings.callers, self._callers)
         await self.add_runtime_dependency(self._reporter)
         await self.add_runtime_dependency(self._crash_reporter)
@@ -235,33 +235,33 @@
         await self.add_runtime_dependency(self._probe_answers)
         events.STARTED.log(callers=self._settings.callers, first_start=self._first_start)
 
-    async def _first_configuration(self) -> None:
-        """Wait a little for the configuration, without which every request would be refused."""
+    async def _wait_for_first_configuration(self) -> None:
+        """Wait for the first configuration, without which every request would be refused."""
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.view.wait_loaded(), FIRST_CONFIGURATION_SECONDS)
+            await asyncio.wait_for(self.view.wait_loaded(), FIRST_CONFIGURATION_TIMEOUT_SECONDS)
 
-    def _build_requests(self) -> Frontend:
+    def _build_frontend(self) -> Frontend:
         settings, clock = self._settings, self._clock
         self._client = endpoint_client.session()
-        calls = EndpointClient(
+        client = EndpointClient(
             self._client, self._codec, self._notices, self._limits, settings.connect_timeout
         )
         selector = EndpointSelector(
             self.view,
             self.load_table,
             self._detector,
-            self._ended,
+            self._ended_groups,
             self._notices,
             self._limits,
             clock,
             settings.failure_domain,
         )
-        retry_budgets = RetryBudgets(settings.retry, clock, lambda: self._peers.daemons)
+        retry_budgets = RetryBudgets(settings.retry, clock, lambda: self._peers.daemon_count)
         crash_watch = CrashWatch(
             self._quarantine, self.view, self._detector, self._crash_reporter, clock
         )
-        parts = (
-            calls,
+        dependencies = (
+            client,
             selector,
             self.load_table,
             retry_budgets,
@@ -269,21 +269,23 @@
             crash_watch,
             clock,
         )
-        plain, streams = PlainForwarder(*parts), StreamForwarder(*parts)
+        plain, streams = PlainForwarder(*dependencies), StreamForwarder(*dependencies)
         return Frontend(settings, self.view, self._codec, plain, streams, clock)
 
     async def drain(self) -> None:
-        """Finish what runs before the end, while the balancer and the callers notice."""
+        """Finish the running requests before a planned stop."""
         assert self._frontend is not None
-        stop = PlannedStop(self._frontend, self._election, self._settings.grace, self._clock)
-        await stop.wait()
+        planned_stop = PlannedStop(
+            self._frontend, self._election, self._settings.grace, self._clock
+        )
+        await planned_stop.wait()
 
     async def on_stop(self) -> None:
         """Close the listeners."""
         await self._listeners.close()
 
     async def on_shutdown(self) -> None:
-        """Close what the parts used."""
+        """Close the HTTP client and the feed."""
         if self._client is not None:
             await self._client.close()
         await self._feed.close()
--- a/packages/gateway/src/thorncleat_gateway/groups/call_window.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/call_window.py
@@ -15,7 +15,7 @@
 import itertools
 import typing as t
 
-from ..peers.own_lateness import LATE_SECONDS
+from ..peers.own_lateness import MAX_LATENESS_SECONDS
 from ..peers.own_lateness import OwnLateness
 from ..store.roster import GroupId
 
@@ -85,7 +85,7 @@
 
     def was_late_since(self, since: float) -> bool:
         """Return whether the event loop was late since a time, so that silence proves nothing."""
-        return self._lateness.worst_since(since) > LATE_SECONDS
+        return self._lateness.max_lateness_since(since) > MAX_LATENESS_SECONDS
 
     @contextlib.asynccontextmanager
     async def slot(self, urgency: Urgency) -> t.AsyncIterator[None]:
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -17,7 +17,7 @@
 from thorncleat_core import rendezvous
 
 from .. import events
-from ..exceptions import LeaseGoneError
+from ..exceptions import LeaseExpiredError
 from ..exceptions import StoreError
 from ..exceptions import StoreOutcomeUnknownError
 from ..ports import Lease
@@ -198,7 +198,7 @@
             sent_at = self._clock()
             try:
                 await self._records.renew(lease)
-            except LeaseGoneError:
+            except LeaseExpiredError:
                 # The term is over; the caller logs its end.
                 return
             except StoreError:
--- a/packages/gateway/src/thorncleat_gateway/groups/ended.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -54,7 +54,7 @@
         entry = self._refresh(group)
         if now - entry.sent_at >= BROADCAST_INTERVAL_SECONDS:
             entry.sent_at = now
-            self._peers.tell_all(GroupEnded(group))
+            self._peers.broadcast(GroupEnded(group))
 
     def _on_message(self, sender: str, message: Message) -> None:
         if isinstance(message, GroupEnded):
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -11,8 +11,8 @@
 
 from .. import events
 from ..exceptions import EndpointError
-from ..exceptions import EndpointGoneError
 from ..exceptions import EndpointRefusedError
+from ..exceptions import EndpointReplacedError
 from ..ports import EngineReport
 from ..ports import Join
 from ..ports import Open
@@ -106,7 +106,7 @@
                 if report is None:
                     return False
                 result = await self._try_join(endpoint, order, report)
-            except EndpointGoneError:
+            except EndpointReplacedError:
                 self._lost.mark_lost(endpoint, LostCause.PROCESS_ENDED)
                 return False
             except EndpointRefusedError:
@@ -223,7 +223,7 @@
                     return True
                 if not await self._orders.is_member(leader, group):
                     return False
-            except (EndpointGoneError, EndpointRefusedError):
+            except (EndpointReplacedError, EndpointRefusedError):
                 return False
             except EndpointError:
                 # No answer; the order is idempotent and is sent again.
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -19,7 +19,7 @@
 from ..peers.datagrams import PeerChannel
 from ..peers.datagrams import Probe
 from ..peers.failure_detector import FailureDetector
-from ..peers.load_reporter import heard_seconds
+from ..peers.load_reporter import contact_ttl_seconds
 from ..peers.load_table import LoadTable
 from ..store.roster import Endpoint
 from ..store.view import StoreView
@@ -119,8 +119,8 @@
         """
         asked_at = self._request_probes(leader)
         await asyncio.sleep(REPORT_ROUND_SECONDS)
-        silent_daemons = self._peers.others - self._load_table.reporters_since(asked_at)
-        requests = self._load_table.of(leader.id)
+        silent_daemons = self._peers.other_daemons - self._load_table.reporters_since(asked_at)
+        requests = self._load_table.request_count(leader.id)
         listed = self._view.roster.endpoints.get(leader.id)
         is_leader_idle = is_idle(requests=requests, silent_daemons=silent_daemons)
         if is_leader_idle and not is_possibly_leaving(listed, self._view.age()):
@@ -136,14 +136,16 @@
         Reports name an endpoint for some time after its last answer, so the probe is sent only
         after that time.
         """
-        await asyncio.sleep(min(heard_seconds(self._peers.interval()), MAX_CONTACT_TTL_SECONDS))
+        await asyncio.sleep(
+            min(contact_ttl_seconds(self._peers.report_interval_seconds()), MAX_CONTACT_TTL_SECONDS)
+        )
         asked_at = self._request_probes(leader)
         await asyncio.sleep(PROBE_ROUND_SECONDS)
-        return self._detector.heard_since(leader.id, asked_at)
+        return self._detector.has_contact_since(leader.id, asked_at)
 
     def _request_probes(self, leader: Endpoint) -> float:
         """Ask the other daemons to probe a leader; return the time of the request."""
-        self._peers.tell_all(Probe(leader.id))
+        self._peers.broadcast(Probe(leader.id))
         return self._clock()
 
     def _is_dead(self, leader: Endpoint, asked_at: float) -> bool:
@@ -151,7 +153,9 @@
 
         :param asked_at: when the other daemons were asked to probe it.
         """
-        has_contact = self._detector.heard_since(leader.id, asked_at - CONTACT_LOOKBACK_SECONDS)
+        has_contact = self._detector.has_contact_since(
+            leader.id, asked_at - CONTACT_LOOKBACK_SECONDS
+        )
         return is_dead(listed=self._is_listed(leader), has_contact=has_contact)
 
     def _is_listed(self, leader: Endpoint) -> bool:
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -11,8 +11,8 @@
 
 from .. import events
 from ..exceptions import EndpointError
-from ..exceptions import EndpointGoneError
 from ..exceptions import EndpointRefusedError
+from ..exceptions import EndpointReplacedError
 from ..ports import Load
 from ..settings import ControlSettings
 from ..store.roster import Endpoint
@@ -103,7 +103,7 @@
         for _ in range(MAX_LOAD_ATTEMPTS):
             try:
                 await self._orders.send(endpoint, Load(model.name))
-            except EndpointGoneError:
+            except EndpointReplacedError:
                 self._lost.mark_lost(endpoint, LostCause.PROCESS_ENDED)
             except EndpointRefusedError:
                 self._lost.mark_lost(endpoint, LostCause.REFUSED)
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -17,9 +17,9 @@
 
 from .. import events
 from ..exceptions import EndpointError
-from ..exceptions import EndpointGoneError
 from ..exceptions import EndpointRefusedError
-from ..exceptions import EndpointSilentError
+from ..exceptions import EndpointReplacedError
+from ..exceptions import EndpointTimeoutError
 from ..ports import EngineReport
 from ..ports import Engines
 from ..ports import Join
@@ -135,7 +135,7 @@
                 outcome = await self._engines.order(
                     endpoint, order, expected, self._settings.order_timeout
                 )
-            except EndpointSilentError:
+            except EndpointTimeoutError:
                 events.ORDER_UNANSWERED.log(endpoint=endpoint.id, order=type(order).__name__)
                 raise
         self._record_contact(endpoint.id)
@@ -177,7 +177,7 @@
             sent_at = self._clock()
             try:
                 return await self.fetch_report(endpoint, urgency)
-            except (EndpointGoneError, EndpointRefusedError):
+            except (EndpointReplacedError, EndpointRefusedError):
                 return None
             except EndpointError:
                 # No answer in time; the probe is repeated.
--- a/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
@@ -124,7 +124,7 @@
         """Wait for changes, and return those since a position.
 
         :param wait: timeout in seconds, after which no changes are returned.
-        :raises HistoryGoneError: if a new snapshot is needed, as after the end of an era.
+        :raises HistoryCompactedError: if a new snapshot is needed, as after the end of an era.
         """
         ...
 
@@ -140,14 +140,14 @@
         """Write a record that must not exist.
 
         :returns: the store's position after the write, or None if the record exists.
-        :raises LeaseGoneError: if the lease is of an era that is over.
+        :raises LeaseExpiredError: if the lease is of an era that is over.
         """
         ...
 
     async def put(self, key: str, value: bytes, lease: Lease) -> None:
         """Write a record, whether it exists or not.
 
-        :raises LeaseGoneError: if the lease is of an era that is over.
+        :raises LeaseExpiredError: if the lease is of an era that is over.
         """
         ...
 
@@ -183,7 +183,7 @@
     async def renew(self, lease: Lease) -> None:
         """Renew a lease.
 
-        :raises LeaseGoneError: if the lease has expired, or is of an era that is over.
+        :raises LeaseExpiredError: if the lease has expired, or is of an era that is over.
         """
         ...
 
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -16,7 +16,7 @@
 import typing as t
 
 from .. import events
-from ..exceptions import EndpointClosedError
+from ..exceptions import EndpointNotAcceptingError
 from ..ports import AnswerMeta
 from ..store.fleet_knowledge import FleetKnowledge
 from ..store.relays import Daemon
@@ -180,14 +180,16 @@
     def take(self, endpoint: Endpoint) -> Leave | None:
         """Take leave for one request; None if the endpoint needs none.
 
-        :raises EndpointClosedError: if there is none now.
+        :raises EndpointNotAcceptingError: if there is none now.
         """
         limited = self._of(endpoint)
         if limited is None:
             return None
         wait = self.wait(endpoint)
         if wait:
-            raise EndpointClosedError(f"{endpoint.id!r} takes no requests here for {wait:.3f} s")
+            raise EndpointNotAcceptingError(
+                f"{endpoint.id!r} takes no requests here for {wait:.3f} s"
+            )
         leave = Leave(limited, limited.since)
         limited.since = self._clock()
         return leave
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -175,12 +175,17 @@
         leaders = [leader for leader in self.leaders(service, model) if leader.id not in tried]
         trusted = [leader for leader in leaders if self._trusts(leader)]
         if not trusted:
-            trusted = [leader for leader in leaders if not self._detector.suspected_here(leader)]
+            trusted = [
+                leader for leader in leaders if not self._detector.is_suspected_locally(leader)
+            ]
         drawn = self._any_with_room(trusted, engine.slots) if apart else None
         if drawn is not None:
             return drawn
         chosen = self._best(trusted, engine.slots)
-        if chosen is not None and self._load_table.of(chosen.id) >= FULL_PER_SLOT * engine.slots:
+        if (
+            chosen is not None
+            and self._load_table.request_count(chosen.id) >= FULL_PER_SLOT * engine.slots
+        ):
             return None
         return chosen
 
@@ -189,19 +194,19 @@
         usable = [
             leader
             for leader in leaders
-            if not self._is_avoided(leader) and self._load_table.of(leader.id) < slots
+            if not self._is_avoided(leader) and self._load_table.request_count(leader.id) < slots
         ]
         return random.choice(usable) if usable else None
 
     def _trusts(self, leader: Endpoint) -> bool:
-        if self._detector.on_trial(leader):
-            return leader.id not in self._load_table.own
-        return not self._detector.suspected(leader)
+        if self._detector.is_on_probation(leader):
+            return leader.id not in self._load_table.local_counts
+        return not self._detector.is_suspected(leader)
 
     def known(self, service: str, model: str) -> GroupCount:
         """Return how many groups there are for a request, and how many of them get none."""
         leaders = self._leaders.of(service, model)
-        suspected = sum(self._detector.suspected(leader) for leader in leaders)
+        suspected = sum(self._detector.is_suspected(leader) for leader in leaders)
         paused = len(leaders) - len(self._willing(leaders))
         return GroupCount(len(leaders), suspected, paused)
 
@@ -214,7 +219,7 @@
 
     def _doubts(self, leader: Endpoint) -> bool:
         """Return whether a leader's group was suspected, and has not been heard since."""
-        return self._detector.suspected(leader) or self._detector.on_trial(leader)
+        return self._detector.is_suspected(leader) or self._detector.is_on_probation(leader)
 
     def _best(self, endpoints: t.Sequence[Endpoint], places: float) -> Endpoint | None:
         """Return the endpoint with the least weight, of those not avoided if there are any.
@@ -224,11 +229,11 @@
         usable = [endpoint for endpoint in endpoints if not self._is_avoided(endpoint)] or endpoints
         if not usable:
             return None
-        if not self._load_table.knows_each_daemon:
+        if not self._load_table.has_individual_reports:
             drawn = placement.draw(
                 usable,
                 self._failure_domain,
-                lambda endpoint: self._load_table.of(endpoint.id) >= places,
+                lambda endpoint: self._load_table.request_count(endpoint.id) >= places,
             )
             # few daemons may use those that take few requests, so each looks at them each time:
             # else most of what they take goes unused
@@ -241,4 +246,4 @@
         far = FAR_WEIGHT if endpoint.failure_domain != self._failure_domain else 0.0
         # daemons that know equally little of each other must not all choose the same
         spread = random.random() * SPREAD
-        return self._load_table.of(endpoint.id) + failing + weak + far + spread
+        return self._load_table.request_count(endpoint.id) + failing + weak + far + spread
--- a/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
@@ -59,7 +59,7 @@
         peers.on_message(self._message)
 
     def _news(self, incarnation: Incarnation, notice: RateNotice) -> None:
-        self._peers.tell_all(LimitReport([self._reported(incarnation, notice)]))
+        self._peers.broadcast(LimitReport([self._reported(incarnation, notice)]))
 
     def _reported(self, incarnation: Incarnation, notice: RateNotice) -> ReportedLimit:
         now = self._clock()
@@ -93,10 +93,10 @@
             for incarnation, notice in self._limits.notices.items()
             if notice.heard_at >= begin
         ]
-        others = sorted(self._peers.others)
+        others = sorted(self._peers.other_daemons)
         if not lately or not others:
             return
         # where there is more than a datagram holds, each repetition tells another part of it
         report = LimitReport(random.sample(lately, min(MOST_TOLD, len(lately))))
         for daemon in random.sample(others, min(REPEAT_TO, len(others))):
-            self._peers.tell(daemon, report)
+            self._peers.send(daemon, report)
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -8,8 +8,8 @@
 import typing as t
 
 from ..exceptions import AttemptError
-from ..exceptions import EndpointClosedError
-from ..exceptions import Ran
+from ..exceptions import EndpointNotAcceptingError
+from ..exceptions import Executed
 from ..store.roster import Endpoint
 from . import request_log
 from . import retry_policy
@@ -42,7 +42,7 @@
                 return self._end(self._without_endpoint(request, kept), kept)
             try:
                 kept = await self._attempt(request, endpoint)
-                self._detector.heard(endpoint.id, self._clock())
+                self._detector.record_contact(endpoint.id, self._clock())
                 self._selector.answered(endpoint, well=not kept.failed)
                 self._crash_watch.answers(endpoint, request.sent_at)
                 if not kept.failed:
@@ -50,8 +50,8 @@
                     return kept
                 if not self._may_try_elsewhere(request):
                     return kept
-                failure = AttemptError(f"status {kept.status}", Ran.MAYBE)
-            except EndpointClosedError:
+                failure = AttemptError(f"status {kept.status}", Executed.MAYBE)
+            except EndpointNotAcceptingError:
                 # it has said so since it was chosen; another one is chosen now
                 request.tried.add(endpoint.id)
                 continue
@@ -124,7 +124,7 @@
         left = request.until - self._clock()
         elsewhere = self._may_try_elsewhere(request)
         seconds = retry_policy.attempt_seconds(request.route, left, elsewhere=elsewhere)
-        with self._load_table.running(endpoint.id):
+        with self._load_table.track_request(endpoint.id):
             answer: EndpointAnswer = await within(seconds, self._exchange(request, endpoint))
         return answer
 
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -10,9 +10,9 @@
 import typing as t
 
 from ..exceptions import AttemptError
-from ..exceptions import Broken
-from ..exceptions import EndpointClosedError
-from ..exceptions import Ran
+from ..exceptions import ConnectionBreak
+from ..exceptions import EndpointNotAcceptingError
+from ..exceptions import Executed
 from ..exceptions import RefusalError
 from ..peers.failure_detector import StreamAttempt
 from ..ports import Headers
@@ -61,7 +61,7 @@
         """Pass an answer on until it is whole.
 
         :raises RefusalError: if nothing of it was passed on.
-        :raises CutError: if it can't be completed.
+        :raises AnswerAbortedError: if it can't be completed.
         """
         self._count(request)
         kept: list[EndpointAnswer] = []
@@ -95,8 +95,8 @@
                     return
                 kept.append(answer)
                 self._selector.avoid(endpoint)
-                raise AttemptError(f"status {answer.status}", Ran.MAYBE)
-            except EndpointClosedError:
+                raise AttemptError(f"status {answer.status}", Executed.MAYBE)
+            except EndpointNotAcceptingError:
                 # it has said so since it was chosen; another one is chosen now
                 request.tried.add(endpoint.id)
                 continue
@@ -110,7 +110,7 @@
         self, request: Request, endpoint: Endpoint, failure: AttemptError, caller: CallerStream
     ) -> StreamDecision:
         """Note a failed attempt and decide how the request goes on."""
-        heard = self._detector.heard_since(endpoint.id, request.sent_at)
+        heard = self._detector.has_contact_since(endpoint.id, request.sent_at)
         counted = retry_policy.counts_as_sent(failure, heard_since_sent=heard)
         request.failed(endpoint, failure, counted=counted)
         self._crash_watch.failed(request, endpoint, failure)
@@ -119,7 +119,7 @@
         if not failure.sent:
             self._selector.avoid(endpoint)
             self._detector.suspect(endpoint, failure.cause)
-        elif failure.broken is not None and not self._load_table.own[endpoint.id]:
+        elif failure.broken is not None and not self._load_table.local_counts[endpoint.id]:
             # all that this daemon had there broke, so the endpoint has most likely crashed; others
             # would connect in vain, and the controller would learn it from them
             self._detector.suspect(endpoint, failure.cause)
@@ -173,23 +173,25 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + request.until - self._clock()
         attempt: StreamAttempt | None = None
-        with self._load_table.running(endpoint.id):
+        with self._load_table.track_request(endpoint.id):
             try:
                 async with asyncio.timeout_at(until) as scope:
                     attempt = StreamAttempt(
                         endpoint,
                         self._clock(),
-                        movable=lambda: self._movable(request),
-                        leave=lambda: scope.reschedule(loop.time()),
+                        can_migrate=lambda: self._movable(request),
+                        abort=lambda: scope.reschedule(loop.time()),
                     )
-                    self._detector.begin(attempt)
+                    self._detector.watch(attempt)
                     return await self._exchange(request, attempt, splitter, caller)
             except TimeoutError:
-                leave_cause = attempt.leave_cause if attempt is not None else ""
-                raise AttemptError(leave_cause or retry_policy.OUT_OF_TIME, Ran.MAYBE) from None
+                abort_cause = attempt.abort_cause if attempt is not None else ""
+                raise AttemptError(
+                    abort_cause or retry_policy.OUT_OF_TIME, Executed.MAYBE
+                ) from None
             finally:
                 if attempt is not None:
-                    self._detector.end(attempt)
+                    self._detector.unwatch(attempt)
 
     def _movable(self, request: Request) -> bool:
         """Return whether an attempt could go on in another group now."""
@@ -209,10 +211,10 @@
         request.sent_at, request.head_at = self._clock(), 0.0
         last = splitter.last_id or request.meta.last_event_id
         meta = request.forward_meta(endpoint, self._clock(), last)
-        request_log.sent(request, endpoint, self._load_table.of(endpoint.id), last)
+        request_log.sent(request, endpoint, self._load_table.request_count(endpoint.id), last)
         async with self._endpoint_client.open(endpoint, request, meta) as exchange:
             request.head_at = self._clock()
-            self._detector.heard(endpoint.id, request.head_at)
+            self._detector.record_contact(endpoint.id, request.head_at)
             self._crash_watch.answers(endpoint, request.sent_at)
             if exchange.status != 200:
                 return await self._without_stream(exchange, caller)
@@ -229,20 +231,20 @@
     ) -> None:
         while data := await exchange.more():
             now = self._clock()
-            attempt.event(now)
-            self._detector.heard(attempt.leader.id, now)
+            attempt.record_event(now)
+            self._detector.record_contact(attempt.leader.id, now)
             whole = splitter.feed(data)
             if not whole:
                 continue
             request.event(now)
             if not caller.begun:
                 await caller.begin(exchange.status, exchange.headers)
-            attempt.held_by_caller = True
+            attempt.is_blocked_by_caller = True
             await caller.write(whole)
-            attempt.held_by_caller = False
+            attempt.is_blocked_by_caller = False
         if splitter.mid_event or not splitter.events:
             cause = "the stream ended within an event"
-            raise AttemptError(cause, Ran.MAYBE, broken=Broken.AFTER_HEAD)
+            raise AttemptError(cause, Executed.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
         await caller.end()
 
     async def _without_stream(
@@ -253,7 +255,7 @@
         :raises AttemptError: if the caller has got the head of another answer.
         """
         if caller.begun:
-            raise AttemptError(f"status {exchange.status}", Ran.MAYBE)
+            raise AttemptError(f"status {exchange.status}", Executed.MAYBE)
         answer = await exchange.whole()
         if answer.failed:
             return answer
--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -13,7 +13,7 @@
 import mode
 import msgpack
 
-from ..exceptions import LeaseGoneError
+from ..exceptions import LeaseExpiredError
 from ..exceptions import StoreError
 from ..ports import Lease
 from ..ports import RecordChanged
@@ -175,7 +175,7 @@
                 await self._records.renew(lease)
                 self._renewed_at = renewed_at
                 pause = RENEWAL_INTERVAL_SECONDS
-            except LeaseGoneError:
+            except LeaseExpiredError:
                 # The caller registers again under a new lease.
                 return
             except StoreError:
--- a/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
@@ -13,7 +13,7 @@
 
 from thorncleat_core.exceptions import DecodeError
 
-from ..exceptions import HistoryGoneError
+from ..exceptions import HistoryCompactedError
 from ..exceptions import RelayError
 from ..ports import Change
 from ..ports import Position
@@ -85,10 +85,10 @@
 
     :param oldest: greatest accepted age in seconds.
     :raises RelayError: if the answer can't be used, and another source has to be asked.
-    :raises HistoryGoneError: if the relay no longer holds all changes that were asked for.
+    :raises HistoryCompactedError: if the relay no longer holds all changes that were asked for.
     """
     if status == HISTORY_GONE:
-        raise HistoryGoneError(f"relay {relay_id} does not remember so far back")
+        raise HistoryCompactedError(f"relay {relay_id} does not remember so far back")
     if status != STATUS_OK or len(body) < _HEAD.size:
         raise RelayError(f"relay {relay_id} answered {status}")
     age, era, settled_in, rewritten_in, configuration = _HEAD.unpack(body[: _HEAD.size])
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from .. import events
-from ..exceptions import HistoryGoneError
+from ..exceptions import HistoryCompactedError
 from ..exceptions import RelayError
 from ..http_session import LazySession
 from ..ports import ChangeFeed
@@ -123,14 +123,16 @@
         """Request the changes since a position from a relay.
 
         :raises RelayError: if the relay doesn't answer or isn't up to date.
-        :raises HistoryGoneError: if it no longer holds the position, or the era is over.
+        :raises HistoryCompactedError: if it no longer holds the position, or the era is over.
         """
         wait, sent_at = self._settings.wait, self._clock()
         query = {"era": str(since.era), "since": str(since.revision), "wait": str(wait)}
         answer = await self._call(relay, relay_answer.CHANGES_PATH, query, None)
         took = self._clock() - sent_at
         if answer.position.era != since.era:
-            raise HistoryGoneError(f"relay {relay.id} is in era {answer.position.era} of the store")
+            raise HistoryCompactedError(
+                f"relay {relay.id} is in era {answer.position.era} of the store"
+            )
         proven_seconds = proven_wait_seconds(wait, took, changed=bool(answer.changes))
         return _to_changes(answer, proven_seconds - answer.age)
 
@@ -142,7 +144,7 @@
         connect = SNAPSHOT_CONNECT_TIMEOUT_SECONDS
         try:
             answer = await self._call(relay, relay_answer.SNAPSHOT_PATH, {}, connect)
-        except HistoryGoneError as error:
+        except HistoryCompactedError as error:
             raise RelayError(f"relay {relay.id} has read nothing yet") from error
         return _to_changes(answer, -answer.age)
 
@@ -153,7 +155,7 @@
 
         :param connect: connect timeout in seconds; None for only the total timeout.
         :raises RelayError: if the relay gives no usable answer.
-        :raises HistoryGoneError: if it no longer holds all changes that were asked for.
+        :raises HistoryCompactedError: if it no longer holds all changes that were asked for.
         """
         url = f"http://{relay.host}:{relay.port}{path}"
         timeout = aiohttp.ClientTimeout(
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -11,10 +11,10 @@
 import dataclasses
 import random
 
+from thorncleat_gateway.exceptions import AnswerAbortedError
 from thorncleat_gateway.exceptions import AttemptError
-from thorncleat_gateway.exceptions import Broken
-from thorncleat_gateway.exceptions import CutError
-from thorncleat_gateway.exceptions import Ran
+from thorncleat_gateway.exceptions import ConnectionBreak
+from thorncleat_gateway.exceptions import Executed
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.groups.ended import EndedGroups
 from thorncleat_gateway.peers import datagrams
@@ -120,7 +120,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.died.wait(), seconds)
         if not self.alive:
-            raise AttemptError("answer cut: X", Ran.MAYBE, broken=Broken.AFTER_HEAD)
+            raise AttemptError("answer cut: X", Executed.MAYBE, broken=ConnectionBreak.AFTER_HEAD)
 
     async def slot(self) -> None:
         """Wait for a place.
@@ -133,7 +133,7 @@
         died.cancel()
         if not self.alive:
             taken.cancel()
-            raise AttemptError("no answer: X", Ran.MAYBE, broken=Broken.BEFORE_HEAD)
+            raise AttemptError("no answer: X", Executed.MAYBE, broken=ConnectionBreak.BEFORE_HEAD)
 
 
 class Exchange:
@@ -175,7 +175,7 @@
             or not worker.alive
             or worker.endpoint.incarnation.is_superseded_by(endpoint.incarnation)
         ):
-            raise AttemptError("no connection: X", Ran.NO, sent=False)
+            raise AttemptError("no connection: X", Executed.NO, sent=False)
         world.arrived(request, worker)
         await worker.slot()
         try:
@@ -186,7 +186,9 @@
                     await worker.run(1.0 if world.is_fatal(request) else 0.05)
             except AttemptError as error:
                 # a plain endpoint sends its head with its answer
-                raise AttemptError("no answer: X", Ran.MAYBE, broken=Broken.BEFORE_HEAD) from error
+                raise AttemptError(
+                    "no answer: X", Executed.MAYBE, broken=ConnectionBreak.BEFORE_HEAD
+                ) from error
             yield Exchange(worker, request)
         finally:
             worker.slots.release()
@@ -214,20 +216,20 @@
         self.cut = False
 
     @property
-    def others(self):
+    def other_daemons(self):
         return {daemon.peers.id for daemon in self._world.daemons} - {self.id}
 
-    def interval(self) -> float:
-        return datagrams.SHORTEST_INTERVAL_SECONDS
+    def report_interval_seconds(self) -> float:
+        return datagrams.MIN_REPORT_INTERVAL_SECONDS
 
     def on_message(self, handler) -> None:
         self.handlers.append(handler)
 
-    def tell_all(self, message) -> None:
-        for other in sorted(self.others):
-            self.tell(other, message)
+    def broadcast(self, message) -> None:
+        for other in sorted(self.other_daemons):
+            self.send(other, message)
 
-    def tell(self, other: str, message) -> None:
+    def send(self, other: str, message) -> None:
         world = self._world
         data = datagrams.encode(self.id, message)
         if isinstance(message, CrashReport | CrashWithdrawal):
@@ -271,7 +273,7 @@
         self.world = world
         self.peers = Peers(world, f"edge-{number}")
         self.detector = FailureDetector(StreamSettings(), self.peers, clock)
-        self.table = LoadTable(clock, self.peers.interval)
+        self.table = LoadTable(clock, self.peers.report_interval_seconds)
         self.quarantine = Quarantine(clock)
         self.reporter = CrashReporter(self.quarantine, self.peers, clock)
         self.ended = ended = EndedGroups(self.peers, clock)
@@ -306,7 +308,7 @@
                 return (await self.plain.serve(request)).status
             await self.streams.serve(request, request.service.engine, caller)
             return caller.status
-        except CutError:
+        except AnswerAbortedError:
             return 0
         except RefusalError as error:
             if error.cause == retry_policy.ENDS_ENDPOINTS:
@@ -377,9 +379,9 @@
 
     async def _report(self) -> None:
         while True:
-            await asyncio.sleep(datagrams.SHORTEST_INTERVAL_SECONDS)
+            await asyncio.sleep(datagrams.MIN_REPORT_INTERVAL_SECONDS)
             for daemon in self.daemons:
-                counts = dict(daemon.table.own)
+                counts = dict(daemon.table.local_counts)
                 for other in self.daemons:
                     if other is not daemon:
                         other.table.report(daemon.peers.id, counts)
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -13,7 +13,7 @@
 import dataclasses
 import random
 
-from thorncleat_gateway.exceptions import CutError
+from thorncleat_gateway.exceptions import AnswerAbortedError
 from thorncleat_gateway.exceptions import RefusalError
 from thorncleat_gateway.groups.ended import EndedGroups
 from thorncleat_gateway.peers import datagrams
@@ -152,7 +152,7 @@
         self.peers = Peers(world, f"edge-{number}")
         self.view = View(world.size)
         self.detector = FailureDetector(StreamSettings(), self.peers, clock)
-        self.table = LoadTable(clock, self.peers.interval)
+        self.table = LoadTable(clock, self.peers.report_interval_seconds)
         quarantine = Quarantine(clock)
         reporter = CrashReporter(quarantine, self.peers, clock)
         ended = EndedGroups(self.peers, clock)
@@ -187,7 +187,7 @@
                 return Outcome(answer.status, now(), headers=tuple(answer.headers))
             await self.streams.serve(request, request.service.engine, caller)
             return Outcome(caller.status, caller.first_at, headers=tuple(caller.headers))
-        except CutError:
+        except AnswerAbortedError:
             return Outcome(0, now())
         except RefusalError as error:
             return Outcome(error.status, now(), error.retry_after, error.cause)
@@ -273,9 +273,9 @@
 
     async def _report(self) -> None:
         while True:
-            await asyncio.sleep(datagrams.SHORTEST_INTERVAL_SECONDS)
+            await asyncio.sleep(datagrams.MIN_REPORT_INTERVAL_SECONDS)
             for daemon in self.daemons:
-                counts = dict(daemon.table.own)
+                counts = dict(daemon.table.local_counts)
                 for other in self.daemons:
                     if other is not daemon:
                         other.table.report(daemon.peers.id, counts)
--- a/tests/test_call_window.py
+++ b/tests/test_call_window.py
@@ -12,7 +12,7 @@
 from thorncleat_gateway.groups.call_window import MIN_LIMIT
 from thorncleat_gateway.groups.call_window import CallWindow
 from thorncleat_gateway.groups.orders import order_urgency
-from thorncleat_gateway.peers.own_lateness import LATE_SECONDS
+from thorncleat_gateway.peers.own_lateness import MAX_LATENESS_SECONDS
 from thorncleat_gateway.ports import Close
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import Leave
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.seconds = 0.0
 
-    def worst_since(self, _moment: float) -> float:
+    def max_lateness_since(self, _moment: float) -> float:
         return self.seconds
 
 
@@ -59,7 +59,7 @@
 def test_no_more_calls_are_under_way_than_the_limit():
     async def many():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         await asyncio.gather(*(calls.call(number) for number in range(200)))
         return calls
 
@@ -72,7 +72,7 @@
 def test_late_daemon_sends_fewer_calls_but_always_some():
     async def late():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         for _ in range(20):
             await calls.call(0)
         low = calls.window.limit
@@ -89,7 +89,7 @@
 def test_calls_sent_together_shrink_the_limit_once():
     async def late():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         await asyncio.gather(*(calls.call(number) for number in range(INITIAL_LIMIT)))
         return calls.window.limit
 
@@ -99,7 +99,7 @@
 def test_earlier_groups_go_first_and_urgent_calls_before_all():
     async def contended():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         holders = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
         await asyncio.sleep(0)
         waiting = [
@@ -121,7 +121,7 @@
 def test_cancelled_call_passes_its_slot_to_the_next(ended):
     async def cancelled():
         calls = Calls()
-        calls.lateness.seconds = 2 * LATE_SECONDS
+        calls.lateness.seconds = 2 * MAX_LATENESS_SECONDS
         holders = [asyncio.ensure_future(calls.call("before")) for _ in range(INITIAL_LIMIT)]
         await asyncio.sleep(0)
         dropped = asyncio.ensure_future(calls.call("dropped"))
--- a/tests/test_endpoint_selector.py
+++ b/tests/test_endpoint_selector.py
@@ -41,13 +41,13 @@
 
 
 class LoadTable:
-    knows_each_daemon = True
+    has_individual_reports = True
 
     def __init__(self, counts, own):
         self._counts = counts
-        self.own = own
+        self.local_counts = own
 
-    def of(self, endpoint_id):
+    def request_count(self, endpoint_id):
         return self._counts.get(endpoint_id, 0)
 
 
@@ -57,13 +57,13 @@
     own_suspects: tuple[str, ...] = ()
     tried_again: tuple[str, ...] = ()
 
-    def suspected(self, leader):
+    def is_suspected(self, leader):
         return leader.id in self.all_suspects
 
-    def on_trial(self, leader):
+    def is_on_probation(self, leader):
         return leader.id in self.tried_again
 
-    def suspected_here(self, leader):
+    def is_suspected_locally(self, leader):
         return leader.id in self.own_suspects
 
 
--- a/tests/test_forms_orders.py
+++ b/tests/test_forms_orders.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from thorncleat_gateway.exceptions import EndpointGoneError
 from thorncleat_gateway.exceptions import EndpointRefusedError
-from thorncleat_gateway.exceptions import EndpointSilentError
+from thorncleat_gateway.exceptions import EndpointReplacedError
+from thorncleat_gateway.exceptions import EndpointTimeoutError
 from thorncleat_gateway.ports import Close
 from thorncleat_gateway.ports import Join
 from thorncleat_gateway.ports import Leave
@@ -70,11 +70,11 @@
 @pytest.mark.parametrize(
     ("answer", "error"),
     [
-        (Answer(421), EndpointGoneError),
-        (Answer(404), EndpointSilentError),
-        (Answer(500), EndpointSilentError),
-        (Answer(503), EndpointSilentError),
-        (Answer(0, cut=True), EndpointSilentError),
+        (Answer(421), EndpointReplacedError),
+        (Answer(404), EndpointTimeoutError),
+        (Answer(500), EndpointTimeoutError),
+        (Answer(503), EndpointTimeoutError),
+        (Answer(0, cut=True), EndpointTimeoutError),
     ],
 )
 @pytest.mark.parametrize(
@@ -125,5 +125,5 @@
     [Answer(body=b"{"), Answer(body=b"[]"), Answer(document={"group": {"name": "x"}})],
 )
 async def test_invalid_report_counts_as_silence(answer):
-    with pytest.raises(EndpointSilentError):
+    with pytest.raises(EndpointTimeoutError):
         await call_engines(fetch_report, answer)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,7 +12,7 @@
 import pytest
 
 from thorncleat_gateway.peers import domain_loads
-from thorncleat_gateway.peers.datagrams import NEIGHBOUR_WEIGHT
+from thorncleat_gateway.peers.datagrams import DOMAIN_PEER_WEIGHT
 from thorncleat_gateway.peers.datagrams import report_interval
 from thorncleat_gateway.peers.load_table import LoadTable
 from thorncleat_gateway.requests import placement
@@ -56,7 +56,7 @@
         self.now = 0.0
         self.per_second = per_second
         view = StoreView(list(leaders(groups, domains)))
-        interval = report_interval(NEIGHBOUR_WEIGHT * daemons / domains)
+        interval = report_interval(DOMAIN_PEER_WEIGHT * daemons / domains)
         self.tables = [LoadTable(lambda: self.now, lambda: interval) for _ in range(daemons)]
         self.selectors = [
             EndpointSelector(
@@ -80,7 +80,9 @@
         for number in range(daemons):
             self.at(random.random() * interval, self.report, number, interval)
         for number in range(domains):
-            self.at(random.random() * 0.5, self.tell_sum, number, domain_loads.SUM_SECONDS / 2)
+            self.at(
+                random.random() * 0.5, self.tell_sum, number, domain_loads.SUM_INTERVAL_SECONDS / 2
+            )
         self.at(0.0, self.request)
 
     def at(self, when, action, *arguments):
@@ -92,7 +94,7 @@
     def report(self, number, interval):
         for other in self.near(number):
             if other != number:
-                self.tables[other].report(str(number), dict(self.tables[number].own))
+                self.tables[other].report(str(number), dict(self.tables[number].local_counts))
         self.at(self.now + interval, self.report, number, interval)
 
     def tell_sum(self, number, interval):
@@ -113,16 +115,16 @@
         self.sent[name].append(self.now)
         self.found[self.running[name] < SLOTS] += 1
         self.running[name] += 1
-        self.tables[number].own[name] += 1
+        self.tables[number].local_counts[name] += 1
         # the more a group has, the slower it is
         seconds = SERVICE_SECONDS * max(1.0, self.running[name] / SLOTS)
         self.at(self.now + seconds, self.done, number, name)
 
     def done(self, number, name):
         self.running[name] -= 1
-        self.tables[number].own[name] -= 1
-        if not self.tables[number].own[name]:
-            del self.tables[number].own[name]
+        self.tables[number].local_counts[name] -= 1
+        if not self.tables[number].local_counts[name]:
+            del self.tables[number].local_counts[name]
 
     def play(self):
         while self.events[0][0] < SECONDS:
