--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -29,14 +29,14 @@
 
 from ..idle_daemons import group_intent
 from .daemon_troubles import DaemonSoak
-from .daemon_troubles import troubles
-from .harness import play
+from .daemon_troubles import faults
+from .harness import run_seeds
 
-KEY = "soak-key"
+CALLER_KEY = "soak-key"
 # environment variable that the daemon reads
-BROKEN_FENCE = "THORNCLEAT_TEST_BROKEN_FENCE"
+BROKEN_FENCE_VARIABLE = "THORNCLEAT_TEST_BROKEN_FENCE"
 # settings in seconds, short so that a run of minutes sees many leases end
-CONTROL = {
+CONTROL_SETTINGS = {
     "probe": 0.2,
     "window": 1.2,
     "permit": 1.2,
@@ -47,20 +47,20 @@
 }
 GROUPS = 2
 # callers of each sort
-CALLERS = 12
-TROUBLES_AT_ONCE = 2
+CALLERS_PER_KIND = 12
+MAX_CONCURRENT_FAULTS = 2
 # for a trouble with its healing; one that hangs is counted and left
-TROUBLE_SECONDS = 30.0
+FAULT_TIMEOUT_SECONDS = 30.0
 # for a whole stream
-STREAM_SECONDS = 20.0
+STREAM_TIMEOUT_SECONDS = 20.0
 
 
-async def _make_trouble(soak: DaemonSoak) -> None:
-    while not soak.over:
-        name = soak.draw.choice(soak.trouble_names)
+async def _inject_faults(soak: DaemonSoak) -> None:
+    while not soak.is_over:
+        name = soak.rng.choice(soak.fault_names)
         soak.counts[f"trouble {name}"] += 1
         try:
-            await asyncio.wait_for(troubles.get(name)(soak), TROUBLE_SECONDS)
+            await asyncio.wait_for(faults.get(name)(soak), FAULT_TIMEOUT_SECONDS)
         except Exception as error:
             # a change refused while the store is away, say, or a daemon that ends meanwhile;
             # counted, and shown before the verdict
@@ -68,39 +68,40 @@
         await soak.pause(0.1, 1.5)
 
 
-async def _call(soak: DaemonSoak, number: int) -> None:
-    caller = RepeatingCaller(soak.cluster, KEY, random.Random(soak.draw.random()))
+async def _make_calls(soak: DaemonSoak, number: int) -> None:
+    caller = RepeatingCaller(soak.cluster, CALLER_KEY, random.Random(soak.rng.random()))
     index = 0
-    while not soak.over:
+    while not soak.is_over:
         index += 1
         await caller.call(f"call-{number}-{index}")
     soak.reported_outcomes.update(caller.reported_outcomes)
 
 
-async def _stream(soak: DaemonSoak, number: int) -> None:
-    draw = random.Random(soak.draw.random())
+async def _read_streams(soak: DaemonSoak, number: int) -> None:
+    rng = random.Random(soak.rng.random())
     index = 0
-    while not soak.over:
+    while not soak.is_over:
         index += 1
         text = f"turbine {number} {index}"
-        daemon = draw.choice(soak.cluster.daemons)
+        daemon = rng.choice(soak.cluster.daemons)
         try:
             fault = await asyncio.wait_for(
-                stream_fault(soak.cluster, KEY, daemon, text, draw.randint(1, 60)), STREAM_SECONDS
+                stream_fault(soak.cluster, CALLER_KEY, daemon, text, rng.randint(1, 60)),
+                STREAM_TIMEOUT_SECONDS,
             )
         except TimeoutError:
-            fault = f"refused: no answer in {STREAM_SECONDS:g} s"
+            fault = f"refused: no answer in {STREAM_TIMEOUT_SECONDS:g} s"
         soak.counts["streams whole" if fault is None else "streams refused"] += 1
         if fault and fault.startswith("wrong"):
-            soak.faults.append(fault)
+            soak.violations.append(fault)
         if fault:
             await asyncio.sleep(0.1)
 
 
-def _intent(cluster: Cluster) -> dict[str, t.Any]:
+def _configuration(cluster: Cluster) -> dict[str, t.Any]:
     return {
         **group_intent(GROUPS),
-        "workspaces": [{"name": "a", "key_digests": [keys.digest(KEY)]}],
+        "workspaces": [{"name": "a", "key_digests": [keys.digest(CALLER_KEY)]}],
         "services": [
             {
                 "name": "telemetry",
@@ -112,7 +113,7 @@
     }
 
 
-async def _heal(soak: DaemonSoak) -> None:
+async def _recover(soak: DaemonSoak) -> None:
     cluster = soak.cluster
     await cluster.set_store_faults(
         down=False, delay=0.0, lose_answers=0, mute_watches=False, refuse_from=[]
@@ -130,38 +131,38 @@
         await cluster.wait_until_ready()
         await cluster.wait_for_open_groups(GROUPS)
     except LaunchError as error:
-        soak.faults.append(f"not whole again: {error}")
+        soak.violations.append(f"not whole again: {error}")
 
 
 async def run(
-    directory: pathlib.Path, seed: int, minutes: float, trouble_names: list[str]
+    directory: pathlib.Path, seed: int, minutes: float, fault_names: list[str]
 ) -> DaemonSoak:
     """Play one seed and return what was seen."""
     site = Site(daemons=4, domains=2, instances=5, token_seconds=0.01, load_seconds=0.1)
-    cluster = Cluster(directory, site, control=CONTROL, requests={"stall": 2.0})
+    cluster = Cluster(directory, site, control=CONTROL_SETTINGS, requests={"stall": 2.0})
     try:
         await cluster.start()
         await cluster.wait_until_ready()
-        await cluster.apply(_intent(cluster))
+        await cluster.apply(_configuration(cluster))
         await cluster.wait_for_open_groups(GROUPS)
-        end = asyncio.get_running_loop().time() + minutes * 60
-        played = DaemonSoak(
-            draw=random.Random(seed), end=end, trouble_names=trouble_names, cluster=cluster
+        ends_at = asyncio.get_running_loop().time() + minutes * 60
+        result = DaemonSoak(
+            rng=random.Random(seed), ends_at=ends_at, fault_names=fault_names, cluster=cluster
         )
         await asyncio.gather(
-            *(_make_trouble(played) for _ in range(TROUBLES_AT_ONCE)),
-            *(_call(played, number) for number in range(CALLERS)),
-            *(_stream(played, number) for number in range(CALLERS)),
+            *(_inject_faults(result) for _ in range(MAX_CONCURRENT_FAULTS)),
+            *(_make_calls(result, number) for number in range(CALLERS_PER_KIND)),
+            *(_read_streams(result, number) for number in range(CALLERS_PER_KIND)),
         )
-        await _heal(played)
+        await _recover(result)
         ledger = await cluster.call_standin("GET", cluster.service, "/ledger")
-        played.faults += ledger_faults(played.reported_outcomes, ledger)
-        played.faults += log_faults(cluster)
-        played.counts["calls"] = len(played.reported_outcomes)
-        played.counts["calls done"] = sum(
-            answers[-1] == "yes" for answers in played.reported_outcomes.values()
+        result.violations += ledger_faults(result.reported_outcomes, ledger)
+        result.violations += log_faults(cluster)
+        result.counts["calls"] = len(result.reported_outcomes)
+        result.counts["calls done"] = sum(
+            answers[-1] == "yes" for answers in result.reported_outcomes.values()
         )
-        return played
+        return result
     finally:
         await cluster.stop()
 
@@ -174,10 +175,10 @@
     :param only: make this kind of trouble alone.
     """
     if broken_fence:
-        os.environ[BROKEN_FENCE] = "1"
+        os.environ[BROKEN_FENCE_VARIABLE] = "1"
         only = only or "freeze_a_daemon"
-    trouble_names = [only] if only else troubles.names
-    play(lambda directory, number: run(directory, number, minutes, trouble_names), [seed])
+    fault_names = [only] if only else faults.names
+    run_seeds(lambda directory, number: run(directory, number, minutes, fault_names), [seed])
 
 
 if __name__ == "__main__":
--- a/bench/soaks/daemon_troubles.py
+++ b/bench/soaks/daemon_troubles.py
@@ -17,8 +17,8 @@
 
 from .harness import Soak
 
-Trouble = t.Callable[["DaemonSoak"], t.Awaitable[None]]
-troubles: Registry[Trouble] = Registry("trouble")
+FaultInjector = t.Callable[["DaemonSoak"], t.Awaitable[None]]
+faults: Registry[FaultInjector] = Registry("trouble")
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -31,57 +31,57 @@
     cluster: Cluster
     reported_outcomes: dict[str, list[str]] = dataclasses.field(default_factory=dict)
 
-    def pick(self, prefix: str) -> str:
+    def pick_process(self, prefix: str) -> str:
         """Return a process whose name begins so."""
         names = sorted(name for name in self.cluster.processes if name.startswith(prefix))
-        return self.draw.choice(names)
+        return self.rng.choice(names)
 
 
-@troubles.register("kill_a_daemon")
+@faults.register("kill_a_daemon")
 async def kill_a_daemon(soak: DaemonSoak) -> None:
     """Kill a daemon, and start it again after a while."""
-    name = soak.pick("daemon-")
+    name = soak.pick_process("daemon-")
     await soak.cluster.processes[name].stop(signal.SIGKILL)
     await soak.pause(0, 4)
     await soak.cluster.start_daemon(name)
 
 
-@troubles.register("freeze_a_daemon")
+@faults.register("freeze_a_daemon")
 async def freeze_a_daemon(soak: DaemonSoak) -> None:
     """Let a daemon stand still, often longer than its lease and its callers' patience."""
-    process = soak.cluster.processes[soak.pick("daemon-")]
+    process = soak.cluster.processes[soak.pick_process("daemon-")]
     process.send(signal.SIGSTOP)
     await soak.pause(0.5, 9)
     process.send(signal.SIGCONT)
 
 
-@troubles.register("stop_a_daemon")
+@faults.register("stop_a_daemon")
 async def stop_a_daemon(soak: DaemonSoak) -> None:
     """Stop a daemon as planned, and start it again."""
-    name = soak.pick("daemon-")
+    name = soak.pick_process("daemon-")
     await soak.cluster.processes[name].stop()
     await soak.cluster.start_daemon(name)
 
 
-@troubles.register("kill_an_engine")
+@faults.register("kill_an_engine")
 async def kill_an_engine(soak: DaemonSoak) -> None:
     """Kill an engine, and start it again after a while."""
-    name = soak.pick("d0-" if soak.draw.random() < 0.5 else "d1-")
+    name = soak.pick_process("d0-" if soak.rng.random() < 0.5 else "d1-")
     await soak.cluster.processes[name].stop(signal.SIGKILL)
     await soak.pause(0, 4)
     await soak.cluster.start_engine(name)
 
 
-@troubles.register("freeze_an_engine")
+@faults.register("freeze_an_engine")
 async def freeze_an_engine(soak: DaemonSoak) -> None:
     """Let an engine stand still."""
-    process = soak.cluster.processes[soak.pick("d0-" if soak.draw.random() < 0.5 else "d1-")]
+    process = soak.cluster.processes[soak.pick_process("d0-" if soak.rng.random() < 0.5 else "d1-")]
     process.send(signal.SIGSTOP)
     await soak.pause(0.2, 4)
     process.send(signal.SIGCONT)
 
 
-@troubles.register("store_away")
+@faults.register("store_away")
 async def store_away(soak: DaemonSoak) -> None:
     """Let the store refuse every call for a while."""
     await soak.cluster.set_store_faults(down=True)
@@ -89,29 +89,29 @@
     await soak.cluster.set_store_faults(down=False)
 
 
-@troubles.register("store_slow")
+@faults.register("store_slow")
 async def store_slow(soak: DaemonSoak) -> None:
     """Let the store answer late for a while."""
-    await soak.cluster.set_store_faults(delay=soak.draw.uniform(0.1, 1.5))
+    await soak.cluster.set_store_faults(delay=soak.rng.uniform(0.1, 1.5))
     await soak.pause(1, 4)
     await soak.cluster.set_store_faults(delay=0.0)
 
 
-@troubles.register("store_loses_answers")
+@faults.register("store_loses_answers")
 async def store_loses_answers(soak: DaemonSoak) -> None:
     """Let the store carry out some writes without answering."""
-    await soak.cluster.set_store_faults(lose_answers=soak.draw.randint(1, 3))
+    await soak.cluster.set_store_faults(lose_answers=soak.rng.randint(1, 3))
 
 
-@troubles.register("store_cut_from_a_daemon")
+@faults.register("store_cut_from_a_daemon")
 async def store_cut_from_a_daemon(soak: DaemonSoak) -> None:
     """Cut one daemon off from the store."""
-    await soak.cluster.set_store_faults(refuse_from=[soak.pick("daemon-")])
+    await soak.cluster.set_store_faults(refuse_from=[soak.pick_process("daemon-")])
     await soak.pause(1, 6)
     await soak.cluster.set_store_faults(refuse_from=[])
 
 
-@troubles.register("watches_mute")
+@faults.register("watches_mute")
 async def watches_mute(soak: DaemonSoak) -> None:
     """Let watches stay open and bring nothing."""
     await soak.cluster.set_store_faults(mute_watches=True)
@@ -119,16 +119,16 @@
     await soak.cluster.set_store_faults(mute_watches=False)
 
 
-@troubles.register("service_breaks")
+@faults.register("service_breaks")
 async def service_breaks(soak: DaemonSoak) -> None:
     """Let the plain service break some calls, before or after running them."""
-    faults = {soak.draw.choice(["break_before", "break_after"]): soak.draw.randint(1, 4)}
-    await soak.cluster.call_standin("POST", soak.cluster.service, "/behaviour", **faults)
+    break_counts = {soak.rng.choice(["break_before", "break_after"]): soak.rng.randint(1, 4)}
+    await soak.cluster.call_standin("POST", soak.cluster.service, "/behaviour", **break_counts)
 
 
-@troubles.register("change_configuration")
+@faults.register("change_configuration")
 async def change_configuration(soak: DaemonSoak) -> None:
     """Change the configuration at some daemon."""
-    number = soak.draw.randint(0, 10**9)
+    number = soak.rng.randint(0, 10**9)
     workspace = {"name": f"w{number}", "key_digests": [keys.digest(str(number))]}
-    await soak.cluster.apply({"workspaces": [workspace]}, soak.pick("daemon-"))
+    await soak.cluster.apply({"workspaces": [workspace]}, soak.pick_process("daemon-"))
--- a/bench/soaks/gateway.py
+++ b/bench/soaks/gateway.py
@@ -26,57 +26,57 @@
 from .gateway_callers import Caller
 from .gateway_checks import RequestKind
 from .gateway_site import SoakSite
-from .gateway_troubles import TROUBLES_AT_ONCE
+from .gateway_troubles import MAX_CONCURRENT_FAULTS
 from .gateway_troubles import GatewaySoak
-from .gateway_troubles import troubles
-from .harness import play
+from .gateway_troubles import faults
+from .harness import run_seeds
 from .proxy import Mode
 
 CALLERS_PER_DAEMON = 4
 # for all daemons to serve every kind of request once the faults are over
-RECOVER_SECONDS = 12.0
+RECOVERY_TIMEOUT_SECONDS = 12.0
 # for the groups to stand at the start
-FORM_SECONDS = 30.0
+FORMATION_TIMEOUT_SECONDS = 30.0
 # for each daemon to have read the store at the start
-READ_SECONDS = 1.0
+STORE_READ_SECONDS = 1.0
 # between two looks at processes and groups
-LOOK_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 
 
-async def _make_trouble(soak: GatewaySoak) -> None:
-    while not soak.over:
-        name = soak.draw.choice(soak.trouble_names)
-        async with soak.slots:
+async def _inject_faults(soak: GatewaySoak) -> None:
+    while not soak.is_over:
+        name = soak.rng.choice(soak.fault_names)
+        async with soak.fault_slots:
             soak.counts[f"trouble {name}"] += 1
-            await troubles.get(name)(soak)
+            await faults.get(name)(soak)
         await soak.pause(0.1, 1.5)
 
 
-async def _watch_ends(soak: GatewaySoak) -> None:
+async def _watch_exits(soak: GatewaySoak) -> None:
     """Notice processes that end though nobody ended them."""
-    while not soak.over:
+    while not soak.is_over:
         for daemon in soak.site.daemons:
-            if not daemon.ended and not daemon.runs:
-                daemon.ended = True
+            if not daemon.ended_by_soak and not daemon.is_running:
+                daemon.ended_by_soak = True
                 assert daemon.process is not None
                 code = daemon.process.process.returncode
-                soak.faults.append(f"ENDED {daemon.name} by itself with {code}")
+                soak.violations.append(f"ENDED {daemon.name} by itself with {code}")
                 await soak.site.start_daemon(daemon)
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
-async def _heal(soak: GatewaySoak) -> None:
+async def _recover(soak: GatewaySoak) -> None:
     """Undo all faults, and see that every daemon serves every kind of request again."""
     await _undo_faults(soak.site)
-    until = asyncio.get_running_loop().time() + RECOVER_SECONDS
-    caller = Caller(soak.site, "heal", soak.draw)
+    deadline = asyncio.get_running_loop().time() + RECOVERY_TIMEOUT_SECONDS
+    caller = Caller(soak.site, "heal", soak.rng)
     missing = {(daemon.name, kind) for daemon in soak.site.daemons for kind in RequestKind}
     async with aiohttp.ClientSession(auto_decompress=False) as client:
-        while missing and asyncio.get_running_loop().time() < until:
-            missing -= await _served(soak.site, caller, client, missing)
-            await asyncio.sleep(LOOK_SECONDS)
+        while missing and asyncio.get_running_loop().time() < deadline:
+            missing -= await _find_served(soak.site, caller, client, missing)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
     for name, kind in sorted(missing, key=str):
-        soak.faults.append(f"RECOVER {name} serves no {kind.value} requests")
+        soak.violations.append(f"RECOVER {name} serves no {kind.value} requests")
 
 
 async def _undo_faults(site: SoakSite) -> None:
@@ -92,31 +92,31 @@
         await site.start_daemon(daemon)
 
 
-async def _served(
+async def _find_served(
     site: SoakSite,
     caller: Caller,
     client: aiohttp.ClientSession,
-    wanted: t.Collection[tuple[str, RequestKind]],
+    missing: t.Collection[tuple[str, RequestKind]],
 ) -> set[tuple[str, RequestKind]]:
     """Ask each daemon once for each kind that is wanted; return what was served."""
     served = set()
     for daemon in site.daemons:
         for kind in RequestKind:
-            if (daemon.name, kind) not in wanted:
+            if (daemon.name, kind) not in missing:
                 continue
-            exchange = await caller.call(client, daemon, kind, site.keys[0])
-            if exchange.status == 200 and exchange.whole:
+            exchange = await caller.call(client, daemon, kind, site.valid_keys[0])
+            if exchange.status == 200 and exchange.is_complete:
                 served.add((daemon.name, kind))
     return served
 
 
-async def _serving(site: SoakSite) -> None:
+async def _wait_until_serving(site: SoakSite) -> None:
     """Wait until the groups stand and each daemon has read the store."""
-    leading = 0
-    while leading < 2:
-        leading = sum(worker.leads for worker in site.workers.values())
-        await asyncio.sleep(LOOK_SECONDS)
-    await asyncio.sleep(READ_SECONDS)
+    leader_count = 0
+    while leader_count < 2:
+        leader_count = sum(worker.leads for worker in site.workers.values())
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+    await asyncio.sleep(STORE_READ_SECONDS)
 
 
 async def run(
@@ -124,7 +124,7 @@
     seed: int,
     minutes: float,
     processes: int,
-    trouble_names: list[str],
+    fault_names: list[str],
     older: str = "",
 ) -> GatewaySoak:
     """Play one seed and return what was seen.
@@ -132,43 +132,45 @@
     :param older: a checkout whose build all daemons run at the start, and which is replaced.
     """
     site = SoakSite(directory, processes, gateway_upgrade.program_of(older))
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     try:
         await site.start()
-        async with asyncio.timeout(FORM_SECONDS):
-            await _serving(site)
-        end = asyncio.get_running_loop().time() + minutes * 60
-        played = GatewaySoak(
-            draw=draw,
-            end=end,
-            trouble_names=trouble_names,
-            faults=site.checks.faults,
+        async with asyncio.timeout(FORMATION_TIMEOUT_SECONDS):
+            await _wait_until_serving(site)
+        ends_at = asyncio.get_running_loop().time() + minutes * 60
+        result = GatewaySoak(
+            rng=rng,
+            ends_at=ends_at,
+            fault_names=fault_names,
+            violations=site.checks.violations,
             counts=site.checks.counts,
             site=site,
-            callers=_callers(site, draw, CALLERS_PER_DAEMON * processes),
+            callers=_callers(site, rng, CALLERS_PER_DAEMON * processes),
         )
-        await _play(played, seed, older)
-        await _heal(played)
-        await gateway_fatal.play(site, Caller(site, "fatal", draw))
-        return played
+        await _run_callers_and_faults(result, seed, older)
+        await _recover(result)
+        await gateway_fatal.send_fatal_requests(site, Caller(site, "fatal", rng))
+        return result
     finally:
         await site.stop()
 
 
-def _callers(site: SoakSite, draw: random.Random, count: int) -> list[Caller]:
-    return [Caller(site, f"c{number}", random.Random(draw.random())) for number in range(count)]
+def _callers(site: SoakSite, rng: random.Random, count: int) -> list[Caller]:
+    return [Caller(site, f"c{number}", random.Random(rng.random())) for number in range(count)]
 
 
-async def _play(soak: GatewaySoak, seed: int, older: str) -> None:
+async def _run_callers_and_faults(soak: GatewaySoak, seed: int, older: str) -> None:
     """Let callers call and troubles happen until the time is up."""
-    parts = [_make_trouble(soak) for _ in range(TROUBLES_AT_ONCE)]
-    parts += [caller.run(soak.end) for caller in soak.callers]
-    parts += [_watch_ends(soak), gateway_notices.play(soak, seed)]
-    parts.append(gateway_limits.play(soak, seed))
-    parts.append(gateway_restores.play(soak, soak.site, seed))
+    coroutines = [_inject_faults(soak) for _ in range(MAX_CONCURRENT_FAULTS)]
+    coroutines += [caller.run(soak.ends_at) for caller in soak.callers]
+    coroutines += [_watch_exits(soak), gateway_notices.inject_notices(soak, seed)]
+    coroutines.append(gateway_limits.inject_limits(soak, seed))
+    coroutines.append(gateway_restores.inject_restores(soak, soak.site, seed))
     if older:
-        parts.append(gateway_upgrade.play(soak, seed, gateway_upgrade.program_of(older)))
-    await asyncio.gather(*parts)
+        coroutines.append(
+            gateway_upgrade.replace_builds(soak, seed, gateway_upgrade.program_of(older))
+        )
+    await asyncio.gather(*coroutines)
 
 
 def soak(
@@ -189,11 +191,11 @@
     :param older: a checkout of an older build, which the daemons run at the start and which is
         replaced one by one.
     """
-    trouble_names = [only] if only else troubles.names
+    fault_names = [only] if only else faults.names
     # the stand-ins' streams break whenever a caller or a group does
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
-    play(
-        lambda directory, number: run(directory, number, minutes, processes, trouble_names, older),
+    run_seeds(
+        lambda directory, number: run(directory, number, minutes, processes, fault_names, older),
         range(seed, seed + seeds),
         logs,
     )
--- a/bench/soaks/gateway_daemons.py
+++ b/bench/soaks/gateway_daemons.py
@@ -18,16 +18,16 @@
 
 PROGRAM = pathlib.Path(__file__).resolve().parents[2] / "platform" / "run.py"
 # that a daemon has to finish its requests
-GRACE_SECONDS = 6.0
+GRACE_PERIOD_SECONDS = 6.0
 # from SIGTERM to SIGKILL
-STOP_SECONDS = GRACE_SECONDS + 2.0
+STOP_TIMEOUT_SECONDS = GRACE_PERIOD_SECONDS + 2.0
 # PR_SET_PDEATHSIG of prctl(2)
-_DEATH_SIGNAL = 1
+_PR_SET_PDEATHSIG = 1
 
 
-def _die_with_parent() -> None:
+def _exit_with_parent() -> None:
     """Let the kernel end this process when the soak is killed."""
-    ctypes.CDLL(None).prctl(_DEATH_SIGNAL, signal.SIGKILL)
+    ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 @dataclasses.dataclass
@@ -35,34 +35,34 @@
     """One gateway process.
 
     :param program: of the build that it runs from its next start on.
-    :ivar running: the program that it runs now, or ran last.
-    :ivar ended: whether the soak ended it.
+    :ivar running_program: the program that it runs now, or ran last.
+    :ivar ended_by_soak: whether the soak ended it.
     :ivar started_at: on the loop's clock.
     :ivar signalled_at: the same.
     """
 
     name: str
     settings: pathlib.Path
-    callers: str
-    readiness: str
+    callers_address: str
+    readiness_address: str
     proxy: Proxy
     program: pathlib.Path = PROGRAM
     process: Process | None = None
-    ended: bool = True
-    running: pathlib.Path = PROGRAM
+    ended_by_soak: bool = True
+    running_program: pathlib.Path = PROGRAM
     started_at: float = 0.0
     signalled_at: float = float("-inf")
-    starting: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
+    start_lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
     @property
     def reads_notices(self) -> bool:
         """Whether its build reads what workers say in answers about taking requests."""
-        return self.running == PROGRAM
+        return self.running_program == PROGRAM
 
     @property
     def reads_limits(self) -> bool:
         """Whether its build keeps to what workers take from all daemons together."""
-        return self.running == PROGRAM
+        return self.running_program == PROGRAM
 
     @property
     def interrupted_at(self) -> float:
@@ -75,7 +75,7 @@
         return max(self.interrupted_at, self.proxy.changed_at)
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process is there."""
         return self.process is not None and self.process.running
 
@@ -86,30 +86,30 @@
         """
         environment = {**os.environ, "THORNCLEAT_CONFIG": str(self.settings)}
         with log.open("ab") as output:
-            started = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 str(self.program),
                 stdout=output,
                 stderr=output,
                 env=environment,
-                preexec_fn=_die_with_parent,
+                preexec_fn=_exit_with_parent,
             )
-        self.process = Process(self.name, started)
-        self.running = self.program
+        self.process = Process(self.name, process)
+        self.running_program = self.program
         # not before: until then the former process is the one that is known
-        self.ended = False
+        self.ended_by_soak = False
         self.started_at = asyncio.get_running_loop().time()
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal, if the process is there."""
-        if number is not signal.SIGHUP:
+        if signal_number is not signal.SIGHUP:
             # that one only has it read its settings
             self.signalled_at = asyncio.get_running_loop().time()
         if self.process is not None:
-            self.process.send(number)
+            self.process.send(signal_number)
 
-    async def end(self, number: signal.Signals) -> bool:
+    async def end(self, signal_number: signal.Signals) -> bool:
         """End the process; return whether it ended by itself in time."""
-        self.ended = True
+        self.ended_by_soak = True
         self.signalled_at = asyncio.get_running_loop().time()
-        return self.process is None or await self.process.stop(number, STOP_SECONDS)
+        return self.process is None or await self.process.stop(signal_number, STOP_TIMEOUT_SECONDS)
--- a/bench/soaks/gateway_fatal.py
+++ b/bench/soaks/gateway_fatal.py
@@ -14,32 +14,36 @@
 from .gateway_callers import Caller
 from .gateway_checks import RequestKind
 from .gateway_site import SoakSite
-from .gateway_workers import FATAL
+from .gateway_workers import FATAL_BODY
 
-TRIES = 10
+ATTEMPTS = 10
 # on average between two tries: some come at once, some after a worker is back
-PAUSE_SECONDS = 0.3
+MEAN_PAUSE_SECONDS = 0.3
 # that all daemons in touch may let through: three, and one whose word was under way
-MOST_ENDED = 4
+MAX_CRASHES = 4
 
 
-async def play(site: SoakSite, caller: Caller) -> None:
+async def send_fatal_requests(site: SoakSite, caller: Caller) -> None:
     """Send the request to daemons at random, and others beside it."""
-    before = sum(worker.crashes for worker in site.workers.values())
+    crashes_before = sum(worker.crashes for worker in site.workers.values())
     async with aiohttp.ClientSession(auto_decompress=False) as client:
-        for _ in range(TRIES):
-            daemon = caller.draw.choice(site.daemons)
-            await caller.call(client, daemon, RequestKind.STREAM, site.keys[0], body=FATAL)
-            await asyncio.sleep(caller.draw.uniform(0, 2 * PAUSE_SECONDS))
-        ended = sum(worker.crashes for worker in site.workers.values()) - before
-        site.checks.counts["endpoints ended by a fatal request"] += ended
-        if ended > MOST_ENDED:
-            site.checks.faults.append(f"BUDGET a request ended {ended} endpoints")
-        await _others_are_served(site, caller, client)
-
-
-async def _others_are_served(site: SoakSite, caller: Caller, client: aiohttp.ClientSession) -> None:
+        for _ in range(ATTEMPTS):
+            daemon = caller.rng.choice(site.daemons)
+            await caller.call(
+                client, daemon, RequestKind.STREAM, site.valid_keys[0], body=FATAL_BODY
+            )
+            await asyncio.sleep(caller.rng.uniform(0, 2 * MEAN_PAUSE_SECONDS))
+        crashes = sum(worker.crashes for worker in site.workers.values()) - crashes_before
+        site.checks.counts["endpoints ended by a fatal request"] += crashes
+        if crashes > MAX_CRASHES:
+            site.checks.violations.append(f"BUDGET a request ended {crashes} endpoints")
+        await _check_other_requests(site, caller, client)
+
+
+async def _check_other_requests(
+    site: SoakSite, caller: Caller, client: aiohttp.ClientSession
+) -> None:
     for daemon in site.daemons:
-        exchange = await caller.call(client, daemon, RequestKind.STREAM, site.keys[0])
+        exchange = await caller.call(client, daemon, RequestKind.STREAM, site.valid_keys[0])
         if exchange.status == 429:
-            site.checks.faults.append(f"HELD {exchange.id}, which ended nothing")
+            site.checks.violations.append(f"HELD {exchange.id}, which ended nothing")
--- a/bench/soaks/gateway_restores.py
+++ b/bench/soaks/gateway_restores.py
@@ -14,38 +14,38 @@
 from .harness import Soak
 
 # between two restores, in seconds
-CALM_SECONDS = (2.0, 10.0)
+RESTORE_INTERVAL_SECONDS = (2.0, 10.0)
 # that a copy is old when the store comes back to it, in seconds
-LOST_SECONDS = (0.5, 5.0)
+BACKUP_AGE_SECONDS = (0.5, 5.0)
 # for which the store is away before that, in seconds
-AWAY_SECONDS = (0.0, 1.0)
+OUTAGE_SECONDS = (0.0, 1.0)
 # until the operator and the workers have written again, in seconds
-REWRITE_SECONDS = (0.0, 0.5)
+REWRITE_DELAY_SECONDS = (0.0, 0.5)
 # part of the restores after which the store comes back once more soon
-TWICE = 0.3
+SECOND_RESTORE_SHARE = 0.3
 
 
-async def play(soak: Soak, site: SoakSite, seed: int) -> None:
+async def inject_restores(soak: Soak, site: SoakSite, seed: int) -> None:
     """Restore the store from time to time until the time is up."""
-    draw = random.Random(f"restores {seed}")
-    while not soak.over:
-        await _pause(draw, CALM_SECONDS)
+    rng = random.Random(f"restores {seed}")
+    while not soak.is_over:
+        await _pause(rng, RESTORE_INTERVAL_SECONDS)
         soak.counts["store restored"] += 1
-        await _restore(site, draw)
-        if draw.random() < TWICE:
-            await _restore(site, draw)
+        await _restore(site, rng)
+        if rng.random() < SECOND_RESTORE_SHARE:
+            await _restore(site, rng)
 
 
-async def _restore(site: SoakSite, draw: random.Random) -> None:
-    copy = site.store.backup()
-    await _pause(draw, LOST_SECONDS)
+async def _restore(site: SoakSite, rng: random.Random) -> None:
+    backup = site.store.backup()
+    await _pause(rng, BACKUP_AGE_SECONDS)
     site.store.refuse = True
-    await _pause(draw, AWAY_SECONDS)
-    site.store.restore(copy)
+    await _pause(rng, OUTAGE_SECONDS)
+    site.store.restore(backup)
     site.store.refuse = False
-    await _pause(draw, REWRITE_SECONDS)
-    site.write_again()
+    await _pause(rng, REWRITE_DELAY_SECONDS)
+    site.rewrite_entries()
 
 
-async def _pause(draw: random.Random, bounds: tuple[float, float]) -> None:
-    await asyncio.sleep(draw.uniform(*bounds))
+async def _pause(rng: random.Random, bounds: tuple[float, float]) -> None:
+    await asyncio.sleep(rng.uniform(*bounds))
--- a/bench/soaks/gateway_site.py
+++ b/bench/soaks/gateway_site.py
@@ -17,30 +17,30 @@
 from .gateway_checks import Checks
 from .gateway_checks import Exchange
 from .gateway_checks import RequestKind
-from .gateway_daemons import GRACE_SECONDS
+from .gateway_daemons import GRACE_PERIOD_SECONDS
 from .gateway_daemons import PROGRAM
 from .gateway_daemons import Daemon
 from .gateway_limits import LimitChecks
 from .gateway_notices import NoticeChecks
-from .gateway_workers import STALL_SECONDS
-from .gateway_workers import STREAM_EVENTS
+from .gateway_workers import EVENTS_PER_STREAM
+from .gateway_workers import STALL_TIMEOUT_SECONDS
 from .gateway_workers import SoakWorker
 from .proxy import Proxy
 
 HOST = "soak.example"
-CONFIGURATION = "op/config"
-ENTRIES = "servers/"
+CONFIGURATION_KEY = "op/config"
+ENTRY_PREFIX = "servers/"
 # after which a key that was taken away must not work any more
-REVOKE_SECONDS = 3.0
+REVOCATION_SECONDS = 3.0
 # keys taken away that callers still try
-FORMER_KEYS = 4
+MAX_REVOKED_KEYS = 4
 # fabric domains, workers in each, members of a group; workers of the plain service
-DOMAINS, DOMAIN_SIZE, GROUP_SIZE, DESKS = 2, 6, 2, 3
+DOMAINS, DOMAIN_SIZE, GROUP_SIZE, PLAIN_WORKERS = 2, 6, 2, 3
 # for callers, the balancer's question and other daemons
 PORTS_PER_DAEMON = 3
 PATHS = {
     RequestKind.STREAM: "/chat/",
-    RequestKind.ONCE: "/status/",
+    RequestKind.NON_REPEATABLE: "/status/",
     RequestKind.REPEATABLE: "/ack/",
 }
 
@@ -55,43 +55,43 @@
         self, directory: pathlib.Path, daemons: int, program: pathlib.Path = PROGRAM
     ) -> None:
         self._directory = directory
-        self._count = daemons
+        self._daemon_count = daemons
         self._program = program
         self.store = PlatformStore()
-        self.checks = Checks(STREAM_EVENTS)
-        self.notices = NoticeChecks(self.checks.faults, self.checks.counts)
-        self.limits = LimitChecks(self.checks.faults, self.checks.counts)
+        self.checks = Checks(EVENTS_PER_STREAM)
+        self.notices = NoticeChecks(self.checks.violations, self.checks.counts)
+        self.limits = LimitChecks(self.checks.violations, self.checks.counts)
         self.workers: dict[str, SoakWorker] = {}
         self.daemons: list[Daemon] = []
         self.exchanges: dict[str, Exchange] = {}
-        self.keys = ["key-0"]
-        self.former_keys: collections.deque[str] = collections.deque(["never"], FORMER_KEYS)
+        self.valid_keys = ["key-0"]
+        self.revoked_keys: collections.deque[str] = collections.deque(["never"], MAX_REVOKED_KEYS)
         self.version = 0
         self._configuration: dict[str, t.Any] = {}
 
     async def start(self) -> None:
         """Start everything."""
         address = await self.store.start()
-        self.configure()
+        self.write_configuration()
         for number in range(DOMAINS * DOMAIN_SIZE):
             await self.add_worker("narrator", f"d{number // DOMAIN_SIZE}")
-        for _ in range(DESKS):
+        for _ in range(PLAIN_WORKERS):
             await self.add_worker("desk")
         # drawn together: two daemons that draw theirs before either listens may get the same one
-        ports = free_ports(PORTS_PER_DAEMON * self._count)
-        for number in range(self._count):
-            own = ports[number :: self._count]
-            self.daemons.append(await self._daemon(number, address, own))
+        ports = free_ports(PORTS_PER_DAEMON * self._daemon_count)
+        for number in range(self._daemon_count):
+            own_ports = ports[number :: self._daemon_count]
+            self.daemons.append(await self._create_daemon(number, address, own_ports))
         await asyncio.gather(*(self.start_daemon(daemon) for daemon in self.daemons))
 
     async def start_daemon(self, daemon: Daemon) -> None:
         """Start a daemon, once more or for the first time."""
-        async with daemon.starting:
+        async with daemon.start_lock:
             # two troubles may want the same daemon back
-            if not daemon.runs:
+            if not daemon.is_running:
                 await daemon.start(self._directory / f"{daemon.name}.log")
 
-    async def _daemon(self, number: int, store: str, ports: t.Sequence[int]) -> Daemon:
+    async def _create_daemon(self, number: int, store: str, ports: t.Sequence[int]) -> Daemon:
         proxy = Proxy(store)
         callers, readiness, peers = ports
         path = self._directory / f"edge-{number}.toml"
@@ -106,9 +106,9 @@
             readiness = "127.0.0.1:{readiness}"
             [bounds]
             revoke_fail_closed = true
-            revoke_ms = {int(REVOKE_SECONDS * 1000)}
-            grace_s = {GRACE_SECONDS}
-            stall_ms = {int(STALL_SECONDS * 1000)}
+            revoke_ms = {int(REVOCATION_SECONDS * 1000)}
+            grace_s = {GRACE_PERIOD_SECONDS}
+            stall_ms = {int(STALL_TIMEOUT_SECONDS * 1000)}
             [platform]
             address = "{await proxy.start()}"
             """
@@ -133,12 +133,12 @@
         await worker.start()
         return worker
 
-    def configure(self) -> None:
+    def write_configuration(self) -> None:
         """Write the next configuration, with the keys that are valid now."""
         self.version += 3
         routes = [
             _route(RequestKind.STREAM, "streaming", "narrator", resumable=True, max_attempts=2),
-            _route(RequestKind.ONCE, "non_idempotent", "desk"),
+            _route(RequestKind.NON_REPEATABLE, "non_idempotent", "desk"),
             _route(RequestKind.REPEATABLE, "idempotent", "desk", max_attempts=2),
         ]
         model = {"name": "large", "size": GROUP_SIZE, "share": 1.0, "load_s": 0.2, "warm_s": 0.1}
@@ -151,18 +151,18 @@
                 {"name": "desk", "health_path": "/healthz"},
             ],
             "limits": {"max_body_bytes": 10_000},
-            "tenants": [{"name": "growers", "api_keys": self.keys, "priority": 1}],
+            "tenants": [{"name": "growers", "api_keys": self.valid_keys, "priority": 1}],
         }
         self._configuration = document
-        self.store.write(CONFIGURATION, document)
+        self.store.write(CONFIGURATION_KEY, document)
 
-    def write_again(self) -> None:
+    def rewrite_entries(self) -> None:
         """Write what the operator and the workers had written, as after a restore."""
-        self.store.write(CONFIGURATION, self._configuration)
+        self.store.write(CONFIGURATION_KEY, self._configuration)
         for worker in self.workers.values():
             worker.publish()
-        for key in self.store.keys(ENTRIES):
-            if not self.workers[key.removeprefix(ENTRIES)].alive:
+        for key in self.store.keys(ENTRY_PREFIX):
+            if not self.workers[key.removeprefix(ENTRY_PREFIX)].is_alive:
                 self.store.delete(key)
 
     async def stop(self) -> None:
@@ -171,12 +171,12 @@
         for daemon in self.daemons:
             await daemon.proxy.stop()
         for worker in self.workers.values():
-            if worker.alive:
+            if worker.is_alive:
                 await worker.crash()
         await self.store.stop()
 
 
-def _route(kind: RequestKind, route_kind: str, service: str, **more: t.Any) -> dict[str, t.Any]:
+def _route(kind: RequestKind, route_kind: str, service: str, **options: t.Any) -> dict[str, t.Any]:
     return {
         "name": kind.value,
         "host": HOST,
@@ -186,5 +186,5 @@
         "timeout_ms": 4000,
         "latency_target_ms": 500,
         "priority": 1,
-        **more,
+        **options,
     }
--- a/bench/soaks/gateway_troubles.py
+++ b/bench/soaks/gateway_troubles.py
@@ -17,22 +17,22 @@
 from .gateway_callers import Caller
 from .gateway_daemons import Daemon
 from .gateway_notices import DRAIN_SECONDS
-from .gateway_site import REVOKE_SECONDS
+from .gateway_site import REVOCATION_SECONDS
 from .gateway_site import SoakSite
 from .gateway_workers import SoakWorker
 from .harness import Soak
 from .proxy import Mode
 
-TROUBLES_AT_ONCE = 2
+MAX_CONCURRENT_FAULTS = 2
 # after the last trouble, before a planned stop is watched
-QUIET_SECONDS = 3.0
+QUIET_PERIOD_SECONDS = 3.0
 # for the interpreter and the first lines of the program, on a busy machine
-START_SECONDS = 2.0
+STARTUP_SECONDS = 2.0
 # for a caller to note the end of its answer
-NOTE_SECONDS = 0.1
-HARMFUL = (Mode.DELAY, Mode.SILENCE, Mode.LOSE_ANSWERS, Mode.LOSE_REQUESTS, Mode.RESET)
-Trouble = t.Callable[["GatewaySoak"], t.Awaitable[None]]
-troubles: Registry[Trouble] = Registry("trouble")
+RECORD_DELAY_SECONDS = 0.1
+HARMFUL_MODES = (Mode.DELAY, Mode.SILENCE, Mode.LOSE_ANSWERS, Mode.LOSE_REQUESTS, Mode.RESET)
+FaultInjector = t.Callable[["GatewaySoak"], t.Awaitable[None]]
+faults: Registry[FaultInjector] = Registry("trouble")
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -44,78 +44,78 @@
 
     site: SoakSite
     callers: list[Caller]
-    slots: asyncio.Semaphore = dataclasses.field(
-        default_factory=lambda: asyncio.Semaphore(TROUBLES_AT_ONCE)
+    fault_slots: asyncio.Semaphore = dataclasses.field(
+        default_factory=lambda: asyncio.Semaphore(MAX_CONCURRENT_FAULTS)
     )
 
-    def daemon(self) -> Daemon:
+    def pick_daemon(self) -> Daemon:
         """Return one of the daemons."""
-        return self.draw.choice(self.site.daemons)
+        return self.rng.choice(self.site.daemons)
 
-    def worker(self) -> SoakWorker:
+    def pick_worker(self) -> SoakWorker:
         """Return one of the workers that live and take work."""
         workers = self.site.workers.values()
-        return self.draw.choice([worker for worker in workers if worker.takes_work])
+        return self.rng.choice([worker for worker in workers if worker.is_available])
 
 
-@troubles.register("kill")
+@faults.register("kill")
 async def kill(soak: GatewaySoak) -> None:
     """Kill a daemon, and start it again after a while."""
-    daemon = soak.daemon()
+    daemon = soak.pick_daemon()
     await daemon.end(signal.SIGKILL)
     await soak.pause(0, 3)
     await soak.site.start_daemon(daemon)
 
 
-@troubles.register("kill_many")
+@faults.register("kill_many")
 async def kill_many(soak: GatewaySoak) -> None:
     """Kill several daemons at once."""
-    most = len(soak.site.daemons)
-    chosen = soak.draw.sample(soak.site.daemons, soak.draw.randint(2, most))
+    daemon_count = len(soak.site.daemons)
+    chosen = soak.rng.sample(soak.site.daemons, soak.rng.randint(2, daemon_count))
     await asyncio.gather(*(daemon.end(signal.SIGKILL) for daemon in chosen))
     await soak.pause(0, 2)
     await asyncio.gather(*(soak.site.start_daemon(daemon) for daemon in chosen))
 
 
-@troubles.register("stop")
+@faults.register("stop")
 async def stop(soak: GatewaySoak) -> None:
     """Stop a daemon as planned, and start it again."""
-    daemon = soak.daemon()
+    daemon = soak.pick_daemon()
     await daemon.end(signal.SIGTERM)
     await soak.site.start_daemon(daemon)
 
 
-@troubles.register("freeze")
+@faults.register("freeze")
 async def freeze(soak: GatewaySoak) -> None:
     """Let a daemon stand still."""
-    daemon = soak.daemon()
+    daemon = soak.pick_daemon()
     daemon.send(signal.SIGSTOP)
     await soak.pause(0.3, 6)
     daemon.send(signal.SIGCONT)
 
 
-@troubles.register("reload")
+@faults.register("reload")
 async def reload(soak: GatewaySoak) -> None:
     """Let every daemon read its settings again."""
     now = asyncio.get_running_loop().time()
     for daemon in soak.site.daemons:
         # until its first lines have run, a program can do nothing about it (tests/test_run.py)
-        if now - daemon.started_at > START_SECONDS:
+        if now - daemon.started_at > STARTUP_SECONDS:
             daemon.send(signal.SIGHUP)
 
 
-@troubles.register("cut_from_store")
+@faults.register("cut_from_store")
 async def cut_from_store(soak: GatewaySoak) -> None:
     """Disturb the connections between one daemon and the store."""
-    proxy = soak.daemon().proxy
-    proxy.mode = soak.draw.choice(HARMFUL)
+    proxy = soak.pick_daemon().proxy
+    proxy.mode = soak.rng.choice(HARMFUL_MODES)
     if proxy.mode is Mode.RESET:
         proxy.reset()
     await soak.pause(0.3, 6)
     proxy.mode = Mode.PASS
 
 
-@troubles.register("store_away")
+@faults.register("store_away")
 async def store_away(soak: GatewaySoak) -> None:
     """Let the store refuse every call for a while."""
     soak.site.store.refuse = True
@@ -123,116 +123,118 @@
     soak.site.store.refuse = False
 
 
-@troubles.register("store_loses_answers")
+@faults.register("store_loses_answers")
 async def store_loses_answers(soak: GatewaySoak) -> None:
     """Let the store carry out some writes without answering."""
-    soak.site.store.lose_answers += soak.draw.randint(1, 3)
+    soak.site.store.lose_answers += soak.rng.randint(1, 3)
 
 
-@troubles.register("store_forgets")
+@faults.register("store_forgets")
 async def store_forgets(soak: GatewaySoak) -> None:
     """Let the store drop its history, which ends all watches."""
     soak.site.store.compact()
 
 
-@troubles.register("cut_worker")
+@faults.register("cut_worker")
 async def cut_worker(soak: GatewaySoak) -> None:
     """Disturb the connections to one worker."""
-    proxy = soak.worker().proxy
+    proxy = soak.pick_worker().proxy
     assert proxy is not None
-    proxy.mode = soak.draw.choice(HARMFUL)
+    proxy.mode = soak.rng.choice(HARMFUL_MODES)
     if proxy.mode is Mode.RESET:
         proxy.reset()
     await soak.pause(0.2, 4)
     proxy.mode = Mode.PASS
 
 
-@troubles.register("crash_worker")
+@faults.register("crash_worker")
 async def crash_worker(soak: GatewaySoak) -> None:
     """Let a worker end without a word, and add another."""
-    worker = soak.worker()
+    worker = soak.pick_worker()
     await worker.crash()
     await soak.pause(0, 3)
     await soak.site.add_worker(worker.service, worker.domain)
 
 
-@troubles.register("drain_worker")
+@faults.register("drain_worker")
 async def drain_worker(soak: GatewaySoak) -> None:
     """Let a worker drain, stop listening while it works on, and then end; add another."""
-    worker = soak.worker()
+    worker = soak.pick_worker()
     worker.draining = True
     worker.publish()
     await soak.site.add_worker(worker.service, worker.domain)
     await asyncio.sleep(DRAIN_SECONDS)
-    if worker.alive:
-        worker.refuse()
+    if worker.is_alive:
+        worker.stop_listening()
     await soak.pause(0.5, 3)
-    if worker.alive:
+    if worker.is_alive:
         await worker.crash()
 
 
-@troubles.register("take_key_away")
+@faults.register("take_key_away")
 async def take_key_away(soak: GatewaySoak) -> None:
     """Replace the key that is valid; the old one must stop working."""
     site = soak.site
-    old = site.keys[0]
-    site.keys = [f"key-{site.version}"]
-    site.former_keys.append(old)
-    site.configure()
+    old_key = site.valid_keys[0]
+    site.valid_keys = [f"key-{site.version}"]
+    site.revoked_keys.append(old_key)
+    site.write_configuration()
     now = asyncio.get_running_loop().time()
-    site.checks.revoked(old, now + REVOKE_SECONDS)
+    site.checks.record_revocation(old_key, now + REVOCATION_SECONDS)
     await soak.pause(0.1, 1)
 
 
-@troubles.register("take_key_away_unseen")
+@faults.register("take_key_away_unseen")
 async def take_key_away_unseen(soak: GatewaySoak) -> None:
     """Take a key away while no daemon can read the store."""
     for daemon in soak.site.daemons:
         daemon.proxy.mode = Mode.SILENCE
     await soak.pause(0, 0.5)
     await take_key_away(soak)
-    await soak.pause(REVOKE_SECONDS, 2 * REVOKE_SECONDS)
+    await soak.pause(REVOCATION_SECONDS, 2 * REVOCATION_SECONDS)
     for daemon in soak.site.daemons:
         daemon.proxy.mode = Mode.PASS
 
 
-@troubles.register("configure")
+@faults.register("configure")
 async def configure(soak: GatewaySoak) -> None:
     """Write the configuration several times in a row."""
-    for _ in range(soak.draw.randint(1, 5)):
-        soak.site.configure()
+    for _ in range(soak.rng.randint(1, 5)):
+        soak.site.write_configuration()
         await soak.pause(0.05, 0.4)
 
 
-@troubles.register("watched_stop")
+@faults.register("watched_stop")
 async def watched_stop(soak: GatewaySoak) -> None:
     """Stop a daemon with nothing else going on: no request may be cut."""
-    for _ in range(TROUBLES_AT_ONCE - 1):
-        await soak.slots.acquire()
+    for _ in range(MAX_CONCURRENT_FAULTS - 1):
+        await soak.fault_slots.acquire()
     try:
-        await asyncio.sleep(QUIET_SECONDS)
-        daemon = soak.daemon()
-        if daemon.runs:
-            await _stop_and_look(soak, daemon)
+        await asyncio.sleep(QUIET_PERIOD_SECONDS)
+        daemon = soak.pick_daemon()
+        if daemon.is_running:
+            await _stop_and_check(soak, daemon)
             await soak.site.start_daemon(daemon)
     finally:
-        for _ in range(TROUBLES_AT_ONCE - 1):
-            soak.slots.release()
+        for _ in range(MAX_CONCURRENT_FAULTS - 1):
+            soak.fault_slots.release()
 
 
-async def _stop_and_look(soak: GatewaySoak, daemon: Daemon) -> None:
+async def _stop_and_check(soak: GatewaySoak, daemon: Daemon) -> None:
     """Stop a daemon, and see that what it was answering is answered whole."""
-    all_running = [caller.running for caller in soak.callers]
-    running = [exchange for exchange in all_running if exchange and exchange.daemon == daemon.name]
+    current_exchanges = [caller.current_exchange for caller in soak.callers]
+    exchanges = [
+        exchange for exchange in current_exchanges if exchange and exchange.daemon == daemon.name
+    ]
     checks = soak.site.checks
     if not await daemon.end(signal.SIGTERM):
-        checks.faults.append(f"LOST {daemon.name} did not stop within its grace")
-    await asyncio.sleep(NOTE_SECONDS)
-    for exchange in running:
-        if not exchange.whole:
-            checks.faults.append(
+        checks.violations.append(f"LOST {daemon.name} did not stop within its grace")
+    await asyncio.sleep(RECORD_DELAY_SECONDS)
+    for exchange in exchanges:
+        if not exchange.is_complete:
+            checks.violations.append(
                 f"LOST {exchange.id} was cut by a planned stop of {daemon.name}: "
                 f"status {exchange.status}, {exchange.ended_at - exchange.sent_at:.3f} s, "
                 f"{len(checks.runs(exchange.id))} runs"
             )
-    soak.counts["requests through a planned stop"] += len(running)
+    soak.counts["requests through a planned stop"] += len(exchanges)
--- a/bench/soaks/gateway_upgrade.py
+++ b/bench/soaks/gateway_upgrade.py
@@ -23,15 +23,15 @@
     return pathlib.Path(checkout).resolve() / PROGRAM_IN_CHECKOUT if checkout else PROGRAM
 
 
-async def play(soak: GatewaySoak, seed: int, older: pathlib.Path) -> None:
+async def replace_builds(soak: GatewaySoak, seed: int, older: pathlib.Path) -> None:
     """Replace each daemon's build, then some again, this way and back; all are new at the end."""
-    draw = random.Random(f"upgrade {seed}")
+    rng = random.Random(f"upgrade {seed}")
     for daemon in soak.site.daemons:
-        await asyncio.sleep(draw.uniform(0.1, 1.0))
+        await asyncio.sleep(rng.uniform(0.1, 1.0))
         await _replace(soak.site, daemon, PROGRAM)
-    while not soak.over:
-        await asyncio.sleep(draw.uniform(0.2, 1.5))
-        daemon = draw.choice(soak.site.daemons)
+    while not soak.is_over:
+        await asyncio.sleep(rng.uniform(0.2, 1.5))
+        daemon = rng.choice(soak.site.daemons)
         soak.counts["builds replaced"] += 1
         await _replace(soak.site, daemon, older if daemon.program == PROGRAM else PROGRAM)
     for daemon in soak.site.daemons:
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -21,16 +21,16 @@
     from .gateway_site import SoakSite
 
 # the body of a request that ends each worker of a group which runs it
-FATAL = b"a request that no worker survives"
+FATAL_BODY = b"a request that no worker survives"
 # of each stream
-STREAM_EVENTS = 20
+EVENTS_PER_STREAM = 20
 # a leader without a member stands still for so long before it breaks its group; told to the
 # daemons as their bound
-STALL_SECONDS = 1.0
+STALL_TIMEOUT_SECONDS = 1.0
 # from a worker's end to the end of its entry in the store
-LAPSE_SECONDS = 1.5
+ENTRY_TTL_SECONDS = 1.5
 # after which a worker that a request has ended is back under its id
-BACK_SECONDS = 1.0
+RESTART_DELAY_SECONDS = 1.0
 
 
 class SoakWorker(PlatformWorker):
@@ -40,31 +40,31 @@
         super().__init__(site.store, name, service, domain)
         self._site = site
         self.proxy: Proxy | None = None
-        self.events = STREAM_EVENTS
-        self.crash_trigger = FATAL if domain else None
+        self.events = EVENTS_PER_STREAM
+        self.crash_trigger = FATAL_BODY if domain else None
         # a worker sends the head as soon as a request runs
         self.events_before_crash = 1
-        self.restart_after_seconds = BACK_SECONDS
+        self.restart_after_seconds = RESTART_DELAY_SECONDS
         # told in its first life as well: a life that isn't told apart counts as the same one
         self.born = 1
-        self.alive = True
-        self._lapse: asyncio.TimerHandle | None = None
+        self.is_alive = True
+        self._entry_expiry: asyncio.TimerHandle | None = None
 
     @property
-    def takes_work(self) -> bool:
+    def is_available(self) -> bool:
         """Whether it lives and is not draining."""
-        return self.alive and not self.draining
+        return self.is_alive and not self.draining
 
     @property
-    def is_willing(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether it takes all requests, and says nothing else."""
-        return self.takes_work and not self.leaving and self.refusal_retry_after is None
+        return self.is_available and not self.leaving and self.refusal_retry_after is None
 
     @property
-    def whole(self) -> bool:
+    def is_group_complete(self) -> bool:
         """Whether all members live and are in the group."""
         members = [self._site.workers[name] for name in self._members]
-        return all(member.alive and self._same_group(member) for member in members)
+        return all(member.is_alive and self._is_in_same_group(member) for member in members)
 
     async def start(self) -> None:
         """Listen behind a proxy, and enter the store with its address."""
@@ -73,35 +73,35 @@
         self.address = await self.proxy.start()
         self.publish()
 
-    def refuse(self) -> None:
+    def stop_listening(self) -> None:
         """Take no more connections; requests under way go on."""
         assert self.proxy is not None
-        self.proxy.refuse()
+        self.proxy.stop_listening()
 
     async def crash(self) -> None:
         """End without a word; the entry runs out later."""
-        self.alive = False
+        self.is_alive = False
         assert self.proxy is not None
         assert self._runner is not None
         await self.proxy.stop()
         await self._runner.cleanup()
-        self._lapse = asyncio.get_running_loop().call_later(
-            LAPSE_SECONDS, self._store.delete, f"servers/{self.id}"
+        self._entry_expiry = asyncio.get_running_loop().call_later(
+            ENTRY_TTL_SECONDS, self._store.delete, f"servers/{self.id}"
         )
 
     async def restart(self) -> None:
         """Start under the same id, behind another proxy."""
-        if self._lapse is not None:
-            self._lapse.cancel()
-        self.alive = True
+        if self._entry_expiry is not None:
+            self._entry_expiry.cancel()
+        self.is_alive = True
         self.leaving, self.refusal_retry_after, self.limit = False, None, None
-        self._site.notices.forget(self)
-        self._site.limits.end(self.id)
+        self._site.notices.forget_worker(self)
+        self._site.limits.clear_limit(self.id)
         await super().restart()
 
     def publish(self) -> None:
         """Write its entry while it lives."""
-        if self.alive:
+        if self.is_alive:
             super().publish()
 
     def event(self, request: web.BaseRequest, number: int) -> bytes:
@@ -113,11 +113,11 @@
         exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if exchange is not None:
             daemon = self._site.daemon_named(exchange.daemon)
-            self._site.notices.arrived(self, daemon, exchange.id, exchange.sent_at)
+            self._site.notices.check_arrival(self, daemon, exchange.id, exchange.sent_at)
             if self.leads or not self.domain:
-                self._site.limits.arrived(self, daemon, exchange.id)
+                self._site.limits.check_arrival(self, daemon, exchange.id)
             if self.leaving:
-                self._site.notices.said_leaving(self, daemon)
+                self._site.notices.record_leaving(self, daemon)
         return await super()._serve(request)
 
     def refusal_for(self, request: web.BaseRequest) -> web.Response | None:
@@ -126,7 +126,7 @@
         exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if response is not None and exchange is not None:
             daemon = self._site.daemon_named(exchange.daemon)
-            self._site.notices.asked(self, daemon, response.headers.get(RETRY_AFTER, ""))
+            self._site.notices.record_pause(self, daemon, response.headers.get(RETRY_AFTER, ""))
         return response
 
     def record_run(self, run: Run) -> None:
@@ -134,29 +134,29 @@
         super().record_run(run)
         exchange = self._site.exchanges.get(run.id)
         if exchange is None:
-            self._site.checks.faults.append(f"UNASKED {run.id} ran at {self.id}")
+            self._site.checks.violations.append(f"UNASKED {run.id} ran at {self.id}")
             return
-        self._site.checks.ran(run, exchange.kind, exchange.sent_at, exchange.key)
+        self._site.checks.check_run(run, exchange.kind, exchange.sent_at, exchange.key)
         if self.domain:
             self._check_members(run.id)
 
     def _check_members(self, request_id: str) -> None:
         for name in self._members:
             member = self._site.workers[name]
-            if member.alive and not self._same_group(member):
+            if member.is_alive and not self._is_in_same_group(member):
                 text = f"PARTIAL {request_id} began at {self.id}, {name} is in {member._group}"
-                self._site.checks.faults.append(text)
+                self._site.checks.violations.append(text)
 
-    def _same_group(self, member: "SoakWorker") -> bool:
+    def _is_in_same_group(self, member: "SoakWorker") -> bool:
         own, other = self._group, member._group
         return own is not None and other is not None and own["epoch"] == other["epoch"]
 
     async def delay_next_event(self) -> None:
         """Stand still while a member is missing; break after the stall."""
         await asyncio.sleep(EVENT_INTERVAL_SECONDS)
-        since = asyncio.get_running_loop().time()
-        while not self.whole:
-            if asyncio.get_running_loop().time() - since > STALL_SECONDS:
+        stalled_at = asyncio.get_running_loop().time()
+        while not self.is_group_complete:
+            if asyncio.get_running_loop().time() - stalled_at > STALL_TIMEOUT_SECONDS:
                 if self._group is not None:
                     self._group["state"] = "broken"
                     self.publish()
@@ -167,8 +167,8 @@
         former = self._group
         if former is not None and former["epoch"] != order["epoch"]:
             for other in self._site.workers.values():
-                if other.alive and other.can_run_requests and self._same_group(other):
-                    self._site.checks.faults.append(
+                if other.is_alive and other.can_run_requests and self._is_in_same_group(other):
+                    self._site.checks.violations.append(
                         f"TWO {self.id} joins {order['group']}, {other.id} leads {former['name']}"
                     )
         return super()._join(order)
--- a/bench/soaks/harness.py
+++ b/bench/soaks/harness.py
@@ -14,7 +14,7 @@
 import typing as t
 
 # of each seed, so that one cause does not push the verdicts of others off the screen
-FAULTS_SHOWN = 20
+MAX_VIOLATIONS_SHOWN = 20
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -22,35 +22,35 @@
     """One seed that is being played.
 
     :param draw: decides everything that is left to chance.
-    :param end: when no new trouble begins, on the loop's clock in seconds.
+    :param ends_at: when no new trouble begins, on the loop's clock in seconds.
     :param trouble_names: names of the troubles to draw from.
     :param faults: a line for each thing that must not be.
     """
 
-    draw: random.Random
-    end: float
-    trouble_names: list[str]
-    faults: list[str] = dataclasses.field(default_factory=list)
+    rng: random.Random
+    ends_at: float
+    fault_names: list[str]
+    violations: list[str] = dataclasses.field(default_factory=list)
     counts: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the time is up."""
-        return asyncio.get_running_loop().time() >= self.end
+        return asyncio.get_running_loop().time() >= self.ends_at
 
-    async def pause(self, least: float, most: float) -> None:
+    async def pause(self, min_seconds: float, max_seconds: float) -> None:
         """Wait for a drawn time.
 
         :param least: seconds.
         :param most: seconds.
         """
-        await asyncio.sleep(self.draw.uniform(least, most))
+        await asyncio.sleep(self.rng.uniform(min_seconds, max_seconds))
 
 
-PlaySeed = t.Callable[[pathlib.Path, int], t.Coroutine[t.Any, t.Any, Soak]]
+SeedRunner = t.Callable[[pathlib.Path, int], t.Coroutine[t.Any, t.Any, Soak]]
 
 
-def play(play_seed: PlaySeed, seeds: t.Iterable[int], logs: str = "") -> t.NoReturn:
+def run_seeds(run_seed: SeedRunner, seeds: t.Iterable[int], logs: str = "") -> t.NoReturn:
     """Play seeds one after the other, print what was seen, and exit.
 
     :param play_seed: plays one seed with a directory for its logs.
@@ -64,16 +64,16 @@
         with tempfile.TemporaryDirectory(prefix="thorncleat-soak-") as name:
             directory = pathlib.Path(logs or name) / f"seed-{seed}"
             directory.mkdir(parents=True)
-            played = asyncio.run(play_seed(directory, seed))
-        _show(seed, played)
-        failed += bool(played.faults)
+            result = asyncio.run(run_seed(directory, seed))
+        _show(seed, result)
+        failed += bool(result.violations)
     raise SystemExit(1 if failed else 0)
 
 
-def _show(seed: int, played: Soak) -> None:
-    for what, count in sorted(played.counts.items()):
+def _show(seed: int, result: Soak) -> None:
+    for what, count in sorted(result.counts.items()):
         print(f"{what}: {count}")
-    for fault in played.faults[:FAULTS_SHOWN]:
-        print(f"FAULT {fault}")
-    verdict = "FAILED" if played.faults else "passed"
-    print(f"verdict, seed {seed}: {verdict}, {len(played.faults)} faults", flush=True)
+    for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
+        print(f"FAULT {violation}")
+    verdict = "FAILED" if result.violations else "passed"
+    print(f"verdict, seed {seed}: {verdict}, {len(result.violations)} faults", flush=True)
--- a/bench/soaks/proxy.py
+++ b/bench/soaks/proxy.py
@@ -12,9 +12,9 @@
 
 CHUNK_BYTES = 65_536
 # by default
-DELAY_SECONDS = 0.2
+DEFAULT_DELAY_SECONDS = 0.2
 # SO_LINGER on, 0 s: closing then resets the connection
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
@@ -43,7 +43,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self._mode = Mode.PASS
         self._mode_changed = asyncio.Event()
-        self.delay = DELAY_SECONDS
+        self.delay_seconds = DEFAULT_DELAY_SECONDS
         self.changed_at = float("-inf")
         self.address = ""
 
@@ -65,7 +65,7 @@
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
         return self.address
 
-    def refuse(self) -> None:
+    def stop_listening(self) -> None:
         """Listen no more; what is open goes on."""
         assert self._server is not None
         self._server.close()
@@ -82,9 +82,9 @@
     def reset(self) -> None:
         """Reset all connections."""
         for writer in list(self._writers):
-            peer = writer.get_extra_info("socket")
+            connection = writer.get_extra_info("socket")
             with contextlib.suppress(OSError):
-                peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -105,27 +105,27 @@
         if self.mode is Mode.RESET:
             writer.transport.abort()
             return
-        there, back = await asyncio.open_connection(*self._target)
-        self._writers.add(back)
+        target_reader, target_writer = await asyncio.open_connection(*self._target)
+        self._writers.add(target_writer)
         try:
             await asyncio.gather(
-                self._copy(reader, back, Mode.LOSE_REQUESTS),
-                self._copy(there, writer, Mode.LOSE_ANSWERS),
+                self._copy(reader, target_writer, Mode.LOSE_REQUESTS),
+                self._copy(target_reader, writer, Mode.LOSE_ANSWERS),
             )
         finally:
-            self._writers.discard(back)
-            back.close()
+            self._writers.discard(target_writer)
+            target_writer.close()
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, lost_in: Mode
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, discard_mode: Mode
     ) -> None:
         try:
             while data := await reader.read(CHUNK_BYTES):
                 if self.mode is Mode.DELAY:
-                    await asyncio.sleep(self.delay)
-                if self.mode in (Mode.SILENCE, lost_in):
+                    await asyncio.sleep(self.delay_seconds)
+                if self.mode in (Mode.SILENCE, discard_mode):
                     # what a partition holds up is lost when the connection is reset
-                    await self._pass_again(lost_in)
+                    await self._wait_until_passing(discard_mode)
                 writer.write(data)
                 await writer.drain()
             if writer.can_write_eof():
@@ -133,6 +133,6 @@
         except ConnectionError:
             writer.transport.abort()
 
-    async def _pass_again(self, lost_in: Mode) -> None:
-        while self.mode in (Mode.SILENCE, lost_in):
+    async def _wait_until_passing(self, discard_mode: Mode) -> None:
+        while self.mode in (Mode.SILENCE, discard_mode):
             await self._mode_changed.wait()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,7 +12,7 @@
 from bench.soaks.gateway_checks import Checks
 from bench.soaks.gateway_checks import Exchange
 from bench.soaks.gateway_checks import RequestKind
-from bench.soaks.gateway_checks import expected
+from bench.soaks.gateway_checks import expected_body
 from bench.soaks.gateway_limits import LimitChecks
 from bench.soaks.gateway_notices import NoticeChecks
 from bench.soaks.proxy import Mode
@@ -30,48 +30,52 @@
 
 @pytest.mark.parametrize("seed", [1, *REGRESSIONS])
 async def test_real_processes_keep_the_promises_under_faults(tmp_path, seed):
-    trouble_names = gateway_soak.troubles.names
-    played = await gateway_soak.run(tmp_path, seed, SOAK_MINUTES, 3, trouble_names)
-    assert played.site.checks.faults == []
-    assert played.site.checks.counts["stream 200"] > 0
-    assert all(not daemon.runs for daemon in played.site.daemons)
+    fault_names = gateway_soak.faults.names
+    result = await gateway_soak.run(tmp_path, seed, SOAK_MINUTES, 3, fault_names)
+    assert result.site.checks.violations == []
+    assert result.site.checks.counts["stream 200"] > 0
+    assert all(not daemon.is_running for daemon in result.site.daemons)
 
 
 async def test_planned_stop_cuts_nothing(tmp_path):
-    played = await gateway_soak.run(tmp_path, 2, SOAK_MINUTES, 3, ["watched_stop"])
-    assert played.site.checks.faults == []
+    result = await gateway_soak.run(tmp_path, 2, SOAK_MINUTES, 3, ["watched_stop"])
+    assert result.site.checks.violations == []
 
 
 class TestVerdict:
-    def _play(self, faults_of_seeds, tmp_path):
-        async def play_seed(directory, seed):
+    def _run_seeds(self, violations_of_seeds, tmp_path):
+        async def run_seed(directory, seed):
             assert directory == tmp_path / f"seed-{seed}"
-            faults = faults_of_seeds[seed]
-            return harness.Soak(draw=random.Random(seed), end=0.0, trouble_names=[], faults=faults)
+            violations = violations_of_seeds[seed]
+            return harness.Soak(
+                rng=random.Random(seed), ends_at=0.0, fault_names=[], violations=violations
+            )
 
         with pytest.raises(SystemExit) as ended:
-            harness.play(play_seed, faults_of_seeds, str(tmp_path))
+            harness.run_seeds(run_seed, violations_of_seeds, str(tmp_path))
         return ended.value.code
 
     def test_seeds_without_faults_pass(self, tmp_path, capsys):
-        assert self._play({1: [], 2: []}, tmp_path) == 0
+        assert self._run_seeds({1: [], 2: []}, tmp_path) == 0
         assert "verdict, seed 2: passed, 0 faults" in capsys.readouterr().out
 
     def test_fault_of_one_seed_fails_the_run_and_the_next_is_played(self, tmp_path, capsys):
-        assert self._play({1: ["TWICE r1"], 2: []}, tmp_path) == 1
+        assert self._run_seeds({1: ["TWICE r1"], 2: []}, tmp_path) == 1
         shown = capsys.readouterr().out
         assert "FAULT TWICE r1\nverdict, seed 1: FAILED, 1 faults" in shown
         assert "verdict, seed 2: passed, 0 faults" in shown
 
     def test_directory_of_another_run_is_refused(self, tmp_path):
-        assert self._play({1: []}, tmp_path) == 0
+        assert self._run_seeds({1: []}, tmp_path) == 0
         with pytest.raises(FileExistsError, match="seed-1"):
-            harness.play(lambda *_: None, [1], str(tmp_path))
+            harness.run_seeds(lambda *_: None, [1], str(tmp_path))
 
 
-def exchange(kind=RequestKind.ONCE, **fields):
-    made = Exchange("r1", kind, 10.0, "key", b"body", 200, whole=True, signed=True, echoed="r1")
-    made.body = expected(made, EVENTS)
+def exchange(kind=RequestKind.NON_REPEATABLE, **fields):
+    made = Exchange(
+        "r1", kind, 10.0, "key", b"body", 200, is_complete=True, signed=True, echoed="r1"
+    )
+    made.body = expected_body(made, EVENTS)
     return dataclasses.replace(made, **fields)
 
 
@@ -82,42 +86,42 @@
 class TestChecks:
     def test_right_answer_is_no_fault(self):
         checks = Checks(EVENTS)
-        checks.ran(run(), RequestKind.ONCE, 10.0, "key")
-        checks.answered(exchange())
-        assert checks.faults == []
+        checks.check_run(run(), RequestKind.NON_REPEATABLE, 10.0, "key")
+        checks.check_answer(exchange())
+        assert checks.violations == []
 
     def test_second_run_is_seen(self):
         checks = Checks(EVENTS)
-        checks.ran(run("w1"), RequestKind.ONCE, 10.0, "key")
-        checks.ran(run("w2"), RequestKind.ONCE, 10.0, "key")
-        assert checks.faults == ["TWICE r1 ran at ['w1', 'w2']"]
+        checks.check_run(run("w1"), RequestKind.NON_REPEATABLE, 10.0, "key")
+        checks.check_run(run("w2"), RequestKind.NON_REPEATABLE, 10.0, "key")
+        assert checks.violations == ["TWICE r1 ran at ['w1', 'w2']"]
 
     @pytest.mark.parametrize("kind", [RequestKind.STREAM, RequestKind.REPEATABLE])
     def test_what_may_be_repeated_may_run_again(self, kind):
         checks = Checks(EVENTS)
-        checks.ran(run("w1"), kind, 10.0, "key")
-        checks.ran(run("w2"), kind, 10.0, "key")
-        assert checks.faults == []
+        checks.check_run(run("w1"), kind, 10.0, "key")
+        checks.check_run(run("w2"), kind, 10.0, "key")
+        assert checks.violations == []
 
     def test_refusal_of_what_had_run_is_seen(self):
         checks = Checks(EVENTS)
-        checks.ran(run(), RequestKind.ONCE, 10.0, "key")
-        checks.answered(exchange(status=503))
-        assert checks.faults == ["REFUSED r1 got 503 and had run"]
+        checks.check_run(run(), RequestKind.NON_REPEATABLE, 10.0, "key")
+        checks.check_answer(exchange(status=503))
+        assert checks.violations == ["REFUSED r1 got 503 and had run"]
 
     def test_run_after_its_refusal_is_seen(self):
         checks = Checks(EVENTS)
-        checks.answered(exchange(status=503))
-        checks.ran(run(), RequestKind.ONCE, 10.0, "key")
-        assert checks.faults == ["REFUSED r1 ran at w1 after its refusal"]
+        checks.check_answer(exchange(status=503))
+        checks.check_run(run(), RequestKind.NON_REPEATABLE, 10.0, "key")
+        assert checks.violations == ["REFUSED r1 ran at w1 after its refusal"]
 
     def test_key_that_works_too_long_is_seen(self):
         checks = Checks(EVENTS)
-        checks.revoked("key", 9.0)
-        checks.ran(run(), RequestKind.ONCE, 8.9, "key")
-        assert checks.faults == []
-        checks.ran(run(), RequestKind.REPEATABLE, 9.1, "key")
-        assert checks.faults == ["CONFIG r1 ran with a key taken away before"]
+        checks.record_revocation("key", 9.0)
+        checks.check_run(run(), RequestKind.NON_REPEATABLE, 8.9, "key")
+        assert checks.violations == []
+        checks.check_run(run(), RequestKind.REPEATABLE, 9.1, "key")
+        assert checks.violations == ["CONFIG r1 ran with a key taken away before"]
 
     @pytest.mark.parametrize(
         ("wrong", "fault"),
@@ -129,14 +133,14 @@
     )
     def test_answer_that_is_not_its_own_is_seen(self, wrong, fault):
         checks = Checks(EVENTS)
-        checks.answered(exchange(**wrong))
-        assert fault in checks.faults[0]
+        checks.check_answer(exchange(**wrong))
+        assert fault in checks.violations[0]
 
     def test_stream_with_a_doubled_event_is_seen(self):
         checks = Checks(EVENTS)
-        whole = exchange(RequestKind.STREAM).body
-        checks.answered(exchange(RequestKind.STREAM, body=whole + whole[-20:]))
-        assert len(checks.faults) == 1
+        body = exchange(RequestKind.STREAM).body
+        checks.check_answer(exchange(RequestKind.STREAM, body=body + body[-20:]))
+        assert len(checks.violations) == 1
 
 
 class TestProxy:
@@ -185,7 +189,7 @@
 
     @staticmethod
     def _scene(**of_daemon):
-        faults, counts = [], collections.Counter()
+        violations, counts = [], collections.Counter()
         proxy = types.SimpleNamespace(mode=Mode.PASS, changed_at=0.0)
         worker = types.SimpleNamespace(id="w1", proxy=proxy)
         daemon = types.SimpleNamespace(
@@ -197,21 +201,21 @@
                 **of_daemon,
             }
         )
-        return NoticeChecks(faults, counts), worker, daemon, faults
+        return NoticeChecks(violations, counts), worker, daemon, violations
 
     async def _pause(self, requests, pause="1", after=0.7, **of_daemon):
-        checks, worker, daemon, faults = self._scene(**of_daemon)
-        checks.asked(worker, daemon, pause)
+        checks, worker, daemon, violations = self._scene(**of_daemon)
+        checks.record_pause(worker, daemon, pause)
         await asyncio.sleep(after)
         for _ in range(requests):
-            checks.arrived(worker, daemon, "r1", asyncio.get_running_loop().time())
-        return faults
+            checks.check_arrival(worker, daemon, "r1", asyncio.get_running_loop().time())
+        return violations
 
     async def _drain(self, sent_after, **of_daemon):
-        checks, worker, daemon, faults = self._scene(**of_daemon)
-        checks.said_leaving(worker, daemon)
-        checks.arrived(worker, daemon, "r1", asyncio.get_running_loop().time() + sent_after)
-        return faults
+        checks, worker, daemon, violations = self._scene(**of_daemon)
+        checks.record_leaving(worker, daemon)
+        checks.check_arrival(worker, daemon, "r1", asyncio.get_running_loop().time() + sent_after)
+        return violations
 
     @pytest.mark.parametrize(
         ("given", "found"),
@@ -246,10 +250,10 @@
 class TestLimitChecks:
     """What reaches a worker from all daemons is counted against the limit that it names."""
 
-    async def _play(self, daemons, rate, limit="1", **of_daemon):
+    async def _send_requests(self, daemons, rate, limit="1", **of_daemon):
         """Let requests of some daemons reach a worker in turn; return what was found."""
-        faults, counts = [], collections.Counter()
-        checks = LimitChecks(faults, counts)
+        violations, counts = [], collections.Counter()
+        checks = LimitChecks(violations, counts)
         worker = types.SimpleNamespace(
             id="w1", proxy=types.SimpleNamespace(mode=Mode.PASS, changed_at=0.0)
         )
@@ -260,13 +264,13 @@
             )
             for number in range(daemons)
         ]
-        checks.begin("w1", limit)
+        checks.set_limit("w1", limit)
         for number in range(int(9 * rate)):
-            checks.arrived(worker, senders[number % daemons], f"r{number}")
+            checks.check_arrival(worker, senders[number % daemons], f"r{number}")
             await asyncio.sleep(1 / rate)
-        checks.end("w1")
-        checks.arrived(worker, senders[0], "after its end")
-        return bool(faults)
+        checks.clear_limit("w1")
+        checks.check_arrival(worker, senders[0], "after its end")
+        return bool(violations)
 
     @pytest.mark.parametrize(
         ("given", "found"),
@@ -283,4 +287,4 @@
         ],
     )
     def test_limit(self, given, found):
-        assert virtual_time.run(self._play(**given)) is found
+        assert virtual_time.run(self._send_requests(**given)) is found
