--- a/bench/soaks/__init__.py
+++ b/bench/soaks/__init__.py
@@ -1,1 +1,1 @@
-"""Soaks: randomised runs of real processes with faults, which end with a verdict."""
+"""Soak tests: randomised runs of real processes under injected faults."""
--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -1,12 +1,10 @@
-"""The soak of the product's own daemon: ``bin/soak``.
+"""Soak test of thorncleat's own daemon, run by ``bin/soak``.
 
-Daemons, engines and the store are killed, frozen and slowed at random while callers stream
-and make calls that may run once, and operators change the configuration. Whatever happens,
-no answer may be wrong, no call may run twice, nothing said not to have run may have run, no
-daemon may see an invariant broken, and in the end every group serves again.
+Injects faults into daemons, engines and the store under load. Checks that answers are correct,
+that calls run at most once and as reported, and that all groups recover.
 
-Owns: the cluster of one seed and what its callers were told.
-Relies on: the service's own ledger of what ran, and the daemons' logs of broken invariants.
+Owns: the cluster of one seed and the outcomes reported to its callers.
+Relies on: the service's ledger of executed calls, and the daemons' logs of broken invariants.
 """
 
 import asyncio
@@ -33,9 +31,8 @@
 from .harness import run_seeds
 
 CALLER_KEY = "soak-key"
-# environment variable that the daemon reads
 BROKEN_FENCE_VARIABLE = "THORNCLEAT_TEST_BROKEN_FENCE"
-# settings in seconds, short so that a run of minutes sees many leases end
+# Times in seconds, short so that many leases expire during a run.
 CONTROL_SETTINGS = {
     "probe": 0.2,
     "window": 1.2,
@@ -46,12 +43,10 @@
     "member_probe": 0.3,
 }
 GROUPS = 2
-# callers of each sort
 CALLERS_PER_KIND = 12
 MAX_CONCURRENT_FAULTS = 2
-# for a trouble with its healing; one that hangs is counted and left
+# Limit for a fault including its end; a fault that exceeds it is counted and cancelled.
 FAULT_TIMEOUT_SECONDS = 30.0
-# for a whole stream
 STREAM_TIMEOUT_SECONDS = 20.0
 
 
@@ -62,8 +57,8 @@
         try:
             await asyncio.wait_for(faults.get(name)(soak), FAULT_TIMEOUT_SECONDS)
         except Exception as error:
-            # a change refused while the store is away, say, or a daemon that ends meanwhile;
-            # counted, and shown before the verdict
+            # Overlapping faults can make each other fail, for example a change of the
+            # configuration while the store is down.
             soak.counts[f"trouble failed {type(error).__name__}"] += 1
         await soak.pause(0.1, 1.5)
 
@@ -131,13 +126,13 @@
         await cluster.wait_until_ready()
         await cluster.wait_for_open_groups(GROUPS)
     except LaunchError as error:
-        soak.violations.append(f"not whole again: {error}")
+        soak.violations.append(f"not recovered: {error}")
 
 
 async def run(
     directory: pathlib.Path, seed: int, minutes: float, fault_names: list[str]
 ) -> DaemonSoak:
-    """Play one seed and return what was seen."""
+    """Run one seed and return its result."""
     site = Site(daemons=4, domains=2, instances=5, token_seconds=0.01, load_seconds=0.1)
     cluster = Cluster(directory, site, control=CONTROL_SETTINGS, requests={"stall": 2.0})
     try:
@@ -168,11 +163,11 @@
 
 
 def soak(seed: int = 1, minutes: float = 2.0, broken_fence: bool = False, only: str = "") -> None:
-    """Play a seed, and exit with 1 if anything that must hold did not.
+    """Run a seed; exit with status 1 if a promise was broken.
 
-    :param broken_fence: let the owners of claims act without their leases, to see the run
-        fail; what a missing fence can't stand is holders that come back after their lease.
-    :param only: make this kind of trouble alone.
+    :param broken_fence: whether owners of claims act without holding their leases, which must
+        make the run fail; by default this injects ``freeze_a_daemon`` only.
+    :param only: the only kind of fault to inject; all kinds if empty.
     """
     if broken_fence:
         os.environ[BROKEN_FENCE_VARIABLE] = "1"
--- a/bench/soaks/gateway.py
+++ b/bench/soaks/gateway.py
@@ -1,10 +1,9 @@
-"""The soak of the gateway as it runs on the users' platform: ``bin/soak-gateway``.
+"""Soak test of the gateway on the users' platform, run by ``bin/soak-gateway``.
 
-Real processes behind loopback proxies; troubles in series and overlapping; the promises of the
-users' pages checked from what callers and endpoints see.
+Injects faults into real processes behind proxies, and checks what callers and endpoints observe.
 
-Owns: the site of one seed, which it starts, heals and ends.
-Relies on: the troubles of :mod:`bench.soaks.gateway_troubles` and the checks of
+Owns: the site of one seed, from its start to its end.
+Relies on: the faults of :mod:`bench.soaks.gateway_troubles` and the checks of
 :mod:`bench.soaks.gateway_checks`.
 """
 
@@ -33,13 +32,12 @@
 from .proxy import Mode
 
 CALLERS_PER_DAEMON = 4
-# for all daemons to serve every kind of request once the faults are over
+# Limit for all daemons to serve all kinds of requests after the faults have ended.
 RECOVERY_TIMEOUT_SECONDS = 12.0
-# for the groups to stand at the start
+# Limit for the groups to open at the start.
 FORMATION_TIMEOUT_SECONDS = 30.0
-# for each daemon to have read the store at the start
+# Lets each daemon read the store at the start.
 STORE_READ_SECONDS = 1.0
-# between two looks at processes and groups
 POLL_INTERVAL_SECONDS = 0.1
 
 
@@ -53,20 +51,22 @@
 
 
 async def _watch_exits(soak: GatewaySoak) -> None:
-    """Notice processes that end though nobody ended them."""
+    """Report and restart daemons that exit unexpectedly."""
     while not soak.is_over:
         for daemon in soak.site.daemons:
             if not daemon.ended_by_soak and not daemon.is_running:
                 daemon.ended_by_soak = True
                 assert daemon.process is not None
                 code = daemon.process.process.returncode
-                soak.violations.append(f"ENDED {daemon.name} by itself with {code}")
+                soak.violations.append(
+                    f"ENDED {daemon.name} exited unexpectedly with status {code}"
+                )
                 await soak.site.start_daemon(daemon)
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
 async def _recover(soak: GatewaySoak) -> None:
-    """Undo all faults, and see that every daemon serves every kind of request again."""
+    """Undo all faults and check that every daemon serves every kind of request again."""
     await _undo_faults(soak.site)
     deadline = asyncio.get_running_loop().time() + RECOVERY_TIMEOUT_SECONDS
     caller = Caller(soak.site, "heal", soak.rng)
@@ -98,7 +98,7 @@
     client: aiohttp.ClientSession,
     missing: t.Collection[tuple[str, RequestKind]],
 ) -> set[tuple[str, RequestKind]]:
-    """Ask each daemon once for each kind that is wanted; return what was served."""
+    """Send one request for each missing daemon and kind; return those that were served."""
     served = set()
     for daemon in site.daemons:
         for kind in RequestKind:
@@ -111,7 +111,7 @@
 
 
 async def _wait_until_serving(site: SoakSite) -> None:
-    """Wait until the groups stand and each daemon has read the store."""
+    """Wait until the groups are open and the daemons have read the store."""
     leader_count = 0
     while leader_count < 2:
         leader_count = sum(worker.leads for worker in site.workers.values())
@@ -127,9 +127,11 @@
     fault_names: list[str],
     older: str = "",
 ) -> GatewaySoak:
-    """Play one seed and return what was seen.
+    """Run one seed and return its result.
 
-    :param older: a checkout whose build all daemons run at the start, and which is replaced.
+    :param processes: number of daemons.
+    :param older: checkout of an older build that the daemons run at the start and that is
+        replaced during the run; empty for none.
     """
     site = SoakSite(directory, processes, gateway_upgrade.program_of(older))
     rng = random.Random(seed)
@@ -160,7 +162,7 @@
 
 
 async def _run_callers_and_faults(soak: GatewaySoak, seed: int, older: str) -> None:
-    """Let callers call and troubles happen until the time is up."""
+    """Send requests and inject faults until the end of the run."""
     coroutines = [_inject_faults(soak) for _ in range(MAX_CONCURRENT_FAULTS)]
     coroutines += [caller.run(soak.ends_at) for caller in soak.callers]
     coroutines += [_watch_exits(soak), gateway_notices.inject_notices(soak, seed)]
@@ -182,17 +184,19 @@
     logs: str = "",
     older: str = "",
 ) -> None:
-    """Play seeds one after the other; exit with 1 if anything that must hold did not.
-
-    :param processes: daemons.
-    :param seeds: how many, counted up from ``seed``.
-    :param only: make this kind of trouble alone.
-    :param logs: a directory for the daemons' logs; a temporary one otherwise.
-    :param older: a checkout of an older build, which the daemons run at the start and which is
-        replaced one by one.
+    """Run seeds one after the other; exit with status 1 if a promise was broken.
+
+    :param seed: the first seed.
+    :param minutes: duration of each seed's run.
+    :param processes: number of daemons.
+    :param seeds: number of consecutive seeds.
+    :param only: the only kind of fault to inject; all kinds if empty.
+    :param logs: directory for the daemons' logs; a temporary one if empty.
+    :param older: checkout of an older build that the daemons run at the start and that is
+        replaced during the run; empty for none.
     """
     fault_names = [only] if only else faults.names
-    # the stand-ins' streams break whenever a caller or a group does
+    # Silences the errors of the stand-ins' streams that faults break.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     run_seeds(
         lambda directory, number: run(directory, number, minutes, processes, fault_names, older),
--- a/bench/soaks/gateway_callers.py
+++ b/bench/soaks/gateway_callers.py
@@ -1,7 +1,7 @@
-"""The callers of the gateway's soak: each keeps its connections, and notes each answer.
+"""Callers of the gateway's soak, which send requests and record the answers.
 
-Owns: the answer that each caller waits for.
-Relies on: the site for keys that are valid and keys that were taken away.
+Owns: the current exchange of each caller.
+Relies on: the site for valid and revoked API keys.
 """
 
 import asyncio
@@ -16,19 +16,19 @@
 from .gateway_site import PATHS
 from .gateway_site import SoakSite
 
-# of each request
-DEADLINE_SECONDS = 4.0
-# on average, after an answer that is not 200
+REQUEST_TIMEOUT_SECONDS = 4.0
+# Mean pause after an answer with another status than 200.
 MEAN_PAUSE_SECONDS = 0.05
-# part of the calls that are made with a key that was taken away
+# Share of the requests that use a revoked key.
 REVOKED_KEY_SHARE = 0.1
 KINDS = (RequestKind.STREAM, RequestKind.NON_REPEATABLE, RequestKind.REPEATABLE)
 
 
 class Caller:
-    """One caller.
+    """A client that reuses its connections.
 
-    :param name: unique; begins its requests' ids.
+    :param name: unique prefix of the ids of its requests.
+    :ivar current_exchange: the exchange in progress; None between two requests.
     """
 
     def __init__(self, site: SoakSite, name: str, rng: random.Random) -> None:
@@ -39,13 +39,16 @@
         self.current_exchange: Exchange | None = None
 
     async def run(self, ends_at: float) -> None:
-        """Call one daemon after the other until a moment on the loop's clock."""
+        """Send requests to random daemons.
+
+        :param ends_at: end on the loop's clock, in seconds.
+        """
         async with aiohttp.ClientSession(auto_decompress=False) as client:
             while asyncio.get_running_loop().time() < ends_at:
                 daemon = self.rng.choice(self._site.daemons)
                 kind = self.rng.choice(KINDS)
-                is_revoked = self.rng.random() < REVOKED_KEY_SHARE
-                keys = self._site.revoked_keys if is_revoked else self._site.valid_keys
+                uses_revoked_key = self.rng.random() < REVOKED_KEY_SHARE
+                keys = self._site.revoked_keys if uses_revoked_key else self._site.valid_keys
                 key = self.rng.choice(keys)
                 exchange = await self.call(client, daemon, kind, key)
                 if exchange.status != 200:
@@ -60,10 +63,10 @@
         *,
         body: bytes = b"",
     ) -> Exchange:
-        """Send one request and note the answer.
+        """Send one request and return the exchange, complete or not.
 
-        :param body: if not empty, in place of one that names the request; the path is then the
-            same for all requests with it.
+        :param body: body that replaces the request's own one; such requests share a path. Empty
+            for the own one.
         """
         self._request_count += 1
         loop = asyncio.get_running_loop()
@@ -73,7 +76,7 @@
         )
         self._site.exchanges[name] = self.current_exchange = exchange
         try:
-            async with asyncio.timeout(DEADLINE_SECONDS):
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                 await self._send(client, daemon, exchange, "same" if body else name)
         except (aiohttp.ClientError, OSError, TimeoutError):
             pass
@@ -88,17 +91,17 @@
         headers = {
             "Host": HOST,
             "X-Thorncleat-Attempt-Id": exchange.id,
-            "X-Thorncleat-Deadline-Ms": str(int(DEADLINE_SECONDS * 1000)),
+            "X-Thorncleat-Deadline-Ms": str(int(REQUEST_TIMEOUT_SECONDS * 1000)),
             "Authorization": f"Token {exchange.key}",
         }
         if exchange.kind is RequestKind.STREAM:
             headers["X-Thorncleat-Model"] = "large"
         url = f"http://{daemon.callers_address}{PATHS[exchange.kind]}{path}"
-        # a library that sends GET again by itself would hide what happened to the first
+        # POST, since the client library retries GET by itself.
         async with client.post(url, data=exchange.request_body, headers=headers) as response:
             exchange.status = response.status
             exchange.signed = "X-Thorncleat-Response-Stamp" in response.headers
             exchange.echoed = response.headers.get("X-Thorncleat-Attempt-Id", "")
-            async for piece in response.content.iter_any():
-                exchange.body += piece
+            async for chunk in response.content.iter_any():
+                exchange.body += chunk
             exchange.is_complete = True
--- a/bench/soaks/gateway_checks.py
+++ b/bench/soaks/gateway_checks.py
@@ -1,9 +1,7 @@
-"""What the gateway's soak checks: the promises of the users' pages.
+"""Checks of the gateway's soak, based only on what callers and endpoints observe.
 
-Nothing of the gateway itself is looked at, only what callers and endpoints see.
-
-Owns: what ran where, what callers were answered, and each promise found broken.
-Relies on: the site telling it of each run and each answer, both on the loop's clock.
+Owns: the runs of each request, the refused requests, the revoked keys and the violations.
+Relies on: workers to report each run, and callers to report each answer.
 """
 
 import collections
@@ -12,12 +10,12 @@
 
 from thorncleat_standins.platform_worker import Run
 
-# statuses that promise that the request did not run
+# Statuses that promise that the request did not run.
 REFUSAL_STATUSES = (408, 421, 429, 503)
 
 
 class RequestKind(enum.Enum):
-    """How often a request may run."""
+    """Whether a request may run more than once; streams and repeatable requests may."""
 
     STREAM = "stream"
     NON_REPEATABLE = "once"
@@ -26,12 +24,17 @@
 
 @dataclasses.dataclass
 class Exchange:
-    """What one caller sent and was answered.
-
-    :param status: of the answer; 0 if there was none.
-    :param body: as much as came.
-    :param whole: whether the answer ended in order.
-    :param echoed: the id that the answer names.
+    """A request and its answer.
+
+    :param sent_at: time of sending, on the loop's clock in seconds.
+    :param key: the API key.
+    :param status: HTTP status of the answer; 0 for none.
+    :param body: the received part of the answer's body.
+    :param is_complete: whether the whole answer was received.
+    :param signed: whether the answer has an endpoint's stamp.
+    :param echoed: the request id in the answer.
+    :param ended_at: time of the end, on the loop's clock in seconds.
+    :param daemon: name of the daemon that the request was sent to.
     """
 
     id: str
@@ -49,9 +52,11 @@
 
 
 class Checks:
-    """Collects what is seen, and says what must not be.
+    """Detects broken promises.
 
-    :ivar faults: a line for each promise that was broken.
+    :param events_per_stream: number of events in a complete stream.
+    :ivar violations: descriptions of broken promises.
+    :ivar counts: counters of the report.
     """
 
     def __init__(self, events_per_stream: int) -> None:
@@ -63,18 +68,21 @@
         self.counts: collections.Counter[str] = collections.Counter()
 
     def runs(self, request_id: str) -> list[Run]:
-        """Return the runs of a request so far."""
+        """Return the recorded runs of a request."""
         return list(self._runs[request_id])
 
     def record_revocation(self, key: str, invalid_from: float) -> None:
-        """Note from when on a key must not work.
+        """Record the time from which requests with a key must be rejected.
 
-        :param fails_from: on the loop's clock.
+        :param invalid_from: on the loop's clock, in seconds.
         """
         self._invalid_from[key] = invalid_from
 
     def check_run(self, run: Run, kind: RequestKind, sent_at: float, key: str) -> None:
-        """Check a run that begins."""
+        """Record the start of a run and check that it is allowed.
+
+        :param sent_at: when the caller sent the request, on the loop's clock in seconds.
+        """
         self._runs[run.id].append(run)
         if kind is RequestKind.NON_REPEATABLE and len(self._runs[run.id]) > 1:
             workers = [recorded.worker for recorded in self._runs[run.id]]
@@ -85,7 +93,7 @@
             self.violations.append(f"CONFIG {run.id} ran with a key taken away before")
 
     def check_answer(self, exchange: Exchange) -> None:
-        """Check what a caller was answered."""
+        """Check the answer of an ended exchange."""
         self.counts[f"{exchange.kind.value} {exchange.status or 'cut'}"] += 1
         if exchange.status in REFUSAL_STATUSES:
             self._refused.add(exchange.id)
@@ -104,7 +112,7 @@
 
 
 def expected_body(exchange: Exchange, events_per_stream: int) -> bytes:
-    """Return the whole answer to a request."""
+    """Return the body of the correct answer to a request."""
     if exchange.kind is not RequestKind.STREAM:
         return b"answer to " + exchange.request_body
     name = exchange.id.encode()
--- a/bench/soaks/gateway_daemons.py
+++ b/bench/soaks/gateway_daemons.py
@@ -1,7 +1,7 @@
-"""The daemons of the gateway's soak: the real program, started and ended by id.
+"""Gateway processes of the gateway's soak.
 
-Owns: each daemon's process.
-Relies on: Linux, whose kernel ends the daemons when the soak itself is killed.
+Owns: the process of each daemon.
+Relies on: Linux, whose kernel kills the daemons when the soak is killed.
 """
 
 import asyncio
@@ -17,28 +17,33 @@
 from .proxy import Proxy
 
 PROGRAM = pathlib.Path(__file__).resolve().parents[2] / "platform" / "run.py"
-# that a daemon has to finish its requests
+# Time for a stopping daemon to finish its requests.
 GRACE_PERIOD_SECONDS = 6.0
-# from SIGTERM to SIGKILL
+# Time from SIGTERM to SIGKILL.
 STOP_TIMEOUT_SECONDS = GRACE_PERIOD_SECONDS + 2.0
-# PR_SET_PDEATHSIG of prctl(2)
+# Option of prctl(2).
 _PR_SET_PDEATHSIG = 1
 
 
 def _exit_with_parent() -> None:
-    """Let the kernel end this process when the soak is killed."""
+    """Make the kernel kill this process when its parent exits."""
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 @dataclasses.dataclass
 class Daemon:
-    """One gateway process.
-
-    :param program: of the build that it runs from its next start on.
-    :ivar running_program: the program that it runs now, or ran last.
-    :ivar ended_by_soak: whether the soak ended it.
-    :ivar started_at: on the loop's clock.
-    :ivar signalled_at: the same.
+    """A gateway process, which can be restarted.
+
+    :param settings: path of its settings file.
+    :param callers_address: ``host:port`` of its listener for callers.
+    :param readiness_address: ``host:port`` of its listener for readiness probes.
+    :param proxy: the proxy between it and the store.
+    :param program: the program of its next start.
+    :ivar ended_by_soak: whether the soak ended the process or has not started it.
+    :ivar running_program: the program of its latest start.
+    :ivar started_at: time of its latest start, on the loop's clock.
+    :ivar signalled_at: time of the latest signal except SIGHUP, on the loop's clock.
+    :ivar start_lock: serialises starts.
     """
 
     name: str
@@ -56,33 +61,33 @@
 
     @property
     def reads_notices(self) -> bool:
-        """Whether its build reads what workers say in answers about taking requests."""
+        """Whether its build honours ``Retry-After`` and ``Server-Leaving``."""
         return self.running_program == PROGRAM
 
     @property
     def reads_limits(self) -> bool:
-        """Whether its build keeps to what workers take from all daemons together."""
+        """Whether its build honours ``Server-Limit``."""
         return self.running_program == PROGRAM
 
     @property
     def interrupted_at(self) -> float:
-        """When it was started, stopped or frozen last, on the loop's clock."""
+        """Time of the latest start or signal, on the loop's clock."""
         return max(self.started_at, self.signalled_at)
 
     @property
     def disturbed_at(self) -> float:
-        """The same, or when it was cut off from the store last."""
+        """Time of the latest start, signal or change of its proxy's mode, on the loop's clock."""
         return max(self.interrupted_at, self.proxy.changed_at)
 
     @property
     def is_running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process is running."""
         return self.process is not None and self.process.running
 
     async def start(self, log: pathlib.Path) -> None:
-        """Start the real program.
+        """Start the program.
 
-        :param log: is appended to.
+        :param log: file to which the output is appended.
         """
         environment = {**os.environ, "THORNCLEAT_CONFIG": str(self.settings)}
         with log.open("ab") as output:
@@ -96,20 +101,20 @@
             )
         self.process = Process(self.name, process)
         self.running_program = self.program
-        # not before: until then the former process is the one that is known
+        # Set only now: a daemon that is not ended by the soak must have a running process.
         self.ended_by_soak = False
         self.started_at = asyncio.get_running_loop().time()
 
     def send(self, signal_number: signal.Signals) -> None:
-        """Send a signal, if the process is there."""
+        """Send a signal if there is a process."""
         if signal_number is not signal.SIGHUP:
-            # that one only has it read its settings
+            # SIGHUP only reloads the settings.
             self.signalled_at = asyncio.get_running_loop().time()
         if self.process is not None:
             self.process.send(signal_number)
 
     async def end(self, signal_number: signal.Signals) -> bool:
-        """End the process; return whether it ended by itself in time."""
+        """Send a signal and wait for the exit; return False if SIGKILL was needed."""
         self.ended_by_soak = True
         self.signalled_at = asyncio.get_running_loop().time()
         return self.process is None or await self.process.stop(signal_number, STOP_TIMEOUT_SECONDS)
--- a/bench/soaks/gateway_fatal.py
+++ b/bench/soaks/gateway_fatal.py
@@ -1,10 +1,9 @@
-"""The last phase of the gateway's soak: a request that ends each endpoint which runs it.
+"""Last phase of the gateway's soak: a request that crashes each endpoint that runs it.
 
-All faults are undone by then, so every daemon has to know what the others have seen. It is no
-trouble among the others, since a further one would change what each seed draws.
+Runs after all faults are undone, when daemons must share what they know of crashes.
 
-Owns: the tries of one such request.
-Relies on: workers that crash on a marked body and are back under their id, with another ``born``.
+Owns: the attempts of the request.
+Relies on: workers that crash on its body and restart under the same id with another ``born``.
 """
 
 import asyncio
@@ -17,14 +16,14 @@
 from .gateway_workers import FATAL_BODY
 
 ATTEMPTS = 10
-# on average between two tries: some come at once, some after a worker is back
+# Mean pause between two attempts.
 MEAN_PAUSE_SECONDS = 0.3
-# that all daemons in touch may let through: three, and one whose word was under way
+# Three crashes until the quarantine, and one before all daemons have heard of the third.
 MAX_CRASHES = 4
 
 
 async def send_fatal_requests(site: SoakSite, caller: Caller) -> None:
-    """Send the request to daemons at random, and others beside it."""
+    """Send the fatal request to random daemons, then check that other requests are served."""
     crashes_before = sum(worker.crashes for worker in site.workers.values())
     async with aiohttp.ClientSession(auto_decompress=False) as client:
         for _ in range(ATTEMPTS):
@@ -36,7 +35,7 @@
         crashes = sum(worker.crashes for worker in site.workers.values()) - crashes_before
         site.checks.counts["endpoints ended by a fatal request"] += crashes
         if crashes > MAX_CRASHES:
-            site.checks.violations.append(f"BUDGET a request ended {crashes} endpoints")
+            site.checks.violations.append(f"BUDGET a request crashed {crashes} endpoints")
         await _check_other_requests(site, caller, client)
 
 
@@ -46,4 +45,4 @@
     for daemon in site.daemons:
         exchange = await caller.call(client, daemon, RequestKind.STREAM, site.valid_keys[0])
         if exchange.status == 429:
-            site.checks.violations.append(f"HELD {exchange.id}, which ended nothing")
+            site.checks.violations.append(f"HELD {exchange.id}, which crashed no endpoint")
--- a/bench/soaks/gateway_limits.py
+++ b/bench/soaks/gateway_limits.py
@@ -1,9 +1,9 @@
-"""Workers of the gateway's soak that take few requests from all daemons together.
+"""Rate limits that workers of the gateway's soak announce to all daemons, and their checks.
 
-A trouble of its own, as in :mod:`.gateway_notices`, so that kept seeds draw what they drew.
+The random generator is separate, so that seeds still choose the same faults elsewhere.
 
-Owns: what reached each worker while it named a limit, and whom it had told.
-Relies on: callers noting at which daemon each request was sent.
+Owns: the announced limits and the requests that reached limited workers.
+Relies on: callers to record the daemon of each request.
 """
 
 import asyncio
@@ -20,18 +20,20 @@
     from .gateway_troubles import GatewaySoak
     from .gateway_workers import SoakWorker
 
-# workers of a service that name none, so that most requests are still served
+# Workers of a service that stay without a limit, so that most requests are served.
 MIN_UNLIMITED_WORKERS = 1
-# as workers write them; the last one can't be read
+# Values of the Server-Limit header; the last one is invalid.
 LIMIT_VALUES = ("0.1", "0.5", "1", "1.3 ", "3", "0", "1,3")
 
 
 @dataclasses.dataclass
 class _Limit:
-    """A limit that a worker names.
+    """A limit that a worker announces. Times are on the loop's clock, in seconds.
 
-    :param named_at: when it first did, on the loop's clock; infinite before.
-    :ivar told_at: when each daemon was told first, or first since it was disturbed.
+    :param announced_at: time of the first announcement; infinite before.
+    :param reported_at: time of the first announcement to each daemon since its latest
+        interruption.
+    :param arrivals: times of the checked requests.
     """
 
     requests_per_second: float
@@ -41,7 +43,11 @@
 
 
 class LimitChecks:
-    """Checks what reaches workers against the limits that they name."""
+    """Checks the rates at which requests reach workers against their limits.
+
+    :param violations: receives descriptions of broken promises.
+    :param counts: counters of the report.
+    """
 
     def __init__(self, violations: list[str], counts: collections.Counter[str]) -> None:
         self._violations = violations
@@ -49,16 +55,16 @@
         self._limits: dict[str, _Limit] = {}
 
     def set_limit(self, worker_id: str, limit: str) -> None:
-        """Note that a worker names a limit from now on; one that can't be read binds nobody."""
+        """Record that a worker announces a limit from now on; invalid limits are ignored."""
         if limit.strip().replace(".", "").isdigit():
             self._limits[worker_id] = _Limit(float(limit))
 
     def clear_limit(self, worker_id: str) -> None:
-        """Note that a worker names none any more, or starts anew."""
+        """Record that a worker announces no limit any longer."""
         self._limits.pop(worker_id, None)
 
     def check_arrival(self, worker: "SoakWorker", daemon: "Daemon", request: str) -> None:
-        """Check a request that reached a worker, whose answer names its limit at once."""
+        """Check a request that reached a worker, whose answer announces its limit."""
         limit = self._limits.get(worker.id)
         if limit is None or not daemon.reads_limits:
             return
@@ -79,13 +85,14 @@
         arrivals_in_span = sum(at > now - limit_rule.SPAN_SECONDS for at in limit.arrivals)
         if arrivals_in_span > limit_rule.allowed(limit.requests_per_second):
             self._violations.append(
-                f"LIMIT {request} reached {worker.id}, which takes {limit.requests_per_second} a second, as "
-                f"number {arrivals_in_span} in {limit_rule.SPAN_SECONDS} s"
+                f"LIMIT {request} reached {worker.id}, which takes "
+                f"{limit.requests_per_second} a second, as number {arrivals_in_span} in "
+                f"{limit_rule.SPAN_SECONDS} s"
             )
 
 
 async def inject_limits(soak: "GatewaySoak", seed: int) -> None:
-    """Let workers name limits, some at once, until the time is up."""
+    """Make random workers announce limits until the end of the run."""
     rng = random.Random(f"limits {seed}")
     tasks: list[asyncio.Task[None]] = []
     while not soak.is_over:
@@ -112,7 +119,7 @@
 async def _announce_limit(
     soak: "GatewaySoak", worker: "SoakWorker", limit: str, seconds: float
 ) -> None:
-    """Let a worker name a limit for some time, for the time that is left at most."""
+    """Make a worker announce a limit for some time, at most until the end of the run."""
     born, worker.limit = worker.born, limit
     soak.site.limits.set_limit(worker.id, limit)
     seconds_left = soak.ends_at - asyncio.get_running_loop().time()
--- a/bench/soaks/gateway_notices.py
+++ b/bench/soaks/gateway_notices.py
@@ -1,11 +1,11 @@
-"""Workers of the gateway's soak that want no requests: for a time, or since they leave.
+"""Workers of the gateway's soak that ask for a pause or announce that they leave.
 
-They are troubles of their own, beside those that :mod:`.gateway_troubles` draws: a further one
-there would change what each kept seed draws.
+Checks that daemons respect this. The random generator is separate, so that seeds still choose
+the same faults elsewhere.
 
-Owns: what each worker has said to which daemon, and the checks of what reaches it afterwards.
-Relies on: callers noting at which daemon each request was sent, and on the site noting when a
-daemon was disturbed, since a restart, a freeze or a cut excuses it.
+Owns: the pauses and announcements that each daemon received.
+Relies on: callers to record the daemon of each request, and daemons to record the times of
+restarts, freezes and cuts from the store, after which they are excused.
 """
 
 import asyncio
@@ -22,27 +22,27 @@
     from .gateway_troubles import GatewaySoak
     from .gateway_workers import SoakWorker
 
-# after an answer, for the requests that were on their way to its worker; of the users' rules
+# Start of a pause during which requests may still arrive, since they were sent before it.
 IN_FLIGHT_SECONDS = 0.5
-# that may reach it in the rest of the time for which it wanted none; of the users' rules
+# Requests of one daemon that may arrive during the rest of a pause.
 MAX_REQUESTS_IN_PAUSE = 2
-# for which a worker that leaves still takes requests that callers sent after its word; of the
-# users' rules
+# How long a leaving worker accepts requests sent after its announcement.
 DRAIN_SECONDS = 2.0
-# pauses that workers ask for, as they write them; the last two can't be read
+# Values of the Retry-After header; the last two are invalid.
 RETRY_AFTER_VALUES = ("0.4", "1", "2.5", "3", "", "soon")
-# part of the troubles in which a worker turns requests away
+# Share of the faults that make a worker refuse requests; the others make it leave.
 TURN_AWAY_SHARE = 0.6
-# workers of a service that are left alone
+# Workers of a service that stay unaffected.
 MIN_ACCEPTING_WORKERS = 1
 
 
 @dataclasses.dataclass
 class _Pause:
-    """A time for which a worker wanted no requests of a daemon.
+    """A period during which a worker wants no requests from a daemon.
 
-    :param started_at: when it said so, on the loop's clock.
-    :param request_count: requests that reached it since, those on their way left out.
+    :param started_at: on the loop's clock, in seconds.
+    :param seconds: its duration.
+    :param request_count: number of requests that arrived after :data:`IN_FLIGHT_SECONDS`.
     """
 
     started_at: float
@@ -51,7 +51,11 @@
 
 
 class NoticeChecks:
-    """Checks what reaches workers against what they have said."""
+    """Checks the requests that reach workers against their pauses and announcements.
+
+    :param violations: receives descriptions of broken promises.
+    :param counts: counters of the report.
+    """
 
     def __init__(self, violations: list[str], counts: collections.Counter[str]) -> None:
         self._violations = violations
@@ -60,7 +64,7 @@
         self._leaving_since: dict[tuple[str, str], float] = {}
 
     def forget_worker(self, worker: "SoakWorker") -> None:
-        """Forget what a worker has said: it starts anew."""
+        """Forget the pauses and announcements of a worker that restarts."""
         self._pauses = collections.defaultdict(
             list, {key: value for key, value in self._pauses.items() if key[0] != worker.id}
         )
@@ -69,7 +73,10 @@
         }
 
     def record_pause(self, worker: "SoakWorker", daemon: "Daemon", pause: str) -> None:
-        """Note that a worker turned a daemon's request away."""
+        """Record that a worker refused a daemon's request.
+
+        :param pause: value of the ``Retry-After`` header; invalid ones start no pause.
+        """
         self._counts["requests turned away"] += 1
         if not pause.replace(".", "").isdigit() or not is_reachable(worker):
             return
@@ -77,7 +84,7 @@
         self._pauses[worker.id, daemon.name].append(_Pause(now, float(pause)))
 
     def record_leaving(self, worker: "SoakWorker", daemon: "Daemon") -> None:
-        """Note that a worker said in an answer that it leaves."""
+        """Record that a worker announced to a daemon that it leaves."""
         if is_reachable(worker):
             now = asyncio.get_running_loop().time()
             self._leaving_since.setdefault((worker.id, daemon.name), now)
@@ -87,7 +94,7 @@
     ) -> None:
         """Check a request that reached a worker.
 
-        :param sent_at: when its caller sent it, on the loop's clock.
+        :param sent_at: when its caller sent it, on the loop's clock in seconds.
         """
         if not daemon.reads_notices:
             return
@@ -99,7 +106,7 @@
         if sent_at > announced_at + DRAIN_SECONDS:
             self._violations.append(
                 f"DRAIN {request} reached {worker.id} from {daemon.name}, sent "
-                f"{sent_at - announced_at:.3f} s after its word that it leaves"
+                f"{sent_at - announced_at:.3f} s after it announced that it leaves"
             )
 
     def _check_pause(
@@ -120,22 +127,21 @@
 
 
 def is_reachable(worker: "SoakWorker") -> bool:
-    """Return whether a worker's answers reach daemons."""
+    """Return whether a worker's answers reach the daemons without disturbance."""
     return worker.proxy is not None and worker.proxy.mode is Mode.PASS
 
 
 def _is_excused(worker: "SoakWorker", disturbed_at: float, since: float) -> bool:
-    """Return whether a daemon was disturbed, or cut off from a worker, since a moment.
+    """Return whether a daemon, or its connections to a worker, were disturbed since a time.
 
-    :param disturbed_at: when it was disturbed last, by what excuses it: a cut from the store
-        excuses no request to a worker that leaves.
+    :param disturbed_at: time of the daemon's latest disturbance of a kind that excuses it.
     """
     changed_at = worker.proxy.changed_at if worker.proxy is not None else since
     return disturbed_at >= since or changed_at >= since
 
 
 async def inject_notices(soak: "GatewaySoak", seed: int) -> None:
-    """Let workers want no requests, one after the other, until the time is up."""
+    """Make random workers refuse requests or leave until the end of the run."""
     rng = random.Random(f"notices {seed}")
     tasks: list[asyncio.Task[None]] = []
     while not soak.is_over:
@@ -154,7 +160,7 @@
 async def _turn_away(
     _site: "SoakSite", worker: "SoakWorker", rng: random.Random, seconds: float
 ) -> None:
-    """Let a worker turn all requests away for some time."""
+    """Make a worker refuse all requests for some time."""
     born, worker.refusal_retry_after = worker.born, rng.choice(RETRY_AFTER_VALUES)
     await asyncio.sleep(seconds)
     if worker.born == born:
@@ -164,7 +170,7 @@
 async def _leave(
     site: "SoakSite", worker: "SoakWorker", _rng: random.Random, seconds: float
 ) -> None:
-    """Let a worker leave that says so in its answers, and in its entry only later."""
+    """Make a worker leave that announces it in its answers, and only later in its entry."""
     born, worker.leaving = worker.born, True
     await site.add_worker(worker.service, worker.domain)
     await asyncio.sleep(seconds)
--- a/bench/soaks/gateway_restores.py
+++ b/bench/soaks/gateway_restores.py
@@ -1,10 +1,9 @@
-"""The store of the gateway's soak comes back from a copy some seconds old, again and again.
+"""Restores of the gateway soak's store from backups that are some seconds old.
 
-It is a trouble of its own, beside those that :mod:`.gateway_troubles` draws: a further one there
-would change what each kept seed draws.
+The random generator is separate, so that seeds still choose the same faults elsewhere.
 
-Owns: the copy that the store comes back to.
-Relies on: the site writing again what its operator and its workers had written.
+Owns: the backup.
+Relies on: the site to rewrite the entries of its operator and its workers.
 """
 
 import asyncio
@@ -13,20 +12,20 @@
 from .gateway_site import SoakSite
 from .harness import Soak
 
-# between two restores, in seconds
+# Bounds of the interval between two restores.
 RESTORE_INTERVAL_SECONDS = (2.0, 10.0)
-# that a copy is old when the store comes back to it, in seconds
+# Bounds of the age of the backup when the outage begins.
 BACKUP_AGE_SECONDS = (0.5, 5.0)
-# for which the store is away before that, in seconds
+# Bounds of the outage before the restore.
 OUTAGE_SECONDS = (0.0, 1.0)
-# until the operator and the workers have written again, in seconds
+# Bounds of the delay until the operator and the workers rewrite their entries.
 REWRITE_DELAY_SECONDS = (0.0, 0.5)
-# part of the restores after which the store comes back once more soon
+# Share of the restores that are followed by another one at once.
 SECOND_RESTORE_SHARE = 0.3
 
 
 async def inject_restores(soak: Soak, site: SoakSite, seed: int) -> None:
-    """Restore the store from time to time until the time is up."""
+    """Restore the store repeatedly until the end of the run."""
     rng = random.Random(f"restores {seed}")
     while not soak.is_over:
         await _pause(rng, RESTORE_INTERVAL_SECONDS)
--- a/bench/soaks/gateway_site.py
+++ b/bench/soaks/gateway_site.py
@@ -1,8 +1,7 @@
-"""The site of the gateway's soak: real gateways behind proxies to stand-ins of the platform.
+"""The site of the gateway's soak: gateway processes behind proxies, and stand-ins of the platform.
 
-Owns: the stand-in store, the workers, the daemons, the keys that are valid and the requests that
-callers sent.
-Relies on: settings and store documents in the forms of the users' pages.
+Owns: the store, the workers, the daemons, the API keys and the exchanges of callers.
+Relies on: the formats of the users' settings and store documents.
 """
 
 import asyncio
@@ -30,13 +29,13 @@
 HOST = "soak.example"
 CONFIGURATION_KEY = "op/config"
 ENTRY_PREFIX = "servers/"
-# after which a key that was taken away must not work any more
+# Time after which a revoked key must be rejected.
 REVOCATION_SECONDS = 3.0
-# keys taken away that callers still try
+# Revoked keys that callers still use.
 MAX_REVOKED_KEYS = 4
-# fabric domains, workers in each, members of a group; workers of the plain service
+# Numbers of fabric domains, workers in each, members of a group, workers of the plain service.
 DOMAINS, DOMAIN_SIZE, GROUP_SIZE, PLAIN_WORKERS = 2, 6, 2, 3
-# for callers, the balancer's question and other daemons
+# Listeners for callers, for readiness probes and for other daemons.
 PORTS_PER_DAEMON = 3
 PATHS = {
     RequestKind.STREAM: "/chat/",
@@ -46,9 +45,13 @@
 
 
 class SoakSite:
-    """Daemons, workers, the store, and what callers know.
+    """Daemons, workers, the store and the state that callers share.
 
-    :param program: of the build that all daemons run at the start.
+    :param directory: directory of settings and logs.
+    :param daemons: number of daemons.
+    :param program: the program that all daemons run at the start.
+    :ivar exchanges: all exchanges, by request id.
+    :ivar version: version of the configuration.
     """
 
     def __init__(
@@ -70,14 +73,14 @@
         self._configuration: dict[str, t.Any] = {}
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the store, the workers and the daemons."""
         address = await self.store.start()
         self.write_configuration()
         for number in range(DOMAINS * DOMAIN_SIZE):
             await self.add_worker("narrator", f"d{number // DOMAIN_SIZE}")
         for _ in range(PLAIN_WORKERS):
             await self.add_worker("desk")
-        # drawn together: two daemons that draw theirs before either listens may get the same one
+        # Allocated together, since a port stays free until its daemon listens.
         ports = free_ports(PORTS_PER_DAEMON * self._daemon_count)
         for number in range(self._daemon_count):
             own_ports = ports[number :: self._daemon_count]
@@ -85,9 +88,9 @@
         await asyncio.gather(*(self.start_daemon(daemon) for daemon in self.daemons))
 
     async def start_daemon(self, daemon: Daemon) -> None:
-        """Start a daemon, once more or for the first time."""
+        """Start a daemon unless it is running."""
         async with daemon.start_lock:
-            # two troubles may want the same daemon back
+            # Two overlapping faults can restart the same daemon.
             if not daemon.is_running:
                 await daemon.start(self._directory / f"{daemon.name}.log")
 
@@ -123,18 +126,21 @@
         )
 
     def daemon_named(self, name: str) -> Daemon:
-        """Return a daemon."""
+        """Return the daemon with a name."""
         return next(daemon for daemon in self.daemons if daemon.name == name)
 
     async def add_worker(self, service: str, domain: str = "") -> SoakWorker:
-        """Start one more worker."""
+        """Start a further worker.
+
+        :param domain: fabric domain; empty for a plain service.
+        """
         worker = SoakWorker(self, f"w{len(self.workers):03}", service, domain)
         self.workers[worker.id] = worker
         await worker.start()
         return worker
 
     def write_configuration(self) -> None:
-        """Write the next configuration, with the keys that are valid now."""
+        """Write the next version of the configuration, with the valid keys."""
         self.version += 3
         routes = [
             _route(RequestKind.STREAM, "streaming", "narrator", resumable=True, max_attempts=2),
@@ -157,7 +163,7 @@
         self.store.write(CONFIGURATION_KEY, document)
 
     def rewrite_entries(self) -> None:
-        """Write what the operator and the workers had written, as after a restore."""
+        """Write all entries of the operator and the workers again, as after a restore."""
         self.store.write(CONFIGURATION_KEY, self._configuration)
         for worker in self.workers.values():
             worker.publish()
@@ -166,7 +172,7 @@
                 self.store.delete(key)
 
     async def stop(self) -> None:
-        """End every process that was started here, by its id."""
+        """Stop all daemons, workers and the store."""
         await asyncio.gather(*(daemon.end(signal.SIGKILL) for daemon in self.daemons))
         for daemon in self.daemons:
             await daemon.proxy.stop()
--- a/bench/soaks/gateway_troubles.py
+++ b/bench/soaks/gateway_troubles.py
@@ -1,10 +1,7 @@
-"""The troubles that the gateway's soak draws from, and the state that they act on.
+"""Faults that the gateway's soak injects at random.
 
-Pauses are in seconds, drawn between two bounds.
-
-Owns: nothing; each trouble undoes what it did.
-Relies on: signals to processes that :mod:`bench.soaks.gateway_site` started, and on the proxies
-before the store and the workers.
+Owns: nothing; each fault undoes its effect.
+Relies on: the processes, the store and the proxies of :mod:`bench.soaks.gateway_site`.
 """
 
 import asyncio
@@ -24,11 +21,11 @@
 from .proxy import Mode
 
 MAX_CONCURRENT_FAULTS = 2
-# after the last trouble, before a planned stop is watched
+# Time without faults before a watched stop.
 QUIET_PERIOD_SECONDS = 3.0
-# for the interpreter and the first lines of the program, on a busy machine
+# Time for a started program to install its signal handlers.
 STARTUP_SECONDS = 2.0
-# for a caller to note the end of its answer
+# Time for a caller to record the end of its answer.
 RECORD_DELAY_SECONDS = 0.1
 HARMFUL_MODES = (Mode.DELAY, Mode.SILENCE, Mode.LOSE_ANSWERS, Mode.LOSE_REQUESTS, Mode.RESET)
 FaultInjector = t.Callable[["GatewaySoak"], t.Awaitable[None]]
@@ -37,9 +34,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class GatewaySoak(Soak):
-    """One seed, played with gateways.
+    """The state of one seed of the gateway's soak.
 
-    :param slots: as many as troubles may run at once.
+    :param fault_slots: limits the number of concurrent faults.
     """
 
     site: SoakSite
@@ -49,18 +46,18 @@
     )
 
     def pick_daemon(self) -> Daemon:
-        """Return one of the daemons."""
+        """Return a random daemon."""
         return self.rng.choice(self.site.daemons)
 
     def pick_worker(self) -> SoakWorker:
-        """Return one of the workers that live and take work."""
+        """Return a random worker that is alive and not draining."""
         workers = self.site.workers.values()
         return self.rng.choice([worker for worker in workers if worker.is_available])
 
 
 @faults.register("kill")
 async def kill(soak: GatewaySoak) -> None:
-    """Kill a daemon, and start it again after a while."""
+    """Kill a daemon and start it again after a pause."""
     daemon = soak.pick_daemon()
     await daemon.end(signal.SIGKILL)
     await soak.pause(0, 3)
@@ -69,7 +66,7 @@
 
 @faults.register("kill_many")
 async def kill_many(soak: GatewaySoak) -> None:
-    """Kill several daemons at once."""
+    """Kill several daemons at once and start them again after a pause."""
     daemon_count = len(soak.site.daemons)
     chosen = soak.rng.sample(soak.site.daemons, soak.rng.randint(2, daemon_count))
     await asyncio.gather(*(daemon.end(signal.SIGKILL) for daemon in chosen))
@@ -79,7 +76,7 @@
 
 @faults.register("stop")
 async def stop(soak: GatewaySoak) -> None:
-    """Stop a daemon as planned, and start it again."""
+    """Stop a daemon gracefully and start it again."""
     daemon = soak.pick_daemon()
     await daemon.end(signal.SIGTERM)
     await soak.site.start_daemon(daemon)
@@ -87,7 +84,7 @@
 
 @faults.register("freeze")
 async def freeze(soak: GatewaySoak) -> None:
-    """Let a daemon stand still."""
+    """Freeze a daemon for a while."""
     daemon = soak.pick_daemon()
     daemon.send(signal.SIGSTOP)
     await soak.pause(0.3, 6)
@@ -96,17 +93,17 @@
 
 @faults.register("reload")
 async def reload(soak: GatewaySoak) -> None:
-    """Let every daemon read its settings again."""
+    """Make all daemons reload their settings."""
     now = asyncio.get_running_loop().time()
     for daemon in soak.site.daemons:
-        # until its first lines have run, a program can do nothing about it (tests/test_run.py)
+        # Until its signal handlers are installed, SIGHUP ends a program.
         if now - daemon.started_at > STARTUP_SECONDS:
             daemon.send(signal.SIGHUP)
 
 
 @faults.register("cut_from_store")
 async def cut_from_store(soak: GatewaySoak) -> None:
-    """Disturb the connections between one daemon and the store."""
+    """Disturb the connections between a daemon and the store for a while."""
     proxy = soak.pick_daemon().proxy
     proxy.mode = soak.rng.choice(HARMFUL_MODES)
     if proxy.mode is Mode.RESET:
@@ -117,7 +114,7 @@
 
 @faults.register("store_away")
 async def store_away(soak: GatewaySoak) -> None:
-    """Let the store refuse every call for a while."""
+    """Make the store refuse all calls for a while."""
     soak.site.store.refuse = True
     await soak.pause(0.3, 6)
     soak.site.store.refuse = False
@@ -125,19 +122,19 @@
 
 @faults.register("store_loses_answers")
 async def store_loses_answers(soak: GatewaySoak) -> None:
-    """Let the store carry out some writes without answering."""
+    """Make the store lose the answers to some writes that it executes."""
     soak.site.store.lose_answers += soak.rng.randint(1, 3)
 
 
 @faults.register("store_forgets")
 async def store_forgets(soak: GatewaySoak) -> None:
-    """Let the store drop its history, which ends all watches."""
+    """Make the store discard its history, so that watches of earlier revisions fail."""
     soak.site.store.compact()
 
 
 @faults.register("cut_worker")
 async def cut_worker(soak: GatewaySoak) -> None:
-    """Disturb the connections to one worker."""
+    """Disturb the connections to a worker for a while."""
     proxy = soak.pick_worker().proxy
     assert proxy is not None
     proxy.mode = soak.rng.choice(HARMFUL_MODES)
@@ -149,7 +146,7 @@
 
 @faults.register("crash_worker")
 async def crash_worker(soak: GatewaySoak) -> None:
-    """Let a worker end without a word, and add another."""
+    """Crash a worker, and start another one after a pause."""
     worker = soak.pick_worker()
     await worker.crash()
     await soak.pause(0, 3)
@@ -158,7 +155,7 @@
 
 @faults.register("drain_worker")
 async def drain_worker(soak: GatewaySoak) -> None:
-    """Let a worker drain, stop listening while it works on, and then end; add another."""
+    """Drain a worker, close its listener, and then crash it; start another one."""
     worker = soak.pick_worker()
     worker.draining = True
     worker.publish()
@@ -173,7 +170,7 @@
 
 @faults.register("take_key_away")
 async def take_key_away(soak: GatewaySoak) -> None:
-    """Replace the key that is valid; the old one must stop working."""
+    """Replace the valid key; the old one must be rejected after a while."""
     site = soak.site
     old_key = site.valid_keys[0]
     site.valid_keys = [f"key-{site.version}"]
@@ -186,7 +183,7 @@
 
 @faults.register("take_key_away_unseen")
 async def take_key_away_unseen(soak: GatewaySoak) -> None:
-    """Take a key away while no daemon can read the store."""
+    """Revoke a key while no daemon can read the store."""
     for daemon in soak.site.daemons:
         daemon.proxy.mode = Mode.SILENCE
     await soak.pause(0, 0.5)
@@ -198,7 +195,7 @@
 
 @faults.register("configure")
 async def configure(soak: GatewaySoak) -> None:
-    """Write the configuration several times in a row."""
+    """Write several versions of the configuration in a row."""
     for _ in range(soak.rng.randint(1, 5)):
         soak.site.write_configuration()
         await soak.pause(0.05, 0.4)
@@ -206,7 +203,7 @@
 
 @faults.register("watched_stop")
 async def watched_stop(soak: GatewaySoak) -> None:
-    """Stop a daemon with nothing else going on: no request may be cut."""
+    """Stop a daemon while no other fault is injected; no request may be cut."""
     for _ in range(MAX_CONCURRENT_FAULTS - 1):
         await soak.fault_slots.acquire()
     try:
@@ -221,14 +218,14 @@
 
 
 async def _stop_and_check(soak: GatewaySoak, daemon: Daemon) -> None:
-    """Stop a daemon, and see that what it was answering is answered whole."""
+    """Stop a daemon gracefully and check that its running requests are completed."""
     current_exchanges = [caller.current_exchange for caller in soak.callers]
     exchanges = [
         exchange for exchange in current_exchanges if exchange and exchange.daemon == daemon.name
     ]
     checks = soak.site.checks
     if not await daemon.end(signal.SIGTERM):
-        checks.violations.append(f"LOST {daemon.name} did not stop within its grace")
+        checks.violations.append(f"LOST {daemon.name} did not stop within its grace period")
     await asyncio.sleep(RECORD_DELAY_SECONDS)
     for exchange in exchanges:
         if not exchange.is_complete:
--- a/bench/soaks/gateway_upgrade.py
+++ b/bench/soaks/gateway_upgrade.py
@@ -1,7 +1,7 @@
-"""Replacing the build of the soak's daemons under load, one after the other, and back.
+"""Upgrades and downgrades of the gateway soak's daemons under load.
 
-Owns: which build each daemon runs.
-Relies on: a checkout of the older build, whose program takes the same settings.
+Owns: the build of each daemon.
+Relies on: a checkout of an older build that accepts the same settings.
 """
 
 import asyncio
@@ -14,17 +14,19 @@
 from .gateway_site import SoakSite
 from .gateway_troubles import GatewaySoak
 
-# of a checkout
 PROGRAM_IN_CHECKOUT = "platform/run.py"
 
 
 def program_of(checkout: str) -> pathlib.Path:
-    """Return the program of a checkout; that of this one if it isn't named."""
+    """Return the path of a checkout's program; of this checkout's if the name is empty."""
     return pathlib.Path(checkout).resolve() / PROGRAM_IN_CHECKOUT if checkout else PROGRAM
 
 
 async def replace_builds(soak: GatewaySoak, seed: int, older: pathlib.Path) -> None:
-    """Replace each daemon's build, then some again, this way and back; all are new at the end."""
+    """Upgrade all daemons, then downgrade and upgrade random ones; all end upgraded.
+
+    :param older: program of the older build.
+    """
     rng = random.Random(f"upgrade {seed}")
     for daemon in soak.site.daemons:
         await asyncio.sleep(rng.uniform(0.1, 1.0))
@@ -40,7 +42,7 @@
 
 
 async def _replace(site: SoakSite, daemon: Daemon, program: pathlib.Path) -> None:
-    """Stop a daemon as planned, and start it with another build."""
+    """Stop a daemon gracefully and start it with another build."""
     daemon.program = program
     await daemon.end(signal.SIGTERM)
     await site.start_daemon(daemon)
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -1,7 +1,7 @@
-"""The workers of the gateway's soak: stand-ins that check the rules of groups.
+"""Workers of the gateway's soak, which check the requests and orders that they receive.
 
-Owns: whether each worker lives, and its proxy.
-Relies on: what callers of the site sent, to know whether a request that runs was asked for.
+Owns: the state and the proxy of each worker.
+Relies on: the site's exchanges, which show whether a caller sent a request.
 """
 
 import asyncio
@@ -20,21 +20,20 @@
 if t.TYPE_CHECKING:
     from .gateway_site import SoakSite
 
-# the body of a request that ends each worker of a group which runs it
+# Body of a request that crashes each group leader that runs it.
 FATAL_BODY = b"a request that no worker survives"
-# of each stream
 EVENTS_PER_STREAM = 20
-# a leader without a member stands still for so long before it breaks its group; told to the
-# daemons as their bound
+# How long a leader stalls without a member before it breaks its group. The daemons' stall
+# timeout has the same value.
 STALL_TIMEOUT_SECONDS = 1.0
-# from a worker's end to the end of its entry in the store
+# Time from a worker's crash to the deletion of its entry from the store.
 ENTRY_TTL_SECONDS = 1.5
-# after which a worker that a request has ended is back under its id
+# Delay of the restart after a crash that a request caused.
 RESTART_DELAY_SECONDS = 1.0
 
 
 class SoakWorker(PlatformWorker):
-    """A worker that checks the rules of groups, and stands still without a member."""
+    """A worker behind a proxy; as a leader it stalls while a member is missing."""
 
     def __init__(self, site: "SoakSite", name: str, service: str, domain: str = "") -> None:
         super().__init__(site.store, name, service, domain)
@@ -42,44 +41,44 @@
         self.proxy: Proxy | None = None
         self.events = EVENTS_PER_STREAM
         self.crash_trigger = FATAL_BODY if domain else None
-        # a worker sends the head as soon as a request runs
+        # The head of the answer shows that the request runs.
         self.events_before_crash = 1
         self.restart_after_seconds = RESTART_DELAY_SECONDS
-        # told in its first life as well: a life that isn't told apart counts as the same one
+        # Set from the first incarnation on, since daemons can't tell one without it apart.
         self.born = 1
         self.is_alive = True
         self._entry_expiry: asyncio.TimerHandle | None = None
 
     @property
     def is_available(self) -> bool:
-        """Whether it lives and is not draining."""
+        """Whether it is alive and not draining."""
         return self.is_alive and not self.draining
 
     @property
     def is_accepting(self) -> bool:
-        """Whether it takes all requests, and says nothing else."""
+        """Whether it is available, not leaving, and refuses no requests."""
         return self.is_available and not self.leaving and self.refusal_retry_after is None
 
     @property
     def is_group_complete(self) -> bool:
-        """Whether all members live and are in the group."""
+        """Whether all members of its group are alive and in the group."""
         members = [self._site.workers[name] for name in self._members]
         return all(member.is_alive and self._is_in_same_group(member) for member in members)
 
     async def start(self) -> None:
-        """Listen behind a proxy, and enter the store with its address."""
+        """Listen behind a proxy and publish the proxy's address."""
         await super().start()
         self.proxy = Proxy(self.address)
         self.address = await self.proxy.start()
         self.publish()
 
     def stop_listening(self) -> None:
-        """Take no more connections; requests under way go on."""
+        """Refuse new connections and keep open ones."""
         assert self.proxy is not None
         self.proxy.stop_listening()
 
     async def crash(self) -> None:
-        """End without a word; the entry runs out later."""
+        """Abort all connections and stop listening; the entry expires later."""
         self.is_alive = False
         assert self.proxy is not None
         assert self._runner is not None
@@ -90,7 +89,7 @@
         )
 
     async def restart(self) -> None:
-        """Start under the same id, behind another proxy."""
+        """Start under the same id behind another proxy."""
         if self._entry_expiry is not None:
             self._entry_expiry.cancel()
         self.is_alive = True
@@ -100,16 +99,16 @@
         await super().restart()
 
     def publish(self) -> None:
-        """Write its entry while it lives."""
+        """Write the entry into the store if the worker is alive."""
         if self.is_alive:
             super().publish()
 
     def event(self, request: web.BaseRequest, number: int) -> bytes:
-        """Return an event that names its request."""
+        """Return the data of an event, with the id of its request."""
         return b"%s %d" % (request.headers["X-Thorncleat-Attempt-Id"].encode(), number)
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve a request, after a look at whether it should have come."""
+        """Check whether a request may arrive, and serve it."""
         exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if exchange is not None:
             daemon = self._site.daemon_named(exchange.daemon)
@@ -121,7 +120,7 @@
         return await super()._serve(request)
 
     def refusal_for(self, request: web.BaseRequest) -> web.Response | None:
-        """Note the time for which it wants no requests of a daemon."""
+        """Record the pause of each refusal."""
         response = super().refusal_for(request)
         exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if response is not None and exchange is not None:
@@ -130,7 +129,7 @@
         return response
 
     def record_run(self, run: Run) -> None:
-        """Check what must hold when a request begins to run."""
+        """Record the start of a run and check that it is allowed."""
         super().record_run(run)
         exchange = self._site.exchanges.get(run.id)
         if exchange is None:
@@ -152,7 +151,10 @@
         return own is not None and other is not None and own["epoch"] == other["epoch"]
 
     async def delay_next_event(self) -> None:
-        """Stand still while a member is missing; break after the stall."""
+        """Stall while a member is missing.
+
+        :raises ConnectionResetError: after :data:`STALL_TIMEOUT_SECONDS`, to break the stream.
+        """
         await asyncio.sleep(EVENT_INTERVAL_SECONDS)
         stalled_at = asyncio.get_running_loop().time()
         while not self.is_group_complete:
--- a/bench/soaks/harness.py
+++ b/bench/soaks/harness.py
@@ -1,8 +1,7 @@
-"""What the soaks share: the state of one seed, and playing seeds to a verdict.
+"""Runs the seeds of a soak and reports their verdicts.
 
-Owns: the draw, the counts and the faults found of each seed.
-Relies on: each soak's own troubles, which its modules register by decorator, and on a seed's
-faults being lines of text; no fault means that the seed passed.
+Owns: the random generator, the counters and the violations of each seed.
+Relies on: each soak for its faults and its checks.
 """
 
 import asyncio
@@ -13,18 +12,19 @@
 import tempfile
 import typing as t
 
-# of each seed, so that one cause does not push the verdicts of others off the screen
+# Limit for each seed, so that the verdicts of other seeds stay visible.
 MAX_VIOLATIONS_SHOWN = 20
 
 
 @dataclasses.dataclass(kw_only=True)
 class Soak:
-    """One seed that is being played.
+    """The state of one seed.
 
-    :param draw: decides everything that is left to chance.
-    :param ends_at: when no new trouble begins, on the loop's clock in seconds.
-    :param trouble_names: names of the troubles to draw from.
-    :param faults: a line for each thing that must not be.
+    :param rng: source of all random decisions.
+    :param ends_at: end of the run on the loop's clock, in seconds; later no fault is injected.
+    :param fault_names: names of the faults to choose from.
+    :param violations: descriptions of broken promises; the seed passes if there are none.
+    :param counts: counters of the report.
     """
 
     rng: random.Random
@@ -35,15 +35,11 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the time is up."""
+        """Whether the end of the run is reached."""
         return asyncio.get_running_loop().time() >= self.ends_at
 
     async def pause(self, min_seconds: float, max_seconds: float) -> None:
-        """Wait for a drawn time.
-
-        :param least: seconds.
-        :param most: seconds.
-        """
+        """Wait for a random time between two bounds."""
         await asyncio.sleep(self.rng.uniform(min_seconds, max_seconds))
 
 
@@ -51,28 +47,28 @@
 
 
 def run_seeds(run_seed: SeedRunner, seeds: t.Iterable[int], logs: str = "") -> t.NoReturn:
-    """Play seeds one after the other, print what was seen, and exit.
+    """Run seeds one after the other, print their reports, and exit.
 
-    :param play_seed: plays one seed with a directory for its logs.
-    :param logs: a directory for the logs of all seeds; a temporary one if empty.
-    :raises SystemExit: with 1 if any seed had a fault, else with 0.
-    :raises FileExistsError: if the directory has a run of a seed: the daemons of two runs would
-        read each other's settings there.
+    :param run_seed: runs one seed, given a directory for its settings and logs and the seed.
+    :param logs: parent directory of the seeds' directories; a temporary one if empty.
+    :raises SystemExit: with status 1 if any seed had a violation, else with 0.
+    :raises FileExistsError: if the directory of a seed exists, since the daemons of two runs
+        would read each other's settings.
     """
     failed = 0
     for seed in seeds:
-        with tempfile.TemporaryDirectory(prefix="thorncleat-soak-") as name:
-            directory = pathlib.Path(logs or name) / f"seed-{seed}"
+        with tempfile.TemporaryDirectory(prefix="thorncleat-soak-") as temporary:
+            directory = pathlib.Path(logs or temporary) / f"seed-{seed}"
             directory.mkdir(parents=True)
             result = asyncio.run(run_seed(directory, seed))
-        _show(seed, result)
+        _print_report(seed, result)
         failed += bool(result.violations)
     raise SystemExit(1 if failed else 0)
 
 
-def _show(seed: int, result: Soak) -> None:
-    for what, count in sorted(result.counts.items()):
-        print(f"{what}: {count}")
+def _print_report(seed: int, result: Soak) -> None:
+    for name, count in sorted(result.counts.items()):
+        print(f"{name}: {count}")
     for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
         print(f"FAULT {violation}")
     verdict = "FAILED" if result.violations else "passed"
--- a/bench/soaks/proxy.py
+++ b/bench/soaks/proxy.py
@@ -1,6 +1,6 @@
-"""A loopback proxy that delays, silences, cuts one way or resets what passes through it.
+"""A TCP proxy that delays, blocks or resets the connections through it.
 
-Owns: its connections and their mode.
+Owns: the connections and the mode.
 Relies on: nothing.
 """
 
@@ -11,14 +11,17 @@
 import struct
 
 CHUNK_BYTES = 65_536
-# by default
 DEFAULT_DELAY_SECONDS = 0.2
-# SO_LINGER on, 0 s: closing then resets the connection
+# SO_LINGER with a timeout of zero, which makes closing reset the connection.
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
-    """What a proxy does with connections."""
+    """How a proxy treats connections.
+
+    ``SILENCE`` blocks both directions, ``LOSE_ANSWERS`` and ``LOSE_REQUESTS`` one; ``RESET``
+    resets new connections.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -29,10 +32,12 @@
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
-    :ivar delay: seconds by which each piece comes later in the mode ``DELAY``.
-    :ivar changed_at: when the mode was changed last, on the loop's clock.
+    :param target: ``host:port``.
+    :ivar delay_seconds: delay of each chunk in the mode ``DELAY``.
+    :ivar changed_at: time of the last change of the mode, on the loop's clock.
+    :ivar address: ``host:port`` of the listener.
     """
 
     def __init__(self, target: str) -> None:
@@ -49,7 +54,7 @@
 
     @property
     def mode(self) -> Mode:
-        """What happens to open and new connections."""
+        """The mode of open and new connections."""
         return self._mode
 
     @mode.setter
@@ -60,18 +65,18 @@
         self._mode_changed = asyncio.Event()
 
     async def start(self) -> str:
-        """Listen on a free port of the loopback and return the address."""
+        """Listen on a free loopback port and return the address."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
         return self.address
 
     def stop_listening(self) -> None:
-        """Listen no more; what is open goes on."""
+        """Refuse new connections and keep open ones."""
         assert self._server is not None
         self._server.close()
 
     async def stop(self) -> None:
-        """Close all connections and listen no more."""
+        """Reset all connections and stop listening."""
         assert self._server is not None
         self._server.close()
         self.reset()
@@ -117,15 +122,15 @@
             target_writer.close()
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, discard_mode: Mode
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, blocking_mode: Mode
     ) -> None:
         try:
             while data := await reader.read(CHUNK_BYTES):
                 if self.mode is Mode.DELAY:
                     await asyncio.sleep(self.delay_seconds)
-                if self.mode in (Mode.SILENCE, discard_mode):
-                    # what a partition holds up is lost when the connection is reset
-                    await self._wait_until_passing(discard_mode)
+                if self.mode in (Mode.SILENCE, blocking_mode):
+                    # The chunk is lost only if the connection is reset meanwhile.
+                    await self._wait_until_passing(blocking_mode)
                 writer.write(data)
                 await writer.drain()
             if writer.can_write_eof():
@@ -133,6 +138,6 @@
         except ConnectionError:
             writer.transport.abort()
 
-    async def _wait_until_passing(self, discard_mode: Mode) -> None:
-        while self.mode in (Mode.SILENCE, discard_mode):
+    async def _wait_until_passing(self, blocking_mode: Mode) -> None:
+        while self.mode in (Mode.SILENCE, blocking_mode):
             await self._mode_changed.wait()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: a short seeded run of real processes, and its checks."""
+"""A short run of the gateway's soak, and the soak's own checks."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 
 EVENTS = 3
 SOAK_MINUTES = 0.15
-# seeds that ever failed, with a line on the cause
+# Seeds that failed once, each with its cause.
 REGRESSIONS: dict[int, str] = {}
 
 
@@ -144,8 +144,8 @@
 
 
 class TestProxy:
-    async def _talk(self, mode, seconds=0.2):
-        """Return what comes back through a proxy whose mode is set after the first answer."""
+    async def _send_through_proxy(self, mode, seconds=0.2):
+        """Return what a proxy passes back after a change of its mode; None for nothing."""
 
         async def echo(reader, writer):
             while data := await reader.read(100):
@@ -173,22 +173,22 @@
             server.close()
 
     async def test_passes_on(self):
-        assert await self._talk(Mode.PASS) == b"second"
+        assert await self._send_through_proxy(Mode.PASS) == b"second"
 
     @pytest.mark.parametrize("mode", [Mode.SILENCE, Mode.LOSE_ANSWERS, Mode.LOSE_REQUESTS])
     async def test_holds_back_in_one_or_both_directions(self, mode):
-        assert await self._talk(mode) is None
+        assert await self._send_through_proxy(mode) is None
 
     async def test_resets(self):
         with pytest.raises(ConnectionResetError):
-            await self._talk(Mode.RESET)
+            await self._send_through_proxy(Mode.RESET)
 
 
 class TestNoticeChecks:
-    """What reaches workers is checked against what they said, unless its daemon is excused."""
+    """Guards against missed and false violations of pauses and announcements."""
 
     @staticmethod
-    def _scene(**of_daemon):
+    def _make_checks(**daemon_fields):
         violations, counts = [], collections.Counter()
         proxy = types.SimpleNamespace(mode=Mode.PASS, changed_at=0.0)
         worker = types.SimpleNamespace(id="w1", proxy=proxy)
@@ -198,21 +198,21 @@
                 "reads_notices": True,
                 "disturbed_at": 0.0,
                 "interrupted_at": 0.0,
-                **of_daemon,
+                **daemon_fields,
             }
         )
         return NoticeChecks(violations, counts), worker, daemon, violations
 
-    async def _pause(self, requests, pause="1", after=0.7, **of_daemon):
-        checks, worker, daemon, violations = self._scene(**of_daemon)
+    async def _pause(self, requests, pause="1", after=0.7, **daemon_fields):
+        checks, worker, daemon, violations = self._make_checks(**daemon_fields)
         checks.record_pause(worker, daemon, pause)
         await asyncio.sleep(after)
         for _ in range(requests):
             checks.check_arrival(worker, daemon, "r1", asyncio.get_running_loop().time())
         return violations
 
-    async def _drain(self, sent_after, **of_daemon):
-        checks, worker, daemon, violations = self._scene(**of_daemon)
+    async def _drain(self, sent_after, **daemon_fields):
+        checks, worker, daemon, violations = self._make_checks(**daemon_fields)
         checks.record_leaving(worker, daemon)
         checks.check_arrival(worker, daemon, "r1", asyncio.get_running_loop().time() + sent_after)
         return violations
@@ -239,7 +239,7 @@
             ({"sent_after": 2.1}, 1),
             ({"sent_after": 9.0, "reads_notices": False}, 0),
             ({"sent_after": 9.0, "interrupted_at": float("inf")}, 0),
-            # a cut from the store alone
+            # A cut from the store doesn't excuse a daemon here.
             ({"sent_after": 9.0, "disturbed_at": float("inf")}, 1),
         ],
     )
@@ -248,10 +248,10 @@
 
 
 class TestLimitChecks:
-    """What reaches a worker from all daemons is counted against the limit that it names."""
+    """Guards against missed and false violations of workers' limits."""
 
-    async def _send_requests(self, daemons, rate, limit="1", **of_daemon):
-        """Let requests of some daemons reach a worker in turn; return what was found."""
+    async def _send_requests(self, daemons, rate, limit="1", **daemon_fields):
+        """Return whether requests that daemons send in turn to a worker violate its limit."""
         violations, counts = [], collections.Counter()
         checks = LimitChecks(violations, counts)
         worker = types.SimpleNamespace(
@@ -260,7 +260,7 @@
         senders = [
             types.SimpleNamespace(
                 **{"name": f"edge-{number}", "reads_limits": True, "interrupted_at": 0.0}
-                | of_daemon
+                | daemon_fields
             )
             for number in range(daemons)
         ]
