--- a/bench/soaks/gateway_site.py
+++ b/bench/soaks/gateway_site.py
@@ -125,8 +125,8 @@
             self._program,
         )
 
-    def daemon_named(self, name: str) -> Daemon:
-        """Return the daemon with a name."""
+    def find_daemon(self, name: str) -> Daemon:
+        """Return the daemon of a name."""
         return next(daemon for daemon in self.daemons if daemon.name == name)
 
     async def add_worker(self, service: str, domain: str = "") -> SoakWorker:
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -111,7 +111,7 @@
         """Check whether a request may arrive, and serve it."""
         exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if exchange is not None:
-            daemon = self._site.daemon_named(exchange.daemon)
+            daemon = self._site.find_daemon(exchange.daemon)
             self._site.notices.check_arrival(self, daemon, exchange.id, exchange.sent_at)
             if self.leads or not self.domain:
                 self._site.limits.check_arrival(self, daemon, exchange.id)
@@ -124,7 +124,7 @@
         response = super().refusal_for(request)
         exchange = self._site.exchanges.get(request.headers[ATTEMPT_ID])
         if response is not None and exchange is not None:
-            daemon = self._site.daemon_named(exchange.daemon)
+            daemon = self._site.find_daemon(exchange.daemon)
             self._site.notices.record_pause(self, daemon, response.headers.get(RETRY_AFTER, ""))
         return response
 
@@ -156,9 +156,9 @@
         :raises ConnectionResetError: after :data:`STALL_TIMEOUT_SECONDS`, to break the stream.
         """
         await asyncio.sleep(EVENT_INTERVAL_SECONDS)
-        stalled_at = asyncio.get_running_loop().time()
+        stall_started_at = asyncio.get_running_loop().time()
         while not self.is_group_complete:
-            if asyncio.get_running_loop().time() - stalled_at > STALL_TIMEOUT_SECONDS:
+            if asyncio.get_running_loop().time() - stall_started_at > STALL_TIMEOUT_SECONDS:
                 if self._group is not None:
                     self._group["state"] = "broken"
                     self.publish()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -55,11 +55,11 @@
             harness.run_seeds(run_seed, violations_of_seeds, str(tmp_path))
         return ended.value.code
 
-    def test_seeds_without_faults_pass(self, tmp_path, capsys):
+    def test_seeds_without_violations_pass(self, tmp_path, capsys):
         assert self._run_seeds({1: [], 2: []}, tmp_path) == 0
         assert "verdict, seed 2: passed, 0 faults" in capsys.readouterr().out
 
-    def test_fault_of_one_seed_fails_the_run_and_the_next_is_played(self, tmp_path, capsys):
+    def test_violation_of_a_seed_fails_the_run_and_the_next_seed_runs(self, tmp_path, capsys):
         assert self._run_seeds({1: ["TWICE r1"], 2: []}, tmp_path) == 1
         shown = capsys.readouterr().out
         assert "FAULT TWICE r1\nverdict, seed 1: FAILED, 1 faults" in shown
@@ -84,38 +84,38 @@
 
 
 class TestChecks:
-    def test_right_answer_is_no_fault(self):
+    def test_correct_answer_is_no_violation(self):
         checks = Checks(EVENTS)
         checks.check_run(run(), RequestKind.NON_REPEATABLE, 10.0, "key")
         checks.check_answer(exchange())
         assert checks.violations == []
 
-    def test_second_run_is_seen(self):
+    def test_second_run_is_detected(self):
         checks = Checks(EVENTS)
         checks.check_run(run("w1"), RequestKind.NON_REPEATABLE, 10.0, "key")
         checks.check_run(run("w2"), RequestKind.NON_REPEATABLE, 10.0, "key")
         assert checks.violations == ["TWICE r1 ran at ['w1', 'w2']"]
 
     @pytest.mark.parametrize("kind", [RequestKind.STREAM, RequestKind.REPEATABLE])
-    def test_what_may_be_repeated_may_run_again(self, kind):
+    def test_repeatable_request_may_run_twice(self, kind):
         checks = Checks(EVENTS)
         checks.check_run(run("w1"), kind, 10.0, "key")
         checks.check_run(run("w2"), kind, 10.0, "key")
         assert checks.violations == []
 
-    def test_refusal_of_what_had_run_is_seen(self):
+    def test_refusal_of_executed_request_is_detected(self):
         checks = Checks(EVENTS)
         checks.check_run(run(), RequestKind.NON_REPEATABLE, 10.0, "key")
         checks.check_answer(exchange(status=503))
         assert checks.violations == ["REFUSED r1 got 503 and had run"]
 
-    def test_run_after_its_refusal_is_seen(self):
+    def test_run_after_its_refusal_is_detected(self):
         checks = Checks(EVENTS)
         checks.check_answer(exchange(status=503))
         checks.check_run(run(), RequestKind.NON_REPEATABLE, 10.0, "key")
         assert checks.violations == ["REFUSED r1 ran at w1 after its refusal"]
 
-    def test_key_that_works_too_long_is_seen(self):
+    def test_accepted_revoked_key_is_detected(self):
         checks = Checks(EVENTS)
         checks.record_revocation("key", 9.0)
         checks.check_run(run(), RequestKind.NON_REPEATABLE, 8.9, "key")
@@ -131,12 +131,12 @@
             ({"body": b"answer to another"}, "not the endpoint's whole body"),
         ],
     )
-    def test_answer_that_is_not_its_own_is_seen(self, wrong, fault):
+    def test_answer_to_another_request_is_detected(self, wrong, fault):
         checks = Checks(EVENTS)
         checks.check_answer(exchange(**wrong))
         assert fault in checks.violations[0]
 
-    def test_stream_with_a_doubled_event_is_seen(self):
+    def test_duplicate_event_in_a_stream_is_detected(self):
         checks = Checks(EVENTS)
         body = exchange(RequestKind.STREAM).body
         checks.check_answer(exchange(RequestKind.STREAM, body=body + body[-20:]))
@@ -172,11 +172,11 @@
             await proxy.stop()
             server.close()
 
-    async def test_passes_on(self):
+    async def test_forwards(self):
         assert await self._send_through_proxy(Mode.PASS) == b"second"
 
     @pytest.mark.parametrize("mode", [Mode.SILENCE, Mode.LOSE_ANSWERS, Mode.LOSE_REQUESTS])
-    async def test_holds_back_in_one_or_both_directions(self, mode):
+    async def test_blocks_one_or_both_directions(self, mode):
         assert await self._send_through_proxy(mode) is None
 
     async def test_resets(self):
