--- a/bench/soaks/daemon_troubles.py
+++ b/bench/soaks/daemon_troubles.py
@@ -1,6 +1,6 @@
 """Faults that the daemon's soak injects at random.
 
-Owns: nothing; each fault undoes its effect.
+Owns: nothing; faults with a duration undo their effect.
 Relies on: :class:`thorncleat_standins.cluster.Cluster` to control processes, and the stand-ins'
 HTTP interfaces for faults.
 """
--- a/bench/soaks/gateway_troubles.py
+++ b/bench/soaks/gateway_troubles.py
@@ -1,6 +1,6 @@
 """Faults that the gateway's soak injects at random.
 
-Owns: nothing; each fault undoes its effect.
+Owns: nothing; faults with a duration undo their effect.
 Relies on: the processes, the store and the proxies of :mod:`bench.soaks.gateway_site`.
 """
 
@@ -21,7 +21,7 @@
 from .proxy import Mode
 
 MAX_CONCURRENT_FAULTS = 2
-# Time without faults before a watched stop.
+# Time without other faults of this module before a watched stop.
 QUIET_PERIOD_SECONDS = 3.0
 # Time for a started program to install its signal handlers.
 STARTUP_SECONDS = 2.0
@@ -203,7 +203,7 @@
 
 @faults.register("watched_stop")
 async def watched_stop(soak: GatewaySoak) -> None:
-    """Stop a daemon while no other fault is injected; no request may be cut."""
+    """Stop a daemon while no other fault of this module is active; no request may be cut."""
     for _ in range(MAX_CONCURRENT_FAULTS - 1):
         await soak.fault_slots.acquire()
     try:
