--- a/bench/soaks/gateway_checks.py
+++ b/bench/soaks/gateway_checks.py
@@ -1,9 +1,7 @@
-"""What the gateway's soak checks: the promises of the users' pages.
+"""Checks of the gateway's soak, based only on what callers and endpoints observe.
 
-Nothing of the gateway itself is looked at, only what callers and endpoints see.
-
-Owns: what ran where, what callers were answered, and each promise found broken.
-Relies on: the site telling it of each run and each answer, both on the loop's clock.
+Owns: the runs of each request, the refused requests, the revoked keys and the violations.
+Relies on: workers to report each run, and callers to report each answer.
 """
 
 import collections
@@ -12,36 +10,41 @@
 
 from thorncleat_standins.platform_worker import Run
 
-# statuses that promise that the request did not run
-REFUSALS = (408, 421, 429, 503)
+# Statuses that promise that the request did not run.
+REFUSAL_STATUSES = (408, 421, 429, 503)
 
 
 class RequestKind(enum.Enum):
-    """How often a request may run."""
+    """Whether a request may run more than once; streams and repeatable requests may."""
 
     STREAM = "stream"
-    ONCE = "once"
+    NON_REPEATABLE = "once"
     REPEATABLE = "repeatable"
 
 
 @dataclasses.dataclass
 class Exchange:
-    """What one caller sent and was answered.
-
-    :param status: of the answer; 0 if there was none.
-    :param body: as much as came.
-    :param whole: whether the answer ended in order.
-    :param echoed: the id that the answer names.
+    """A request and its answer.
+
+    :param sent_at: time of sending, on the loop's clock in seconds.
+    :param key: the API key.
+    :param status: HTTP status of the answer; 0 for none.
+    :param body: the received part of the answer's body.
+    :param is_complete: whether the whole answer was received.
+    :param signed: whether the answer has an endpoint's stamp.
+    :param echoed: the request id in the answer.
+    :param ended_at: time of the end, on the loop's clock in seconds.
+    :param daemon: name of the daemon that the request was sent to.
     """
 
     id: str
     kind: RequestKind
     sent_at: float
     key: str
-    sent: bytes
+    request_body: bytes
     status: int = 0
     body: bytes = b""
-    whole: bool = False
+    is_complete: bool = False
     signed: bool = False
     echoed: str = ""
     ended_at: float = 0.0
@@ -49,65 +52,71 @@
 
 
 class Checks:
-    """Collects what is seen, and says what must not be.
+    """Detects broken promises.
 
-    :ivar faults: a line for each promise that was broken.
+    :param events_per_stream: number of events in a complete stream.
+    :ivar violations: descriptions of broken promises.
+    :ivar counts: counters of the report.
     """
 
-    def __init__(self, events: int) -> None:
-        self._events = events
+    def __init__(self, events_per_stream: int) -> None:
+        self._events_per_stream = events_per_stream
         self._runs: dict[str, list[Run]] = collections.defaultdict(list)
         self._refused: set[str] = set()
-        self._revoked: dict[str, float] = {}
-        self.faults: list[str] = []
+        self._invalid_from: dict[str, float] = {}
+        self.violations: list[str] = []
         self.counts: collections.Counter[str] = collections.Counter()
 
     def runs(self, request_id: str) -> list[Run]:
-        """Return the runs of a request so far."""
+        """Return the recorded runs of a request."""
         return list(self._runs[request_id])
 
-    def revoked(self, key: str, fails_from: float) -> None:
-        """Note from when on a key must not work.
+    def record_revocation(self, key: str, invalid_from: float) -> None:
+        """Record the time from which requests with a key must be rejected.
 
-        :param fails_from: on the loop's clock.
+        :param invalid_from: on the loop's clock, in seconds.
         """
-        self._revoked[key] = fails_from
+        self._invalid_from[key] = invalid_from
 
-    def ran(self, run: Run, kind: RequestKind, sent_at: float, key: str) -> None:
-        """Check a run that begins."""
+    def check_run(self, run: Run, kind: RequestKind, sent_at: float, key: str) -> None:
+        """Record the start of a run and check that it is allowed.
+
+        :param sent_at: when the caller sent the request, on the loop's clock in seconds.
+        """
         self._runs[run.id].append(run)
-        if kind is RequestKind.ONCE and len(self._runs[run.id]) > 1:
-            workers = [known.worker for known in self._runs[run.id]]
-            self.faults.append(f"TWICE {run.id} ran at {workers}")
-        if run.id in self._refused and kind is RequestKind.ONCE:
-            self.faults.append(f"REFUSED {run.id} ran at {run.worker} after its refusal")
-        if sent_at > self._revoked.get(key, float("inf")):
-            self.faults.append(f"CONFIG {run.id} ran with a key taken away before")
-
-    def answered(self, exchange: Exchange) -> None:
-        """Check what a caller was answered."""
+        if kind is RequestKind.NON_REPEATABLE and len(self._runs[run.id]) > 1:
+            workers = [recorded.worker for recorded in self._runs[run.id]]
+            self.violations.append(f"TWICE {run.id} ran at {workers}")
+        if run.id in self._refused and kind is RequestKind.NON_REPEATABLE:
+            self.violations.append(f"REFUSED {run.id} ran at {run.worker} after its refusal")
+        if sent_at > self._invalid_from.get(key, float("inf")):
+            self.violations.append(f"CONFIG {run.id} ran with a key taken away before")
+
+    def check_answer(self, exchange: Exchange) -> None:
+        """Check the answer of an ended exchange."""
         self.counts[f"{exchange.kind.value} {exchange.status or 'cut'}"] += 1
-        if exchange.status in REFUSALS:
+        if exchange.status in REFUSAL_STATUSES:
             self._refused.add(exchange.id)
-            if exchange.kind is RequestKind.ONCE and self._runs[exchange.id]:
-                self.faults.append(f"REFUSED {exchange.id} got {exchange.status} and had run")
-        if exchange.status == 200 and exchange.whole:
-            self._check_whole(exchange)
+            if exchange.kind is RequestKind.NON_REPEATABLE and self._runs[exchange.id]:
+                self.violations.append(f"REFUSED {exchange.id} got {exchange.status} and had run")
+        if exchange.status == 200 and exchange.is_complete:
+            self._check_complete_answer(exchange)
 
-    def _check_whole(self, exchange: Exchange) -> None:
+    def _check_complete_answer(self, exchange: Exchange) -> None:
         if not exchange.signed or exchange.echoed != exchange.id:
-            self.faults.append(f"MIXED {exchange.id}: an answer that no endpoint signed for it")
-        if exchange.body != expected(exchange, self._events):
-            self.faults.append(
+            self.violations.append(f"MIXED {exchange.id}: an answer that no endpoint signed for it")
+        if exchange.body != expected_body(exchange, self._events_per_stream):
+            self.violations.append(
                 f"MIXED {exchange.id}: not the endpoint's whole body: {exchange.body!r:.200}"
             )
 
 
-def expected(exchange: Exchange, events: int) -> bytes:
-    """Return the whole answer to a request."""
+def expected_body(exchange: Exchange, events_per_stream: int) -> bytes:
+    """Return the body of the correct answer to a request."""
     if exchange.kind is not RequestKind.STREAM:
-        return b"answer to " + exchange.sent
+        return b"answer to " + exchange.request_body
     name = exchange.id.encode()
     return b"".join(
-        b"id: %d\ndata: %s %d\n\n" % (number, name, number) for number in range(1, events + 1)
+        b"id: %d\ndata: %s %d\n\n" % (number, name, number)
+        for number in range(1, events_per_stream + 1)
     )
--- a/bench/soaks/gateway_restores.py
+++ b/bench/soaks/gateway_restores.py
@@ -1,10 +1,9 @@
-"""The store of the gateway's soak comes back from a copy some seconds old, again and again.
+"""Restores of the gateway soak's store from backups that are some seconds old.
 
-It is a trouble of its own, beside those that :mod:`.gateway_troubles` draws: a further one there
-would change what each kept seed draws.
+The random generator is separate, so that seeds still choose the same faults elsewhere.
 
-Owns: the copy that the store comes back to.
-Relies on: the site writing again what its operator and its workers had written.
+Owns: the backup.
+Relies on: the site to rewrite the entries of its operator and its workers.
 """
 
 import asyncio
@@ -13,39 +12,39 @@
 from .gateway_site import SoakSite
 from .harness import Soak
 
-# between two restores, in seconds
-CALM_SECONDS = (2.0, 10.0)
-# that a copy is old when the store comes back to it, in seconds
-LOST_SECONDS = (0.5, 5.0)
-# for which the store is away before that, in seconds
-AWAY_SECONDS = (0.0, 1.0)
-# until the operator and the workers have written again, in seconds
-REWRITE_SECONDS = (0.0, 0.5)
-# part of the restores after which the store comes back once more soon
-TWICE = 0.3
-
-
-async def play(soak: Soak, site: SoakSite, seed: int) -> None:
-    """Restore the store from time to time until the time is up."""
-    draw = random.Random(f"restores {seed}")
-    while not soak.over:
-        await _pause(draw, CALM_SECONDS)
+# Bounds of the interval between two restores.
+RESTORE_INTERVAL_SECONDS = (2.0, 10.0)
+# Bounds of the age of the backup when the outage begins.
+BACKUP_AGE_SECONDS = (0.5, 5.0)
+# Bounds of the outage before the restore.
+OUTAGE_SECONDS = (0.0, 1.0)
+# Bounds of the delay until the operator and the workers rewrite their entries.
+REWRITE_DELAY_SECONDS = (0.0, 0.5)
+# Share of the restores that are followed by another one at once.
+SECOND_RESTORE_SHARE = 0.3
+
+
+async def inject_restores(soak: Soak, site: SoakSite, seed: int) -> None:
+    """Restore the store repeatedly until the end of the run."""
+    rng = random.Random(f"restores {seed}")
+    while not soak.is_over:
+        await _pause(rng, RESTORE_INTERVAL_SECONDS)
         soak.counts["store restored"] += 1
-        await _restore(site, draw)
-        if draw.random() < TWICE:
-            await _restore(site, draw)
+        await _restore(site, rng)
+        if rng.random() < SECOND_RESTORE_SHARE:
+            await _restore(site, rng)
 
 
-async def _restore(site: SoakSite, draw: random.Random) -> None:
-    copy = site.store.backup()
-    await _pause(draw, LOST_SECONDS)
+async def _restore(site: SoakSite, rng: random.Random) -> None:
+    backup = site.store.backup()
+    await _pause(rng, BACKUP_AGE_SECONDS)
     site.store.refuse = True
-    await _pause(draw, AWAY_SECONDS)
-    site.store.restore(copy)
+    await _pause(rng, OUTAGE_SECONDS)
+    site.store.restore(backup)
     site.store.refuse = False
-    await _pause(draw, REWRITE_SECONDS)
-    site.write_again()
+    await _pause(rng, REWRITE_DELAY_SECONDS)
+    site.rewrite_entries()
 
 
-async def _pause(draw: random.Random, bounds: tuple[float, float]) -> None:
-    await asyncio.sleep(draw.uniform(*bounds))
+async def _pause(rng: random.Random, bounds: tuple[float, float]) -> None:
+    await asyncio.sleep(rng.uniform(*bounds))
--- a/bench/soaks/gateway_site.py
+++ b/bench/soaks/gateway_site.py
@@ -1,8 +1,7 @@
-"""The site of the gateway's soak: real gateways behind proxies to stand-ins of the platform.
+"""The site of the gateway's soak: gateway processes behind proxies, and stand-ins of the platform.
 
-Owns: the stand-in store, the workers, the daemons, the keys that are valid and the requests that
-callers sent.
-Relies on: settings and store documents in the forms of the users' pages.
+Owns: the store, the workers, the daemons, the API keys and the exchanges of callers.
+Relies on: the formats of the users' settings and store documents.
 """
 
 import asyncio
@@ -17,81 +16,85 @@
 from .gateway_checks import Checks
 from .gateway_checks import Exchange
 from .gateway_checks import RequestKind
-from .gateway_daemons import GRACE_SECONDS
+from .gateway_daemons import GRACE_PERIOD_SECONDS
 from .gateway_daemons import PROGRAM
 from .gateway_daemons import Daemon
 from .gateway_limits import LimitChecks
 from .gateway_notices import NoticeChecks
-from .gateway_workers import STALL_SECONDS
-from .gateway_workers import STREAM_EVENTS
+from .gateway_workers import EVENTS_PER_STREAM
+from .gateway_workers import STALL_TIMEOUT_SECONDS
 from .gateway_workers import SoakWorker
 from .proxy import Proxy
 
 HOST = "soak.example"
-CONFIGURATION = "op/config"
-ENTRIES = "servers/"
-# after which a key that was taken away must not work any more
-REVOKE_SECONDS = 3.0
-# keys taken away that callers still try
-FORMER_KEYS = 4
-# fabric domains, workers in each, members of a group; workers of the plain service
-DOMAINS, DOMAIN_SIZE, GROUP_SIZE, DESKS = 2, 6, 2, 3
-# for callers, the balancer's question and other daemons
+CONFIGURATION_KEY = "op/config"
+ENTRY_PREFIX = "servers/"
+# Time after which a revoked key must be rejected.
+REVOCATION_SECONDS = 3.0
+# Revoked keys that callers still use.
+MAX_REVOKED_KEYS = 4
+# Numbers of fabric domains, workers in each, members of a group, workers of the plain service.
+DOMAINS, DOMAIN_SIZE, GROUP_SIZE, PLAIN_WORKERS = 2, 6, 2, 3
+# Listeners for callers, for readiness probes and for other daemons.
 PORTS_PER_DAEMON = 3
 PATHS = {
     RequestKind.STREAM: "/chat/",
-    RequestKind.ONCE: "/status/",
+    RequestKind.NON_REPEATABLE: "/status/",
     RequestKind.REPEATABLE: "/ack/",
 }
 
 
 class SoakSite:
-    """Daemons, workers, the store, and what callers know.
+    """Daemons, workers, the store and the state that callers share.
 
-    :param program: of the build that all daemons run at the start.
+    :param directory: directory of settings and logs.
+    :param daemons: number of daemons.
+    :param program: the program that all daemons run at the start.
+    :ivar exchanges: all exchanges, by request id.
+    :ivar version: version of the configuration.
     """
 
     def __init__(
         self, directory: pathlib.Path, daemons: int, program: pathlib.Path = PROGRAM
     ) -> None:
         self._directory = directory
-        self._count = daemons
+        self._daemon_count = daemons
         self._program = program
         self.store = PlatformStore()
-        self.checks = Checks(STREAM_EVENTS)
-        self.notices = NoticeChecks(self.checks.faults, self.checks.counts)
-        self.limits = LimitChecks(self.checks.faults, self.checks.counts)
+        self.checks = Checks(EVENTS_PER_STREAM)
+        self.notices = NoticeChecks(self.checks.violations, self.checks.counts)
+        self.limits = LimitChecks(self.checks.violations, self.checks.counts)
         self.workers: dict[str, SoakWorker] = {}
         self.daemons: list[Daemon] = []
         self.exchanges: dict[str, Exchange] = {}
-        self.keys = ["key-0"]
-        self.former_keys: collections.deque[str] = collections.deque(["never"], FORMER_KEYS)
+        self.valid_keys = ["key-0"]
+        self.revoked_keys: collections.deque[str] = collections.deque(["never"], MAX_REVOKED_KEYS)
         self.version = 0
         self._configuration: dict[str, t.Any] = {}
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the store, the workers and the daemons."""
         address = await self.store.start()
-        self.configure()
+        self.write_configuration()
         for number in range(DOMAINS * DOMAIN_SIZE):
             await self.add_worker("narrator", f"d{number // DOMAIN_SIZE}")
-        for _ in range(DESKS):
+        for _ in range(PLAIN_WORKERS):
             await self.add_worker("desk")
-        # drawn together: two daemons that draw theirs before either listens may get the same one
-        ports = free_ports(PORTS_PER_DAEMON * self._count)
-        for number in range(self._count):
-            own = ports[number :: self._count]
-            self.daemons.append(await self._daemon(number, address, own))
+        # Allocated together, since a port stays free until its daemon listens.
+        ports = free_ports(PORTS_PER_DAEMON * self._daemon_count)
+        for number in range(self._daemon_count):
+            own_ports = ports[number :: self._daemon_count]
+            self.daemons.append(await self._create_daemon(number, address, own_ports))
         await asyncio.gather(*(self.start_daemon(daemon) for daemon in self.daemons))
 
     async def start_daemon(self, daemon: Daemon) -> None:
-        """Start a daemon, once more or for the first time."""
-        async with daemon.starting:
-            # two troubles may want the same daemon back
-            if not daemon.runs:
+        """Start a daemon unless it is running."""
+        async with daemon.start_lock:
+            # Two overlapping faults can restart the same daemon.
+            if not daemon.is_running:
                 await daemon.start(self._directory / f"{daemon.name}.log")
 
-    async def _daemon(self, number: int, store: str, ports: t.Sequence[int]) -> Daemon:
+    async def _create_daemon(self, number: int, store: str, ports: t.Sequence[int]) -> Daemon:
         proxy = Proxy(store)
         callers, readiness, peers = ports
         path = self._directory / f"edge-{number}.toml"
@@ -106,9 +109,9 @@
             readiness = "127.0.0.1:{readiness}"
             [bounds]
             revoke_fail_closed = true
-            revoke_ms = {int(REVOKE_SECONDS * 1000)}
-            grace_s = {GRACE_SECONDS}
-            stall_ms = {int(STALL_SECONDS * 1000)}
+            revoke_ms = {int(REVOCATION_SECONDS * 1000)}
+            grace_s = {GRACE_PERIOD_SECONDS}
+            stall_ms = {int(STALL_TIMEOUT_SECONDS * 1000)}
             [platform]
             address = "{await proxy.start()}"
             """
@@ -122,23 +125,26 @@
             self._program,
         )
 
-    def daemon_named(self, name: str) -> Daemon:
-        """Return a daemon."""
+    def find_daemon(self, name: str) -> Daemon:
+        """Return the daemon of a name."""
         return next(daemon for daemon in self.daemons if daemon.name == name)
 
     async def add_worker(self, service: str, domain: str = "") -> SoakWorker:
-        """Start one more worker."""
+        """Start a further worker.
+
+        :param domain: fabric domain; empty for a plain service.
+        """
         worker = SoakWorker(self, f"w{len(self.workers):03}", service, domain)
         self.workers[worker.id] = worker
         await worker.start()
         return worker
 
-    def configure(self) -> None:
-        """Write the next configuration, with the keys that are valid now."""
+    def write_configuration(self) -> None:
+        """Write the next version of the configuration, with the valid keys."""
         self.version += 3
         routes = [
             _route(RequestKind.STREAM, "streaming", "narrator", resumable=True, max_attempts=2),
-            _route(RequestKind.ONCE, "non_idempotent", "desk"),
+            _route(RequestKind.NON_REPEATABLE, "non_idempotent", "desk"),
             _route(RequestKind.REPEATABLE, "idempotent", "desk", max_attempts=2),
         ]
         model = {"name": "large", "size": GROUP_SIZE, "share": 1.0, "load_s": 0.2, "warm_s": 0.1}
@@ -151,32 +157,32 @@
                 {"name": "desk", "health_path": "/healthz"},
             ],
             "limits": {"max_body_bytes": 10_000},
-            "tenants": [{"name": "growers", "api_keys": self.keys, "priority": 1}],
+            "tenants": [{"name": "growers", "api_keys": self.valid_keys, "priority": 1}],
         }
         self._configuration = document
-        self.store.write(CONFIGURATION, document)
+        self.store.write(CONFIGURATION_KEY, document)
 
-    def write_again(self) -> None:
-        """Write what the operator and the workers had written, as after a restore."""
-        self.store.write(CONFIGURATION, self._configuration)
+    def rewrite_entries(self) -> None:
+        """Write all entries of the operator and the workers again, as after a restore."""
+        self.store.write(CONFIGURATION_KEY, self._configuration)
         for worker in self.workers.values():
             worker.publish()
-        for key in self.store.keys(ENTRIES):
-            if not self.workers[key.removeprefix(ENTRIES)].alive:
+        for key in self.store.keys(ENTRY_PREFIX):
+            if not self.workers[key.removeprefix(ENTRY_PREFIX)].is_alive:
                 self.store.delete(key)
 
     async def stop(self) -> None:
-        """End every process that was started here, by its id."""
+        """Stop all daemons, workers and the store."""
         await asyncio.gather(*(daemon.end(signal.SIGKILL) for daemon in self.daemons))
         for daemon in self.daemons:
             await daemon.proxy.stop()
         for worker in self.workers.values():
-            if worker.alive:
+            if worker.is_alive:
                 await worker.crash()
         await self.store.stop()
 
 
-def _route(kind: RequestKind, route_kind: str, service: str, **more: t.Any) -> dict[str, t.Any]:
+def _route(kind: RequestKind, route_kind: str, service: str, **options: t.Any) -> dict[str, t.Any]:
     return {
         "name": kind.value,
         "host": HOST,
@@ -186,5 +192,5 @@
         "timeout_ms": 4000,
         "latency_target_ms": 500,
         "priority": 1,
-        **more,
+        **options,
     }
