--- a/packages/core/src/thorncleat_core/codec.py
+++ b/packages/core/src/thorncleat_core/codec.py
@@ -26,10 +26,10 @@
 
 def pack(value: t.Any) -> bytes:
     """Encode plain values; data classes are written as maps."""
-    return t.cast(bytes, msgpack.packb({"v": VERSION, "d": value}, default=plain))
+    return t.cast(bytes, msgpack.packb({"v": VERSION, "d": value}, default=to_plain))
 
 
-def plain(value: t.Any) -> t.Any:
+def to_plain(value: t.Any) -> t.Any:
     """Return a value's plain form, for the encoders."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {field.name: getattr(value, field.name) for field in dataclasses.fields(value)}
@@ -65,10 +65,10 @@
 
     :raises DecodeError: if the value doesn't have the class's form.
     """
-    return validated(kind, unpack(data))
+    return validate(kind, unpack(data))
 
 
-def validated(kind: type[Data], value: t.Any) -> Data:
+def validate(kind: type[Data], value: t.Any) -> Data:
     """Validate a plain value as a data class or model.
 
     :raises DecodeError: if the value doesn't have the class's form.
@@ -92,5 +92,5 @@
 
 def digest(value: t.Any) -> str:
     """Return the SHA-256 of a plain value in canonical JSON, in hexadecimal."""
-    text = json.dumps(value, sort_keys=True, separators=(",", ":"), default=plain)
+    text = json.dumps(value, sort_keys=True, separators=(",", ":"), default=to_plain)
     return hashlib.sha256(text.encode()).hexdigest()
--- a/packages/core/src/thorncleat_core/daemon/claims.py
+++ b/packages/core/src/thorncleat_core/daemon/claims.py
@@ -216,4 +216,4 @@
 
     :raises DecodeError: if it is broken.
     """
-    return [codec.validated(Claim, raw) for raw in codec.unpack(data)]
+    return [codec.validate(Claim, raw) for raw in codec.unpack(data)]
--- a/packages/core/src/thorncleat_core/daemon/directory.py
+++ b/packages/core/src/thorncleat_core/daemon/directory.py
@@ -104,4 +104,4 @@
 
     :raises DecodeError: if it doesn't have a record's form.
     """
-    return codec.validated(Record, value)
+    return codec.validate(Record, value)
--- a/packages/core/src/thorncleat_core/daemon/routing.py
+++ b/packages/core/src/thorncleat_core/daemon/routing.py
@@ -69,7 +69,7 @@
     by_name = {candidate.group: candidate for candidate in candidates}
     total = sum(candidate.load for candidate in candidates) + cost
     bound = BOUND * total / len(candidates)
-    for name in rendezvous.ranked(prefix, by_name):
+    for name in rendezvous.rank(prefix, by_name):
         if by_name[name].load <= bound:
             return name
     return least_outstanding(prefix, cost, candidates)
@@ -89,7 +89,7 @@
 @choices.register("prefix_hash")
 def prefix_hash(prefix: str, cost: int, candidates: list[Candidate]) -> str:
     """Take the group that the prefix hashes to, whatever its load."""
-    return rendezvous.ranked(prefix, [candidate.group for candidate in candidates])[0]
+    return rendezvous.rank(prefix, [candidate.group for candidate in candidates])[0]
 
 
 def attached(daemon: str, groups: t.Mapping[str, int], limit: int) -> list[str]:
@@ -99,7 +99,7 @@
 
     :param groups: the shard of each group.
     """
-    shards = rendezvous.ranked(f"attach/{daemon}", {str(shard) for shard in groups.values()})
+    shards = rendezvous.rank(f"attach/{daemon}", {str(shard) for shard in groups.values()})
     place = {name: number for number, name in enumerate(shards)}
     order = sorted(
         groups, key=lambda group: (place[str(groups[group])], -rendezvous.score(daemon, group))
--- a/packages/core/src/thorncleat_core/distributions.py
+++ b/packages/core/src/thorncleat_core/distributions.py
@@ -28,7 +28,7 @@
         """How many durations were noted."""
         return int(self._histogram.get_total_count())
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Count a duration."""
         self._histogram.record_value(min(MAX_MICROSECONDS, max(1, int(seconds * 1e6))))
 
@@ -49,7 +49,7 @@
     def __contains__(self, key: tuple[str, str]) -> bool:
         return key in self._kept
 
-    def of(self, what: str, target: str) -> Distribution:
+    def get_or_create(self, what: str, target: str) -> Distribution:
         """Return the distribution of a kind of duration for a target."""
         key = (what, target)
         if key not in self._kept:
--- a/packages/core/src/thorncleat_core/log_events.py
+++ b/packages/core/src/thorncleat_core/log_events.py
@@ -45,7 +45,7 @@
 Observer = t.Callable[[Event, t.Mapping[str, t.Any]], None]
 
 
-def observe(observer: Observer) -> None:
+def add_observer(observer: Observer) -> None:
     """Call a function with each event and its fields, whether its line is written or not."""
     _observers.append(observer)
 
@@ -78,7 +78,7 @@
     )
 
 
-def send_to(handler: logging.Handler, level: str) -> None:
+def install_handler(handler: logging.Handler, level: str) -> None:
     """Send all logging to one handler.
 
     :param level: the lowest level of the program's own events that is written.
--- a/packages/core/src/thorncleat_core/metrics_registry.py
+++ b/packages/core/src/thorncleat_core/metrics_registry.py
@@ -28,7 +28,7 @@
         """Show a value that is read when it is asked for."""
         self._gauge(name, help_text).set_function(value)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return everything in the Prometheus text format."""
         return generate_latest(self._registry)
 
--- a/packages/core/src/thorncleat_core/rendezvous.py
+++ b/packages/core/src/thorncleat_core/rendezvous.py
@@ -16,14 +16,14 @@
     return xxhash.xxh3_64_intdigest(f"{key}\0{candidate}".encode())
 
 
-def ranked(key: str, candidates: t.Iterable[str]) -> list[str]:
+def rank(key: str, candidates: t.Iterable[str]) -> list[str]:
     """Return all candidates, the preferred one first."""
     return sorted(
         candidates, key=lambda candidate: (score(key, candidate), candidate), reverse=True
     )
 
 
-def place(key: str, mine: str, candidates: t.Iterable[str], limit: int) -> int | None:
+def rank_of(key: str, mine: str, candidates: t.Iterable[str], limit: int) -> int | None:
     """Return a candidate's place for a key, counted from 0; None from ``limit`` on.
 
     It stops at the first ``limit`` that are preferred, which for most candidates are found
--- a/packages/core/src/thorncleat_core/single_send.py
+++ b/packages/core/src/thorncleat_core/single_send.py
@@ -14,12 +14,12 @@
     """
 
 
-def is_lost(error: BaseException) -> bool:
+def is_connection_lost(error: BaseException) -> bool:
     """Return whether an error says that a call's connection was lost before its answer began."""
     return isinstance(error, _LostError)
 
 
-async def never_again(
+async def prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Keep the client library from sending a request twice; a middleware of a session.
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -235,7 +235,7 @@
     async def _on_outcome(self, sender: str, body: t.Any) -> t.Any:
         workspace, key = str(body["workspace"]), str(body["key"])
         raw = body["outcome"]
-        outcome = codec.validated(Outcome, raw) if raw is not None else None
+        outcome = codec.validate(Outcome, raw) if raw is not None else None
         owned = self._owner(workspace, key)
         if owned is None:
             return False
@@ -289,7 +289,7 @@
         body = {"workspace": workspace, "key": key, "request": request, "attempt": attempt}
         try:
             answer = await self._ask("claim", workspace, key, body)
-            reply = codec.validated(Reply, answer)
+            reply = codec.validate(Reply, answer)
         except (PeerError, DecodeError) as error:
             # a grant may have been lost on the way: nothing was sent, so it is given back
             await self.tell(workspace, key, attempt, "no", None)
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -88,7 +88,7 @@
         return _response(answered, caller, completion)
 
     def _note(self, caller: Caller, completion: Completion, seconds: float) -> None:
-        self._metrics.distribution("whole_answer", completion.model).note(seconds)
+        self._metrics.distribution("whole_answer", completion.model).record(seconds)
         self._metrics.ended(caller.workspace.name, completion.model, GOOD)
 
     def _intent(self, caller: Caller, completion: Completion) -> Intent:
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -305,7 +305,7 @@
     def is_watcher(self) -> bool:
         """Whether this daemon is one of the few that watch the store."""
         alive = self._gossip.members.alive
-        return rendezvous.place("config-watch", self._me, alive, WATCHERS) is not None
+        return rendezvous.rank_of("config-watch", self._me, alive, WATCHERS) is not None
 
     @mode.Service.task
     async def _watch_task(self) -> None:
--- a/packages/daemon/src/thorncleat_daemon/domain_keepers.py
+++ b/packages/daemon/src/thorncleat_daemon/domain_keepers.py
@@ -114,7 +114,7 @@
         weights = self._services.config().configuration.shares
         answers = []
         for raw in body:
-            request = codec.validated(PermitRequest, raw)
+            request = codec.validate(PermitRequest, raw)
             keeper = self._keeper_of(request.group)
             permit = keeper.permit(sender, request, weights) if keeper else None
             if permit:
--- a/packages/daemon/src/thorncleat_daemon/engines.py
+++ b/packages/daemon/src/thorncleat_daemon/engines.py
@@ -37,7 +37,7 @@
         try:
             async with self._session.get(url, timeout=self._timeout) as response:
                 response.raise_for_status()
-                return codec.validated(InstanceReport, await response.json())
+                return codec.validate(InstanceReport, await response.json())
         except TimeoutError as error:
             raise EndpointSilentError(f"probe of {address!r}: no answer in time") from error
         except (aiohttp.ClientError, ValueError, DecodeError) as error:
--- a/packages/daemon/src/thorncleat_daemon/entry.py
+++ b/packages/daemon/src/thorncleat_daemon/entry.py
@@ -152,7 +152,7 @@
 
     async def _show_metrics(self, request: web.Request) -> web.Response:
         return web.Response(
-            body=self._metrics.text(), headers={"Content-Type": "text/plain; version=0.0.4"}
+            body=self._metrics.render(), headers={"Content-Type": "text/plain; version=0.0.4"}
         )
 
 
--- a/packages/daemon/src/thorncleat_daemon/logs.py
+++ b/packages/daemon/src/thorncleat_daemon/logs.py
@@ -7,8 +7,8 @@
 import logging
 import sys
 
+from thorncleat_core.log_events import install_handler
 from thorncleat_core.log_events import json_formatter
-from thorncleat_core.log_events import send_to
 
 
 def setup(level: str, daemon: str) -> None:
@@ -19,4 +19,4 @@
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(json_formatter("%(asctime)s", daemon))
-    send_to(handler, level)
+    install_handler(handler, level)
--- a/packages/daemon/src/thorncleat_daemon/metrics.py
+++ b/packages/daemon/src/thorncleat_daemon/metrics.py
@@ -37,7 +37,7 @@
 
     def distribution(self, what: str, target: str) -> Distribution:
         """Return the distribution of a kind of duration for a model or service."""
-        return self._distributions.of(what, target)
+        return self._distributions.get_or_create(what, target)
 
     def ended(self, workspace: str, target: str, cause: str) -> None:
         """Count how a request ended.
--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -97,7 +97,7 @@
     async def confirm(self, request: web.Request, operator: ActingOperator) -> web.Response:
         """Carry a plan out, if it is still what would be planned now."""
         try:
-            plan = codec.validated(Plan, (await request.json())["plan"])
+            plan = codec.validate(Plan, (await request.json())["plan"])
         except (ValueError, KeyError, TypeError, DecodeError) as error:
             return problem(400, f"a plan is wanted: {error}")
         done = self._accepted_before(plan)
@@ -154,5 +154,5 @@
         "digest": plan.digest,
         "downtime_seconds": plan.downtime_seconds,
         "idle_accelerator_seconds": plan.idle_accelerator_seconds,
-        "plan": json.loads(json.dumps(plan, default=codec.plain)),
+        "plan": json.loads(json.dumps(plan, default=codec.to_plain)),
     }
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -177,7 +177,7 @@
         body = [self._request(group) for group in groups]
         try:
             answer = await self._peers.ask(peer, "permit", body, self._seconds / RENEWALS)
-            permits = [codec.validated(Permit, raw) for raw in answer]
+            permits = [codec.validate(Permit, raw) for raw in answer]
         except (PeerError, DecodeError, TypeError):
             # no permit: the groups are not used, which is the safe side
             return set()
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -88,7 +88,7 @@
     async def _run(self, service: Service, caller: Caller, call: "_Call") -> Answered:
         """Call endpoints in turn, as long as that is safe and within the retry budget."""
         now = clock.now()
-        order = rendezvous.ranked(caller.id, self._ejection.usable(service.endpoints, now))
+        order = rendezvous.rank(caller.id, self._ejection.usable(service.endpoints, now))
         for attempt, endpoint in enumerate(order[:MAX_ATTEMPTS], start=1):
             try:
                 answered = await self._call(endpoint, caller, call)
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -225,10 +225,10 @@
             events.PIECE_DROPPED.log(request=flow.caller.id, reason=reason, count=count)
         if flow.first_at:
             seconds = flow.first_at - flow.started_at
-            self._metrics.distribution("first_token", model).note(seconds)
+            self._metrics.distribution("first_token", model).record(seconds)
             if flow.pieces.events > 1:
                 gap = (flow.last_at - flow.first_at) / (flow.pieces.events - 1)
-                self._metrics.distribution("between_tokens", model).note(gap)
+                self._metrics.distribution("between_tokens", model).record(gap)
             if cause == GOOD and seconds > workspace.first_token_seconds:
                 cause = "late"
         if cause == CALLER_GONE:
--- a/packages/daemon/src/thorncleat_daemon/upstream.py
+++ b/packages/daemon/src/thorncleat_daemon/upstream.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from thorncleat_core.single_send import never_again
+from thorncleat_core.single_send import prevent_resend
 
 from . import retry_after
 from .exceptions import RequestError
@@ -38,7 +38,7 @@
     """Return a session for calls that may run once: each has a connection of its own."""
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     return aiohttp.ClientSession(
-        connector=connector, auto_decompress=False, middlewares=(never_again,)
+        connector=connector, auto_decompress=False, middlewares=(prevent_resend,)
     )
 
 
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -68,7 +68,7 @@
     :param capacities: of all daemons that are known, with the candidate.
     """
     enough = STRONG_PART * max(capacities.values())
-    ranked = rendezvous.ranked(f"controller/{version}", capacities)
+    ranked = rendezvous.rank(f"controller/{version}", capacities)
     return sorted(ranked, key=lambda name: capacities[name] < enough).index(candidate)
 
 
--- a/packages/gateway/src/thorncleat_gateway/logs.py
+++ b/packages/gateway/src/thorncleat_gateway/logs.py
@@ -9,8 +9,8 @@
 
 from thorncleat_core import clock as boot_clock
 from thorncleat_core.clock import Clock
+from thorncleat_core.log_events import install_handler
 from thorncleat_core.log_events import json_formatter
-from thorncleat_core.log_events import send_to
 
 from . import events
 
@@ -75,5 +75,5 @@
     os.set_blocking(descriptor, False)
     handler = BoundedHandler(descriptor)
     handler.setFormatter(json_formatter("%(created)f", daemon))
-    send_to(handler, level)
+    install_handler(handler, level)
     return handler
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -5,7 +5,7 @@
 
 Owns: the counters of events and requests.
 Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text form, and on
-:func:`thorncleat_core.log_events.observe` to be shown each event.
+:func:`thorncleat_core.log_events.add_observer` to be shown each event.
 """
 
 import re
@@ -70,11 +70,11 @@
         key = (what, str(label or ""))
         if key not in self._distributions and len(self._distributions) >= MOST_TARGETS:
             key = (what, OTHERS)
-        self._distributions.of(*key).note(seconds)
+        self._distributions.get_or_create(*key).record(seconds)
 
     async def handle(self, _: web.BaseRequest) -> web.StreamResponse:
         """Answer whoever collects metrics."""
-        return web.Response(body=self.text(), content_type="text/plain")
+        return web.Response(body=self.render(), content_type="text/plain")
 
 
 def _kind(cause: str) -> str:
--- a/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
@@ -30,4 +30,4 @@
 
 def tells_sum(own_id: str, neighbours: t.Iterable[str]) -> bool:
     """Return whether this daemon tells the sum of its failure domain."""
-    return own_id in rendezvous.ranked("sum", {*neighbours, own_id})[:TELLERS]
+    return own_id in rendezvous.rank("sum", {*neighbours, own_id})[:TELLERS]
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -17,8 +17,8 @@
 from aiohttp.client_proto import ResponseHandler
 from yarl import URL
 
-from thorncleat_core.single_send import is_lost
-from thorncleat_core.single_send import never_again
+from thorncleat_core.single_send import is_connection_lost
+from thorncleat_core.single_send import prevent_resend
 
 from ..exceptions import AttemptError
 from ..exceptions import Broken
@@ -80,7 +80,7 @@
         connector=connector,
         auto_decompress=False,
         skip_auto_headers=SKIPPED_HEADERS,
-        middlewares=(never_again,),
+        middlewares=(prevent_resend,),
         cookie_jar=aiohttp.DummyCookieJar(),
     )
 
@@ -203,7 +203,7 @@
                 cause = f"no connection: {type(error).__name__}"
                 raise AttemptError(cause, Ran.NO, sent=False) from error
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
-                broken = Broken.BEFORE_HEAD if is_lost(error) else None
+                broken = Broken.BEFORE_HEAD if is_connection_lost(error) else None
                 cause = f"no answer: {type(error).__name__}"
                 raise AttemptError(cause, Ran.MAYBE, broken=broken) from error
             stack.callback(response.close)
--- a/packages/gateway/src/thorncleat_gateway/store/change_codec.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_codec.py
@@ -70,7 +70,7 @@
 
     Daemons that know no ``born`` pass over it.
     """
-    form: dict[str, t.Any] = codec.plain(endpoint)
+    form: dict[str, t.Any] = codec.to_plain(endpoint)
     if endpoint.born is None:
         del form["born"]
     return form
@@ -91,11 +91,11 @@
 def _change(form: t.Any) -> Change:
     match form:
         case ["configuration", configuration]:
-            return ConfigurationChanged(codec.validated(ServingConfiguration, configuration))
+            return ConfigurationChanged(codec.validate(ServingConfiguration, configuration))
         case ["listed", endpoint]:
-            return EndpointListed(codec.validated(Endpoint, endpoint))
+            return EndpointListed(codec.validate(Endpoint, endpoint))
         case ["gone", str(endpoint_id)]:
             return EndpointGone(endpoint_id)
         case ["record", record]:
-            return codec.validated(RecordChanged, record)
+            return codec.validate(RecordChanged, record)
     raise DecodeError(f"{form!r} is no change")
--- a/packages/gateway/src/thorncleat_gateway/store/relays.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relays.py
@@ -118,5 +118,5 @@
     Those of its failure domain come first; among them the order differs from daemon to daemon.
     """
     by_id = {daemon.id: daemon for daemon in asked}
-    ranked = [by_id[name] for name in rendezvous.ranked(own.id, by_id)]
+    ranked = [by_id[name] for name in rendezvous.rank(own.id, by_id)]
     return tuple(sorted(ranked, key=lambda daemon: daemon.failure_domain != own.failure_domain))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -53,8 +53,8 @@
     def test_departure_moves_only_what_it_had(self, candidates, key):
         if len(candidates) < 2:
             return
-        first, *rest = rendezvous.ranked(key, candidates)
-        assert rendezvous.ranked(key, rest) == rest
+        first, *rest = rendezvous.rank(key, candidates)
+        assert rendezvous.rank(key, rest) == rest
         assert first not in rest
 
 
@@ -326,6 +326,6 @@
 class TestPlace:
     @given(names, st.text("xyz"), st.integers(1, 4))
     def test_is_the_place_in_the_ranking(self, candidates, key, limit):
-        for index, name in enumerate(rendezvous.ranked(key, candidates)):
+        for index, name in enumerate(rendezvous.rank(key, candidates)):
             expected = index if index < limit else None
-            assert rendezvous.place(key, name, candidates, limit) == expected
+            assert rendezvous.rank_of(key, name, candidates, limit) == expected
--- a/tests/test_forms_daemon_calls.py
+++ b/tests/test_forms_daemon_calls.py
@@ -235,7 +235,7 @@
     metrics.tokens.labels("growers", "m").inc()
     metrics.dropped.labels("late").inc()
     metrics.retries.labels("lost").inc()
-    metrics.distribution("first_token", "m").note(0.2)
+    metrics.distribution("first_token", "m").record(0.2)
     found = [
         [
             family.name,
@@ -247,7 +247,7 @@
                 if not one.name.endswith("_created")
             ),
         ]
-        for family in text_string_to_metric_families(metrics.text().decode())
+        for family in text_string_to_metric_families(metrics.render().decode())
     ]
     assert sorted(found) == snapshot
 
--- a/tests/test_forms_metrics.py
+++ b/tests/test_forms_metrics.py
@@ -57,14 +57,16 @@
     metrics = wire_forms.Daemons(FixedFeed([])).gateway.metrics
     for number, fields in NOTED.items():
         metrics.note(events.catalogue[number], fields)
-    assert forms(metrics.text().decode()) == snapshot
+    assert forms(metrics.render().decode()) == snapshot
 
 
 @pytest.mark.parametrize("number", sorted(events.catalogue))
 def test_each_event_is_counted_by_its_name(number, snapshot):
     metrics = Metrics()
     metrics.note(events.catalogue[number], {**NOTED[7303], **NOTED.get(number, {})})
-    counted = [one for one in forms(metrics.text().decode()) if one["name"] != "thorncleat_seconds"]
+    counted = [
+        one for one in forms(metrics.render().decode()) if one["name"] != "thorncleat_seconds"
+    ]
     assert counted == snapshot
 
 
@@ -72,7 +74,7 @@
 def test_cause_as_a_label(cause, snapshot):
     metrics = Metrics()
     metrics.note(events.catalogue[7305], {"cause": cause, "after": 0.1})
-    assert forms(metrics.text().decode()) == snapshot
+    assert forms(metrics.render().decode()) == snapshot
 
 
 async def test_answer_to_whoever_collects_them(snapshot):
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -41,7 +41,7 @@
     for _ in range(3):
         metrics.note(events.REQUEST_DONE, done())
     series = 'thorncleat_requests_total{route="chat",status="200",workspace="growers"}'
-    assert value(metrics.text(), series) == 3
+    assert value(metrics.render(), series) == 3
 
 
 def test_durations_are_shown_as_quantiles():
@@ -50,7 +50,7 @@
     series = (
         'thorncleat_seconds{quantile="0.95",target="chat",what="request_done_seconds_by_route"}'
     )
-    assert value(metrics.text(), series) == pytest.approx(1.5, rel=0.02)
+    assert value(metrics.render(), series) == pytest.approx(1.5, rel=0.02)
 
 
 def test_distribution_is_made_once_for_each_target(monkeypatch):
@@ -65,8 +65,8 @@
     monkeypatch.setattr(distributions, "Distribution", Counted)
     kept = distributions.Distributions()
     for _ in range(3):
-        kept.of("seconds", "chat").note(0.1)
-    assert kept.of("seconds", "chat").count == 3
+        kept.get_or_create("seconds", "chat").record(0.1)
+    assert kept.get_or_create("seconds", "chat").count == 3
     assert len(made) == 1
 
 
@@ -82,14 +82,14 @@
     metrics = Metrics()
     metrics.note(events.REQUEST_REFUSED, {"cause": cause, "after": 0.1})
     series = f'thorncleat_events_total{{cause="{kind}",name="request_refused"}}'
-    assert value(metrics.text(), series) == 1
+    assert value(metrics.render(), series) == 1
 
 
 def test_targets_that_are_kept_apart_are_bounded():
     metrics = Metrics()
     for number in range(3 * MOST_TARGETS):
         metrics.note(events.REQUEST_DONE, done(route=f"route-{number}"))
-    text = metrics.text().decode()
+    text = metrics.render().decode()
     assert text.count("thorncleat_durations{") <= MOST_TARGETS + 5
     assert 'target="others"' in text
 
@@ -97,10 +97,10 @@
 def test_events_are_counted_though_their_lines_are_not_written(monkeypatch):
     monkeypatch.setattr(log_events, "_observers", [])
     metrics = Metrics()
-    log_events.observe(metrics.note)
+    log_events.add_observer(metrics.note)
     events.STORE_BACK.log(revision=3)
     series = 'thorncleat_events_total{cause="",name="feed_back"}'
-    assert value(metrics.text(), series) == 1
+    assert value(metrics.render(), series) == 1
 
 
 async def test_metrics_are_served_at_their_address(tmp_path):
