--- a/packages/core/src/thorncleat_core/__init__.py
+++ b/packages/core/src/thorncleat_core/__init__.py
@@ -1,3 +1,3 @@
-"""Pure decisions of thorncleat: no input, no output and no clock of their own."""
+"""Code that both programs of thorncleat share: encodings, clocks, logs and pure decisions."""
 
 __version__ = "0.1.0"
--- a/packages/core/src/thorncleat_core/clock.py
+++ b/packages/core/src/thorncleat_core/clock.py
@@ -1,7 +1,7 @@
-"""The clock by which leases, permits, deadlines and ages are measured, and an event loop on it.
+"""The clock for leases, permits, deadlines and ages, and an event loop that runs on it.
 
 Owns: nothing.
-Relies on: CLOCK_BOOTTIME, which Linux has.
+Relies on: ``CLOCK_BOOTTIME``, which is specific to Linux.
 """
 
 import asyncio
@@ -12,19 +12,17 @@
 
 
 def now() -> float:
-    """Return seconds that go on while the instance is suspended and are never set.
+    """Return the seconds since boot, including the time for which the instance was suspended.
 
-    The ordinary monotonic clock stops with a suspended instance, on which a lease would then
-    seem to last.
+    The ordinary monotonic clock stops during a suspension, so an expired lease would look valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers go on while the instance is suspended.
+    """An event loop whose timers count the time for which the instance is suspended.
 
-    On the loop's usual clock a timer that was due within a suspension of 10 s runs 10 s late: then
-    a request is held for so much longer than its deadline, and a lease is renewed too late.
+    With the default clock, a suspension would delay deadlines and lease renewals.
     """
 
     def time(self) -> float:
--- a/packages/core/src/thorncleat_core/codec.py
+++ b/packages/core/src/thorncleat_core/codec.py
@@ -1,10 +1,10 @@
-"""Encoding of what goes into the store and between daemons: MessagePack with a version.
+"""Versioned MessagePack encoding for values in the store and messages between daemons.
 
-A data class is written as a map of its fields, so the names of fields are a part of the format:
-a field is renamed or removed only together with the version.
+A data class is encoded as a map from field name to value, so renaming or removing a field
+requires a new version.
 
-Owns: a cache of validators, one for each class that was decoded.
-Relies on: msgpack for the bytes, pydantic for the forms of data classes.
+Owns: a cache of validators, one for each decoded class.
+Relies on: msgpack for the encoding, pydantic for validation.
 """
 
 import dataclasses
@@ -19,18 +19,21 @@
 
 from .exceptions import DecodeError
 
-# of the envelope; another one is refused
+# Version of the envelope. Values of any other version are rejected.
 VERSION = 1
 Data = t.TypeVar("Data")
 
 
 def pack(value: t.Any) -> bytes:
-    """Encode plain values; data classes are written as maps."""
+    """Return a value encoded as MessagePack, with data classes written as maps."""
     return t.cast(bytes, msgpack.packb({"v": VERSION, "d": value}, default=to_plain))
 
 
 def to_plain(value: t.Any) -> t.Any:
-    """Return a value's plain form, for the encoders."""
+    """Return the plain form of a value that the encoders can't handle themselves.
+
+    :raises TypeError: if values of this type can't be encoded.
+    """
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {field.name: getattr(value, field.name) for field in dataclasses.fields(value)}
     if isinstance(value, enum.Enum):
@@ -45,9 +48,9 @@
 
 
 def unpack(data: bytes) -> t.Any:
-    """Decode what :func:`pack` made.
+    """Return the value that was encoded by :func:`pack`.
 
-    :raises DecodeError: if it is truncated, foreign or of another version.
+    :raises DecodeError: if the data is truncated, malformed or of another version.
     """
     try:
         value = msgpack.unpackb(data, strict_map_key=True)
@@ -61,24 +64,24 @@
 
 
 def decode(kind: type[Data], data: bytes) -> Data:
-    """Decode and validate a data class.
+    """Return an instance of a data class or model, decoded and validated.
 
-    :raises DecodeError: if the value doesn't have the class's form.
+    :raises DecodeError: if the data can't be decoded or is not valid for the class.
     """
     return validate(kind, unpack(data))
 
 
 def validate(kind: type[Data], value: t.Any) -> Data:
-    """Validate a plain value as a data class or model.
+    """Return an instance of a data class or model, validated from a plain value.
 
-    :raises DecodeError: if the value doesn't have the class's form.
+    :raises DecodeError: if the value is not valid for the class.
     """
     try:
         return _adapter(kind).validate_python(value)
     except pydantic.ValidationError as error:
-        fault = error.errors(include_url=False, include_input=False)[0]
-        path = ".".join(str(step) for step in fault["loc"])
-        raise DecodeError(f"{kind.__name__}: {path}: {fault['msg']}") from error
+        first_error = error.errors(include_url=False, include_input=False)[0]
+        path = ".".join(str(step) for step in first_error["loc"])
+        raise DecodeError(f"{kind.__name__}: {path}: {first_error['msg']}") from error
 
 
 _ADAPTERS: dict[type, pydantic.TypeAdapter[t.Any]] = {}
@@ -91,6 +94,6 @@
 
 
 def digest(value: t.Any) -> str:
-    """Return the SHA-256 of a plain value in canonical JSON, in hexadecimal."""
+    """Return the hexadecimal SHA-256 digest of a value's canonical JSON."""
     text = json.dumps(value, sort_keys=True, separators=(",", ":"), default=to_plain)
     return hashlib.sha256(text.encode()).hexdigest()
--- a/packages/core/src/thorncleat_core/exceptions.py
+++ b/packages/core/src/thorncleat_core/exceptions.py
@@ -1,18 +1,22 @@
-"""All errors of the core, below one base class.
+"""The exceptions of the core and their common base class.
 
 Owns: nothing.
-Relies on: nothing; the packages derive the errors of their own layers from these.
+Relies on: nothing. The other packages derive their exceptions from these.
 """
 
 import dataclasses
 
 
 class ThorncleatError(Exception):
-    """Base class of every error that thorncleat raises on purpose."""
+    """Base class of all exceptions that thorncleat raises itself."""
 
 
 class DocumentError(ThorncleatError):
-    """A settings or intent file is unusable; :attr:`problems` lists everything found."""
+    """A document is invalid.
+
+    :param name: the document's name.
+    :param problems: everything that is wrong with it.
+    """
 
     def __init__(self, name: str, problems: "list[Problem]") -> None:
         self.name = name
@@ -22,11 +26,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Problem:
-    """One fault in a document.
+    """An error in a document.
 
-    :param line: line in the file, counted from 1; 0 for the whole file.
-    :param path: the key's path, as in ``store.endpoints.0``.
-    :param message: what is wrong, naming the value.
+    :param line: line number, starting at 1; 0 for the whole document.
+    :param path: path of the key, such as ``store.endpoints.0``.
+    :param message: description that names the value.
     """
 
     line: int
@@ -38,31 +42,31 @@
 
 
 class DecodeError(ThorncleatError):
-    """A value from a peer or from the store is not what its version says."""
+    """A value from a peer or the store can't be decoded."""
 
 
 class UnknownNameError(ThorncleatError):
-    """A name is not in the registry that it was looked up in."""
+    """No implementation is registered under a name."""
 
-    def __init__(self, kind: str, name: str, known: list[str]) -> None:
-        super().__init__(f"unknown {kind} {name!r}, one of {', '.join(known)} is wanted")
+    def __init__(self, kind: str, name: str, registered: list[str]) -> None:
+        super().__init__(f"unknown {kind} {name!r}, one of {', '.join(registered)} is wanted")
 
 
 class PlacementError(ThorncleatError):
-    """No choice of instances satisfies an intent; nothing was changed."""
+    """No set of free instances satisfies an intent."""
 
 
 class AssignmentError(ThorncleatError):
-    """An assignment would break an invariant; it is not written."""
+    """An assignment would put an instance into two groups."""
 
 
 class ConflictError(ThorncleatError):
-    """A plan was made from a revision or a fleet that is no longer the present one."""
+    """A plan was made from an outdated revision or fleet."""
 
 
 class JournalError(ThorncleatError):
-    """A journal entry does not follow from the entries before it."""
+    """A journal entry does not follow the entries before it."""
 
 
 class LeaseError(ThorncleatError):
-    """An act needs a lease that may be over."""
+    """A lease that an action requires may have expired."""
--- a/packages/core/src/thorncleat_core/jsonc.py
+++ b/packages/core/src/thorncleat_core/jsonc.py
@@ -1,10 +1,10 @@
-"""JSON with comments, read so that every later error can name a line.
+"""A reader of JSON with comments that reports errors with their line.
 
-Parsing is the ``json-five`` library's, whose grammar is a superset (trailing commas and
-single quotes pass too); this module adds duplicate keys and the line of each key.
+The grammar is JSON5, so trailing commas and single quotes are accepted too. Duplicate keys are
+errors.
 
-Owns: nothing beyond one document.
-Relies on: json-five for the grammar, pydantic for what a document may hold.
+Owns: nothing.
+Relies on: json-five for parsing, pydantic for validation.
 """
 
 import dataclasses
@@ -20,30 +20,29 @@
 from .exceptions import DocumentError
 from .exceptions import Problem
 
-Path = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 Model = t.TypeVar("Model", bound=pydantic.BaseModel)
 
-# settings and intents are far smaller
 MAX_DOCUMENT_BYTES = 1_000_000
-# keys whose values are not repeated in messages
+# Keys whose values must not appear in error messages.
 SECRET_KEYS = frozenset({"secret", "key_digest", "key_digests"})
 
 
 @dataclasses.dataclass
 class Document:
-    """A parsed file.
+    """A parsed document.
 
-    :param name: the file's name, for messages.
-    :param value: the plain value.
-    :param lines: the line of each path.
+    :param name: name for error messages.
+    :param value: the document as plain values.
+    :param lines: line number of each path.
     """
 
     name: str
     value: t.Any
-    lines: dict[Path, int] = dataclasses.field(default_factory=dict)
+    lines: dict[KeyPath, int] = dataclasses.field(default_factory=dict)
 
-    def line_of(self, path: Path) -> int:
-        """Return the line of a path, or of its nearest parent that stands in the file."""
+    def line_of(self, path: KeyPath) -> int:
+        """Return the line of a path or of its closest parent; 0 if there is none."""
         while path not in self.lines and path:
             path = path[:-1]
         return self.lines.get(path, 0)
@@ -55,14 +54,14 @@
     return str(key.characters)
 
 
-class _Builder:
-    """Turns the syntax tree into a plain value and collects duplicate keys."""
+class _ValueBuilder:
+    """Converts a syntax tree to plain values and collects line numbers and duplicate keys."""
 
     def __init__(self) -> None:
-        self.lines: dict[Path, int] = {}
+        self.lines: dict[KeyPath, int] = {}
         self.problems: list[Problem] = []
 
-    def build(self, node: t.Any, path: Path) -> t.Any:
+    def build(self, node: t.Any, path: KeyPath) -> t.Any:
         self.lines.setdefault(path, node.lineno or 0)
         if isinstance(node, model.JSONObject):
             return self._object(node, path)
@@ -77,33 +76,32 @@
             return -value if node.op == "-" else value
         return getattr(node, "value", None)
 
-    def _object(self, node: t.Any, path: Path) -> dict[str, t.Any]:
-        found: dict[str, t.Any] = {}
+    def _object(self, node: t.Any, path: KeyPath) -> dict[str, t.Any]:
+        values: dict[str, t.Any] = {}
         for pair in node.key_value_pairs:
             name = _key_name(pair.key)
-            inner = (*path, name)
-            if name in found:
+            key_path = (*path, name)
+            if name in values:
                 line = pair.key.lineno or 0
-                first = self.lines[inner]
+                first = self.lines[key_path]
                 text = f"key {name!r} stands twice, first on line {first}"
-                self.problems.append(Problem(line, dotted(inner), text))
+                self.problems.append(Problem(line, format_path(key_path), text))
                 continue
-            self.lines[inner] = pair.key.lineno or 0
-            found[name] = self.build(pair.value, inner)
-        return found
+            self.lines[key_path] = pair.key.lineno or 0
+            values[name] = self.build(pair.value, key_path)
+        return values
 
 
-def dotted(path: t.Iterable[str | int]) -> str:
-    """Return a path as ``a.b.0``."""
+def format_path(path: t.Iterable[str | int]) -> str:
+    """Return a path with dots between its steps, such as ``a.b.0``."""
     return ".".join(str(step) for step in path)
 
 
 def parse(text: str, name: str) -> Document:
-    """Parse a text.
+    """Return the document that a text holds.
 
-    :param text: the document.
-    :param name: its name, for messages.
-    :raises DocumentError: if it can't be parsed, is too large or has duplicate keys.
+    :param name: name for error messages.
+    :raises DocumentError: if the text can't be parsed, is too large or has duplicate keys.
     """
     if len(text.encode()) > MAX_DOCUMENT_BYTES:
         message = f"larger than {MAX_DOCUMENT_BYTES} bytes"
@@ -111,10 +109,10 @@
     try:
         tree = json5.loads(text, loader=ModelLoader())
     except (JSON5DecodeError, ValueError, RecursionError, AttributeError, TypeError) as error:
-        # the parser raises plain errors for some truncated inputs
-        first = str(error).splitlines()[0] if str(error) else "not JSON"
-        raise DocumentError(name, [Problem(text.count("\n") + 1, "", first)]) from error
-    builder = _Builder()
+        # For some truncated inputs the parser raises AttributeError or TypeError.
+        message = str(error).splitlines()[0] if str(error) else "not JSON"
+        raise DocumentError(name, [Problem(text.count("\n") + 1, "", message)]) from error
+    builder = _ValueBuilder()
     value = builder.build(tree.value, ())
     if builder.problems:
         raise DocumentError(name, builder.problems)
@@ -122,9 +120,9 @@
 
 
 def read(path: pathlib.Path) -> Document:
-    """Read and parse a file.
+    """Return the document in a file.
 
-    :raises DocumentError: if it is missing, unreadable or unparsable.
+    :raises DocumentError: if the file can't be read or parsed.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -140,7 +138,7 @@
         return "this key is required"
     message = str(error["msg"]).removeprefix("Value error, ")
     if SECRET_KEYS.intersection(error["loc"]):
-        # the value may be a key itself, put there by mistake
+        # The value may be a secret that was entered in place of its digest.
         return message
     if isinstance(error["input"], str | int | float | bool):
         return f"{message}, not {error['input']!r}"
@@ -148,15 +146,15 @@
 
 
 def validate(document: Document, kind: type[Model]) -> Model:
-    """Validate a document; all its faults are reported at once.
+    """Return an instance of a model, validated from a document.
 
-    :raises DocumentError: with a line and a path for every fault.
+    :raises DocumentError: listing all errors with their lines and paths.
     """
     try:
         return kind.model_validate(document.value)
     except pydantic.ValidationError as error:
         problems = [
-            Problem(document.line_of(found["loc"]), dotted(found["loc"]), _describe(found))
-            for found in error.errors(include_url=False)
+            Problem(document.line_of(detail["loc"]), format_path(detail["loc"]), _describe(detail))
+            for detail in error.errors(include_url=False)
         ]
         raise DocumentError(document.name, problems) from error
--- a/packages/core/src/thorncleat_core/log_events.py
+++ b/packages/core/src/thorncleat_core/log_events.py
@@ -1,9 +1,9 @@
-"""Numbered log events, their catalogue, and the form in which they are written.
+"""Numbered log events, written as JSON lines.
 
-Each program lists its events in a module of its own; the numbers are unique across programs.
+Each program defines its events in a module of its own. The numbers are unique across programs.
 
-Owns: the observers, which see each event whether its line is written or not.
-Relies on: python-json-logger for the form of a line, and on a program's handler to write it.
+Owns: the observers of events.
+Relies on: python-json-logger for the format, each program's handler for the output.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 from pythonjsonlogger.json import JsonFormatter
 
 LOGGER_NAME = "thorncleat"
-# libraries whose reports of ordinary disconnects say nothing an operator can use
+# Loggers of libraries that report ordinary disconnects as errors.
 NOISY_LOGGERS = ("aiohttp.server", "asyncio", "mode")
 
 _logger = logging.getLogger(LOGGER_NAME)
@@ -22,10 +22,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """A kind of log line.
+    """A kind of log event.
 
-    :param number: unique; the thousands tell the part of the program.
-    :param text: what happened, as a person reads it.
+    :param number: unique number, whose thousands identify the component.
+    :param name: identifier in snake case.
+    :param level: level of the :mod:`logging` module.
+    :param text: description for people.
     """
 
     number: int
@@ -34,7 +36,7 @@
     text: str
 
     def log(self, **fields: t.Any) -> None:
-        """Write a line with this event's number and name and some fields."""
+        """Notify the observers and write a log line with this event and its fields."""
         for observer in _observers:
             observer(self, fields)
         if _logger.isEnabledFor(self.level):
@@ -46,29 +48,29 @@
 
 
 def add_observer(observer: Observer) -> None:
-    """Call a function with each event and its fields, whether its line is written or not."""
+    """Register a function that is called with each event, even if its level is not logged."""
     _observers.append(observer)
 
 
 class Catalogue(dict[int, Event]):
-    """The events of a program by their number."""
+    """The events of a program by number."""
 
     def add(self, number: int, name: str, level: int, text: str) -> Event:
-        """Return a new event.
+        """Return a new event, added to the catalogue.
 
-        :raises ValueError: if the number is taken.
+        :raises ValueError: if the number is already in use.
         """
         if number in self:
-            raise ValueError(f"event {number!r} is there already")
+            raise ValueError(f"event number {number!r} is already in use")
         event = self[number] = Event(number, name, level, text)
         return event
 
 
 def json_formatter(time_field: str, daemon: str) -> JsonFormatter:
-    """Return a formatter that writes a JSON object a line.
+    """Return a formatter that writes one JSON object per line.
 
-    :param time_field: the ``logging`` format of the time, as ``%(created)f``.
-    :param daemon: this daemon's id, put into each line.
+    :param time_field: format of the time for :mod:`logging`, such as ``%(created)f``.
+    :param daemon: id of this daemon, added to each line.
     """
     name = time_field.partition("(")[2].partition(")")[0]
     return JsonFormatter(
@@ -79,13 +81,13 @@
 
 
 def install_handler(handler: logging.Handler, level: str) -> None:
-    """Send all logging to one handler.
+    """Make a handler the only one of the root logger and set the log levels.
 
-    :param level: the lowest level of the program's own events that is written.
+    :param level: lowest level at which the program's own events are written.
     """
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
     _logger.setLevel(level.upper())
-    for noisy in NOISY_LOGGERS:
-        logging.getLogger(noisy).setLevel(logging.CRITICAL)
+    for name in NOISY_LOGGERS:
+        logging.getLogger(name).setLevel(logging.CRITICAL)
--- a/packages/core/src/thorncleat_core/metrics_registry.py
+++ b/packages/core/src/thorncleat_core/metrics_registry.py
@@ -1,7 +1,7 @@
-"""What a program counts and measures, in the Prometheus text format; shared by both programs.
+"""The base class of each program's Prometheus metrics.
 
 Owns: the registry and the distributions of durations.
-Relies on: each program naming its own metrics in a class that builds on this one.
+Relies on: subclasses to define the metrics of each program.
 """
 
 import typing as t
@@ -17,7 +17,7 @@
 
 
 class MetricsRegistry:
-    """A registry with distributions, to which a program adds its counters and gauges."""
+    """A Prometheus registry with distributions, to which subclasses add counters and gauges."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -25,11 +25,11 @@
         self._registry.register(t.cast(t.Any, self._distributions))
 
     def gauge(self, name: str, help_text: str, value: t.Callable[[], float]) -> None:
-        """Show a value that is read when it is asked for."""
+        """Add a gauge whose value is read at each scrape."""
         self._gauge(name, help_text).set_function(value)
 
     def render(self) -> bytes:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
--- a/packages/core/src/thorncleat_core/rendezvous.py
+++ b/packages/core/src/thorncleat_core/rendezvous.py
@@ -1,9 +1,9 @@
-"""Rendezvous hashing: every daemon ranks the same candidates the same way.
+"""Rendezvous hashing: every daemon ranks the same candidates in the same order.
 
-A candidate that comes or goes moves only the keys that it wins.
+Adding or removing a candidate moves only the keys for which it ranks first.
 
 Owns: nothing.
-Relies on: xxhash; daemons of two builds must rank alike, so the hash is a part of the protocol.
+Relies on: xxhash, whose digests must be the same in every version of the daemons.
 """
 
 import typing as t
@@ -12,33 +12,32 @@
 
 
 def score(key: str, candidate: str) -> int:
-    """Return the weight of a candidate for a key."""
+    """Return the score of a candidate for a key; the highest score ranks first."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{candidate}".encode())
 
 
 def rank(key: str, candidates: t.Iterable[str]) -> list[str]:
-    """Return all candidates, the preferred one first."""
+    """Return all candidates, the one with the highest score first."""
     return sorted(
         candidates, key=lambda candidate: (score(key, candidate), candidate), reverse=True
     )
 
 
-def rank_of(key: str, mine: str, candidates: t.Iterable[str], limit: int) -> int | None:
-    """Return a candidate's place for a key, counted from 0; None from ``limit`` on.
+def rank_of(key: str, candidate: str, candidates: t.Iterable[str], limit: int) -> int | None:
+    """Return a candidate's rank for a key, starting at 0; None if it is ``limit`` or more.
 
-    It stops at the first ``limit`` that are preferred, which for most candidates are found
-    after a few, however many there are.
+    Stops as soon as ``limit`` candidates with a higher score are found.
     """
-    own = (score(key, mine), mine)
-    before = 0
-    for candidate in candidates:
-        if candidate != mine and (score(key, candidate), candidate) > own:
-            before += 1
-            if before >= limit:
+    own_score = (score(key, candidate), candidate)
+    higher = 0
+    for other in candidates:
+        if other != candidate and (score(key, other), other) > own_score:
+            higher += 1
+            if higher >= limit:
                 return None
-    return before
+    return higher
 
 
 def shard_of(key: str, shards: int) -> int:
-    """Return the shard of a key; it depends on the key and the number of shards alone."""
+    """Return the number of the shard to which a key belongs."""
     return xxhash.xxh3_64_intdigest(key.encode()) % shards
--- a/packages/core/src/thorncleat_core/single_send.py
+++ b/packages/core/src/thorncleat_core/single_send.py
@@ -1,31 +1,32 @@
-"""HTTP calls that the client library never sends a second time by itself.
+"""A client middleware that turns off the automatic retries of aiohttp.
 
 Owns: nothing.
-Relies on: aiohttp repeating a call only after the two errors that are turned into another here.
+Relies on: aiohttp retrying a request only after ``ClientOSError`` or ``ServerDisconnectedError``.
 """
 
 import aiohttp
 
 
 class _LostError(aiohttp.ClientError):
-    """A connection was lost after something may have been sent.
+    """A connection was lost after part of the request may have been sent.
 
-    The name stands in causes that callers and logs are shown.
+    The name of this class appears in log fields and answers, so it must not change.
     """
 
 
 def is_connection_lost(error: BaseException) -> bool:
-    """Return whether an error says that a call's connection was lost before its answer began."""
+    """Return whether an error means that a connection was lost before the response began."""
     return isinstance(error, _LostError)
 
 
 async def prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep the client library from sending a request twice; a middleware of a session.
+    """Call the next handler, without the retry of idempotent methods after a lost connection.
 
-    It repeats some methods by itself, PUT and DELETE among them, when a connection is lost,
-    on a new connection too. It knows those errors by their class, so they get another.
+    The library decides by the class of the error, so this middleware raises another class.
+
+    :raises aiohttp.ClientError: if the connection was lost or could not be made.
     """
     try:
         return await handler(request)
