--- a/bench/capacity_inside.py
+++ b/bench/capacity_inside.py
@@ -38,7 +38,7 @@
 def _workspaces(count: int) -> State:
     rows = [{"name": f"w{n}", "key_digests": [keys.digest(str(n))]} for n in range(count)]
     first = Entry(1, "", "p", "o", Change.model_validate({"workspaces": rows}))
-    return State().after(first)
+    return State().with_entry(first)
 
 
 def _entry_after(state: State) -> Entry:
@@ -53,7 +53,7 @@
     rounds = 20
     began = time.process_time()
     for _ in range(rounds):
-        state.after(entry)
+        state.with_entry(entry)
     return (time.process_time() - began) / rounds * 1e6
 
 
@@ -91,10 +91,12 @@
 def _claims(count: int) -> ClaimBook:
     book = ClaimBook()
     for number in range(count):
-        _, claim = book.ask(f"w{number % 10}", f"key-{number}", f"{number:032x}", 0.0, 0)
+        _, claim = book.request_claim(f"w{number % 10}", f"key-{number}", f"{number:032x}", 0.0, 0)
         if claim:
-            book.written(claim)
-            book.finish(claim.workspace, claim.key, Outcome(201, "text/plain", b"ok"), "yes")
+            book.mark_durable(claim)
+            book.record_outcome(
+                claim.workspace, claim.key, Outcome(201, "text/plain", b"ok"), "yes"
+            )
     return book
 
 
@@ -102,7 +104,7 @@
     counts = BurnCounts()
     for number in range(count):
         for minute in range(360):
-            counts.note(Subject(f"workspace-{number}", "model"), GOOD, minute * 60.0)
+            counts.record(Subject(f"workspace-{number}", "model"), GOOD, minute * 60.0)
     return counts
 
 
@@ -122,7 +124,7 @@
 
 
 def _group(count: int) -> float:
-    (record,) = _directory(1).under("")
+    (record,) = _directory(1).with_prefix("")
     return count * _packed(record)
 
 
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -24,10 +24,10 @@
 from thorncleat_core.daemon.groups import InstanceReport
 from thorncleat_core.daemon.permits import HeldPermit
 from thorncleat_core.daemon.permits import Permit
-from thorncleat_core.daemon.permits import PermitDesk
+from thorncleat_core.daemon.permits import PermitIssuer
 from thorncleat_core.daemon.permits import PermitRequest
 from thorncleat_core.daemon.queues import FairQueue
-from thorncleat_core.daemon.queues import Waiting
+from thorncleat_core.daemon.queues import QueuedRequest
 from thorncleat_daemon.dispatch import Ledger
 from thorncleat_daemon.dispatch import Slot
 from thorncleat_daemon.permits import NUDGE_SECONDS
@@ -188,11 +188,11 @@
     def __init__(self) -> None:
         self.outcome = Outcome()
         self._clock = _Clocked()
-        self._desk = PermitDesk(PERMIT_SECONDS, CAPACITY_TOKENS)
+        self._desk = PermitIssuer(PERMIT_SECONDS, CAPACITY_TOKENS)
         self._daemons = [_Daemon(f"d{number}") for number in range(DAEMONS)]
         self._seen = Confirmations(1e9)
         report = InstanceReport("i0", "b", True, 1, GROUP.id, GROUP.generation, 0)
-        self._seen.confirm(GROUP, report, 0.0)
+        self._seen.record_report(GROUP, report, 0.0)
         self.most_used = 0
 
     def run(self, requests: list[Request], seconds: float) -> Outcome:
@@ -211,7 +211,7 @@
     def _ask(self, daemon: _Daemon, now: float) -> None:
         daemon.asked_at = now
         request = PermitRequest(GROUP.id, daemon.ledger.requests(GROUP.id), daemon.demand())
-        self._desk.valid_for(daemon.name, request, GROUP, self._seen, now)
+        self._desk.issue(daemon.name, request, GROUP, self._seen, now)
         grant = self._desk.grant(GROUP.id, daemon.name, {}, now)
         permit = Permit(GROUP.id, 1, 1, PERMIT_SECONDS, False, "", grant.credits, grant.spare)
         self._clock.at(now + RTT_SECONDS, lambda at: self._renewed(daemon, permit, now, at))
@@ -222,8 +222,8 @@
 
     def _arrive(self, request: Request, now: float) -> None:
         daemon = self._daemons[request.daemon]
-        waiting = Waiting(request, request.workspace, request.cost, 0, now + DEADLINE_SECONDS)
-        if daemon.queue.refuse(waiting, now) is not None:
+        waiting = QueuedRequest(request, request.workspace, request.cost, 0, now + DEADLINE_SECONDS)
+        if daemon.queue.retry_after(waiting, now) is not None:
             self.outcome.refused[request.workspace] += 1
             return
         daemon.queue.add(waiting)
@@ -247,7 +247,7 @@
 
     def _pump(self, daemon: _Daemon, now: float) -> None:
         held = daemon.held
-        if held is None or not held.takes_work(now):
+        if held is None or not held.is_accepting(now):
             return
         while True:
             found = daemon.queue.pop(
--- a/packages/core/src/thorncleat_core/daemon/budget.py
+++ b/packages/core/src/thorncleat_core/daemon/budget.py
@@ -74,19 +74,19 @@
         self.calls: collections.Counter[str] = collections.Counter()
         self.deferred: collections.Counter[str] = collections.Counter()
 
-    def set_members(self, count: int) -> None:
+    def set_daemon_count(self, count: int) -> None:
         """Set how many daemons share the rates."""
         self._members = max(1, count)
 
-    def share(self, write: bool) -> float:
+    def calls_per_second(self, write: bool) -> float:
         """Return the calls a second that this daemon may make."""
         rate = self._rates.writes if write else self._rates.reads
         return rate * self.USED_PART / self._members
 
-    def wait(self, write: bool, purpose: Purpose, now: float) -> float:
+    def reserve(self, write: bool, purpose: Purpose, now: float) -> float:
         """Take a call if there is room, and return 0; else return seconds to wait."""
         bucket = self._writes if write else self._reads
-        rate = self.share(write)
+        rate = self.calls_per_second(write)
         depth = max(self.MIN_DEPTH, rate * self.DEPTH_SECONDS)
         bucket.refill(rate, depth, now)
         level = bucket.level or 0.0
@@ -106,12 +106,12 @@
     :param longest: seconds of the longest.
     """
 
-    def __init__(self, first: float = 0.1, longest: float = 5.0) -> None:
+    def __init__(self, first: float = 0.1, max_delay: float = 5.0) -> None:
         self._first = first
-        self._longest = longest
+        self._longest = max_delay
         self._failures = 0
 
-    def failed(self, draw: float) -> float:
+    def next_delay(self, draw: float) -> float:
         """Return the next wait.
 
         :param draw: a random number in [0, 1), which spreads the callers.
@@ -120,6 +120,6 @@
         self._failures += 1
         return ceiling * (0.5 + draw / 2)
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """Begin anew."""
         self._failures = 0
--- a/packages/core/src/thorncleat_core/daemon/burn.py
+++ b/packages/core/src/thorncleat_core/daemon/burn.py
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self._counts: dict[Subject, Buckets] = {}
 
-    def note(self, subject: Subject, cause: str, now: float) -> None:
+    def record(self, subject: Subject, cause: str, now: float) -> None:
         """Count a request.
 
         :param cause: :data:`GOOD`, or why it counts against the objective.
--- a/packages/core/src/thorncleat_core/daemon/claims.py
+++ b/packages/core/src/thorncleat_core/daemon/claims.py
@@ -87,12 +87,14 @@
     :param patience: seconds after which a run of which nothing is heard counts as unknown.
     """
 
-    def __init__(self, limit: int = 100_000, keep: int = 86_400, patience: float = 600.0) -> None:
+    def __init__(
+        self, limit: int = 100_000, keep: int = 86_400, run_timeout: float = 600.0
+    ) -> None:
         self._claims: dict[tuple[str, str], Claim] = {}
         self._since: dict[tuple[str, str], float] = {}
         self._limit = limit
         self._keep = keep
-        self._patience = patience
+        self._patience = run_timeout
 
     def __len__(self) -> int:
         return len(self._claims)
@@ -102,7 +104,7 @@
         """Workspace and key of each claim."""
         return self._claims.keys()
 
-    def ask(
+    def request_claim(
         self, workspace: str, key: str, request: str, now: float, wall: int, attempt: str = ""
     ) -> tuple[Reply, Claim | None]:
         """Answer a daemon that wants to run a request.
@@ -142,18 +144,18 @@
             return Reply(ClaimAnswer.UNKNOWN)
         return Reply(ClaimAnswer.RUNNING)
 
-    def written(self, claim: Claim) -> None:
+    def mark_durable(self, claim: Claim) -> None:
         """Note that a claim is durable."""
         self._replace(claim, ClaimState.WRITING)
 
-    def not_written(self, claim: Claim) -> None:
+    def discard_unwritten(self, claim: Claim) -> None:
         """Forget a claim that did not reach the store."""
         found = self._claims.get(claim.id)
         if found and found.state is ClaimState.WRITING:
             del self._claims[claim.id]
             self._since.pop(claim.id, None)
 
-    def finish(
+    def record_outcome(
         self, workspace: str, key: str, outcome: Outcome | None, ran: str, attempt: str = ""
     ) -> Claim | None:
         """Note how a request ended.
--- a/packages/core/src/thorncleat_core/daemon/configuration.py
+++ b/packages/core/src/thorncleat_core/daemon/configuration.py
@@ -72,7 +72,7 @@
     workspaces: list[Name] = pydantic.Field(min_length=1)
     not_repeatable: list[t.Annotated[str, pydantic.Field(pattern=r"^[A-Z]+ /\S*$")]] = []
 
-    def may_repeat(self, method: str, path: str) -> bool:
+    def can_repeat(self, method: str, path: str) -> bool:
         """Return whether a call may run more than once."""
         marks = (mark.split(" ", 1) for mark in self.not_repeatable)
         return not any(method == verb and path.startswith(prefix) for verb, prefix in marks)
@@ -139,7 +139,7 @@
     intents: t.Mapping[str, Intent] = dataclasses.field(default_factory=dict)
     draining: frozenset[str] = frozenset()
 
-    def changed(self, change: Change) -> "Configuration":
+    def with_change(self, change: Change) -> "Configuration":
         """Return the configuration after a change.
 
         :raises DocumentError: if the result would contradict itself.
@@ -157,7 +157,7 @@
             raise DocumentError("change", problems)
         return result
 
-    def workspace_of(self, key: str) -> Workspace | None:
+    def workspace_for_key(self, key: str) -> Workspace | None:
         """Return the workspace whose key this is."""
         # looked up by the digest: whoever times it learns of digests, not of keys
         return self._by_digest.get(keys.digest(key))
--- a/packages/core/src/thorncleat_core/daemon/directory.py
+++ b/packages/core/src/thorncleat_core/daemon/directory.py
@@ -55,7 +55,7 @@
         """Return a record."""
         return self._records.get(key)
 
-    def under(self, prefix: str) -> list[Record]:
+    def with_prefix(self, prefix: str) -> list[Record]:
         """Return the records whose keys begin with a prefix, sorted by key."""
         return sorted(
             (record for key, record in self._records.items() if key.startswith(prefix)),
@@ -75,7 +75,7 @@
         self._sum ^= _checksum(record)
         return True
 
-    def forget(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Drop a record."""
         known = self._records.pop(key, None)
         if known is not None:
--- a/packages/core/src/thorncleat_core/daemon/fleet.py
+++ b/packages/core/src/thorncleat_core/daemon/fleet.py
@@ -74,7 +74,7 @@
     instances: t.Mapping[str, Instance]
 
     @classmethod
-    def of(cls, instances: t.Iterable[Instance]) -> "Fleet":
+    def from_instances(cls, instances: t.Iterable[Instance]) -> "Fleet":
         """Build from instances."""
         return cls({instance.id: instance for instance in instances})
 
--- a/packages/core/src/thorncleat_core/daemon/groups.py
+++ b/packages/core/src/thorncleat_core/daemon/groups.py
@@ -62,7 +62,7 @@
                     raise AssignmentError(text)
                 seen[member] = group.id
 
-    def taken(self) -> set[str]:
+    def occupied_instances(self) -> set[str]:
         """Return the instances that are in a group or leaving one."""
         members = {member for group in self.groups.values() for member in group.members}
         return members | set(self.leaving)
@@ -94,7 +94,7 @@
         leaving = {**self.leaving, **dict.fromkeys(group.members, group_id)}
         return Assignments(self.domain, groups, leaving, self.generation + 1)
 
-    def released(self, instances: t.Iterable[str]) -> "Assignments":
+    def with_released(self, instances: t.Iterable[str]) -> "Assignments":
         """Return the assignments with instances free that were leaving."""
         gone = set(instances)
         leaving = {key: value for key, value in self.leaving.items() if key not in gone}
@@ -138,7 +138,7 @@
     model: str = ""
     version: str = ""
 
-    def follows(self, group: Group) -> bool:
+    def is_member_of(self, group: Group) -> bool:
         """Return whether the instance serves as a member of this generation of a group."""
         return (
             self.ready
@@ -160,16 +160,16 @@
         self._confirmed: dict[str, tuple[float, str, int]] = {}
         self._boots: dict[str, str] = {}
 
-    def confirm(self, group: Group, report: InstanceReport, sent_at: float) -> bool:
+    def record_report(self, group: Group, report: InstanceReport, sent_at: float) -> bool:
         """Note a report; return whether it confirms membership."""
-        if not report.follows(group):
-            self.doubt(report.instance)
+        if not report.is_member_of(group):
+            self.revoke(report.instance)
             return False
         self._confirmed[report.instance] = (sent_at, group.id, group.generation)
         self._boots[report.instance] = report.boot
         return True
 
-    def doubt(self, instance: str) -> None:
+    def revoke(self, instance: str) -> None:
         """Forget an instance's confirmation: its group is closed from now on."""
         self._confirmed.pop(instance, None)
 
@@ -182,7 +182,7 @@
         """Return whether every member of a group is confirmed."""
         return now < self.open_until(group)
 
-    def missing(self, group: Group, now: float) -> list[str]:
+    def unconfirmed_members(self, group: Group, now: float) -> list[str]:
         """Return the members that are not confirmed."""
         return [member for member in group.members if self._end(member, group) <= now]
 
--- a/packages/core/src/thorncleat_core/daemon/journal.py
+++ b/packages/core/src/thorncleat_core/daemon/journal.py
@@ -100,7 +100,7 @@
     configuration: Configuration = dataclasses.field(default_factory=Configuration)
     placements: t.Mapping[str, Placement] = dataclasses.field(default_factory=dict)
 
-    def after(self, entry: Entry) -> "State":
+    def with_entry(self, entry: Entry) -> "State":
         """Return the state after the next entry.
 
         :raises JournalError: if the entry doesn't follow from this state.
@@ -113,7 +113,7 @@
             key: value for key, value in self.placements.items() if key not in entry.stopped
         }
         placements.update((placed.group, placed) for placed in entry.started)
-        configuration = self.configuration.changed(entry.change)
+        configuration = self.configuration.with_change(entry.change)
         return State(Head(entry.revision, entry.digest), configuration, placements)
 
     def encode(self) -> bytes:
@@ -168,10 +168,10 @@
     :param keep: how many entries are kept for peers that lag.
     """
 
-    def __init__(self, keep: int = 512) -> None:
+    def __init__(self, max_entries: int = 512) -> None:
         self._state = State()
         self._entries: dict[int, Entry] = {}
-        self._keep = keep
+        self._keep = max_entries
 
     @property
     def state(self) -> State:
@@ -195,7 +195,7 @@
             return False
         if entry.revision > self.head.revision + 1:
             return False
-        self._state = self._state.after(entry)
+        self._state = self._state.with_entry(entry)
         self._entries[entry.revision] = entry
         self._entries.pop(entry.revision - self._keep, None)
         return True
@@ -208,7 +208,7 @@
         self._entries.clear()
         return True
 
-    def since(self, revision: int) -> list[Entry] | None:
+    def entries_after(self, revision: int) -> list[Entry] | None:
         """Return the entries after a revision; None if they are not kept any more."""
         wanted = range(revision + 1, self.head.revision + 1)
         if any(number not in self._entries for number in wanted):
--- a/packages/core/src/thorncleat_core/daemon/keys.py
+++ b/packages/core/src/thorncleat_core/daemon/keys.py
@@ -21,12 +21,12 @@
     return _DIGEST.fullmatch(text) is not None
 
 
-def same(one: str, other: str) -> bool:
+def are_equal(one: str, other: str) -> bool:
     """Compare two digests in constant time."""
     return hmac.compare_digest(one, other)
 
 
-def bearer(header: str | None) -> str | None:
+def parse_bearer(header: str | None) -> str | None:
     """Return the key of an ``Authorization: Bearer`` header, or None."""
     scheme, _, key = (header or "").partition(" ")
     key = key.strip()
--- a/packages/core/src/thorncleat_core/daemon/leases.py
+++ b/packages/core/src/thorncleat_core/daemon/leases.py
@@ -28,7 +28,7 @@
     margin: float = 1.0
 
     @property
-    def renew_every(self) -> float:
+    def renewal_interval(self) -> float:
         """Seconds between renewals: a third of the time to live."""
         return self.ttl / 3
 
@@ -50,7 +50,7 @@
     acquired_at: float
     deadline: float
 
-    def held(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         """Return whether the lease is held for certain."""
         return now < self.deadline
 
@@ -59,7 +59,7 @@
 
         :raises LeaseError: if it may have lapsed.
         """
-        if not self.held(now):
+        if not self.is_held(now):
             late = now - self.deadline
             raise LeaseError(f"lease on shard {self.shard!r} ended {late:.3f} s ago")
 
--- a/packages/core/src/thorncleat_core/daemon/members.py
+++ b/packages/core/src/thorncleat_core/daemon/members.py
@@ -49,7 +49,7 @@
         """The daemons to probe and to pass records on to."""
         return self._neighbours
 
-    def listed(self, addresses: t.Mapping[str, str]) -> None:
+    def update_list(self, addresses: t.Mapping[str, str]) -> None:
         """Note the platform's list.
 
         A daemon that is listed under another address is a new one and not suspected.
@@ -59,17 +59,17 @@
                 self._misses.pop(name, None)
         for name in set(self._addresses) - set(addresses):
             self._misses.pop(name, None)
-            self._directory.forget(PREFIX + name)
+            self._directory.remove(PREFIX + name)
         if set(addresses) != set(self._addresses):
             self._neighbours = overlay.neighbours(self._me, addresses)
         self._addresses = dict(addresses)
-        self.refresh()
+        self.refresh_alive()
 
-    def answered(self, name: str) -> None:
+    def record_answer(self, name: str) -> None:
         """Note an answer of a peer."""
         self._misses.pop(name, None)
 
-    def missed(self, name: str) -> Record | None:
+    def record_missed_probe(self, name: str) -> Record | None:
         """Note a probe without answer; return the suspicion to flood when it is due."""
         if name not in self._addresses:
             return None
@@ -81,7 +81,7 @@
         incarnation = known.version[0] if known else 0
         return Record(PREFIX + name, (incarnation, 1))
 
-    def refute(self) -> Record | None:
+    def create_refutation(self) -> Record | None:
         """Return the record that refutes a suspicion of this daemon, if there is one."""
         known = self._directory.get(PREFIX + self._me)
         if known is None or known.version[1] == 0:
@@ -89,7 +89,7 @@
         self._incarnation = known.version[0] + 1
         return Record(PREFIX + self._me, (self._incarnation, 0))
 
-    def refresh(self) -> None:
+    def refresh_alive(self) -> None:
         """Recompute who is alive, after a record or the list changed."""
         found = {name for name in self._addresses if not self._suspected(name)}
         self._alive = tuple(sorted(found | {self._me}))
--- a/packages/core/src/thorncleat_core/daemon/permits.py
+++ b/packages/core/src/thorncleat_core/daemon/permits.py
@@ -60,7 +60,7 @@
     demand: t.Mapping[str, int]
 
 
-class PermitDesk:
+class PermitIssuer:
     """The holder's side: gives permits and knows when all of a group's are over.
 
     :param longest: longest validity in seconds.
@@ -93,7 +93,7 @@
         self._draining.discard(group)
         self._suspended.discard(group)
 
-    def valid_for(
+    def issue(
         self,
         daemon: str,
         request: PermitRequest,
@@ -123,13 +123,13 @@
         }
         return Grant(*shares.divide(self._capacity, demands, weights, daemon))
 
-    def last_end(self, group: str) -> float:
+    def latest_expiry(self, group: str) -> float:
         """Return a time after which no permit for a group is valid."""
         holdings = self._holdings.get(group, {})
         newest = max((holding.asked_at for holding in holdings.values()), default=float("-inf"))
         return newest + self._outlived
 
-    def unused(self, group: str, now: float) -> bool:
+    def is_unused(self, group: str, now: float) -> bool:
         """Return whether a draining group has no work and gets none.
 
         Each daemon has either said so after it was told of the drain, or its permit is over.
@@ -140,7 +140,7 @@
             for holding in self._holdings.get(group, {}).values()
         )
 
-    def holders(self, group: str, now: float) -> list[str]:
+    def daemons_with_permit(self, group: str, now: float) -> list[str]:
         """Return the daemons that may hold a valid permit."""
         holdings = self._holdings.get(group, {})
         return [
@@ -170,15 +170,15 @@
     permit: Permit
     until: float
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Return whether answers of the group may be passed on."""
         return now < self.until
 
-    def takes_work(self, now: float) -> bool:
+    def is_accepting(self, now: float) -> bool:
         """Return whether new requests may be sent."""
-        return self.usable(now) and not self.permit.draining
+        return self.is_usable(now) and not self.permit.draining
 
 
-def held(permit: Permit, asked_at: float) -> HeldPermit:
+def to_held_permit(permit: Permit, asked_at: float) -> HeldPermit:
     """Return the permit as counted from the moment it was asked for."""
     return HeldPermit(permit, asked_at + permit.valid_for)
--- a/packages/core/src/thorncleat_core/daemon/placement.py
+++ b/packages/core/src/thorncleat_core/daemon/placement.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Room:
+class FreeInstances:
     """The free instances of a fabric domain.
 
     :param free: sorted by id.
@@ -33,7 +33,7 @@
     free: tuple[Instance, ...]
 
 
-def free_rooms(fleet: Fleet, taken: t.Container[str]) -> list[Room]:
+def find_free_instances(fleet: Fleet, taken: t.Container[str]) -> list[FreeInstances]:
     """Return the free instances of each fabric domain.
 
     :param taken: instances that are in use or must not be used.
@@ -43,19 +43,20 @@
         if instance.id not in taken and instance.state is InstanceState.LIVE:
             rooms[instance.fabric_domain].append(instance)
     return [
-        Room(domain, free[0].failure_domain, tuple(free)) for domain, free in sorted(rooms.items())
+        FreeInstances(domain, free[0].failure_domain, tuple(free))
+        for domain, free in sorted(rooms.items())
     ]
 
 
-def _fits(room: Room, intent: Intent) -> bool:
+def _fits(room: FreeInstances, intent: Intent) -> bool:
     allowed = not intent.failure_domains or room.failure_domain in intent.failure_domains
     return allowed and len(room.free) >= intent.instances_per_replica + intent.spares
 
 
-def place(
+def place_group(
     intent: Intent,
     group: str,
-    rooms: list[Room],
+    rooms: list[FreeInstances],
     used: t.Mapping[str, int],
 ) -> Result[Placement, PlacementError]:
     """Choose the instances of one new group.
--- a/packages/core/src/thorncleat_core/daemon/plans.py
+++ b/packages/core/src/thorncleat_core/daemon/plans.py
@@ -91,7 +91,7 @@
         """Accelerator seconds without serving that the plan costs."""
         return sum(step.idle_accelerator_seconds for step in self.steps)
 
-    def entry(self, operator: str) -> Entry:
+    def to_entry(self, operator: str) -> Entry:
         """Return the journal entry that carries the plan out."""
         revision = self.base_revision + 1
         started = tuple(
@@ -174,8 +174,8 @@
         return None
 
     def start(self, intent: Intent, group: str, used: t.Counter[str]) -> PlacementError | None:
-        rooms = placement.free_rooms(self._fleet, self._taken)
-        match placement.place(intent, group, rooms, used):
+        rooms = placement.find_free_instances(self._fleet, self._taken)
+        match placement.place_group(intent, group, rooms, used):
             case Failure(error):
                 return t.cast(PlacementError, error)
             case Success(placed):
@@ -230,7 +230,7 @@
     return codec.digest(rows)
 
 
-def make(
+def make_plan(
     change: Change,
     state: State,
     fleet: Fleet,
@@ -244,7 +244,7 @@
     :return: the plan, or why an intent can't be placed.
     :raises DocumentError: if the change contradicts the configuration.
     """
-    after = state.configuration.changed(change)
+    after = state.configuration.with_change(change)
     planner = _Planner(state, fleet, set(taken) | after.draining, times)
     planner.move_and_stop(after)
     # large groups first: they find no room once small ones have taken a part of each domain
--- a/packages/core/src/thorncleat_core/daemon/queues.py
+++ b/packages/core/src/thorncleat_core/daemon/queues.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Waiting(t.Generic[Item]):
+class QueuedRequest(t.Generic[Item]):
     """A request in the queue.
 
     :param cost: tokens that it is charged with.
@@ -47,12 +47,12 @@
         self._bucket = 0
         self._since: float | None = None
 
-    def note(self, cost: int, now: float) -> None:
+    def record(self, cost: int, now: float) -> None:
         """Count work that was sent on."""
         self._roll(now)
         self._bucket += cost
 
-    def at(self, now: float) -> float:
+    def tokens_per_second(self, now: float) -> float:
         """Return the rate in tokens a second; 0 while nothing is known."""
         self._roll(now)
         return self._rate
@@ -79,13 +79,13 @@
     def __init__(self, limit: int, quantum: int = 512) -> None:
         self._limit = limit
         self._quantum = quantum
-        self._queues: dict[str, list[tuple[int, float, int, Waiting[Item]]]] = {}
+        self._queues: dict[str, list[tuple[int, float, int, QueuedRequest[Item]]]] = {}
         self._round: collections.deque[str] = collections.deque()
         self._deficit: dict[str, float] = {}
         self._waiting_cost: collections.Counter[str] = collections.Counter()
         self._sequence = itertools.count()
         self._dropped: set[int] = set()
-        self.drained = DrainRate()
+        self.drain_rate = DrainRate()
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values()) - len(self._dropped)
@@ -95,22 +95,22 @@
         """Tokens that wait, for each workspace."""
         return self._waiting_cost
 
-    def refuse(self, waiting: Waiting[Item], now: float) -> float | None:
+    def retry_after(self, waiting: QueuedRequest[Item], now: float) -> float | None:
         """Return None if a request may wait, else after how many seconds to come back.
 
         It may not if its workspace's queue is full, or if at the rate measured it would
         not leave the queue before its deadline.
         """
         ahead = self._waiting_cost[waiting.workspace]
-        rate = self.drained.at(now)
+        rate = self.drain_rate.tokens_per_second(now)
         expected = ahead / rate if rate else 0.0
         full = ahead > 0 and ahead + waiting.cost > self._limit
         if not full and now + expected <= waiting.deadline:
             return None
         return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, expected))
 
-    def add(self, waiting: Waiting[Item]) -> int:
-        """Put a request into the queue; return a ticket for :meth:`drop`."""
+    def add(self, waiting: QueuedRequest[Item]) -> int:
+        """Put a request into the queue; return a ticket for :meth:`remove`."""
         ticket = next(self._sequence)
         queue = self._queues.setdefault(waiting.workspace, [])
         if waiting.workspace not in self._deficit:
@@ -120,14 +120,14 @@
         self._waiting_cost[waiting.workspace] += waiting.cost
         return ticket
 
-    def drop(self, ticket: int, waiting: Waiting[Item]) -> None:
+    def remove(self, ticket: int, waiting: QueuedRequest[Item]) -> None:
         """Take a request out, whose caller has gone."""
         self._dropped.add(ticket)
         self._waiting_cost[waiting.workspace] -= waiting.cost
 
-    def expired(self, now: float) -> list[Waiting[Item]]:
+    def pop_expired(self, now: float) -> list[QueuedRequest[Item]]:
         """Take out and return the requests whose deadline has passed."""
-        found: list[Waiting[Item]] = []
+        found: list[QueuedRequest[Item]] = []
         for name, queue in self._queues.items():
             late = [entry for entry in queue if entry[1] <= now]
             if not late:
@@ -147,7 +147,7 @@
         may_send: t.Callable[[str, int], bool],
         weights: t.Mapping[str, float],
         now: float,
-    ) -> Waiting[Item] | None:
+    ) -> QueuedRequest[Item] | None:
         """Take out the next request that may be sent; None if there is none.
 
         :param may_send: whether a workspace has room for a request of a cost.
@@ -173,11 +173,11 @@
             self._deficit[name] -= head.cost
             heapq.heappop(self._queues[name])
             self._waiting_cost[name] -= head.cost
-            self.drained.note(head.cost, now)
+            self.drain_rate.record(head.cost, now)
             return head
         return None
 
-    def _head(self, name: str) -> Waiting[Item] | None:
+    def _head(self, name: str) -> QueuedRequest[Item] | None:
         queue = self._queues[name]
         while queue and queue[0][2] in self._dropped:
             self._dropped.discard(heapq.heappop(queue)[2])
--- a/packages/core/src/thorncleat_core/daemon/repair.py
+++ b/packages/core/src/thorncleat_core/daemon/repair.py
@@ -35,11 +35,11 @@
 
     instance: str
     group_id: str
-    part: "Part"
+    part: "ModelPart"
 
 
 @dataclasses.dataclass(frozen=True)
-class Part:
+class ModelPart:
     """What an instance has loaded: one rank's part of a model."""
 
     model: str
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class View:
+class ObservedDomain:
     """What the holder sees of its domain.
 
     :param idle: instances that answer and follow no order of any group.
@@ -88,14 +88,14 @@
     """
 
     idle: frozenset[str]
-    gone: frozenset[str] = frozenset()
+    absent: frozenset[str] = frozenset()
     missing_since: t.Mapping[str, float] = dataclasses.field(default_factory=dict)
     draining: frozenset[str] = frozenset()
-    prepared: t.Mapping[str, "Part"] = dataclasses.field(default_factory=dict)
+    prepared: t.Mapping[str, "ModelPart"] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True)
-class Wanted:
+class DesiredState:
     """What the configuration wants in the domain.
 
     :param placements: by group id.
@@ -112,7 +112,7 @@
     """A way to repair groups whose members are missing."""
 
     def __call__(
-        self, assignments: Assignments, wanted: Wanted, view: View, now: float
+        self, assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float
     ) -> list[Change]:
         """Return the changes to make next."""
         ...
@@ -121,8 +121,12 @@
 strategies: Registry[Strategy] = Registry("repair strategy")
 
 
-def decide(
-    assignments: Assignments, wanted: Wanted, view: View, now: float, strategy: str = "donate"
+def decide_changes(
+    assignments: Assignments,
+    wanted: DesiredState,
+    view: ObservedDomain,
+    now: float,
+    strategy: str = "donate",
 ) -> list[Change]:
     """Return the changes to make next, at most one for each group."""
     released = _released(assignments, view)
@@ -137,12 +141,12 @@
     return _one_for_each(changes)
 
 
-def _released(assignments: Assignments, view: View) -> tuple[str, ...]:
+def _released(assignments: Assignments, view: ObservedDomain) -> tuple[str, ...]:
     return tuple(
         sorted(
             instance
             for instance in assignments.leaving
-            if instance in view.idle or instance in view.gone
+            if instance in view.idle or instance in view.absent
         )
     )
 
@@ -151,14 +155,14 @@
     seen: set[str] = set()
     kept: list[Change] = []
     for change in changes:
-        name = group_of(change)
+        name = affected_group(change)
         if name not in seen:
             seen.add(name)
             kept.append(change)
     return kept
 
 
-def group_of(change: Change) -> str:
+def affected_group(change: Change) -> str:
     """Return the group that a change is about; empty for a release."""
     if isinstance(change, Start | Replace):
         return change.group.id
@@ -168,12 +172,12 @@
 class _Pool:
     """The instances that are free to be placed."""
 
-    def __init__(self, assignments: Assignments, view: View) -> None:
-        taken = assignments.taken()
+    def __init__(self, assignments: Assignments, view: ObservedDomain) -> None:
+        taken = assignments.occupied_instances()
         self.free = sorted(view.idle - view.draining - taken)
         self._prepared = view.prepared
 
-    def for_part(self, part: Part) -> str | None:
+    def for_part(self, part: ModelPart) -> str | None:
         """Take an instance for a part, one that has loaded it if there is one."""
         ready = [instance for instance in self.free if self._prepared.get(instance) == part]
         found = next(iter(ready or self.free), None)
@@ -181,7 +185,7 @@
             self.free.remove(found)
         return found
 
-    def is_prepared(self, instance: str, part: Part) -> bool:
+    def is_prepared(self, instance: str, part: ModelPart) -> bool:
         """Return whether an instance has loaded a part."""
         return self._prepared.get(instance) == part
 
@@ -196,13 +200,13 @@
         return found
 
 
-def _lost(group: Group, wanted: Wanted, view: View, now: float) -> list[str]:
+def _lost(group: Group, wanted: DesiredState, view: ObservedDomain, now: float) -> list[str]:
     """Return the members that are given up for now."""
     limit = now - wanted.repair_after
     return [
         member
         for member in group.members
-        if member in view.gone or view.missing_since.get(member, now) <= limit
+        if member in view.absent or view.missing_since.get(member, now) <= limit
     ]
 
 
@@ -220,7 +224,7 @@
         return None
     found = {}
     for member in replaced:
-        part = Part(intent.model, intent.version, group.members.index(member))
+        part = ModelPart(intent.model, intent.version, group.members.index(member))
         found[member] = t.cast(str, pool.for_part(part))
     return found
 
@@ -230,7 +234,7 @@
 ) -> Change:
     """Return the replacement by spares, or the next step that prepares it."""
     for member, spare in spares.items():
-        part = Part(intent.model, intent.version, group.members.index(member))
+        part = ModelPart(intent.model, intent.version, group.members.index(member))
         if graceful and not pool.is_prepared(spare, part):
             return Prepare(spare, group.id, part)
     members = [spares.get(member, member) for member in group.members]
@@ -238,7 +242,7 @@
 
 
 def _repairs(
-    assignments: Assignments, wanted: Wanted, view: View, now: float, pool: _Pool
+    assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float, pool: _Pool
 ) -> tuple[list[Change], list[Group]]:
     """Return replacements by spares, and the groups for which there are too few."""
     changes: list[Change] = []
@@ -261,12 +265,12 @@
     return changes, short
 
 
-def _intent_of(group: Group, wanted: Wanted) -> Intent | None:
+def _intent_of(group: Group, wanted: DesiredState) -> Intent | None:
     placed = wanted.placements.get(group.id)
     return wanted.intents.get(placed.intent) if placed else None
 
 
-def _starts(assignments: Assignments, wanted: Wanted, pool: _Pool) -> list[Change]:
+def _starts(assignments: Assignments, wanted: DesiredState, pool: _Pool) -> list[Change]:
     changes: list[Change] = []
     for group_id, placed in sorted(wanted.placements.items()):
         intent = wanted.intents.get(placed.intent)
@@ -279,12 +283,12 @@
     return changes
 
 
-def started(assignments: Assignments, wanted: Wanted, view: View) -> list[Change]:
+def started(assignments: Assignments, wanted: DesiredState, view: ObservedDomain) -> list[Change]:
     """Return the starts of groups that are wanted and for which there is room."""
     return _starts(assignments, wanted, _Pool(assignments, view))
 
 
-def _reloads(assignments: Assignments, wanted: Wanted) -> list[Change]:
+def _reloads(assignments: Assignments, wanted: DesiredState) -> list[Change]:
     """Return the next group that has to change its model; one at a time."""
     for group in sorted(assignments.groups.values(), key=lambda group: group.id):
         intent = _intent_of(group, wanted)
@@ -294,7 +298,9 @@
 
 
 @strategies.register("spares")
-def with_spares(assignments: Assignments, wanted: Wanted, view: View, now: float) -> list[Change]:
+def with_spares(
+    assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float
+) -> list[Change]:
     """Replace lost members by spares; without spares wait until they come back."""
     pool = _Pool(assignments, view)
     changes, _ = _repairs(assignments, wanted, view, now, pool)
@@ -302,7 +308,9 @@
 
 
 @strategies.register("donate")
-def with_donors(assignments: Assignments, wanted: Wanted, view: View, now: float) -> list[Change]:
+def with_donors(
+    assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float
+) -> list[Change]:
     """As ``spares``; and of groups that are down for want of spares one gives to the others.
 
     Several groups that each miss a member hold many accelerators idle. The one that misses
--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -11,20 +11,20 @@
 class RetryThrottle:
     """Allows retries as a part of successes, so that a failing fleet isn't loaded further.
 
-    :param part: retries for each success.
+    :param ratio: retries for each success.
     :param reserve: retries that may be saved up.
     """
 
-    def __init__(self, part: float = 0.1, reserve: float = 10.0) -> None:
-        self._part = part
+    def __init__(self, ratio: float = 0.1, reserve: float = 10.0) -> None:
+        self._ratio = ratio
         self._reserve = reserve
         self._level = reserve
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Count a success."""
-        self._level = min(self._reserve, self._level + self._part)
+        self._level = min(self._reserve, self._level + self._ratio)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take a retry if there is one."""
         if self._level < 1:
             return False
@@ -32,19 +32,19 @@
         return True
 
 
-def may_send_again(
-    executed: str, *, repeatable: bool, attempt: int, most: int, seconds_left: float
+def can_retry(
+    executed: str, *, repeatable: bool, attempt: int, max_attempts: int, seconds_left: float
 ) -> bool:
     """Return whether another attempt may follow one that failed; the throttle is asked after.
 
     :param executed: whether the request ran: ``no``, ``yes`` or ``unknown``.
     :param repeatable: whether it may run more than once.
     :param attempt: the failed one's number, from 1.
-    :param most: attempts that a request may have.
+    :param max_attempts: attempts that a request may have.
     :param seconds_left: to the request's deadline.
     """
     safe = repeatable or executed == "no"
-    return safe and attempt < most and seconds_left > 0
+    return safe and attempt < max_attempts and seconds_left > 0
 
 
 @dataclasses.dataclass
@@ -71,7 +71,7 @@
         self._most = most
         self._records: dict[str, _Record] = {}
 
-    def failed(self, endpoint: str, now: float) -> None:
+    def record_failure(self, endpoint: str, now: float) -> None:
         """Count a failure."""
         record = self._records.setdefault(endpoint, _Record())
         record.failures += 1
@@ -81,11 +81,11 @@
             record.ejections += 1
             record.failures = 0
 
-    def succeeded(self, endpoint: str) -> None:
+    def record_success(self, endpoint: str) -> None:
         """Count a success, which ends the row of failures."""
         self._records.pop(endpoint, None)
 
-    def usable(self, endpoints: t.Sequence[str], now: float) -> list[str]:
+    def usable_endpoints(self, endpoints: t.Sequence[str], now: float) -> list[str]:
         """Return the endpoints that are not out; never fewer than the cap allows."""
         out = [endpoint for endpoint in endpoints if self._until(endpoint) > now]
         allowed = int(len(endpoints) * self._most)
--- a/packages/core/src/thorncleat_core/daemon/routing.py
+++ b/packages/core/src/thorncleat_core/daemon/routing.py
@@ -38,7 +38,7 @@
         return self.outstanding / max(self.warmth, MIN_WARMTH)
 
 
-class Choice(t.Protocol):
+class RoutingPolicy(t.Protocol):
     """A way to choose."""
 
     def __call__(self, prefix: str, cost: int, candidates: list[Candidate]) -> str:
@@ -50,7 +50,7 @@
         ...
 
 
-choices: Registry[Choice] = Registry("routing choice")
+routing_policies: Registry[RoutingPolicy] = Registry("routing choice")
 
 
 def prefix_identity(model: str, version: str, text: str) -> str:
@@ -63,7 +63,7 @@
     return xxhash.xxh3_64_hexdigest(f"{model}\0{version}\0{head}".encode())
 
 
-@choices.register("bounded_affinity")
+@routing_policies.register("bounded_affinity")
 def bounded_affinity(prefix: str, cost: int, candidates: list[Candidate]) -> str:
     """Prefer the group that the prefix hashes to, unless it is loaded above the bound."""
     by_name = {candidate.group: candidate for candidate in candidates}
@@ -75,7 +75,7 @@
     return least_outstanding(prefix, cost, candidates)
 
 
-@choices.register("least_outstanding")
+@routing_policies.register("least_outstanding")
 def least_outstanding(prefix: str, cost: int, candidates: list[Candidate]) -> str:
     """Take the least loaded group; the prefix decides between equals."""
     best = min(
@@ -86,13 +86,13 @@
 
 
 # reached by its name alone, which settings may hold as ``requests.routing``
-@choices.register("prefix_hash")
+@routing_policies.register("prefix_hash")
 def prefix_hash(prefix: str, cost: int, candidates: list[Candidate]) -> str:
     """Take the group that the prefix hashes to, whatever its load."""
     return rendezvous.rank(prefix, [candidate.group for candidate in candidates])[0]
 
 
-def attached(daemon: str, groups: t.Mapping[str, int], limit: int) -> list[str]:
+def attached_groups(daemon: str, groups: t.Mapping[str, int], limit: int) -> list[str]:
     """Return the groups that a daemon uses: a bounded subset, spread evenly over daemons.
 
     They are taken shard by shard, so that the permits for them come from few holders.
--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -10,7 +10,7 @@
 
 from thorncleat_core import clock
 from thorncleat_core.daemon.retries import RetryThrottle
-from thorncleat_core.daemon.retries import may_send_again
+from thorncleat_core.daemon.retries import can_retry
 
 from . import events
 from . import retry_after
@@ -77,8 +77,8 @@
             slot = await self._dispatcher.acquire(slot_request_of(frozenset(failed)))
             try:
                 answer = await self._guarded(slot, work(slot))
-                self._dispatcher.ejection.succeeded(slot.group)
-                self._retries.succeeded()
+                self._dispatcher.ejection.record_success(slot.group)
+                self._retries.record_success()
                 return answer
             except RequestError as error:
                 self._note_failure(slot, error, failed)
@@ -92,7 +92,7 @@
     def permitted_until(self, slot: Slot) -> float:
         """Return until when the group of a call may answer; 0 if it may not now."""
         held = self._permits.permit(slot.group)
-        if held and held.permit.generation == slot.generation and held.usable(clock.now()):
+        if held and held.permit.generation == slot.generation and held.is_usable(clock.now()):
             return held.until
         return 0.0
 
@@ -126,18 +126,18 @@
     def _note_failure(self, slot: Slot, error: RequestError, failed: set[str]) -> None:
         failed.add(slot.group)
         if error.cause in RETRIED:
-            self._dispatcher.ejection.failed(slot.group, clock.now())
+            self._dispatcher.ejection.record_failure(slot.group, clock.now())
 
     def _may_retry(self, caller: Caller, error: RequestError, attempt: int) -> bool:
-        if error.cause not in RETRIED or not may_send_again(
+        if error.cause not in RETRIED or not can_retry(
             error.executed,
             repeatable=caller.repeatable,
             attempt=attempt,
-            most=MAX_ATTEMPTS,
+            max_attempts=MAX_ATTEMPTS,
             seconds_left=caller.left(),
         ):
             return False
-        if not self._retries.take():
+        if not self._retries.try_acquire():
             return False
         self._metrics.retries.labels(error.cause).inc()
         return True
--- a/packages/daemon/src/thorncleat_daemon/callers.py
+++ b/packages/daemon/src/thorncleat_daemon/callers.py
@@ -100,8 +100,8 @@
     :param deadline: seconds for a request that doesn't say.
     :raises RequestError: if its key is unknown or a header is wrong.
     """
-    key = keys.bearer(request.headers.get("Authorization"))
-    workspace = configuration.workspace_of(key) if key else None
+    key = keys.parse_bearer(request.headers.get("Authorization"))
+    workspace = configuration.workspace_for_key(key) if key else None
     if workspace is None:
         raise RequestError(
             401, "Unknown key", "a workspace's key is wanted as a bearer", cause="unauthorized"
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -198,7 +198,7 @@
         return found is not None and found.value == value
 
     def _holds(self, lease: HeldLease) -> bool:
-        return not self._fenced or lease.held(self._clock())
+        return not self._fenced or lease.is_held(self._clock())
 
     def _owner(self, workspace: str, key: str) -> _OwnedShard | None:
         owned = self._owned.get(self._shards.shard_of(claim_name(workspace, key)))
@@ -213,13 +213,13 @@
         if owned is None:
             return Reply(ClaimAnswer.BUSY)
         now, wall = self._clock(), int(time.time())
-        reply, claim = owned.book.ask(workspace, key, request, now, wall, attempt)
+        reply, claim = owned.book.request_claim(workspace, key, request, now, wall, attempt)
         if claim is not None:
             done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
             owned.pending.append(_Pending(claim, done))
             owned.wake.set()
             if await done:
-                owned.book.written(claim)
+                owned.book.mark_durable(claim)
                 self._invariants.check(
                     claim.id not in owned.granted,
                     Invariant.SECOND_RUN_OF_CLAIM,
@@ -228,7 +228,7 @@
                 owned.granted.add(claim.id)
             else:
                 # nothing was sent, whatever the store holds: the key may be asked for again
-                owned.book.not_written(claim)
+                owned.book.discard_unwritten(claim)
                 reply = Reply(ClaimAnswer.BUSY)
         return reply
 
@@ -240,7 +240,9 @@
         if owned is None:
             return False
         ran = str(body["ran"])
-        claim = owned.book.finish(workspace, key, outcome, ran, str(body.get("attempt", "")))
+        claim = owned.book.record_outcome(
+            workspace, key, outcome, ran, str(body.get("attempt", ""))
+        )
         if claim is not None and ran == "no":
             owned.granted.discard((workspace, key))
         if claim is not None:
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -112,7 +112,7 @@
             await self.catch_up()
         # checked before it is written: what is accepted must be applicable everywhere
         try:
-            state = self.current.after(entry)
+            state = self.current.with_entry(entry)
         except JournalError as error:
             raise ConflictError(str(error)) from error
         operations = self._operations(entry, state)
@@ -149,7 +149,7 @@
             try:
                 found = await self._store.read(self._keys.entry(entry.revision), Purpose.CONFIG)
             except StoreUnavailableError:
-                await asyncio.sleep(backoff.failed(random.random()))
+                await asyncio.sleep(backoff.next_delay(random.random()))
                 continue
             if found is None:
                 raise StoreUnavailableError("the write did not take effect")
@@ -242,7 +242,7 @@
         self._apply([Entry.decode(raw) for raw in answer["entries"]])
 
     async def _on_journal(self, sender: str, body: t.Any) -> t.Any:
-        entries = self.journal.since(int(body))
+        entries = self.journal.entries_after(int(body))
         if entries is None or len(entries) > ENTRIES_AT_ONCE:
             return {"snapshot": self.current.encode(), "entries": []}
         return {"snapshot": None, "entries": [entry.encode() for entry in entries]}
@@ -257,7 +257,7 @@
             except ThorncleatError as error:
                 events.TASK_FAILED.log(task="load", reason=str(error), expected=True)
                 await self._load_from_peers()
-                await asyncio.sleep(backoff.failed(random.random()))
+                await asyncio.sleep(backoff.next_delay(random.random()))
         await background.repeat(
             "config", self.catch_up_if_possible, POLL_SECONDS, lambda: self.should_stop
         )
@@ -318,7 +318,7 @@
                 await self._watch(backoff)
             except ThorncleatError as error:
                 events.TASK_FAILED.log(task="watch", reason=str(error), expected=True)
-                await asyncio.sleep(backoff.failed(random.random()))
+                await asyncio.sleep(backoff.next_delay(random.random()))
 
     async def _is_news(self, head: Head) -> bool:
         """Return whether a head is newer, after a moment in which the peers may bring it."""
@@ -331,6 +331,6 @@
             # an event only says that there is something: late and doubled ones do no harm
             if value is None or await self._is_news(Head.decode(value.value)):
                 await self.catch_up()
-            backoff.succeeded()
+            backoff.reset()
             if self.should_stop or not self.is_watcher:
                 return
--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -152,7 +152,7 @@
         self._gossip = Gossip(
             me, self._peers, self._instances, control.member_probe, settings.platform.poll
         )
-        self._gossip.on_listed(self._budget.set_members)
+        self._gossip.on_listed(self._budget.set_daemon_count)
         self._config = ConfigKeeper(
             me, self._store, self._keys, self._gossip, self._peers, invariants
         )
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -17,7 +17,7 @@
 from thorncleat_core.daemon.configuration import Intent
 from thorncleat_core.daemon.permits import HeldPermit
 from thorncleat_core.daemon.queues import FairQueue
-from thorncleat_core.daemon.queues import Waiting
+from thorncleat_core.daemon.queues import QueuedRequest
 from thorncleat_core.daemon.retries import Ejection
 
 from . import retry_after
@@ -135,7 +135,7 @@
         self._clock = now
         self._permits = permits
         self._configuration = configuration
-        self._choose = routing.choices.get(routing_choice)
+        self._choose = routing.routing_policies.get(routing_choice)
         self._queue_tokens = queue_tokens
         self._queues: dict[str, FairQueue[_Place]] = {}
         self._ledger = Ledger()
@@ -172,14 +172,14 @@
         """
         queue = self._queues.setdefault(request.intent.name, FairQueue(self._queue_tokens))
         future: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
-        waiting = Waiting(
+        waiting = QueuedRequest(
             _Place(request, future),
             request.workspace,
             request.cost,
             request.priority,
             request.deadline,
         )
-        refused = queue.refuse(waiting, self._clock())
+        refused = queue.retry_after(waiting, self._clock())
         if refused is not None:
             raise _overloaded(request, refused)
         ticket = queue.add(waiting)
@@ -193,13 +193,15 @@
             self._withdraw(queue, ticket, waiting)
             raise
 
-    def _withdraw(self, queue: FairQueue[_Place], ticket: int, waiting: Waiting[_Place]) -> None:
+    def _withdraw(
+        self, queue: FairQueue[_Place], ticket: int, waiting: QueuedRequest[_Place]
+    ) -> None:
         future = waiting.item.future
         if future.done() and not future.cancelled() and future.exception() is None:
             # the room was given at the same moment as the caller went
             self.release(future.result())
         else:
-            queue.drop(ticket, waiting)
+            queue.remove(ticket, waiting)
 
     def release(self, slot: Slot) -> None:
         """Give room back."""
@@ -219,7 +221,7 @@
     def _expire(self) -> None:
         now = self._clock()
         for queue in self._queues.values():
-            for waiting in queue.expired(now):
+            for waiting in queue.pop_expired(now):
                 if not waiting.item.future.done():
                     error = _overloaded(
                         waiting.item.request,
@@ -262,7 +264,7 @@
     def _give(self, place: _Place, usable: list[HeldPermit], now: float) -> None:
         request = place.request
         with_room = self._with_room(usable, request.workspace, request.cost)
-        names = self.ejection.usable([held.permit.group for held in with_room], now)
+        names = self.ejection.usable_endpoints([held.permit.group for held in with_room], now)
         preferred = [name for name in names if name not in request.avoid] or names
         by_name = {held.permit.group: held.permit for held in with_room}
         candidates = [self._candidate(name, by_name[name].generation, now) for name in preferred]
--- a/packages/daemon/src/thorncleat_daemon/domain_keepers.py
+++ b/packages/daemon/src/thorncleat_daemon/domain_keepers.py
@@ -59,7 +59,7 @@
         placements = self._services.config().placements.values()
         domains = {placed.domain for placed in placements}
         # and those that have groups still which the configuration names no more
-        records = self._services.gossip.directory.under("group/")
+        records = self._services.gossip.directory.with_prefix("group/")
         domains |= {str(record.body["domain"]) for record in records if not record.body.get("gone")}
         for domain in sorted(domains):
             lease = self._held.get(self._shards.shard_of(domain))
@@ -145,7 +145,7 @@
     def _stand_in(self, domain: str) -> DomainKeeper | None:
         records = [
             record
-            for record in self._services.gossip.directory.under("group/")
+            for record in self._services.gossip.directory.with_prefix("group/")
             if record.body.get("domain") == domain and not record.body.get("gone")
         ]
         if not records:
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -13,7 +13,7 @@
 from thorncleat_core.daemon.groups import InstanceReport
 from thorncleat_core.daemon.leases import HeldLease
 from thorncleat_core.daemon.permits import Permit
-from thorncleat_core.daemon.permits import PermitDesk
+from thorncleat_core.daemon.permits import PermitIssuer
 from thorncleat_core.daemon.permits import PermitRequest
 
 from .domain_state import DomainState
@@ -43,7 +43,7 @@
         self._services = services
         self._clock = services.clock
         self._state = state = DomainState(domain, epoch, lease, Assignments(domain))
-        self._desk = PermitDesk(services.control.permit, services.group_tokens)
+        self._desk = PermitIssuer(services.control.permit, services.group_tokens)
         self._probes = InstanceProbes(
             services.engines,
             services.clock,
@@ -155,7 +155,7 @@
         if group is None or leader is None:
             return Permit(request.group, self.epoch, 0, 0.0, True, "")
         now = self.asked_at = self._clock()
-        seconds = self._desk.valid_for(daemon, request, group, self._probes.confirmations, now)
+        seconds = self._desk.issue(daemon, request, group, self._probes.confirmations, now)
         grant = self._desk.grant(group.id, daemon, weights, now)
         return Permit(
             group.id,
@@ -170,7 +170,7 @@
 
     async def _probe_all(self) -> None:
         targets = {instance.id: instance.address for instance in self.listed.values()}
-        members = self.assignments.taken()
+        members = self.assignments.occupied_instances()
         if self.lease is None:
             targets = {name: where for name, where in targets.items() if name in members}
         await self._probes.probe(targets)
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -87,7 +87,7 @@
             events.PLATFORM_LOST.log(reason=str(error))
             return
         self.listed = True
-        self.members.listed({entry.id: entry.address for entry in entries})
+        self.members.update_list({entry.id: entry.address for entry in entries})
         for listener in self._listed:
             listener(len(self.members.addresses))
 
@@ -103,8 +103,8 @@
             self._on_member()
 
     def _on_member(self) -> None:
-        self.members.refresh()
-        refutation = self.members.refute()
+        self.members.refresh_alive()
+        refutation = self.members.create_refutation()
         if refutation:
             events.MEMBER_REFUTED.log(incarnation=refutation.version[0])
             self.publish(refutation)
@@ -166,12 +166,12 @@
         try:
             checksum = await self._peers.ask(neighbour, "ping", None, self._probe)
         except PeerError:
-            suspicion = self.members.missed(neighbour)
+            suspicion = self.members.record_missed_probe(neighbour)
             if suspicion:
                 events.MEMBER_SUSPECTED.log(member=neighbour)
                 self.publish(suspicion)
             return
-        self.members.answered(neighbour)
+        self.members.record_answer(neighbour)
         if checksum != self.directory.checksum:
             await self.synchronise(neighbour)
 
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -9,7 +9,7 @@
 from thorncleat_core.daemon.budget import Purpose
 from thorncleat_core.daemon.fleet import InstanceState
 from thorncleat_core.daemon.groups import Assignments
-from thorncleat_core.daemon.permits import PermitDesk
+from thorncleat_core.daemon.permits import PermitIssuer
 
 from . import events
 from .domain_state import DomainState
@@ -35,7 +35,7 @@
         self,
         state: DomainState,
         services: KeeperServices,
-        desk: PermitDesk,
+        desk: PermitIssuer,
         probes: InstanceProbes,
         orders: OrderGiver,
         open_groups: OpenGroups,
@@ -50,14 +50,14 @@
 
     def decide(self) -> None:
         """Decide anew what to change: a member that came back makes its replacement moot."""
-        changes = repair.decide(
+        changes = repair.decide_changes(
             self._state.assignments,
             self._wanted(),
             self._view(),
             self._services.clock(),
             self._services.control.repair,
         )
-        fresh = {repair.group_of(change): change for change in changes}
+        fresh = {repair.affected_group(change): change for change in changes}
         for group_id in set(self._pending) - set(fresh):
             self._desk.resume(group_id)
         self._pending = fresh
@@ -80,7 +80,7 @@
                 self._log(change)
             return
 
-    def _view(self) -> repair.View:
+    def _view(self) -> repair.ObservedDomain:
         state, reports = self._state, self._probes.reports
         leaving = {
             instance.id
@@ -89,17 +89,17 @@
         }
         gone = {
             name
-            for name in state.assignments.taken()
+            for name in state.assignments.occupied_instances()
             if name not in state.listed and self._probes.silence(name) > GONE_AFTER
         }
         idle = {name for name, report in reports.items() if not report.group}
         prepared = {
-            name: repair.Part(report.model, report.version, report.rank)
+            name: repair.ModelPart(report.model, report.version, report.rank)
             for name, report in reports.items()
             if report.ready and not report.group and report.model
         }
         draining = self._services.config().configuration.draining | leaving
-        return repair.View(
+        return repair.ObservedDomain(
             frozenset(idle),
             frozenset(gone),
             dict(self._probes.missing_since),
@@ -107,7 +107,7 @@
             prepared,
         )
 
-    def _wanted(self) -> repair.Wanted:
+    def _wanted(self) -> repair.DesiredState:
         state = self._services.config()
         placements = {
             name: placed
@@ -115,23 +115,23 @@
             if placed.domain == self._state.domain
         }
         seconds = self._services.control.repair_after
-        return repair.Wanted(placements, state.configuration.intents, seconds)
+        return repair.DesiredState(placements, state.configuration.intents, seconds)
 
     def _is_ready(self, change: repair.Change) -> bool:
         """Return whether a change may be written now; drain or suspend its group until then."""
         now, lease = self._services.clock(), self._state.lease
-        if lease is None or not lease.held(now):
+        if lease is None or not lease.is_held(now):
             return False
         if isinstance(change, repair.Start | repair.Release | repair.Prepare):
             return True
-        group_id = repair.group_of(change)
+        group_id = repair.affected_group(change)
         if now < self._orders.safe_at(group_id, lease.acquired_at):
             return False
         if change.graceful:
             self._desk.drain(group_id)
-            return self._desk.unused(group_id, now)
+            return self._desk.is_unused(group_id, now)
         self._desk.suspend(group_id)
-        return now > self._desk.last_end(group_id)
+        return now > self._desk.latest_expiry(group_id)
 
     async def _write(self, changed: Assignments) -> bool:
         """Write assignments under the lease; read them again if it isn't sure what stands."""
@@ -166,15 +166,15 @@
                 domain=self._state.domain, instances=list(change.instances)
             )
             return
-        group = self._state.assignments.groups.get(repair.group_of(change))
+        group = self._state.assignments.groups.get(repair.affected_group(change))
         members = list(group.members) if group else []
         kind = type(change).__name__.lower()
-        events.GROUP_CHANGED.log(group=repair.group_of(change), change=kind, members=members)
+        events.GROUP_CHANGED.log(group=repair.affected_group(change), change=kind, members=members)
 
 
 def _applied(assignments: Assignments, change: repair.Change) -> Assignments:
     if isinstance(change, repair.Release):
-        return assignments.released(change.instances)
+        return assignments.with_released(change.instances)
     if isinstance(change, repair.Dissolve):
         return assignments.without_group(change.group_id)
     if isinstance(change, repair.Prepare):
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -100,13 +100,13 @@
 
     @mode.Service.task
     async def _renew_task(self) -> None:
-        seconds = self._services.terms.renew_every / 2
+        seconds = self._services.terms.renewal_interval / 2
         await background.repeat("renew", self.renew, seconds, lambda: self.should_stop)
 
     async def renew(self) -> None:
         """Renew the lease if it is due, or note that it has lapsed."""
         now = self._clock()
-        if not self._lease_id or now < self._renewed_at + self._services.terms.renew_every:
+        if not self._lease_id or now < self._renewed_at + self._services.terms.renewal_interval:
             self._drop_lapsed(now)
             return
         try:
--- a/packages/daemon/src/thorncleat_daemon/instance_probes.py
+++ b/packages/daemon/src/thorncleat_daemon/instance_probes.py
@@ -65,7 +65,7 @@
     def miss(self, instance: str) -> None:
         """Note that an instance did not answer: its group is in doubt from now on."""
         self._reports.pop(instance, None)
-        self.confirmations.doubt(instance)
+        self.confirmations.revoke(instance)
         self._missing_since.setdefault(instance, self._clock())
 
     async def _probe(self, instance: str, address: str) -> None:
@@ -89,7 +89,7 @@
 
     def _note(self, instance: str, report: InstanceReport, sent_at: float) -> None:
         group = self._group_of(instance)
-        if group is None or self.confirmations.confirm(group, report, sent_at):
+        if group is None or self.confirmations.record_report(group, report, sent_at):
             self._missing_since.pop(instance, None)
         elif (report.group, report.generation) != (group.id, group.generation):
             # alive, but it has yet to follow: that isn't a loss
--- a/packages/daemon/src/thorncleat_daemon/metrics.py
+++ b/packages/daemon/src/thorncleat_daemon/metrics.py
@@ -45,4 +45,4 @@
         :param cause: ``good``, or why it counts against the objective.
         """
         self.requests.labels(workspace, cause).inc()
-        self.burn.note(Subject(workspace, target), cause, time.time())
+        self.burn.record(Subject(workspace, target), cause, time.time())
--- a/packages/daemon/src/thorncleat_daemon/open_groups.py
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -10,7 +10,7 @@
 
 from thorncleat_core.daemon.groups import Assignments
 from thorncleat_core.daemon.groups import Group
-from thorncleat_core.daemon.permits import PermitDesk
+from thorncleat_core.daemon.permits import PermitIssuer
 
 from . import events
 from .domain_state import DomainState
@@ -26,7 +26,7 @@
         self,
         state: DomainState,
         services: KeeperServices,
-        desk: PermitDesk,
+        desk: PermitIssuer,
         probes: InstanceProbes,
     ) -> None:
         self._state = state
@@ -54,7 +54,7 @@
                 events.GROUP_OPENED.log(group=group.id, generation=group.generation)
                 self._publish(group)
             elif not is_open and group.id in self._open:
-                self._close(group, self._probes.confirmations.missing(group, now))
+                self._close(group, self._probes.confirmations.unconfirmed_members(group, now))
 
     def replaced(self, old: Assignments, new: Assignments) -> None:
         """Close and publish what differs between two assignments."""
@@ -82,7 +82,7 @@
         events.GROUP_CLOSED.log(group=group.id, generation=group.generation, missing=missing)
         self._publish(group)
         body = {"group": group.id, "generation": group.generation}
-        for daemon in self._desk.holders(group.id, self._services.clock()):
+        for daemon in self._desk.daemons_with_permit(group.id, self._services.clock()):
             task = asyncio.create_task(self._inform(daemon, body))
             self._informing.add(task)
             task.add_done_callback(self._informing.discard)
--- a/packages/daemon/src/thorncleat_daemon/operator_access.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_access.py
@@ -70,14 +70,14 @@
         return answer
 
     def _recognised(self, request: web.Request) -> ActingOperator | None:
-        key = keys.bearer(request.headers.get("Authorization"))
+        key = keys.parse_bearer(request.headers.get("Authorization"))
         if key is None:
             return None
         wanted = keys.digest(key)
         for operator in self._configuration().operators.values():
-            if keys.same(operator.key_digest, wanted):
+            if keys.are_equal(operator.key_digest, wanted):
                 return ActingOperator(operator.name, operator.rights)
         for bootstrap in self._bootstrap:
-            if keys.same(bootstrap.key_digest, wanted):
+            if keys.are_equal(bootstrap.key_digest, wanted):
                 return ActingOperator(bootstrap.name, "change")
         return None
--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -72,12 +72,12 @@
 
     async def _fresh(self, change: Change) -> Plan | web.Response:
         try:
-            fleet = Fleet.of(await self._instances.everything())
+            fleet = Fleet.from_instances(await self._instances.everything())
         except PlatformError as error:
             return problem(503, str(error), accepted="no")
         state, taken = self._actual()
         times = plans.Estimates(load=self._load_seconds)
-        made = plans.make(change, state, fleet, taken, times)
+        made = plans.make_plan(change, state, fleet, taken, times)
         if isinstance(made, Failure):
             return problem(422, str(made.failure()), problems=[])
         return made.unwrap()
@@ -115,7 +115,7 @@
             if isinstance(fresh, web.Response):
                 return fresh
             plans.verify(plan, fresh)
-            revision = await self._config.accept(plan.entry(operator.name))
+            revision = await self._config.accept(plan.to_entry(operator.name))
         except ConflictError as error:
             return await self._conflict(plan, operator, error)
         except DocumentError as error:
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -17,7 +17,7 @@
 from thorncleat_core.daemon.permits import HeldPermit
 from thorncleat_core.daemon.permits import Permit
 from thorncleat_core.daemon.permits import PermitRequest
-from thorncleat_core.daemon.permits import held
+from thorncleat_core.daemon.permits import to_held_permit
 from thorncleat_core.exceptions import DecodeError
 
 from . import background
@@ -102,7 +102,7 @@
         self._models[(intent, model)] = self._clock()
         now = self._clock()
         found = (self._permits.get(group) for group in self.groups(intent, model))
-        return [permit for permit in found if permit and permit.takes_work(now)]
+        return [permit for permit in found if permit and permit.is_accepting(now)]
 
     def groups(self, intent: str, model: str) -> list[str]:
         """Return the groups of an intent that this daemon is attached to."""
@@ -114,10 +114,10 @@
     def _find_groups(self, intent: str, model: str) -> list[str]:
         known = {
             record.key.removeprefix("group/"): self._shards.shard_of(str(record.body["domain"]))
-            for record in self._gossip.directory.under(f"group/{intent}-")
+            for record in self._gossip.directory.with_prefix(f"group/{intent}-")
             if record.body.get("model") == model and record.body.get("intent") == intent
         }
-        return routing.attached(self._me, known, self._attach)
+        return routing.attached_groups(self._me, known, self._attach)
 
     async def nudge(self) -> None:
         """Renew now instead of at the next turn, though not too often."""
@@ -191,14 +191,14 @@
         newer = (permit.epoch, permit.generation)
         if known and newer < (known.permit.epoch, known.permit.generation):
             return
-        self._permits[permit.group] = held(permit, asked_at)
+        self._permits[permit.group] = to_held_permit(permit, asked_at)
         if permit.valid_for <= 0:
             self._announce_closed(permit.group)
 
     def _drop_ended(self) -> None:
         now = self._clock()
         for group, held_permit in list(self._permits.items()):
-            if not held_permit.usable(now):
+            if not held_permit.is_usable(now):
                 self._announce_closed(group)
 
     def _check_disjoint(self) -> None:
@@ -207,7 +207,7 @@
         seen: dict[str, str] = {}
         for group, held_permit in self._permits.items():
             record = self._gossip.directory.get(f"group/{group}")
-            if record is None or not held_permit.usable(now):
+            if record is None or not held_permit.is_usable(now):
                 continue
             if record.body.get("generation") != held_permit.permit.generation:
                 continue
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -17,7 +17,7 @@
 from thorncleat_core.daemon.configuration import Service
 from thorncleat_core.daemon.retries import Ejection
 from thorncleat_core.daemon.retries import RetryThrottle
-from thorncleat_core.daemon.retries import may_send_again
+from thorncleat_core.daemon.retries import can_retry
 
 from .callers import Caller
 from .claims import ClaimClient
@@ -61,7 +61,7 @@
         target = request.rel_url.raw_path.split(f"/{service.name}", 1)[1] or "/"
         if request.rel_url.raw_query_string:
             target += f"?{request.rel_url.raw_query_string}"
-        repeatable = caller.repeatable and service.may_repeat(request.method, path)
+        repeatable = caller.repeatable and service.can_repeat(request.method, path)
         headers = end_to_end(request.headers) | {"X-Request-Id": caller.id}
         call = _Call(request.method, target, body, headers, repeatable)
         if repeatable:
@@ -88,23 +88,23 @@
     async def _run(self, service: Service, caller: Caller, call: "_Call") -> Answered:
         """Call endpoints in turn, as long as that is safe and within the retry budget."""
         now = clock.now()
-        order = rendezvous.rank(caller.id, self._ejection.usable(service.endpoints, now))
+        order = rendezvous.rank(caller.id, self._ejection.usable_endpoints(service.endpoints, now))
         for attempt, endpoint in enumerate(order[:MAX_ATTEMPTS], start=1):
             try:
                 answered = await self._call(endpoint, caller, call)
-                self._ejection.succeeded(endpoint)
-                self._retries.succeeded()
+                self._ejection.record_success(endpoint)
+                self._retries.record_success()
                 return answered
             except RequestError as error:
-                self._ejection.failed(endpoint, clock.now())
-                may = may_send_again(
+                self._ejection.record_failure(endpoint, clock.now())
+                may = can_retry(
                     error.executed,
                     repeatable=call.repeatable,
                     attempt=attempt,
-                    most=min(len(order), MAX_ATTEMPTS),
+                    max_attempts=min(len(order), MAX_ATTEMPTS),
                     seconds_left=caller.left(),
                 )
-                if not may or not self._retries.take():
+                if not may or not self._retries.try_acquire():
                     raise
                 self._metrics.retries.labels(error.cause).inc()
         raise RequestError(503, "No endpoint", f"service {service.name!r} has none to use")
--- a/packages/daemon/src/thorncleat_daemon/retry_after.py
+++ b/packages/daemon/src/thorncleat_daemon/retry_after.py
@@ -2,7 +2,7 @@
 
 Owns: nothing.
 Relies on: callers that keep to it; what waits in a queue is told by the queue's own measure
-(:meth:`thorncleat_core.daemon.queues.FairQueue.refuse`).
+(:meth:`thorncleat_core.daemon.queues.FairQueue.retry_after`).
 """
 
 import random
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -160,7 +160,7 @@
 
     async def _admit(self, write: bool, purpose: Purpose) -> None:
         waited = 0.0
-        while wait := self._budget.wait(write, purpose, clock.now()):
+        while wait := self._budget.reserve(write, purpose, clock.now()):
             waited += wait
             if waited > MAX_BUDGET_WAIT:
                 raise StoreUnavailableError(f"no room in the store's budget for {purpose!s}")
--- a/tests/makers.py
+++ b/tests/makers.py
@@ -28,7 +28,7 @@
 
 
 def fleet(domains: int = 2, size: int = 6) -> Fleet:
-    return Fleet.of(
+    return Fleet.from_instances(
         instance(f"d{domain}-i{number}", f"fabric-{domain}", f"fd-{domain}")
         for domain in range(domains)
         for number in range(size)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -17,9 +17,9 @@
 
 
 def _granted(book: ClaimBook, key: str = "k"):
-    reply, claim = book.ask("w", key, "r", 0.0, 0)
+    reply, claim = book.request_claim("w", key, "r", 0.0, 0)
     assert reply.answer is ClaimAnswer.GRANTED
-    book.written(claim)
+    book.mark_durable(claim)
     return claim
 
 
@@ -27,46 +27,46 @@
     def test_second_asker_is_told_it_runs(self):
         book = ClaimBook()
         _granted(book)
-        assert book.ask("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.RUNNING
+        assert book.request_claim("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.RUNNING
 
     def test_asker_during_the_write_is_not_granted(self):
         book = ClaimBook()
-        book.ask("w", "k", "r", 0.0, 0)
-        assert book.ask("w", "k", "r", 0.0, 0)[0].answer is ClaimAnswer.RUNNING
+        book.request_claim("w", "k", "r", 0.0, 0)
+        assert book.request_claim("w", "k", "r", 0.0, 0)[0].answer is ClaimAnswer.RUNNING
 
     def test_repeat_gets_the_first_answer(self):
         book = ClaimBook()
         _granted(book)
-        book.finish("w", "k", DONE, "yes")
-        reply, _ = book.ask("w", "k", "r", 1.0, 0)
+        book.record_outcome("w", "k", DONE, "yes")
+        reply, _ = book.request_claim("w", "k", "r", 1.0, 0)
         assert (reply.answer, reply.outcome) == (ClaimAnswer.DONE, DONE)
 
     def test_same_key_with_another_body(self):
         book = ClaimBook()
         _granted(book)
-        assert book.ask("w", "k", "other", 1.0, 0)[0].answer is ClaimAnswer.MISMATCH
+        assert book.request_claim("w", "k", "other", 1.0, 0)[0].answer is ClaimAnswer.MISMATCH
 
     def test_same_key_of_another_workspace_is_another(self):
         book = ClaimBook()
         _granted(book)
-        assert book.ask("v", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
+        assert book.request_claim("v", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
 
     def test_not_run_may_be_asked_again(self):
         book = ClaimBook()
         _granted(book)
-        book.finish("w", "k", None, "no")
-        assert book.ask("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
+        book.record_outcome("w", "k", None, "no")
+        assert book.request_claim("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
 
     def test_unheard_run_becomes_unknown(self):
-        book = ClaimBook(patience=10)
+        book = ClaimBook(run_timeout=10)
         _granted(book)
-        assert book.ask("w", "k", "r", 11.0, 0)[0].answer is ClaimAnswer.UNKNOWN
+        assert book.request_claim("w", "k", "r", 11.0, 0)[0].answer is ClaimAnswer.UNKNOWN
 
     def test_full_book_refuses_and_expiry_makes_room(self):
         book = ClaimBook(limit=1, keep=100)
         _granted(book)
-        assert book.ask("w", "other", "r", 0.0, 50)[0].answer is ClaimAnswer.BUSY
-        assert book.ask("w", "other", "r", 0.0, 100)[0].answer is ClaimAnswer.GRANTED
+        assert book.request_claim("w", "other", "r", 0.0, 50)[0].answer is ClaimAnswer.BUSY
+        assert book.request_claim("w", "other", "r", 0.0, 100)[0].answer is ClaimAnswer.GRANTED
 
     def test_batch_survives_the_store(self):
         claim = _granted(ClaimBook())
@@ -86,7 +86,7 @@
     def __init__(self):
         super().__init__()
         self.now = 0.0
-        self.book = ClaimBook(patience=50)
+        self.book = ClaimBook(run_timeout=50)
         self.durable: list[claims.Claim] = []
         self.writing: list[tuple[claims.Claim, bool]] = []
         self.running: set[str] = set()
@@ -95,7 +95,7 @@
 
     @rule(key=keys)
     def ask(self, key):
-        reply, claim = self.book.ask("w", key, "r", self.now, 0)
+        reply, claim = self.book.request_claim("w", key, "r", self.now, 0)
         if claim:
             self.writing.append((claim, True))
         elif reply.answer is ClaimAnswer.GRANTED:
@@ -111,10 +111,10 @@
         if not mine:
             return
         if fate == "written":
-            self.book.written(claim)
+            self.book.mark_durable(claim)
             self._run(claim.key)
         else:
-            self.book.not_written(claim)
+            self.book.discard_unwritten(claim)
 
     def _run(self, key):
         self.runs[key] += 1
@@ -128,14 +128,14 @@
         if ran == "no":
             # the daemon knows that nothing was sent
             self.runs[key] -= 1
-        ended = self.book.finish("w", key, DONE if ran == "yes" else None, ran)
+        ended = self.book.record_outcome("w", key, DONE if ran == "yes" else None, ran)
         if ended:
             self.durable.append(ended)
 
     @rule()
     def owner_dies(self):
         """A new owner reads what is durable; writes of the old one are fenced off."""
-        self.book = ClaimBook(patience=50)
+        self.book = ClaimBook(run_timeout=50)
         self.book.restore(self.durable)
         self.writing = []
 
@@ -157,23 +157,26 @@
 
     def test_an_attempt_that_got_no_answer_cannot_give_back_another_ones_claim(self):
         book = ClaimBook()
-        _, claim = book.ask("w", "k", "r", 0.0, 0, "first")
-        book.written(claim)
+        _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
+        book.mark_durable(claim)
         # the second one's question was lost, so it can't know that the first one runs
-        assert book.finish("w", "k", None, "no", "second") is None
-        assert book.ask("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.RUNNING
+        assert book.record_outcome("w", "k", None, "no", "second") is None
+        assert book.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.RUNNING
 
     def test_nor_one_whose_fate_is_unknown(self):
         book = ClaimBook()
-        _, claim = book.ask("w", "k", "r", 0.0, 0, "first")
-        book.written(claim)
-        book.finish("w", "k", None, "unknown", "first")
-        assert book.finish("w", "k", None, "no", "second") is None
-        assert book.ask("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.UNKNOWN
+        _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
+        book.mark_durable(claim)
+        book.record_outcome("w", "k", None, "unknown", "first")
+        assert book.record_outcome("w", "k", None, "no", "second") is None
+        assert book.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.UNKNOWN
 
     def test_the_attempt_itself_can_even_after_a_change_of_owner(self):
         book, next_owner = ClaimBook(), ClaimBook()
-        _, claim = book.ask("w", "k", "r", 0.0, 0, "first")
+        _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
         next_owner.restore(claims.decode_batch(claims.encode_batch([claim])))
-        assert next_owner.finish("w", "k", None, "no", "first") is not None
-        assert next_owner.ask("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.GRANTED
+        assert next_owner.record_outcome("w", "k", None, "no", "first") is not None
+        assert (
+            next_owner.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer
+            is ClaimAnswer.GRANTED
+        )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -224,7 +224,7 @@
         world.run(later, step=0.05, order=[other, old, user])
         world.cut_peers |= {(user, old)}
         world.run(8, step=0.05, order=[other, old, user])
-        assert "i1" not in world.assignments().taken()
+        assert "i1" not in world.assignments().occupied_instances()
 
     def test_order_is_not_given_after_the_lease_ended(self):
         # on an engine without fences the holder's own clock is all there is
@@ -268,11 +268,11 @@
         # no new work within 3 s anywhere
         for daemon in world.daemons.values():
             held = daemon.permits.permit("narrator-0")
-            assert held.usable(daemon.clock())
-            assert not held.takes_work(daemon.clock())
+            assert held.is_usable(daemon.clock())
+            assert not held.is_accepting(daemon.clock())
         world.daemons["d1"].usage.flying.clear()
         world.run(10)
-        assert "i1" not in world.assignments().taken()
+        assert "i1" not in world.assignments().occupied_instances()
         assert len(world.usable()) == 3
 
     def test_instance_that_the_platform_lists_as_leaving_is_emptied(self):
@@ -280,7 +280,7 @@
         listed = world.listed["i2"]
         world.listed["i2"] = dataclasses.replace(listed, state=InstanceState.LEAVING)
         world.run(10, step=0.1)
-        assert "i2" not in world.assignments().taken()
+        assert "i2" not in world.assignments().occupied_instances()
         assert len(world.usable()) == 3
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -24,7 +24,7 @@
 from thorncleat_core.daemon.members import Members
 from thorncleat_core.daemon.retries import Ejection
 from thorncleat_core.daemon.retries import RetryThrottle
-from thorncleat_core.daemon.retries import may_send_again
+from thorncleat_core.daemon.retries import can_retry
 from thorncleat_core.exceptions import ConflictError
 from thorncleat_core.exceptions import DecodeError
 from thorncleat_core.exceptions import LeaseError
@@ -105,32 +105,32 @@
 class TestMembers:
     def _members(self, me: str = "a") -> Members:
         members = Members(me, Directory())
-        members.listed({"a": "1", "b": "2", "c": "3"})
+        members.update_list({"a": "1", "b": "2", "c": "3"})
         return members
 
     def test_suspected_after_three_misses(self):
         members = self._members()
-        assert [members.missed("b") for _ in range(2)] == [None, None]
-        suspicion = members.missed("b")
+        assert [members.record_missed_probe("b") for _ in range(2)] == [None, None]
+        suspicion = members.record_missed_probe("b")
         assert suspicion is not None
-        assert members.missed("b") is not None
-        members.answered("b")
-        assert members.missed("b") is None
+        assert members.record_missed_probe("b") is not None
+        members.record_answer("b")
+        assert members.record_missed_probe("b") is None
 
     def test_suspect_refutes_with_a_higher_incarnation(self):
         shared = Directory()
         shared.put(Record("member/a", (4, 1)))
         members = Members("a", shared)
-        refutation = members.refute()
+        refutation = members.create_refutation()
         assert refutation.version == (5, 0)
         shared.put(refutation)
-        assert members.refute() is None
+        assert members.create_refutation() is None
 
     def test_this_daemon_counts_itself_alive(self):
         shared = Directory()
         shared.put(Record("member/a", (0, 1)))
         members = Members("a", shared)
-        members.listed({"a": "1", "b": "2"})
+        members.update_list({"a": "1", "b": "2"})
         assert members.alive == ("a", "b")
 
 
@@ -138,29 +138,29 @@
     def test_fleet_stays_within_its_rate(self):
         fleet = [budget.StoreBudget(budget.FleetRates(writes=100)) for _ in range(9)]
         for one in fleet:
-            one.set_members(9)
+            one.set_daemon_count(9)
         done = 0
         for tick in range(60 * 50):
             for one in fleet:
-                done += one.wait(True, budget.Purpose.LEASE, tick / 50) == 0
-        burst = 9 * fleet[0].share(True) * 10
+                done += one.reserve(True, budget.Purpose.LEASE, tick / 50) == 0
+        burst = 9 * fleet[0].calls_per_second(True) * 10
         assert done <= 60 * 100 * 0.8 + burst + 9 * 8
 
     def test_leases_go_before_all_else(self):
         one = budget.StoreBudget(budget.FleetRates(writes=100))
-        one.set_members(980)
-        while not one.wait(True, budget.Purpose.READ, 0.0):
+        one.set_daemon_count(980)
+        while not one.reserve(True, budget.Purpose.READ, 0.0):
             pass
-        assert one.wait(True, budget.Purpose.READ, 0.0) > 0
-        assert one.wait(True, budget.Purpose.LEASE, 0.0) == 0
+        assert one.reserve(True, budget.Purpose.READ, 0.0) > 0
+        assert one.reserve(True, budget.Purpose.LEASE, 0.0) == 0
         assert one.calls[budget.Purpose.LEASE] == 1
         assert one.deferred[budget.Purpose.READ] == 2
 
     def test_backoff_grows_and_is_spread(self):
-        backoff = budget.Backoff(1.0, longest=8.0)
-        assert [backoff.failed(0.0) for _ in range(5)] == [0.5, 1, 2, 4, 4]
-        backoff.succeeded()
-        assert backoff.failed(0.999) < 1.0
+        backoff = budget.Backoff(1.0, max_delay=8.0)
+        assert [backoff.next_delay(0.0) for _ in range(5)] == [0.5, 1, 2, 4, 4]
+        backoff.reset()
+        assert backoff.next_delay(0.999) < 1.0
 
 
 class TestRouting:
@@ -178,24 +178,24 @@
     def test_attachment_is_even_and_bounded(self):
         groups = {f"g{n}": n % 12 for n in range(50)}
         used = collections.Counter(
-            group for d in range(200) for group in routing.attached(f"d{d}", groups, 8)
+            group for d in range(200) for group in routing.attached_groups(f"d{d}", groups, 8)
         )
         assert len(used) == 50
         assert max(used.values()) < 2 * 200 * 8 / 50
 
     def test_unknown_choice_names_the_known(self):
         with pytest.raises(UnknownNameError, match="'none', one of bounded_affinity"):
-            routing.choices.get("none")
+            routing.routing_policies.get("none")
 
 
 class TestRetries:
     def test_failing_fleet_isnt_loaded_further(self):
-        retries = RetryThrottle(part=0.1, reserve=10)
-        taken = sum(retries.take() for _ in range(1000))
+        retries = RetryThrottle(ratio=0.1, reserve=10)
+        taken = sum(retries.try_acquire() for _ in range(1000))
         assert taken == 10
         for _ in range(100):
-            retries.succeeded()
-        assert sum(retries.take() for _ in range(1000)) in (9, 10)
+            retries.record_success()
+        assert sum(retries.try_acquire() for _ in range(1000)) in (9, 10)
 
     @pytest.mark.parametrize(
         ("executed", "repeatable", "attempt", "left", "again"),
@@ -212,24 +212,24 @@
         ],
     )
     def test_what_is_sent_again(self, executed, repeatable, attempt, left, again):
-        found = may_send_again(
-            executed, repeatable=repeatable, attempt=attempt, most=3, seconds_left=left
+        found = can_retry(
+            executed, repeatable=repeatable, attempt=attempt, max_attempts=3, seconds_left=left
         )
         assert found is again
 
     def test_never_more_than_half_are_out(self):
         ejection = Ejection(threshold=1)
         for name in "abcd":
-            ejection.failed(name, 0.0)
-        assert len(ejection.usable("abcd", 0.1)) == 2
+            ejection.record_failure(name, 0.0)
+        assert len(ejection.usable_endpoints("abcd", 0.1)) == 2
 
     def test_out_and_back(self):
         ejection = Ejection(threshold=2, seconds=1.0)
-        ejection.failed("a", 0.0)
-        assert ejection.usable("ab", 0.0) == ["a", "b"]
-        ejection.failed("a", 0.0)
-        assert ejection.usable("ab", 0.5) == ["b"]
-        assert ejection.usable("ab", 1.5) == ["a", "b"]
+        ejection.record_failure("a", 0.0)
+        assert ejection.usable_endpoints("ab", 0.0) == ["a", "b"]
+        ejection.record_failure("a", 0.0)
+        assert ejection.usable_endpoints("ab", 0.5) == ["b"]
+        assert ejection.usable_endpoints("ab", 1.5) == ["a", "b"]
 
 
 class TestBurn:
@@ -237,7 +237,7 @@
         counts = BurnCounts()
         subject = Subject("w", "m")
         for number in range(1000):
-            counts.note(subject, "group_closed" if number % 20 == 0 else GOOD, 100_000.0)
+            counts.record(subject, "group_closed" if number % 20 == 0 else GOOD, 100_000.0)
         (row,) = counts.rows(lambda _: 0.999, 100_001.0)
         assert row.rates["5m"] == pytest.approx(50)
         assert row.alert == "page"
@@ -245,7 +245,7 @@
 
     def test_windows_forget(self):
         counts = BurnCounts()
-        counts.note(Subject("w", "m"), "late", 0.0)
+        counts.record(Subject("w", "m"), "late", 0.0)
         (row,) = counts.rows(lambda _: 0.99, 4000.0)
         assert row.rates["1h"] == 0
         assert row.rates["6h"] > 0
@@ -253,7 +253,7 @@
     def test_merge_of_daemons_is_the_sum(self):
         one, two = BurnCounts(), BurnCounts()
         for counts in (one, two):
-            counts.note(Subject("w", "m"), GOOD, 60.0)
+            counts.record(Subject("w", "m"), GOOD, 60.0)
         one.merge(two.export())
         assert one.rows(lambda _: 0.9, 61.0)[0].total == 2
 
@@ -262,7 +262,7 @@
     def _plan(self, change: Change, state: State | None = None, fleet=None) -> plans.Plan:
         state = state or State()
         taken = {one for p in state.placements.values() for one in p.members}
-        made = plans.make(change, state, fleet or makers.fleet(), taken)
+        made = plans.make_plan(change, state, fleet or makers.fleet(), taken)
         return made.unwrap()
 
     def test_groups_are_spread_over_failure_domains(self):
@@ -276,21 +276,21 @@
     def test_spares_are_left_free(self):
         fleet = makers.fleet(domains=1, size=6)
         assert self._plan(makers.change(spares=2), fleet=fleet).steps
-        made = plans.make(makers.change(spares=3), State(), fleet, set())
+        made = plans.make_plan(makers.change(spares=3), State(), fleet, set())
         assert isinstance(made, Failure)
         assert "needs 4 free instances and 3 spares" in str(made.failure())
 
     def test_size_that_no_domain_can_hold(self):
-        made = plans.make(makers.change(size=32), State(), makers.fleet(), set())
+        made = plans.make_plan(makers.change(size=32), State(), makers.fleet(), set())
         assert "'narrator-0' needs 32 free instances" in str(made.failure())
 
     def test_fewer_replicas_stop_the_last(self):
-        state = State().after(self._plan(makers.change(replicas=2)).entry("op"))
+        state = State().with_entry(self._plan(makers.change(replicas=2)).to_entry("op"))
         plan = self._plan(makers.change(replicas=1), state)
         assert [(step.action, step.group) for step in plan.steps] == [("stop", "narrator-1")]
 
     def test_new_version_reloads_and_tells_the_downtime(self):
-        state = State().after(self._plan(makers.change()).entry("op"))
+        state = State().with_entry(self._plan(makers.change()).to_entry("op"))
         newer = makers.change().model_copy(deep=True)
         intent = newer.intents[0].model_copy(update={"version": "v2"})
         plan = self._plan(newer.model_copy(update={"intents": [intent]}), state)
@@ -299,7 +299,7 @@
         assert plan.idle_accelerator_seconds == 4 * 8 * 120
 
     def test_drain_moves_the_group(self):
-        state = State().after(self._plan(makers.change()).entry("op"))
+        state = State().with_entry(self._plan(makers.change()).to_entry("op"))
         plan = self._plan(Change(draining=["d0-i1"]), state)
         assert [(step.action, step.group) for step in plan.steps] == [("move", "narrator-0")]
 
@@ -312,7 +312,7 @@
     def test_changed_revision_is_a_conflict(self):
         change = makers.change()
         plan = self._plan(change)
-        state = State().after(self._plan(change).entry("op"))
+        state = State().with_entry(self._plan(change).to_entry("op"))
         with pytest.raises(ConflictError, match="made from revision 0, now 1"):
             plans.verify(plan, self._plan(change, state))
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -61,11 +61,11 @@
         assert len(change.workspaces) == 10
         assert len(change.services[0].endpoints) == service_endpoints
         assert {one.model for one in change.intents} >= {model}
-        fleet = Fleet.of(
+        fleet = Fleet.from_instances(
             makers.instance(f"{site}-{n:02}", f"fabric-{n % 3}", f"{site}-{n % 3 + 1}")
             for n in range(workers)
         )
-        made = plans.make(change, State(), fleet, set())
+        made = plans.make_plan(change, State(), fleet, set())
         assert isinstance(made, Success), made
         assert {step.domain for step in made.unwrap().steps} == {
             endpoint.fabric_domain for endpoint in fleet.endpoints()
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -151,13 +151,13 @@
 
     def test_unknown_workspace(self):
         with pytest.raises(DocumentError, match=r"intents.narrator.workspaces: unknown .* 'a'"):
-            Configuration().changed(change(workspaces=[]))
+            Configuration().with_change(change(workspaces=[]))
 
     def test_two_workspaces_with_one_key(self):
         both = [{"name": name, "key_digests": [digest("same")]} for name in ("a", "b")]
         with pytest.raises(DocumentError, match="share a key"):
-            Configuration().changed(change(workspaces=both))
+            Configuration().with_change(change(workspaces=both))
 
     def test_removing_what_is_not_there(self):
         with pytest.raises(DocumentError, match="'x' is not there to remove"):
-            Configuration().changed(Change.model_validate({"remove": {"intents": ["x"]}}))
+            Configuration().with_change(Change.model_validate({"remove": {"intents": ["x"]}}))
--- a/tests/test_forms_daemon_stored.py
+++ b/tests/test_forms_daemon_stored.py
@@ -61,7 +61,7 @@
 VALUES = {
     "head": (Head(7, "d"), Head.encode, Head.decode),
     "entry": (ENTRY, Entry.encode, Entry.decode),
-    "snapshot": (State().after(ENTRY), State.encode, State.decode),
+    "snapshot": (State().with_entry(ENTRY), State.encode, State.decode),
     "assignments": (
         Assignments("fabric-0", {"narrator-0": GROUP}, {"i-9": "old-0"}, 6),
         Assignments.encode,
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -79,7 +79,7 @@
     def _confirmed(self, group: Group, at: float) -> Confirmations:
         confirmations = Confirmations(window=2.0)
         for name in group.members:
-            assert confirmations.confirm(group, _report(name, group), at)
+            assert confirmations.record_report(group, _report(name, group), at)
         return confirmations
 
     def test_open_while_all_members_confirmed(self):
@@ -89,16 +89,16 @@
 
     def test_first_doubt_closes(self):
         confirmations = self._confirmed(_group(), 10.0)
-        confirmations.doubt("i2")
+        confirmations.revoke("i2")
         assert not confirmations.is_open(_group(), 10.0)
-        assert confirmations.missing(_group(), 10.0) == ["i2"]
+        assert confirmations.unconfirmed_members(_group(), 10.0) == ["i2"]
 
     @pytest.mark.parametrize(
         "wrong", [{"ready": False}, {"group": ""}, {"generation": 2}, {"rank": 0}]
     )
     def test_member_that_serves_otherwise_closes(self, wrong):
         confirmations = self._confirmed(_group(), 10.0)
-        assert not confirmations.confirm(_group(), _report("i1", _group(), **wrong), 10.5)
+        assert not confirmations.record_report(_group(), _report("i1", _group(), **wrong), 10.5)
         assert not confirmations.is_open(_group(), 10.5)
 
     def test_confirmation_of_an_old_generation_does_not_open_the_new(self):
@@ -106,30 +106,32 @@
         assert not confirmations.is_open(_group(generation=2), 10.0)
 
 
-def _wanted(count: int = 3, repair_after: float = 3.0) -> repair.Wanted:
-    configuration = Configuration().changed(change(size=SIZE))
+def _wanted(count: int = 3, repair_after: float = 3.0) -> repair.DesiredState:
+    configuration = Configuration().with_change(change(size=SIZE))
     placements = {
         f"narrator-{n}": Placement(
             f"narrator-{n}", "narrator", "d", tuple(INSTANCES[n * SIZE : (n + 1) * SIZE])
         )
         for n in range(count)
     }
-    return repair.Wanted(placements, configuration.intents, repair_after)
+    return repair.DesiredState(placements, configuration.intents, repair_after)
 
 
 class TestRepair:
     def _started(self) -> Assignments:
         assignments = Assignments("d")
-        view = repair.View(frozenset(INSTANCES))
-        for one in repair.decide(assignments, _wanted(), view, 0.0):
+        view = repair.ObservedDomain(frozenset(INSTANCES))
+        for one in repair.decide_changes(assignments, _wanted(), view, 0.0):
             assignments = assignments.with_group(one.group)
         return assignments
 
-    def _view(self, assignments: Assignments, lost=(), since: float = 0.0, **more) -> repair.View:
+    def _view(
+        self, assignments: Assignments, lost=(), since: float = 0.0, **more
+    ) -> repair.ObservedDomain:
         alive = frozenset(INSTANCES) - set(lost)
         missing = dict.fromkeys(lost, since)
-        idle = alive - assignments.taken()
-        return repair.View(idle, missing_since=missing, **more)
+        idle = alive - assignments.occupied_instances()
+        return repair.ObservedDomain(idle, missing_since=missing, **more)
 
     def test_starts_what_is_placed(self):
         assert sorted(self._started().groups) == ["narrator-0", "narrator-1", "narrator-2"]
@@ -137,11 +139,13 @@
     def test_waits_for_a_member_to_come_back(self):
         assignments = self._started()
         view = self._view(assignments, lost=["i0"], since=0.0)
-        assert repair.decide(assignments, _wanted(), view, 2.9) == []
+        assert repair.decide_changes(assignments, _wanted(), view, 2.9) == []
 
     def test_takes_a_spare_in_the_same_place(self):
         assignments = self._started()
-        (found,) = repair.decide(assignments, _wanted(), self._view(assignments, lost=["i1"]), 3.0)
+        (found,) = repair.decide_changes(
+            assignments, _wanted(), self._view(assignments, lost=["i1"]), 3.0
+        )
         assert found.group.members == ("i0", "i12", "i2", "i3")
         assert not found.graceful
 
@@ -149,22 +153,22 @@
         assignments = self._started()
         lost = ["i0", "i4", "i12", "i13"]
         view = self._view(assignments, lost=lost)
-        assert repair.decide(assignments, _wanted(), view, 9.0) == [
+        assert repair.decide_changes(assignments, _wanted(), view, 9.0) == [
             repair.Dissolve("narrator-1", graceful=False)
         ]
-        assert repair.decide(assignments, _wanted(), view, 9.0, "spares") == []
+        assert repair.decide_changes(assignments, _wanted(), view, 9.0, "spares") == []
 
     def test_draining_moves_the_group_gracefully(self):
         assignments = self._started()
         draining = frozenset(["i5"])
         view = self._view(assignments, draining=draining)
-        part = repair.Part("m", "v1", rank=1)
+        part = repair.ModelPart("m", "v1", rank=1)
         # the spare loads first, while the group serves on
-        assert repair.decide(assignments, _wanted(), view, 0.0) == [
+        assert repair.decide_changes(assignments, _wanted(), view, 0.0) == [
             repair.Prepare("i12", "narrator-1", part)
         ]
         view = self._view(assignments, draining=draining, prepared={"i12": part})
-        (found,) = repair.decide(assignments, _wanted(), view, 0.0)
+        (found,) = repair.decide_changes(assignments, _wanted(), view, 0.0)
         assert found.graceful
         assert "i5" not in found.group.members
 
@@ -172,8 +176,8 @@
         assignments = self._started()
         wanted = _wanted()
         newer = wanted.intents["narrator"].model_copy(update={"version": "v2"})
-        wanted = repair.Wanted(wanted.placements, {"narrator": newer}, 3.0)
-        (found,) = repair.decide(assignments, wanted, self._view(assignments), 0.0)
+        wanted = repair.DesiredState(wanted.placements, {"narrator": newer}, 3.0)
+        (found,) = repair.decide_changes(assignments, wanted, self._view(assignments), 0.0)
         assert (found.group.id, found.group.version) == ("narrator-0", "v2")
         assert found.graceful
 
@@ -191,7 +195,7 @@
         self.follows: dict[str, str] = dict.fromkeys(INSTANCES, "")
         self.dead: dict[str, float] = {}
         self.draining: set[str] = set()
-        self.prepared: dict[str, repair.Part] = {}
+        self.prepared: dict[str, repair.ModelPart] = {}
 
     @rule(name=st.sampled_from(INSTANCES))
     def die(self, name):
@@ -220,18 +224,18 @@
     def mend(self, strategy):
         alive = frozenset(INSTANCES) - set(self.dead)
         idle = frozenset(name for name in alive if not self.follows[name])
-        view = repair.View(
+        view = repair.ObservedDomain(
             idle,
             missing_since=dict(self.dead),
             draining=frozenset(self.draining),
             prepared={name: part for name, part in self.prepared.items() if name in idle},
         )
-        for found in repair.decide(self.assignments, _wanted(), view, self.now, strategy):
+        for found in repair.decide_changes(self.assignments, _wanted(), view, self.now, strategy):
             if isinstance(found, repair.Prepare):
                 assert not self.follows[found.instance]
                 self.prepared[found.instance] = found.part
             elif isinstance(found, repair.Release):
-                self.assignments = self.assignments.released(found.instances)
+                self.assignments = self.assignments.with_released(found.instances)
             elif isinstance(found, repair.Dissolve):
                 self.assignments = self.assignments.without_group(found.group_id)
             else:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -24,7 +24,7 @@
     """Return the states of a chain of entries, the empty one first."""
     states = [State()]
     for number in range(1, length + 1):
-        states.append(states[-1].after(_entry(states[-1], number)))
+        states.append(states[-1].with_entry(_entry(states[-1], number)))
     return states
 
 
@@ -74,7 +74,7 @@
 
     def __init__(self):
         super().__init__()
-        self.journal = Journal(keep=8)
+        self.journal = Journal(max_entries=8)
         self.highest = 0
 
     @rule(number=st.integers(0, len(ENTRIES) - 1))
@@ -94,7 +94,7 @@
 
     @rule(number=st.integers(0, len(ENTRIES)))
     def answer_a_peer(self, number):
-        entries = self.journal.since(number)
+        entries = self.journal.entries_after(number)
         if entries is not None:
             assert [entry.revision for entry in entries] == list(
                 range(number + 1, self.journal.head.revision + 1)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -10,14 +10,16 @@
 
 from thorncleat_core.daemon import shares
 from thorncleat_core.daemon.queues import FairQueue
-from thorncleat_core.daemon.queues import Waiting
+from thorncleat_core.daemon.queues import QueuedRequest
 
 NAMES = ["a", "b", "c"]
 demands = st.dictionaries(st.sampled_from(NAMES), st.integers(0, 500), max_size=3)
 
 
-def _waiting(name: str, workspace: str = "a", cost: int = 10, **more) -> Waiting:
-    return Waiting(name, workspace, cost, more.get("priority", 0), more.get("deadline", 100.0))
+def _waiting(name: str, workspace: str = "a", cost: int = 10, **more) -> QueuedRequest:
+    return QueuedRequest(
+        name, workspace, cost, more.get("priority", 0), more.get("deadline", 100.0)
+    )
 
 
 def _drain(queue: FairQueue, count: int, weights=None) -> list[str]:
@@ -62,17 +64,17 @@
     def test_full_queue_is_refused_at_once(self):
         queue: FairQueue = FairQueue(limit=15)
         queue.add(_waiting("first"))
-        assert queue.refuse(_waiting("second"), 0.0) >= 0.5
-        assert queue.refuse(_waiting("other", "b"), 0.0) is None
+        assert queue.retry_after(_waiting("second"), 0.0) >= 0.5
+        assert queue.retry_after(_waiting("other", "b"), 0.0) is None
 
     def test_what_cannot_meet_its_deadline_is_refused(self):
         queue: FairQueue = FairQueue(limit=10_000)
         queue.add(_waiting("x", cost=100))
         queue.pop(lambda *_: True, {}, 0.0)
-        queue.drained.at(1.0)
+        queue.drain_rate.tokens_per_second(1.0)
         queue.add(_waiting("ahead", cost=1000))
-        assert queue.refuse(_waiting("y", deadline=5.0), 1.0) == pytest.approx(10.0)
-        assert queue.refuse(_waiting("z", deadline=50.0), 1.0) is None
+        assert queue.retry_after(_waiting("y", deadline=5.0), 1.0) == pytest.approx(10.0)
+        assert queue.retry_after(_waiting("z", deadline=50.0), 1.0) is None
 
 
 class QueueMachine(RuleBasedStateMachine):
@@ -82,14 +84,14 @@
         super().__init__()
         self.now = 0.0
         self.queue: FairQueue = FairQueue(10**9)
-        self.inside: dict[int, Waiting] = {}
+        self.inside: dict[int, QueuedRequest] = {}
         self.tickets: dict[int, int] = {}
         self.count = 0
 
     @rule(workspace=st.sampled_from(NAMES), cost=st.integers(1, 900), after=st.floats(0.1, 9))
     def add(self, workspace, cost, after):
         self.count += 1
-        waiting = Waiting(self.count, workspace, cost, 0, self.now + after)
+        waiting = QueuedRequest(self.count, workspace, cost, 0, self.now + after)
         self.tickets[self.count] = self.queue.add(waiting)
         self.inside[self.count] = waiting
 
@@ -97,7 +99,7 @@
     def drop(self, data):
         if self.inside:
             name = data.draw(st.sampled_from(sorted(self.inside)))
-            self.queue.drop(self.tickets[name], self.inside.pop(name))
+            self.queue.remove(self.tickets[name], self.inside.pop(name))
 
     @rule(blocked=st.sampled_from([*NAMES, ""]))
     def pop(self, blocked):
@@ -110,7 +112,7 @@
     @rule(seconds=st.floats(0.1, 5))
     def wait(self, seconds):
         self.now += seconds
-        for late in self.queue.expired(self.now):
+        for late in self.queue.pop_expired(self.now):
             assert self.inside.pop(late.item).deadline <= self.now
 
     @invariant()
--- a/tests/world.py
+++ b/tests/world.py
@@ -342,7 +342,7 @@
         )
 
     def _configured(self, replicas: int) -> State:
-        configuration = Configuration().changed(change(replicas=replicas))
+        configuration = Configuration().with_change(change(replicas=replicas))
         placements = {
             f"narrator-{n}": Placement(
                 f"narrator-{n}", "narrator", DOMAIN, tuple(f"i{4 * n + r}" for r in range(4)), 1
@@ -408,7 +408,7 @@
         for daemon in self.daemons.values():
             for group in self.state.placements:
                 held = daemon.permits.permit(group)
-                if held and not daemon.paused and held.usable(daemon.clock()):
+                if held and not daemon.paused and held.is_usable(daemon.clock()):
                     found.append((daemon.name, group, held.permit.generation))
         return found
 
