--- a/packages/core/src/thorncleat_core/daemon/configuration.py
+++ b/packages/core/src/thorncleat_core/daemon/configuration.py
@@ -1,7 +1,7 @@
-"""The operators' configuration: what should hold, as documents and as data.
+"""The configuration that operators change: workspaces, operators, services and intents.
 
 Owns: nothing.
-Relies on: documents being validated whole before any of it is used.
+Relies on: pydantic for the validation of documents.
 """
 
 import dataclasses
@@ -14,11 +14,10 @@
 from ..exceptions import Problem
 from . import keys
 
-# share of requests answered, where a workspace doesn't say
+# Availability objective of a workspace that defines none.
 DEFAULT_AVAILABILITY = 0.999
-# instances in a replica; bound of the house brief: 4 to 32 in one fabric domain
+# Instances in one group.
 MIN_GROUP_SIZE = 4
-# the same bound
 MAX_GROUP_SIZE = 32
 Name = t.Annotated[str, pydantic.Field(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
 
@@ -32,16 +31,17 @@
 KeyDigest = t.Annotated[str, pydantic.AfterValidator(_checked_digest)]
 
 
-class _Strict(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True, hide_input_in_errors=True)
 
 
-class Workspace(_Strict):
-    """Callers that are served and accounted for together.
+class Workspace(_StrictModel):
+    """A customer with its keys, its share of the capacity and its service level objectives.
 
-    :param share: weight of the workspace where it competes with others.
-    :param availability: objective, share of requests answered.
-    :param first_token_seconds: objective for the first token, 95 in 100.
+    :param key_digests: SHA-256 digests of the callers' keys.
+    :param share: weight of the workspace when it competes with others.
+    :param availability: objective for the fraction of requests that succeed.
+    :param first_token_seconds: objective for the 95th percentile of the time to first token.
     """
 
     name: Name
@@ -51,20 +51,20 @@
     first_token_seconds: float = pydantic.Field(default=1.3, gt=0, le=600)
 
 
-class Operator(_Strict):
-    """A person or program that may look at the system or change it."""
+class Operator(_StrictModel):
+    """A person or program with access to the operators' API."""
 
     name: Name
     key_digest: KeyDigest
     rights: t.Literal["read", "change"]
 
 
-class Service(_Strict):
-    """A plain service beside the model engines.
+class Service(_StrictModel):
+    """An HTTP service that doesn't run on model engines.
 
     :param endpoints: ``host:port`` of each endpoint.
-    :param workspaces: who may call it.
-    :param not_repeatable: ``METHOD /path/prefix`` of the calls that may run at most once.
+    :param workspaces: names of the workspaces that may call it.
+    :param not_repeatable: ``METHOD /path/prefix`` of the calls that must not run twice.
     """
 
     name: Name
@@ -74,17 +74,17 @@
 
     def can_repeat(self, method: str, path: str) -> bool:
         """Return whether a call may run more than once."""
-        marks = (mark.split(" ", 1) for mark in self.not_repeatable)
-        return not any(method == verb and path.startswith(prefix) for verb, prefix in marks)
+        rules = (rule.split(" ", 1) for rule in self.not_repeatable)
+        return not any(method == verb and path.startswith(prefix) for verb, prefix in rules)
 
 
-class Intent(_Strict):
-    """Which model should serve which workspaces, where, and with how much room.
+class Intent(_StrictModel):
+    """A model to serve, the workspaces that may use it, and its replicas.
 
-    :param replicas: serving groups wanted.
-    :param instances_per_replica: instances of one group, all in one fabric domain.
-    :param spares: instances kept free for each fabric domain used.
-    :param failure_domains: where groups may stand; empty for anywhere.
+    :param replicas: number of groups.
+    :param instances_per_replica: instances in each group, all in the same fabric domain.
+    :param spares: instances to keep free in each fabric domain that has a group.
+    :param failure_domains: failure domains where groups may be placed; empty for all.
     """
 
     name: Name
@@ -97,8 +97,8 @@
     failure_domains: list[Name] = []
 
 
-class Removals(_Strict):
-    """Names to take out of the configuration."""
+class Removals(_StrictModel):
+    """Names to remove from the configuration."""
 
     workspaces: list[Name] = []
     operators: list[Name] = []
@@ -107,10 +107,11 @@
     draining: list[str] = []
 
 
-class Change(_Strict):
-    """What an operator's file states; named items are added or replaced whole.
+class Change(_StrictModel):
+    """A change that an operator submits. An existing item of the same name is replaced.
 
-    :param draining: instances to empty of work.
+    :param draining: ids of the instances to drain.
+    :param remove: names to remove.
     """
 
     workspaces: list[Workspace] = []
@@ -131,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """The whole configuration at one revision."""
+    """The complete configuration at one revision."""
 
     workspaces: t.Mapping[str, Workspace] = dataclasses.field(default_factory=dict)
     operators: t.Mapping[str, Operator] = dataclasses.field(default_factory=dict)
@@ -140,39 +141,39 @@
     draining: frozenset[str] = frozenset()
 
     def with_change(self, change: Change) -> "Configuration":
-        """Return the configuration after a change.
+        """Return the configuration with a change applied.
 
-        :raises DocumentError: if the result would contradict itself.
+        :raises DocumentError: if the result is inconsistent, or a name to remove doesn't exist.
         """
         removed = change.remove
         result = Configuration(
-            workspaces=_merged(self.workspaces, change.workspaces, removed.workspaces),
-            operators=_merged(self.operators, change.operators, removed.operators),
-            services=_merged(self.services, change.services, removed.services),
-            intents=_merged(self.intents, change.intents, removed.intents),
+            workspaces=_merge(self.workspaces, change.workspaces, removed.workspaces),
+            operators=_merge(self.operators, change.operators, removed.operators),
+            services=_merge(self.services, change.services, removed.services),
+            intents=_merge(self.intents, change.intents, removed.intents),
             draining=(self.draining | frozenset(change.draining)) - frozenset(removed.draining),
         )
-        problems = list(_contradictions(result)) + list(_missing_removals(self, removed))
+        problems = list(_find_inconsistencies(result)) + list(_find_unknown_removals(self, removed))
         if problems:
             raise DocumentError("change", problems)
         return result
 
     def workspace_for_key(self, key: str) -> Workspace | None:
-        """Return the workspace whose key this is."""
-        # looked up by the digest: whoever times it learns of digests, not of keys
+        """Return the workspace that a caller's key belongs to, or None."""
+        # Comparing digests prevents timing attacks on the keys.
         return self._by_digest.get(keys.digest(key))
 
     @functools.cached_property
     def shares(self) -> t.Mapping[str, float]:
-        """The share of each workspace; made once, since every request asks for it."""
+        """The share of each workspace, cached because every request reads it."""
         return {name: workspace.share for name, workspace in self.workspaces.items()}
 
     @functools.cached_property
     def _by_digest(self) -> dict[str, Workspace]:
         return {
-            known: workspace
+            key_digest: workspace
             for workspace in self.workspaces.values()
-            for known in workspace.key_digests
+            for key_digest in workspace.key_digests
         }
 
     def intents_for(self, workspace: str, model: str) -> list[Intent]:
@@ -184,7 +185,7 @@
         ]
 
 
-def _merged(
+def _merge(
     old: t.Mapping[str, Item], new: t.Iterable[Item], removed: t.Iterable[str]
 ) -> dict[str, Item]:
     merged = dict(old)
@@ -194,11 +195,11 @@
     return merged
 
 
-def _contradictions(result: Configuration) -> t.Iterator[Problem]:
+def _find_inconsistencies(result: Configuration) -> t.Iterator[Problem]:
     owners: dict[str, str] = {}
     for workspace in result.workspaces.values():
-        for known in workspace.key_digests:
-            other = owners.setdefault(known, workspace.name)
+        for key_digest in workspace.key_digests:
+            other = owners.setdefault(key_digest, workspace.name)
             if other != workspace.name:
                 text = f"workspaces {other!r} and {workspace.name!r} share a key"
                 yield Problem(0, f"workspaces.{workspace.name}.key_digests", text)
@@ -206,21 +207,21 @@
     users += [
         ("services", service.name, service.workspaces) for service in result.services.values()
     ]
-    for section, name, wanted in users:
-        for missing in sorted(set(wanted) - set(result.workspaces)):
+    for section, name, workspaces in users:
+        for missing in sorted(set(workspaces) - set(result.workspaces)):
             text = f"unknown workspace {missing!r}"
             yield Problem(0, f"{section}.{name}.workspaces", text)
 
 
-def _missing_removals(old: Configuration, removed: Removals) -> t.Iterator[Problem]:
-    known: dict[str, t.Container[str]] = {
+def _find_unknown_removals(old: Configuration, removed: Removals) -> t.Iterator[Problem]:
+    existing: dict[str, t.Container[str]] = {
         "workspaces": old.workspaces,
         "operators": old.operators,
         "services": old.services,
         "intents": old.intents,
         "draining": old.draining,
     }
-    for section, names in known.items():
+    for section, names in existing.items():
         for name in getattr(removed, section):
             if name not in names:
                 yield Problem(0, f"remove.{section}", f"{name!r} is not there to remove")
--- a/packages/core/src/thorncleat_core/daemon/journal.py
+++ b/packages/core/src/thorncleat_core/daemon/journal.py
@@ -1,10 +1,9 @@
-"""The journal of accepted configurations: a chain of entries, each naming the one before.
+"""The journal of configuration changes: a chain of entries linked by their digests.
 
-A daemon only ever moves forward along the chain, so neither a late watch event nor a stale
-peer can make it revert.
+A daemon only moves forward in the chain, so stale events and peers can't revert it.
 
-Owns: this daemon's newest state and the latest entries.
-Relies on: the store accepting one entry for each revision.
+Owns: this daemon's current state and the latest entries.
+Relies on: the store accepting only one entry for each revision.
 """
 
 import dataclasses
@@ -22,10 +21,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """Where a plan puts a group.
+    """The fabric domain and instances that a plan chose for a group.
 
-    :param members: instance ids, the one that answers first.
-    :param revision: of the configuration that put it there.
+    :param members: instance ids, starting with the leader.
+    :param revision: configuration revision that placed the group.
     """
 
     group: str
@@ -37,13 +36,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Entry:
-    """An accepted change.
+    """An accepted change of the configuration.
 
-    :param revision: counted from 1 without gaps.
-    :param previous: digest of the entry before.
+    :param revision: sequence number, starting at 1 without gaps.
+    :param previous: digest of the previous entry.
     :param plan: digest of the confirmed plan.
+    :param operator: name of the operator who confirmed the plan.
     :param started: placements that the plan adds.
-    :param stopped: groups that the plan ends.
+    :param stopped: ids of the groups that the plan ends.
     """
 
     revision: int
@@ -56,68 +56,68 @@
 
     @property
     def digest(self) -> str:
-        """The digest of the entry and so of all before it."""
+        """The digest of the entry, which covers all previous entries."""
         return codec.digest(self)
 
     def encode(self) -> bytes:
-        """Encode for the store and for peers."""
+        """Return the encoded form for the store and peers."""
         return codec.pack(self)
 
     @classmethod
     def decode(cls, data: bytes) -> "Entry":
-        """Decode.
+        """Return the entry that was encoded by :meth:`encode`.
 
-        :raises DecodeError: if the value is broken.
+        :raises DecodeError: if the data is invalid.
         """
         return codec.decode(cls, data)
 
 
 @dataclasses.dataclass(frozen=True)
 class Head:
-    """The newest entry's revision and digest."""
+    """The revision and digest of the newest entry."""
 
     revision: int = 0
     digest: str = ""
 
     def encode(self) -> bytes:
-        """Encode for the store and for peers."""
+        """Return the encoded form for the store and peers."""
         return codec.pack(self)
 
     @classmethod
     def decode(cls, data: bytes) -> "Head":
-        """Decode.
+        """Return the head that was encoded by :meth:`encode`.
 
-        :raises DecodeError: if the value is broken.
+        :raises DecodeError: if the data is invalid.
         """
         return codec.decode(cls, data)
 
 
 @dataclasses.dataclass(frozen=True)
 class State:
-    """The configuration at one revision, with all placements."""
+    """The configuration and all placements at one revision."""
 
     head: Head = Head()
     configuration: Configuration = dataclasses.field(default_factory=Configuration)
     placements: t.Mapping[str, Placement] = dataclasses.field(default_factory=dict)
 
     def with_entry(self, entry: Entry) -> "State":
-        """Return the state after the next entry.
+        """Return the state with the next entry applied.
 
-        :raises JournalError: if the entry doesn't follow from this state.
+        :raises JournalError: if the entry doesn't follow this state.
         """
-        wanted = (self.head.revision + 1, self.head.digest)
-        if (entry.revision, entry.previous) != wanted:
+        expected = (self.head.revision + 1, self.head.digest)
+        if (entry.revision, entry.previous) != expected:
             text = f"entry {entry.revision!r} does not follow revision {self.head.revision!r}"
             raise JournalError(text)
         placements = {
             key: value for key, value in self.placements.items() if key not in entry.stopped
         }
-        placements.update((placed.group, placed) for placed in entry.started)
+        placements.update((placement.group, placement) for placement in entry.started)
         configuration = self.configuration.with_change(entry.change)
         return State(Head(entry.revision, entry.digest), configuration, placements)
 
     def encode(self) -> bytes:
-        """Encode as a snapshot."""
+        """Return the encoded snapshot."""
         return codec.pack(
             {
                 "head": self.head,
@@ -132,16 +132,16 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "State":
-        """Decode a snapshot.
+        """Return the state in a snapshot that was encoded by :meth:`encode`.
 
-        :raises DecodeError: if it is broken.
+        :raises DecodeError: if the snapshot is invalid.
         """
-        return codec.decode(_Snapshot, data).state()
+        return codec.decode(_Snapshot, data).to_state()
 
 
 @dataclasses.dataclass(frozen=True)
 class _Snapshot:
-    """The form of a snapshot, for validation."""
+    """The schema of an encoded snapshot."""
 
     head: Head
     workspaces: list[Workspace]
@@ -151,7 +151,7 @@
     draining: frozenset[str]
     placements: list[Placement]
 
-    def state(self) -> State:
+    def to_state(self) -> State:
         configuration = Configuration(
             {workspace.name: workspace for workspace in self.workspaces},
             {operator.name: operator for operator in self.operators},
@@ -159,49 +159,53 @@
             {intent.name: intent for intent in self.intents},
             self.draining,
         )
-        return State(self.head, configuration, {placed.group: placed for placed in self.placements})
+        return State(
+            self.head, configuration, {placement.group: placement for placement in self.placements}
+        )
 
 
 class Journal:
-    """A daemon's copy of the journal: the newest state and the latest entries.
+    """A daemon's copy of the journal: the current state and the latest entries.
 
-    :param keep: how many entries are kept for peers that lag.
+    :param max_entries: number of entries to keep for peers that are behind.
     """
 
     def __init__(self, max_entries: int = 512) -> None:
         self._state = State()
         self._entries: dict[int, Entry] = {}
-        self._keep = max_entries
+        self._max_entries = max_entries
 
     @property
     def state(self) -> State:
-        """The newest state."""
+        """The current state."""
         return self._state
 
     @property
     def head(self) -> Head:
-        """The newest entry's revision and digest."""
+        """The revision and digest of the newest entry."""
         return self._state.head
 
     def append(self, entry: Entry) -> bool:
-        """Append an entry; False if it is known already or too far ahead.
+        """Append an entry and return whether it was appended.
+
+        An entry that is not the next one is ignored.
 
-        :raises JournalError: if the entry forks off the chain.
+        :raises JournalError: if the entry conflicts with the chain.
         """
         if entry.revision <= self.head.revision:
-            known = self._entries.get(entry.revision)
-            if known and known.digest != entry.digest:
+            existing = self._entries.get(entry.revision)
+            if existing and existing.digest != entry.digest:
                 raise JournalError(f"entry {entry.revision!r} differs from the one accepted")
             return False
         if entry.revision > self.head.revision + 1:
             return False
         self._state = self._state.with_entry(entry)
         self._entries[entry.revision] = entry
-        self._entries.pop(entry.revision - self._keep, None)
+        self._entries.pop(entry.revision - self._max_entries, None)
         return True
 
     def restore(self, snapshot: State) -> bool:
-        """Replace the state by a snapshot; False unless it is newer than the present state."""
+        """Replace the state by a snapshot if it is newer, and return whether it was."""
         if snapshot.head.revision <= self.head.revision:
             return False
         self._state = snapshot
@@ -209,12 +213,12 @@
         return True
 
     def entries_after(self, revision: int) -> list[Entry] | None:
-        """Return the entries after a revision; None if they are not kept any more."""
-        wanted = range(revision + 1, self.head.revision + 1)
-        if any(number not in self._entries for number in wanted):
+        """Return the entries after a revision, or None if some of them are no longer kept."""
+        revisions = range(revision + 1, self.head.revision + 1)
+        if any(number not in self._entries for number in revisions):
             return None
-        return [self._entries[number] for number in wanted]
+        return [self._entries[number] for number in revisions]
 
     def entry(self, revision: int) -> Entry | None:
-        """Return a kept entry."""
+        """Return the entry of a revision, or None if it is not kept."""
         return self._entries.get(revision)
--- a/packages/core/src/thorncleat_core/daemon/settings.py
+++ b/packages/core/src/thorncleat_core/daemon/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a daemon: one file of JSON with comments.
+"""The settings of a daemon, read from a file of JSON with comments.
 
 Owns: nothing.
-Relies on: the file being read once, at the start.
+Relies on: :mod:`~thorncleat_core.jsonc` for parsing and validation.
 """
 
 import ipaddress
@@ -32,15 +32,16 @@
 Z85Key = t.Annotated[str, pydantic.Field(min_length=40, max_length=40)]
 
 
-class _Strict(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-class Identity(_Strict):
-    """Who and where this daemon is.
+class Identity(_StrictModel):
+    """The identity and location of this daemon.
 
-    :param failure_domain: read by nothing; required since the first settings files.
-    :param region: likewise.
+    :param id: unique id of the daemon.
+    :param failure_domain: unused, but required in every settings file.
+    :param region: unused, but required in every settings file.
     """
 
     id: str = pydantic.Field(pattern=r"^[A-Za-z0-9._-]{1,64}$")
@@ -48,15 +49,15 @@
     region: str = pydantic.Field(min_length=1)
 
 
-class Tls(_Strict):
-    """Certificate and key files of a listener."""
+class Tls(_StrictModel):
+    """Paths of the certificate and key files of a listener."""
 
     certificate: pathlib.Path
     key: pathlib.Path
 
 
-class Listeners(_Strict):
-    """Where the daemon listens; port 0 takes a free one."""
+class Listeners(_StrictModel):
+    """Addresses on which the daemon listens. Port 0 selects a free port."""
 
     callers: Address
     operators: Address
@@ -65,7 +66,7 @@
     operators_tls: Tls | None = None
 
     @pydantic.model_validator(mode="after")
-    def _no_duplicates(self) -> t.Self:
+    def _check_duplicates(self) -> t.Self:
         used = [
             address
             for address in (self.callers, self.operators, self.peers)
@@ -77,10 +78,12 @@
         return self
 
 
-class PeerKeys(_Strict):
-    """CURVE keys among the daemons, in Z85.
+class PeerKeys(_StrictModel):
+    """CURVE keys for connections between daemons, in Z85 encoding.
 
-    :param accepted: public keys that may connect; two while keys are being changed.
+    :param public: public key of this daemon.
+    :param secret: secret key of this daemon.
+    :param accepted: public keys that may connect; several during a key rotation.
     """
 
     public: Z85Key
@@ -88,46 +91,52 @@
     accepted: list[Z85Key] = pydantic.Field(min_length=1, max_length=8)
 
 
-class StoreSettings(_Strict):
-    """The platform's key-value service.
+class StoreSettings(_StrictModel):
+    """Access to the platform's key-value store.
 
-    :param writes: writes a second for the whole fleet.
-    :param reads: reads a second for the whole fleet.
+    :param endpoints: addresses of the store.
+    :param timeout: seconds to wait for an answer.
+    :param writes: maximum writes per second of the whole fleet.
+    :param reads: maximum reads per second of the whole fleet.
     """
 
     endpoints: list[Address] = pydantic.Field(min_length=1)
     timeout: Seconds = 2.0
-    # of the store, for the whole fleet
     writes: float = pydantic.Field(default=100.0, gt=0)
     reads: float = pydantic.Field(default=2000.0, gt=0)
 
 
-class PlatformSettings(_Strict):
-    """The platform's list of instances."""
+class PlatformSettings(_StrictModel):
+    """Access to the platform's list of instances.
+
+    :param endpoints: addresses of the platform.
+    :param poll: seconds between two requests for the list.
+    """
 
     endpoints: list[Address] = pydantic.Field(min_length=1)
-    # between fetches
     poll: Seconds = 2.0
 
 
-class Control(_Strict):
-    """Ownership, groups and membership.
+class Control(_StrictModel):
+    """Settings of shard leases, groups and membership. Durations are in seconds.
 
-    :param shards: control shards; the same on every daemon.
-    :param probe: seconds between probes of a group's members.
-    :param window: seconds for which a member's confirmation counts.
-    :param permit: longest validity of a permit in seconds.
-    :param lease: time to live of a shard's lease in seconds.
-    :param repair_after: seconds for which a missing member is waited for.
-    :param load: estimate for loading a model, in seconds.
-    :param repair: how groups are repaired when spares are short.
+    :param shards: number of control shards, which must be the same on every daemon.
+    :param probe: interval between probes of a group's members.
+    :param window: validity of a member's confirmation.
+    :param permit: maximum validity of a permit.
+    :param lease: TTL of a shard's lease.
+    :param lease_margin: time before the end of a lease at which its holder stops acting.
+    :param member_probe: interval between probes of other daemons.
+    :param repair_after: time that a member may be missing before it is replaced.
+    :param load: estimated duration of loading a model.
+    :param repair: name of the repair strategy.
     """
 
     shards: int = pydantic.Field(default=16, ge=1, le=1024)
     probe: Seconds = 0.5
     window: Seconds = 2.0
     permit: Seconds = 2.0
-    # shorter ones take too many writes: at 128 holders 64 of the store's 100
+    # A shorter TTL makes lease renewals use up the write rate of the store.
     lease: Seconds = 6.0
     lease_margin: Seconds = 1.0
     member_probe: Seconds = 1.0
@@ -136,7 +145,7 @@
     repair: t.Literal["donate", "spares"] = "donate"
 
     @pydantic.model_validator(mode="after")
-    def _consistent(self) -> t.Self:
+    def _check_consistency(self) -> t.Self:
         if self.window <= 2 * self.probe:
             raise ValueError(f"window {self.window!r} must be over twice probe {self.probe!r}")
         if self.lease <= 3 * self.lease_margin:
@@ -145,17 +154,17 @@
         return self
 
 
-class Requests(_Strict):
+class Requests(_StrictModel):
     """Limits on requests.
 
-    :param body: largest body in bytes.
-    :param deadline: seconds a request may take when it doesn't say.
-    :param stall: seconds of silence after which an engine's stream is given up.
-    :param attach: groups that a daemon uses for each model.
-    :param group_tokens: tokens a group can have in flight.
-    :param queue_tokens: tokens that may wait for each workspace and model.
-    :param claim_seconds: how long the key of a request is remembered.
-    :param routing: how a group is chosen.
+    :param body: maximum body size in bytes.
+    :param deadline: seconds until the deadline of a request that names none.
+    :param stall: idle timeout of an engine's stream in seconds.
+    :param attach: maximum number of groups that a daemon uses for each model.
+    :param group_tokens: maximum tokens in flight in a group.
+    :param queue_tokens: maximum tokens queued for each workspace and model.
+    :param claim_seconds: seconds for which the idempotency key of a request is kept.
+    :param routing: name of the routing policy.
     """
 
     body: int = pydantic.Field(default=4_000_000, ge=1024, le=64_000_000)
@@ -168,8 +177,8 @@
     routing: str = "bounded_affinity"
 
 
-class BootstrapOperator(_Strict):
-    """An operator who may act before the configuration names any."""
+class BootstrapOperator(_StrictModel):
+    """An operator who has access before the configuration defines any operators."""
 
     name: str = pydantic.Field(min_length=1)
     key_digest: str
@@ -182,7 +191,7 @@
         return value
 
 
-class Settings(_Strict):
+class Settings(_StrictModel):
     """All settings of a daemon."""
 
     cluster: str = pydantic.Field(pattern=r"^[a-z0-9-]{1,32}$")
@@ -198,29 +207,29 @@
 
 
 def load(path: pathlib.Path) -> Settings:
-    """Read settings.
+    """Return the settings in a file.
 
-    :raises DocumentError: with a line and a path for every fault.
+    :raises DocumentError: listing all errors with their lines and paths.
     """
     document = jsonc.read(path)
     settings = jsonc.validate(document, Settings)
     problems = [
-        Problem(document.line_of(("listen", name, part)), f"listen.{name}.{part}", text)
-        for name, part, text in _missing_files(settings)
+        Problem(document.line_of(("listen", name, key)), f"listen.{name}.{key}", text)
+        for name, key, text in _find_missing_files(settings)
     ]
     if problems:
         raise DocumentError(document.name, problems)
     return settings
 
 
-def _missing_files(settings: Settings) -> t.Iterator[tuple[str, str, str]]:
-    pairs = {
+def _find_missing_files(settings: Settings) -> t.Iterator[tuple[str, str, str]]:
+    listeners = {
         "callers_tls": settings.listen.callers_tls,
         "operators_tls": settings.listen.operators_tls,
     }
-    for name, tls in pairs.items():
+    for name, tls in listeners.items():
         if tls is None:
             continue
-        for part, path in (("certificate", tls.certificate), ("key", tls.key)):
+        for key, path in (("certificate", tls.certificate), ("key", tls.key)):
             if not path.is_file():
-                yield name, part, f"no file {str(path)!r}"
+                yield name, key, f"no file {str(path)!r}"
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -50,7 +50,7 @@
         one = Assignments("d").with_group(_group()).without_group("g-0")
         with pytest.raises(AssignmentError):
             one.with_group(_group("g-1"))
-        assert one.released(["i0", "i1", "i2", "i3"]).with_group(_group("g-1")).groups
+        assert one.with_released(["i0", "i1", "i2", "i3"]).with_group(_group("g-1")).groups
 
     def test_stored_value_that_breaks_the_invariant_is_refused(self):
         bad = Assignments("d", {"a": _group("a"), "b": _group("b")})
