--- a/packages/core/src/thorncleat_core/daemon/groups.py
+++ b/packages/core/src/thorncleat_core/daemon/groups.py
@@ -1,8 +1,7 @@
-"""Serving groups of one fabric domain: who is in which, and whether a group may answer.
+"""The groups of a fabric domain: their members, and whether a group may serve.
 
-Owns: when each member of a group last confirmed that it serves in it.
-Relies on: assignments being changed by one holder at a time; engines that report the truth of
-themselves.
+Owns: the time of each member's last confirmation.
+Relies on: one holder at a time changing the assignments, engines reporting their state correctly.
 """
 
 import dataclasses
@@ -14,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Group:
-    """A serving group: instances that hold one replica together.
+    """Instances that serve one replica of a model together.
 
-    :param id: intent name and ordinal, as in ``narrator-0``.
-    :param generation: rises with each change of the members or of the model.
-    :param members: instance ids in the order of their ranks; the first one answers.
+    :param id: name of the intent and an ordinal, such as ``narrator-0``.
+    :param generation: number that increases when the members or the model change.
+    :param members: instance ids in the order of their ranks, starting with the leader.
     """
 
     id: str
@@ -30,18 +29,18 @@
 
     @property
     def leader(self) -> str:
-        """The member that answers requests."""
+        """The instance id of the member that answers requests."""
         return self.members[0]
 
 
 @dataclasses.dataclass(frozen=True)
 class Assignments:
-    """All groups of one fabric domain; one value in the store, changed by compare-and-swap.
+    """All groups of a fabric domain, stored as one value and changed by compare-and-swap.
 
-    :param groups: by group id.
-    :param leaving: instance id to the group it was taken out of; not free until it has
-        confirmed that it follows no order of that group any more.
-    :param generation: the highest generation ever given in this domain.
+    :param groups: groups by id.
+    :param leaving: group that each leaving instance was removed from. The instance can't be
+        assigned again until it has confirmed that it has left.
+    :param generation: highest generation that any group of this domain has had.
     """
 
     domain: str
@@ -50,9 +49,9 @@
     generation: int = 0
 
     def check(self) -> None:
-        """Make sure that no instance is in two groups at once.
+        """Check that no instance is in more than one group.
 
-        :raises AssignmentError: naming the instance.
+        :raises AssignmentError: if an instance is in two groups.
         """
         seen: dict[str, str] = dict(self.leaving)
         for group in self.groups.values():
@@ -63,53 +62,53 @@
                 seen[member] = group.id
 
     def occupied_instances(self) -> set[str]:
-        """Return the instances that are in a group or leaving one."""
+        """Return the ids of the instances that are in a group or leaving one."""
         members = {member for group in self.groups.values() for member in group.members}
         return members | set(self.leaving)
 
     def with_group(self, group: Group) -> "Assignments":
-        """Return the assignments with a group added or replaced, at a new generation.
+        """Return the assignments with a group added or replaced, under a new generation.
 
-        Members that the group loses start leaving it.
+        Instances that are no longer members become leaving.
 
         :raises AssignmentError: if an instance would be in two groups.
         """
         old = self.groups.get(group.id)
-        lost = set(old.members) - set(group.members) if old else set()
+        removed = set(old.members) - set(group.members) if old else set()
         generation = self.generation + 1
-        placed = dataclasses.replace(group, generation=generation)
+        updated = dataclasses.replace(group, generation=generation)
         changed = Assignments(
             self.domain,
-            {**self.groups, group.id: placed},
-            {**self.leaving, **dict.fromkeys(sorted(lost), group.id)},
+            {**self.groups, group.id: updated},
+            {**self.leaving, **dict.fromkeys(sorted(removed), group.id)},
             generation,
         )
         changed.check()
         return changed
 
     def without_group(self, group_id: str) -> "Assignments":
-        """Return the assignments without a group, whose members start leaving it."""
+        """Return the assignments without a group, whose members become leaving."""
         group = self.groups[group_id]
         groups = {key: value for key, value in self.groups.items() if key != group_id}
         leaving = {**self.leaving, **dict.fromkeys(group.members, group_id)}
         return Assignments(self.domain, groups, leaving, self.generation + 1)
 
     def with_released(self, instances: t.Iterable[str]) -> "Assignments":
-        """Return the assignments with instances free that were leaving."""
-        gone = set(instances)
-        leaving = {key: value for key, value in self.leaving.items() if key not in gone}
+        """Return the assignments with leaving instances free again."""
+        free = set(instances)
+        leaving = {key: value for key, value in self.leaving.items() if key not in free}
         return dataclasses.replace(self, leaving=leaving)
 
     def encode(self) -> bytes:
-        """Encode for the store."""
+        """Return the encoded form for the store."""
         return codec.pack(self)
 
     @classmethod
     def decode(cls, data: bytes) -> "Assignments":
-        """Decode and check.
+        """Return the assignments that were encoded by :meth:`encode`.
 
-        :raises DecodeError: if the value is broken.
-        :raises AssignmentError: if it breaks the invariant.
+        :raises DecodeError: if the data is invalid.
+        :raises AssignmentError: if an instance is in two groups.
         """
         assignments = codec.decode(cls, data)
         assignments.check()
@@ -118,12 +117,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class InstanceReport:
-    """What an engine says of itself when it is probed.
+    """An engine's answer to a probe.
 
-    :param boot: changes with each start of the engine.
-    :param epoch: of the newest order it follows.
-    :param running: requests in its batch; part of the report's form, no decision reads it.
-    :param waiting: requests before its batch; likewise.
+    :param boot: identifier of the engine's process, which changes with each start.
+    :param epoch: epoch of the latest order that the engine follows.
+    :param group: id of the group that it serves in; empty for none.
+    :param running: number of requests in its batch; unused.
+    :param waiting: number of requests in its queue; unused.
     """
 
     instance: str
@@ -139,7 +139,7 @@
     version: str = ""
 
     def is_member_of(self, group: Group) -> bool:
-        """Return whether the instance serves as a member of this generation of a group."""
+        """Return whether the instance serves as a member of a group in its current generation."""
         return (
             self.ready
             and self.instance in group.members
@@ -150,9 +150,9 @@
 
 
 class Confirmations:
-    """When each member last confirmed that it serves in its group.
+    """The latest confirmation of each member that it serves in its group.
 
-    :param window: seconds for which a confirmation counts, from before the probe was sent.
+    :param window: validity of a confirmation in seconds, from the time the probe was sent.
     """
 
     def __init__(self, window: float) -> None:
@@ -161,7 +161,7 @@
         self._boots: dict[str, str] = {}
 
     def record_report(self, group: Group, report: InstanceReport, sent_at: float) -> bool:
-        """Note a report; return whether it confirms membership."""
+        """Record an engine's report and return whether it confirms membership of the group."""
         if not report.is_member_of(group):
             self.revoke(report.instance)
             return False
@@ -170,23 +170,23 @@
         return True
 
     def revoke(self, instance: str) -> None:
-        """Forget an instance's confirmation: its group is closed from now on."""
+        """Revoke an instance's confirmation, which closes its group."""
         self._confirmed.pop(instance, None)
 
     def open_until(self, group: Group) -> float:
-        """Return the time until which a group may answer; in the past if it may not now."""
-        ends = [self._end(member, group) for member in group.members]
-        return min(ends)
+        """Return the time until which a group may serve; in the past if it is closed."""
+        expiries = [self._expires_at(member, group) for member in group.members]
+        return min(expiries)
 
     def is_open(self, group: Group, now: float) -> bool:
-        """Return whether every member of a group is confirmed."""
+        """Return whether all members of a group are confirmed."""
         return now < self.open_until(group)
 
     def unconfirmed_members(self, group: Group, now: float) -> list[str]:
         """Return the members that are not confirmed."""
-        return [member for member in group.members if self._end(member, group) <= now]
+        return [member for member in group.members if self._expires_at(member, group) <= now]
 
-    def _end(self, member: str, group: Group) -> float:
+    def _expires_at(self, member: str, group: Group) -> float:
         sent_at, group_id, generation = self._confirmed.get(member, (float("-inf"), "", 0))
         if (group_id, generation) != (group.id, group.generation):
             return float("-inf")
--- a/packages/core/src/thorncleat_core/daemon/plans.py
+++ b/packages/core/src/thorncleat_core/daemon/plans.py
@@ -1,9 +1,10 @@
-"""Plans: what a change would do, computed the same way by every daemon.
+"""Plans: the steps that a change of the configuration would cause.
 
-Owns: nothing. A plan is not kept anywhere: whoever confirms it sends it back whole; the daemon
-computes it again from the present configuration and fleet, and carries it out only if nothing
-differs.
-Relies on: the same state, fleet and change giving the same steps in the same order everywhere.
+No daemon stores a plan. The operator sends it back to confirm it, and the daemon computes it again
+and accepts it only if nothing has changed.
+
+Owns: nothing.
+Relies on: the same state, fleet and change giving the same steps on every daemon.
 """
 
 import collections
@@ -31,10 +32,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Estimates:
-    """What durations a plan reckons with, in seconds.
+    """Estimated durations in seconds.
 
-    :param load: loading a model on a group; the daemon gives its setting ``control.load``.
-    :param drain: letting a group finish its work.
+    :param load: duration of loading a model on a group.
+    :param drain: duration of draining a group.
     """
 
     load: float = 120.0
@@ -43,13 +44,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One line of a plan.
+    """A step of a plan, which affects one group.
 
-    :param action: ``start``, ``stop``, ``reload`` (with another model) or ``move`` (off an
-        instance that is drained).
-    :param seconds: how long it takes.
-    :param downtime_seconds: how long a group that serves now can't.
-    :param idle_accelerator_seconds: accelerators times seconds without serving.
+    :param action: ``start``, ``stop``, ``reload`` with another model, or ``move`` off an instance
+        that is being drained.
+    :param seconds: duration of the step.
+    :param downtime_seconds: time during which a running group doesn't serve.
+    :param idle_accelerator_seconds: number of accelerators times the seconds without serving.
     """
 
     action: Action
@@ -64,10 +65,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """What confirming a change would do.
+    """The steps of a change and the state on which they are based.
 
-    :param base_revision: the configuration that the plan was made from.
-    :param fleet: digest of the instances and groups that the plan was made from.
+    :param base_revision: revision of the configuration.
+    :param base_digest: digest of the journal entry of that revision.
+    :param fleet: digest of the instances in the affected fabric domains.
     """
 
     base_revision: int
@@ -78,21 +80,21 @@
 
     @property
     def digest(self) -> str:
-        """The digest by which the plan is confirmed."""
+        """The digest that identifies the plan when it is confirmed."""
         return codec.digest(self)
 
     @property
     def downtime_seconds(self) -> float:
-        """Group downtime that the plan costs."""
+        """The total downtime of groups."""
         return sum(step.downtime_seconds for step in self.steps)
 
     @property
     def idle_accelerator_seconds(self) -> float:
-        """Accelerator seconds without serving that the plan costs."""
+        """The total accelerator seconds without serving."""
         return sum(step.idle_accelerator_seconds for step in self.steps)
 
     def to_entry(self, operator: str) -> Entry:
-        """Return the journal entry that carries the plan out."""
+        """Return the journal entry of the confirmed plan."""
         revision = self.base_revision + 1
         started = tuple(
             Placement(step.group, step.intent, step.domain, step.members, revision)
@@ -105,19 +107,20 @@
         )
 
 
-def _ordinals(intent: Intent, state: State) -> tuple[list[str], list[str]]:
-    """Return the groups of an intent that stay, and those that stop."""
-    mine = sorted(
+def _split_surplus(intent: Intent, state: State) -> tuple[list[str], list[str]]:
+    """Return the groups of an intent to keep and those to stop."""
+    groups = sorted(
         (placed.group for placed in state.placements.values() if placed.intent == intent.name),
         key=lambda group: int(group.rsplit("-", 1)[1]),
     )
-    return mine[: intent.replicas], mine[intent.replicas :]
+    return groups[: intent.replicas], groups[intent.replicas :]
 
 
-def _new_names(intent: Intent, kept: list[str], state: State) -> list[str]:
+def _new_names(intent: Intent, retained: list[str], state: State) -> list[str]:
+    """Return names for the groups that an intent lacks."""
     names: list[str] = []
     ordinal = 0
-    while len(kept) + len(names) < intent.replicas:
+    while len(retained) + len(names) < intent.replicas:
         name = f"{intent.name}-{ordinal}"
         if name not in state.placements:
             names.append(name)
@@ -126,65 +129,66 @@
 
 
 class _Planner:
-    """Collects the steps of one plan."""
+    """Builds the list of steps of a plan."""
 
-    def __init__(self, state: State, fleet: Fleet, taken: set[str], times: Estimates) -> None:
+    def __init__(self, state: State, fleet: Fleet, taken: set[str], estimates: Estimates) -> None:
         self._state = state
         self._fleet = fleet
         self._taken = set(taken)
-        self._times = times
+        self._estimates = estimates
         self.steps: list[Step] = []
 
     def stop(self, group: str) -> None:
-        placed = self._state.placements[group]
-        self._add("stop", placed, self._times.drain, 0.0)
+        current = self._state.placements[group]
+        self._add_step("stop", current, self._estimates.drain, 0.0)
 
-    def load_again(self, action: t.Literal["reload", "move"], group: str) -> None:
-        placed = self._state.placements[group]
-        seconds = self._times.drain + self._times.load
-        self._add(action, placed, seconds, self._times.load)
+    def reload(self, action: t.Literal["reload", "move"], group: str) -> None:
+        current = self._state.placements[group]
+        seconds = self._estimates.drain + self._estimates.load
+        self._add_step(action, current, seconds, self._estimates.load)
 
     def move_and_stop(self, after: Configuration) -> None:
-        """Move groups off instances that are drained now, and stop those without an intent."""
-        emptied = after.draining - self._state.configuration.draining
+        """Move groups off instances that start draining, and stop groups without an intent."""
+        drained = after.draining - self._state.configuration.draining
         placements = sorted(self._state.placements.items())
-        for group, placed in placements:
-            if placed.intent in after.intents and emptied.intersection(placed.members):
-                self.load_again("move", group)
-        for group, placed in placements:
-            if placed.intent not in after.intents:
+        for group, current in placements:
+            if current.intent in after.intents and drained.intersection(current.members):
+                self.reload("move", group)
+        for group, current in placements:
+            if current.intent not in after.intents:
                 self.stop(group)
 
-    def fulfil(self, intent: Intent) -> PlacementError | None:
-        """Stop, reload and start groups until an intent has what it wants.
+    def satisfy(self, intent: Intent) -> PlacementError | None:
+        """Add the steps that satisfy an intent.
 
-        :return: why a group can't be placed, if one can't.
+        :returns: the error if a group can't be placed.
         """
-        kept, surplus = _ordinals(intent, self._state)
+        retained, surplus = _split_surplus(intent, self._state)
         for group in surplus:
             self.stop(group)
         old = self._state.configuration.intents.get(intent.name)
         if old and (old.model, old.version) != (intent.model, intent.version):
-            for group in kept:
-                self.load_again("reload", group)
-        used = self.used(kept)
-        for group in _new_names(intent, kept, self._state):
+            for group in retained:
+                self.reload("reload", group)
+        used = self.count_failure_domains(retained)
+        for group in _new_names(intent, retained, self._state):
             if error := self.start(intent, group, used):
                 return error
         return None
 
     def start(self, intent: Intent, group: str, used: t.Counter[str]) -> PlacementError | None:
-        rooms = placement.find_free_instances(self._fleet, self._taken)
-        match placement.place_group(intent, group, rooms, used):
+        free = placement.find_free_instances(self._fleet, self._taken)
+        match placement.place_group(intent, group, free, used):
             case Failure(error):
                 return t.cast(PlacementError, error)
-            case Success(placed):
-                self._add("start", placed, self._times.load, 0.0)
-                self._taken.update(placed.members)
-                used[self._failure_domain(placed.domain)] += 1
+            case Success(chosen):
+                self._add_step("start", chosen, self._estimates.load, 0.0)
+                self._taken.update(chosen.members)
+                used[self._failure_domain(chosen.domain)] += 1
         return None
 
-    def used(self, groups: list[str]) -> t.Counter[str]:
+    def count_failure_domains(self, groups: list[str]) -> t.Counter[str]:
+        """Return how many of the groups are in each failure domain."""
         domains = (self._state.placements[group].domain for group in groups)
         return collections.Counter(self._failure_domain(domain) for domain in domains)
 
@@ -192,24 +196,24 @@
         found = self._fleet.in_domain(domain)
         return found[0].failure_domain if found else ""
 
-    def _add(
+    def _add_step(
         self,
         action: Action,
-        placed: Placement,
+        target: Placement,
         seconds: float,
         downtime: float,
     ) -> None:
-        known = self._fleet.instances
+        instances = self._fleet.instances
         accelerators = sum(
-            known[member].accelerators for member in placed.members if member in known
+            instances[member].accelerators for member in target.members if member in instances
         )
-        idle = accelerators * (self._times.load if action != "stop" else 0.0)
+        idle = accelerators * (self._estimates.load if action != "stop" else 0.0)
         step = Step(
             action,
-            placed.group,
-            placed.intent,
-            placed.domain,
-            placed.members,
+            target.group,
+            target.intent,
+            target.domain,
+            target.members,
             seconds,
             downtime,
             idle,
@@ -218,9 +222,10 @@
 
 
 def fleet_digest(fleet: Fleet, taken: t.Container[str], domains: t.Container[str]) -> str:
-    """Return the digest of what a plan depends on beside the configuration.
+    """Return the digest of the instances on which a plan depends.
 
-    :param domains: those that the plan touches; what changes elsewhere doesn't spoil it.
+    :param taken: instances that are in a group.
+    :param domains: fabric domains that the plan affects. Changes elsewhere don't invalidate it.
     """
     rows = [
         [instance.id, str(instance.state), instance.id in taken]
@@ -235,40 +240,39 @@
     state: State,
     fleet: Fleet,
     taken: t.Iterable[str],
-    times: Estimates = Estimates(),
+    estimates: Estimates = Estimates(),
 ) -> Result[Plan, PlacementError]:
-    """Make the plan of a change.
+    """Return the plan of a change, or the error if an intent can't be placed.
 
-    :param state: with the placements as they stand after repairs.
-    :param taken: instances that are in a group at present.
-    :return: the plan, or why an intent can't be placed.
-    :raises DocumentError: if the change contradicts the configuration.
+    :param state: current state, with the placements as they are after repairs.
+    :param taken: instances that are in a group.
+    :raises DocumentError: if the change is inconsistent with the configuration.
     """
     after = state.configuration.with_change(change)
-    planner = _Planner(state, fleet, set(taken) | after.draining, times)
+    planner = _Planner(state, fleet, set(taken) | after.draining, estimates)
     planner.move_and_stop(after)
-    # large groups first: they find no room once small ones have taken a part of each domain
+    # Large groups come first, since small ones could leave no domain with enough instances.
     by_size = sorted(
         after.intents.values(), key=lambda intent: (-intent.instances_per_replica, intent.name)
     )
     for intent in by_size:
-        if error := planner.fulfil(intent):
+        if error := planner.satisfy(intent):
             return Failure(error)
     head = state.head
     digest = fleet_digest(fleet, set(taken), {step.domain for step in planner.steps})
     return Success(Plan(head.revision, head.digest, digest, change, tuple(planner.steps)))
 
 
-def verify(plan: Plan, fresh: Plan) -> None:
-    """Make sure that a plan is what would be planned now.
+def verify(plan: Plan, recomputed: Plan) -> None:
+    """Check that a plan is still up to date.
 
-    :param fresh: the plan made from the present state for the same change.
-    :raises ConflictError: naming what changed since.
+    :param recomputed: plan for the same change, made from the current state.
+    :raises ConflictError: if the state or the fleet has changed, or the plan was modified.
     """
-    if plan.base_revision != fresh.base_revision or plan.base_digest != fresh.base_digest:
-        text = f"made from revision {plan.base_revision!r}, now {fresh.base_revision!r}"
+    if plan.base_revision != recomputed.base_revision or plan.base_digest != recomputed.base_digest:
+        text = f"made from revision {plan.base_revision!r}, now {recomputed.base_revision!r}"
         raise ConflictError(text)
-    if plan.fleet != fresh.fleet:
+    if plan.fleet != recomputed.fleet:
         raise ConflictError(f"the fleet changed since plan {plan.digest[:12]!r} was made")
-    if plan.digest != fresh.digest:
+    if plan.digest != recomputed.digest:
         raise ConflictError(f"plan {plan.digest[:12]!r} is not what its change leads to")
--- a/packages/core/src/thorncleat_core/daemon/repair.py
+++ b/packages/core/src/thorncleat_core/daemon/repair.py
@@ -1,11 +1,7 @@
-"""What the holder of a fabric domain changes next in its groups.
-
-Pure decisions: the present assignments, what is wanted and what is seen give a list of
-changes. Carrying one out is the holder's work, which first makes sure that the group is
-closed or empty of work.
+"""Decisions on the next changes to the groups of a fabric domain.
 
 Owns: nothing.
-Relies on: whoever carries a change out to wait until the group is closed or empty.
+Relies on: the holder to apply a change only once the group is closed or has no work left.
 """
 
 import collections
@@ -21,16 +17,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Start:
-    """Begin a group on free instances."""
+    """Start a group on free instances."""
 
     group: Group
 
 
 @dataclasses.dataclass(frozen=True)
 class Prepare:
-    """Let a free instance load the part of a member that is to be replaced.
+    """Load the part of a member that will be replaced on a free instance.
 
-    The group serves on meanwhile; the replacement then costs no load.
+    The group keeps serving in the meantime, so the replacement needs no further loading.
     """
 
     instance: str
@@ -40,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ModelPart:
-    """What an instance has loaded: one rank's part of a model."""
+    """The part of a model that the member of one rank loads."""
 
     model: str
     version: str
@@ -49,9 +45,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Replace:
-    """Continue a group with other members or another model.
+    """Change the members or the model of a group.
 
-    :param graceful: let the group finish its work first.
+    :param graceful: whether to drain the group first.
     """
 
     group: Group
@@ -60,7 +56,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Dissolve:
-    """End a group; if it is still wanted it starts again when there is room."""
+    """End a group. If it is still placed, it starts again once enough instances are free.
+
+    :param graceful: whether to drain the group first.
+    """
 
     group_id: str
     graceful: bool
@@ -68,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Release:
-    """Free instances that follow no order of their old group any more."""
+    """Free instances that have left their previous group."""
 
     instances: tuple[str, ...]
 
@@ -78,13 +77,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ObservedDomain:
-    """What the holder sees of its domain.
+    """The state of a domain as its holder observes it.
 
-    :param idle: instances that answer and follow no order of any group.
-    :param prepared: what idle instances have loaded ahead.
-    :param gone: instances that are neither listed nor answering.
-    :param missing_since: since when each member has not confirmed; absent while it does.
-    :param draining: instances to empty of work.
+    :param idle: instances that answer probes and serve in no group.
+    :param absent: instances that are neither listed nor answering.
+    :param missing_since: time since when each unconfirmed member has not confirmed.
+    :param draining: instances that are being drained.
+    :param prepared: parts that idle instances have loaded in advance.
     """
 
     idle: frozenset[str]
@@ -96,11 +95,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class DesiredState:
-    """What the configuration wants in the domain.
+    """The groups that the configuration requires in a domain.
 
-    :param placements: by group id.
-    :param intents: by name.
-    :param repair_after: seconds for which a missing member is waited for.
+    :param placements: placements by group id.
+    :param intents: intents by name.
+    :param repair_after: seconds that a member may be missing before it is replaced.
     """
 
     placements: t.Mapping[str, Placement]
@@ -109,12 +108,12 @@
 
 
 class Strategy(t.Protocol):
-    """A way to repair groups whose members are missing."""
+    """A strategy for the repair of groups with missing members."""
 
     def __call__(
-        self, assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float
+        self, assignments: Assignments, desired: DesiredState, observed: ObservedDomain, now: float
     ) -> list[Change]:
-        """Return the changes to make next."""
+        """Return the next changes."""
         ...
 
 
@@ -123,62 +122,62 @@
 
 def decide_changes(
     assignments: Assignments,
-    wanted: DesiredState,
-    view: ObservedDomain,
+    desired: DesiredState,
+    observed: ObservedDomain,
     now: float,
     strategy: str = "donate",
 ) -> list[Change]:
-    """Return the changes to make next, at most one for each group."""
-    released = _released(assignments, view)
+    """Return the next changes, at most one for each group."""
+    released = _find_released(assignments, observed)
     if released:
         return [Release(released)]
     changes: list[Change] = [
         Dissolve(group_id, graceful=True)
         for group_id in assignments.groups
-        if group_id not in wanted.placements
+        if group_id not in desired.placements
     ]
-    changes += strategies.get(strategy)(assignments, wanted, view, now)
-    return _one_for_each(changes)
+    changes += strategies.get(strategy)(assignments, desired, observed, now)
+    return _first_for_each_group(changes)
 
 
-def _released(assignments: Assignments, view: ObservedDomain) -> tuple[str, ...]:
+def _find_released(assignments: Assignments, observed: ObservedDomain) -> tuple[str, ...]:
     return tuple(
         sorted(
             instance
             for instance in assignments.leaving
-            if instance in view.idle or instance in view.absent
+            if instance in observed.idle or instance in observed.absent
         )
     )
 
 
-def _one_for_each(changes: list[Change]) -> list[Change]:
+def _first_for_each_group(changes: list[Change]) -> list[Change]:
     seen: set[str] = set()
-    kept: list[Change] = []
+    selected: list[Change] = []
     for change in changes:
         name = affected_group(change)
         if name not in seen:
             seen.add(name)
-            kept.append(change)
-    return kept
+            selected.append(change)
+    return selected
 
 
 def affected_group(change: Change) -> str:
-    """Return the group that a change is about; empty for a release."""
+    """Return the id of the group that a change affects; empty for a release."""
     if isinstance(change, Start | Replace):
         return change.group.id
     return "" if isinstance(change, Release) else change.group_id
 
 
 class _Pool:
-    """The instances that are free to be placed."""
+    """The instances that can be assigned to a group."""
 
-    def __init__(self, assignments: Assignments, view: ObservedDomain) -> None:
-        taken = assignments.occupied_instances()
-        self.free = sorted(view.idle - view.draining - taken)
-        self._prepared = view.prepared
+    def __init__(self, assignments: Assignments, observed: ObservedDomain) -> None:
+        occupied = assignments.occupied_instances()
+        self.free = sorted(observed.idle - observed.draining - occupied)
+        self._prepared = observed.prepared
 
-    def for_part(self, part: ModelPart) -> str | None:
-        """Take an instance for a part, one that has loaded it if there is one."""
+    def take_for_part(self, part: ModelPart) -> str | None:
+        """Take an instance for a part, preferably one that has loaded it already."""
         ready = [instance for instance in self.free if self._prepared.get(instance) == part]
         found = next(iter(ready or self.free), None)
         if found is not None:
@@ -186,78 +185,84 @@
         return found
 
     def is_prepared(self, instance: str, part: ModelPart) -> bool:
-        """Return whether an instance has loaded a part."""
+        """Return whether an instance has loaded a part in advance."""
         return self._prepared.get(instance) == part
 
-    def take(self, wanted: t.Iterable[str], count: int) -> list[str] | None:
-        """Take instances, the wanted ones first; None if there are too few."""
+    def take(self, candidates: t.Iterable[str], count: int) -> list[str] | None:
+        """Take instances, the candidates first, or return None if too few are free."""
         if len(self.free) < count:
             return None
-        preferred = [instance for instance in wanted if instance in self.free]
+        preferred = [instance for instance in candidates if instance in self.free]
         rest = [instance for instance in self.free if instance not in preferred]
         found = (preferred + rest)[:count]
         self.free = [instance for instance in self.free if instance not in found]
         return found
 
 
-def _lost(group: Group, wanted: DesiredState, view: ObservedDomain, now: float) -> list[str]:
-    """Return the members that are given up for now."""
-    limit = now - wanted.repair_after
+def _lost_members(
+    group: Group, desired: DesiredState, observed: ObservedDomain, now: float
+) -> list[str]:
+    """Return the members that are absent or have been missing for too long."""
+    latest = now - desired.repair_after
     return [
         member
         for member in group.members
-        if member in view.absent or view.missing_since.get(member, now) <= limit
+        if member in observed.absent or observed.missing_since.get(member, now) <= latest
     ]
 
 
-def _continued(group: Group, members: t.Iterable[str], intent: Intent) -> Group:
+def _with_members(group: Group, members: t.Iterable[str], intent: Intent) -> Group:
     return dataclasses.replace(
         group, model=intent.model, version=intent.version, members=tuple(members)
     )
 
 
-def _spares_for(
+def _choose_spares(
     group: Group, replaced: list[str], intent: Intent, pool: _Pool
 ) -> dict[str, str] | None:
-    """Return a spare for each member that is replaced; None if there are too few."""
+    """Return a spare for each member to replace, or None if there are too few."""
     if len(pool.free) < len(replaced):
         return None
-    found = {}
+    spares = {}
     for member in replaced:
         part = ModelPart(intent.model, intent.version, group.members.index(member))
-        found[member] = t.cast(str, pool.for_part(part))
-    return found
+        spares[member] = t.cast(str, pool.take_for_part(part))
+    return spares
 
 
-def _replacement(
+def _replacement_step(
     group: Group, spares: dict[str, str], intent: Intent, pool: _Pool, graceful: bool
 ) -> Change:
-    """Return the replacement by spares, or the next step that prepares it."""
+    """Return the replacement of members by spares, or the next preparation for it."""
     for member, spare in spares.items():
         part = ModelPart(intent.model, intent.version, group.members.index(member))
         if graceful and not pool.is_prepared(spare, part):
             return Prepare(spare, group.id, part)
     members = [spares.get(member, member) for member in group.members]
-    return Replace(_continued(group, members, intent), graceful)
+    return Replace(_with_members(group, members, intent), graceful)
 
 
-def _repairs(
-    assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float, pool: _Pool
+def _plan_repairs(
+    assignments: Assignments,
+    desired: DesiredState,
+    observed: ObservedDomain,
+    now: float,
+    pool: _Pool,
 ) -> tuple[list[Change], list[Group]]:
-    """Return replacements by spares, and the groups for which there are too few."""
+    """Return the repairs, and the groups with lost members for which spares are lacking."""
     changes: list[Change] = []
     short: list[Group] = []
     for group in sorted(assignments.groups.values(), key=lambda group: group.id):
-        intent = _intent_of(group, wanted)
-        lost = _lost(group, wanted, view, now)
+        intent = _intent_of(group, desired)
+        lost = _lost_members(group, desired, observed, now)
         leaving = [
-            member for member in group.members if member in view.draining and member not in lost
+            member for member in group.members if member in observed.draining and member not in lost
         ]
         if intent is None or not (lost or leaving):
             continue
-        spares = _spares_for(group, lost + leaving, intent, pool)
+        spares = _choose_spares(group, lost + leaving, intent, pool)
         if spares is not None:
-            changes.append(_replacement(group, spares, intent, pool, graceful=not lost))
+            changes.append(_replacement_step(group, spares, intent, pool, graceful=not lost))
         elif lost:
             short.append(group)
         else:
@@ -265,63 +270,65 @@
     return changes, short
 
 
-def _intent_of(group: Group, wanted: DesiredState) -> Intent | None:
-    placed = wanted.placements.get(group.id)
-    return wanted.intents.get(placed.intent) if placed else None
+def _intent_of(group: Group, desired: DesiredState) -> Intent | None:
+    placement = desired.placements.get(group.id)
+    return desired.intents.get(placement.intent) if placement else None
 
 
-def _starts(assignments: Assignments, wanted: DesiredState, pool: _Pool) -> list[Change]:
+def _plan_starts(assignments: Assignments, desired: DesiredState, pool: _Pool) -> list[Change]:
     changes: list[Change] = []
-    for group_id, placed in sorted(wanted.placements.items()):
-        intent = wanted.intents.get(placed.intent)
+    for group_id, placement in sorted(desired.placements.items()):
+        intent = desired.intents.get(placement.intent)
         if group_id in assignments.groups or intent is None:
             continue
-        members = pool.take(placed.members, intent.instances_per_replica)
+        members = pool.take(placement.members, intent.instances_per_replica)
         if members is not None:
             group = Group(group_id, intent.name, intent.model, intent.version, 0, tuple(members))
             changes.append(Start(group))
     return changes
 
 
-def started(assignments: Assignments, wanted: DesiredState, view: ObservedDomain) -> list[Change]:
-    """Return the starts of groups that are wanted and for which there is room."""
-    return _starts(assignments, wanted, _Pool(assignments, view))
+def plan_starts(
+    assignments: Assignments, desired: DesiredState, observed: ObservedDomain
+) -> list[Change]:
+    """Return the starts of placed groups for which enough instances are free."""
+    return _plan_starts(assignments, desired, _Pool(assignments, observed))
 
 
-def _reloads(assignments: Assignments, wanted: DesiredState) -> list[Change]:
-    """Return the next group that has to change its model; one at a time."""
+def _plan_reload(assignments: Assignments, desired: DesiredState) -> list[Change]:
+    """Return the model change of the next group with an outdated model; one at a time."""
     for group in sorted(assignments.groups.values(), key=lambda group: group.id):
-        intent = _intent_of(group, wanted)
+        intent = _intent_of(group, desired)
         if intent and (intent.model, intent.version) != (group.model, group.version):
-            return [Replace(_continued(group, group.members, intent), graceful=True)]
+            return [Replace(_with_members(group, group.members, intent), graceful=True)]
     return []
 
 
 @strategies.register("spares")
-def with_spares(
-    assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float
+def repair_with_spares(
+    assignments: Assignments, desired: DesiredState, observed: ObservedDomain, now: float
 ) -> list[Change]:
-    """Replace lost members by spares; without spares wait until they come back."""
-    pool = _Pool(assignments, view)
-    changes, _ = _repairs(assignments, wanted, view, now, pool)
-    return changes + _starts(assignments, wanted, pool) + _reloads(assignments, wanted)
+    """Replace lost members by spares, or wait for them to return if there are none."""
+    pool = _Pool(assignments, observed)
+    changes, _ = _plan_repairs(assignments, desired, observed, now, pool)
+    return changes + _plan_starts(assignments, desired, pool) + _plan_reload(assignments, desired)
 
 
 @strategies.register("donate")
-def with_donors(
-    assignments: Assignments, wanted: DesiredState, view: ObservedDomain, now: float
+def repair_with_donors(
+    assignments: Assignments, desired: DesiredState, observed: ObservedDomain, now: float
 ) -> list[Change]:
-    """As ``spares``; and of groups that are down for want of spares one gives to the others.
+    """Replace lost members by spares, or by the members of a group that is ended for it.
 
-    Several groups that each miss a member hold many accelerators idle. The one that misses
-    most is ended, so that its members can bring the others back.
+    If several groups lack spares, the one with the most lost members is ended. No group starts
+    while another one lacks spares.
     """
-    pool = _Pool(assignments, view)
-    changes, short = _repairs(assignments, wanted, view, now, pool)
-    missing = {group.id: len(_lost(group, wanted, view, now)) for group in short}
+    pool = _Pool(assignments, observed)
+    changes, short = _plan_repairs(assignments, desired, observed, now, pool)
+    lost = {group.id: len(_lost_members(group, desired, observed, now)) for group in short}
     if len(short) > 1:
-        donor = max(short, key=lambda group: (missing[group.id], group.id))
+        donor = max(short, key=lambda group: (lost[group.id], group.id))
         changes.append(Dissolve(donor.id, graceful=False))
-    waiting = collections.Counter(missing).total()
-    starts = [] if waiting else _starts(assignments, wanted, pool)
-    return changes + starts + _reloads(assignments, wanted)
+    lost_count = collections.Counter(lost).total()
+    starts = [] if lost_count else _plan_starts(assignments, desired, pool)
+    return changes + starts + _plan_reload(assignments, desired)
