--- a/packages/core/src/thorncleat_core/daemon/__init__.py
+++ b/packages/core/src/thorncleat_core/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the program driven by intents (`packages/daemon`); the gateway uses none of them."""
+"""Pure decisions of ``thorncleatd``, without input, output or a clock of their own."""
--- a/packages/core/src/thorncleat_core/daemon/budget.py
+++ b/packages/core/src/thorncleat_core/daemon/budget.py
@@ -1,7 +1,7 @@
-"""The store's budget: one limiter in each daemon, sharing the fleet's rates.
+"""A rate limit on calls to the store that the daemons share.
 
-Owns: how many calls this daemon may make now.
-Relies on: the number of daemons, which views of the membership give about alike.
+Owns: the token buckets of this daemon.
+Relies on: all daemons knowing about the same number of daemons.
 """
 
 import collections
@@ -10,7 +10,7 @@
 
 
 class Purpose(enum.StrEnum):
-    """What a call to the store is for, in the order of their importance."""
+    """The purposes of calls to the store, in descending order of priority."""
 
     LEASE = "lease"
     CLAIM = "claim"
@@ -19,8 +19,8 @@
     READ = "read"
 
 
-# part of a bucket that must stay in it for calls of greater importance
-RESERVES = {
+# Fraction of a bucket that is reserved for calls of a higher priority.
+RESERVED_FRACTIONS = {
     Purpose.LEASE: 0.0,
     Purpose.CLAIM: 0.2,
     Purpose.ASSIGN: 0.3,
@@ -31,66 +31,66 @@
 
 @dataclasses.dataclass(frozen=True)
 class FleetRates:
-    """What the whole fleet may ask of the store a second."""
+    """The maximum calls per second of the whole fleet."""
 
     writes: float = 100.0
     reads: float = 2000.0
 
 
 class _Bucket:
+    """A token bucket that is full when it is first refilled."""
+
     def __init__(self) -> None:
         self.level: float | None = None
-        self.at = 0.0
+        self.refilled_at = 0.0
 
     def refill(self, rate: float, depth: float, now: float) -> None:
         if self.level is None:
             self.level = depth
         else:
-            self.level = min(depth, self.level + (now - self.at) * rate)
-        self.at = now
+            self.level = min(depth, self.level + (now - self.refilled_at) * rate)
+        self.refilled_at = now
 
 
 class StoreBudget:
-    """Decides when a daemon may call the store.
+    """Limits the rate at which a daemon calls the store.
 
-    A daemon gets an equal part of four fifths of the fleet's rates, so that views of the
-    membership that differ a little do not overrun the store. A bucket holds ten seconds of
-    that part and at least :attr:`MIN_DEPTH` calls, so that a start or a takeover need not
-    wait.
+    Each daemon gets an equal share of the fleet's rates. Part of the rates stays unused, so that
+    daemons that know of fewer members don't overload the store.
 
-    :param rates: of the whole fleet.
+    :param rates: rates of the whole fleet.
     """
 
-    # calls, part of the fleet's rates, and seconds
-    MIN_DEPTH = 8.0
-    USED_PART = 0.8
-    DEPTH_SECONDS = 10.0
+    # The minimum burst lets a daemon start or take over shards without waiting.
+    MIN_BURST_CALLS = 8.0
+    USED_FRACTION = 0.8
+    BURST_SECONDS = 10.0
 
     def __init__(self, rates: FleetRates) -> None:
         self._rates = rates
-        self._members = 1
+        self._daemon_count = 1
         self._writes = _Bucket()
         self._reads = _Bucket()
         self.calls: collections.Counter[str] = collections.Counter()
         self.deferred: collections.Counter[str] = collections.Counter()
 
     def set_daemon_count(self, count: int) -> None:
-        """Set how many daemons share the rates."""
-        self._members = max(1, count)
+        """Set the number of daemons that share the rates."""
+        self._daemon_count = max(1, count)
 
     def calls_per_second(self, write: bool) -> float:
-        """Return the calls a second that this daemon may make."""
+        """Return the calls per second that this daemon may make."""
         rate = self._rates.writes if write else self._rates.reads
-        return rate * self.USED_PART / self._members
+        return rate * self.USED_FRACTION / self._daemon_count
 
     def reserve(self, write: bool, purpose: Purpose, now: float) -> float:
-        """Take a call if there is room, and return 0; else return seconds to wait."""
+        """Reserve a call and return 0, or return the seconds to wait until the next try."""
         bucket = self._writes if write else self._reads
         rate = self.calls_per_second(write)
-        depth = max(self.MIN_DEPTH, rate * self.DEPTH_SECONDS)
+        depth = max(self.MIN_BURST_CALLS, rate * self.BURST_SECONDS)
         bucket.refill(rate, depth, now)
         level = bucket.level or 0.0
-        missing = 1 + RESERVES[purpose] * depth - level
+        missing = 1 + RESERVED_FRACTIONS[purpose] * depth - level
         if missing > 0:
             self.deferred[purpose] += 1
             return missing / rate
@@ -100,26 +100,26 @@
 
 
 class Backoff:
-    """Growing, jittered waits after failures.
+    """Exponential backoff with jitter.
 
-    :param first: seconds of the first wait.
-    :param longest: seconds of the longest.
+    :param initial_delay: upper bound of the first delay in seconds.
+    :param max_delay: upper bound of all delays in seconds.
     """
 
-    def __init__(self, first: float = 0.1, max_delay: float = 5.0) -> None:
-        self._first = first
-        self._longest = max_delay
+    def __init__(self, initial_delay: float = 0.1, max_delay: float = 5.0) -> None:
+        self._initial_delay = initial_delay
+        self._max_delay = max_delay
         self._failures = 0
 
     def next_delay(self, draw: float) -> float:
-        """Return the next wait.
+        """Return the delay in seconds after another failure.
 
-        :param draw: a random number in [0, 1), which spreads the callers.
+        :param draw: random number in [0, 1) for the jitter.
         """
-        ceiling = min(self._longest, self._first * 2.0 ** min(self._failures, 20))
+        ceiling = min(self._max_delay, self._initial_delay * 2.0 ** min(self._failures, 20))
         self._failures += 1
         return ceiling * (0.5 + draw / 2)
 
     def reset(self) -> None:
-        """Begin anew."""
+        """Reset the delay after a success."""
         self._failures = 0
--- a/packages/core/src/thorncleat_core/daemon/burn.py
+++ b/packages/core/src/thorncleat_core/daemon/burn.py
@@ -1,25 +1,26 @@
-"""Service-level burn: how fast each workspace's error budget is used up, and by what.
+"""Burn rates: how fast the requests of each workspace use up their error budget.
 
-Owns: counts of good and bad requests of the last six hours.
-Relies on: clocks of the daemons that agree to about a minute.
+Owns: the counts of good and bad requests in the longest window.
+Relies on: clocks of the daemons that differ by less than a bucket.
 """
 
 import collections
 import dataclasses
 import typing as t
 
-# length of a bucket
 BUCKET_SECONDS = 60
-# windows of the multi-window rule: a fast one and a slow one must both burn, at the rate that
-# stands last; docs/OPERATORS.md names both alerts
+# Windows by name, in seconds.
 WINDOWS = {"5m": 300, "1h": 3600, "6h": 21_600}
+# Alert name, short window, long window and threshold. An alert fires if the burn rates of both
+# windows exceed the threshold.
 ALERTS = (("page", "5m", "1h", 14.4), ("ticket", "1h", "6h", 6.0))
+# Cause of the requests that meet the objective.
 GOOD = "good"
 
 
 @dataclasses.dataclass(frozen=True, order=True)
 class Subject:
-    """Whose requests for what are counted together."""
+    """A workspace and the target of its requests, which are counted together."""
 
     workspace: str
     target: str
@@ -27,10 +28,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class BurnRow:
-    """One line of the report.
+    """A row of the burn report.
 
-    :param rates: burn rate for each window; 1 uses the budget up exactly.
-    :param causes: bad requests for each cause in the longest window.
+    :param objective: fraction of requests that must be good.
+    :param total: number of requests in the longest window.
+    :param rates: burn rate for each window. A rate of 1 uses up the error budget exactly.
+    :param causes: number of bad requests for each cause in the longest window.
+    :param alert: name of the alert that fires; empty for none.
     """
 
     subject: Subject
@@ -45,27 +49,27 @@
 
 
 class BurnCounts:
-    """Counts of good and bad requests in buckets of a minute, for the longest window."""
+    """Counts of requests by cause, in time buckets that cover the longest window."""
 
     def __init__(self) -> None:
         self._counts: dict[Subject, Buckets] = {}
 
     def record(self, subject: Subject, cause: str, now: float) -> None:
-        """Count a request.
+        """Record a request.
 
-        :param cause: :data:`GOOD`, or why it counts against the objective.
-        :param now: seconds on a clock that all daemons share roughly.
+        :param cause: :data:`GOOD`, or the reason why it counts against the objective.
+        :param now: wall clock time in seconds.
         """
         buckets = self._counts.setdefault(subject, {})
         bucket = int(now // BUCKET_SECONDS)
         if bucket not in buckets:
             oldest = bucket - max(WINDOWS.values()) // BUCKET_SECONDS
-            for late in [known for known in buckets if known < oldest]:
-                del buckets[late]
+            for expired in [number for number in buckets if number < oldest]:
+                del buckets[expired]
         buckets.setdefault(bucket, collections.Counter())[cause] += 1
 
     def export(self) -> list[dict[str, t.Any]]:
-        """Return the counts as plain values."""
+        """Return the counts as plain values, for :meth:`merge` on another daemon."""
         return [
             {
                 "workspace": subject.workspace,
@@ -76,25 +80,25 @@
         ]
 
     def merge(self, exported: t.Iterable[t.Mapping[str, t.Any]]) -> None:
-        """Add the counts of another daemon."""
+        """Add the counts that another daemon exported."""
         for row in exported:
             buckets = self._counts.setdefault(Subject(row["workspace"], row["target"]), {})
             for number, counts in row["buckets"].items():
                 buckets.setdefault(int(number), collections.Counter()).update(counts)
 
     def rows(self, objective: t.Callable[[Subject], float], now: float) -> list[BurnRow]:
-        """Return the report's lines, the fastest burn first.
+        """Return the rows of the report, the highest burn rate first.
 
-        :param objective: part of the requests that must be good.
+        :param objective: function that returns the fraction of requests that must be good.
         """
         rows = [
-            _row(subject, buckets, objective(subject), now)
+            _make_row(subject, buckets, objective(subject), now)
             for subject, buckets in sorted(self._counts.items())
         ]
         return sorted(rows, key=lambda row: max(row.rates.values(), default=0.0), reverse=True)
 
 
-def _within(buckets: Buckets, window: int, now: float) -> collections.Counter[str]:
+def _count_in_window(buckets: Buckets, window: int, now: float) -> collections.Counter[str]:
     oldest = int((now - window) // BUCKET_SECONDS)
     total: collections.Counter[str] = collections.Counter()
     for number, counts in buckets.items():
@@ -103,7 +107,7 @@
     return total
 
 
-def _rate(counts: collections.Counter[str], objective: float) -> float:
+def _burn_rate(counts: collections.Counter[str], objective: float) -> float:
     total = counts.total()
     if not total:
         return 0.0
@@ -111,13 +115,13 @@
     return bad / total / (1 - objective)
 
 
-def _row(subject: Subject, buckets: Buckets, objective: float, now: float) -> BurnRow:
-    counts = {name: _within(buckets, seconds, now) for name, seconds in WINDOWS.items()}
-    rates = {name: _rate(counted, objective) for name, counted in counts.items()}
+def _make_row(subject: Subject, buckets: Buckets, objective: float, now: float) -> BurnRow:
+    counts = {name: _count_in_window(buckets, seconds, now) for name, seconds in WINDOWS.items()}
+    rates = {name: _burn_rate(counted, objective) for name, counted in counts.items()}
     longest = counts["6h"]
     causes = {cause: number for cause, number in sorted(longest.items()) if cause != GOOD}
     alert = ""
-    for name, fast, slow, threshold in ALERTS:
-        if not alert and rates[fast] > threshold and rates[slow] > threshold:
+    for name, short, long, threshold in ALERTS:
+        if not alert and rates[short] > threshold and rates[long] > threshold:
             alert = name
     return BurnRow(subject, objective, longest.total(), rates, causes, alert)
--- a/packages/core/src/thorncleat_core/daemon/claims.py
+++ b/packages/core/src/thorncleat_core/daemon/claims.py
@@ -1,10 +1,9 @@
-"""Claims: at most one run of each request that may not be repeated.
+"""Claims, which ensure that a request with an idempotency key runs at most once.
 
-The owner of a claim shard gives each key to one daemon once, and only after the claim is
-durable in the store. It never gives a key a second time unless the first daemon says that
-nothing was sent.
+The owner of a shard grants each key to one daemon, after the claim has been written to the store.
+It grants the key again only if that daemon reports that nothing was sent.
 
-Owns: the claims of the shards held.
+Owns: the claims of one shard.
 Relies on: the owner's lease, which :mod:`thorncleat_daemon.claims` checks around each write.
 """
 
@@ -16,7 +15,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """What the owner knows of a key."""
+    """The state of a claim."""
 
     WRITING = "writing"
     RUNNING = "running"
@@ -26,7 +25,7 @@
 
 
 class ClaimAnswer(enum.StrEnum):
-    """The answer to a daemon that asks for a key."""
+    """The answers to a daemon that requests a claim."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -38,9 +37,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """The answer to a request that ran.
+    """The response to a request that ran.
 
-    :param body: None if it was too large to keep.
+    :param body: body of the response, or None if it was too large to store.
     """
 
     status: int
@@ -50,11 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """A key and what is known of its request.
+    """The claim on an idempotency key.
 
-    :param request: digest of method, path and body.
-    :param until: wall clock second up to which the claim is kept.
-    :param attempt: the attempt that it was given to; nobody else can give it back.
+    :param request: digest of the request's method, path and body.
+    :param until: wall clock time in seconds at which the claim expires.
+    :param outcome: response to the request, if it has run and the response is known.
+    :param attempt: id of the attempt that holds the claim. No other attempt can release it.
     """
 
     workspace: str
@@ -67,102 +67,107 @@
 
     @property
     def id(self) -> tuple[str, str]:
-        """Workspace and key."""
+        """The workspace and key."""
         return (self.workspace, self.key)
 
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """An answer to a daemon."""
+    """An answer to a daemon that requests a claim.
+
+    :param outcome: response to the request, if the answer is :attr:`ClaimAnswer.DONE`.
+    """
 
     answer: ClaimAnswer
     outcome: Outcome | None = None
 
 
 class ClaimBook:
-    """The claims of one shard, in the memory of its owner.
+    """The claims of one shard, held in memory by its owner.
 
-    :param limit: claims that are kept; one more is refused.
-    :param keep: seconds for which a claim is kept.
-    :param patience: seconds after which a run of which nothing is heard counts as unknown.
+    :param limit: maximum number of claims. Further ones are rejected.
+    :param keep: TTL of a claim in seconds.
+    :param run_timeout: seconds after which a run without a reported outcome becomes unknown.
     """
 
     def __init__(
         self, limit: int = 100_000, keep: int = 86_400, run_timeout: float = 600.0
     ) -> None:
         self._claims: dict[tuple[str, str], Claim] = {}
-        self._since: dict[tuple[str, str], float] = {}
+        self._granted_at: dict[tuple[str, str], float] = {}
         self._limit = limit
-        self._keep = keep
-        self._patience = run_timeout
+        self._ttl_seconds = keep
+        self._run_timeout = run_timeout
 
     def __len__(self) -> int:
         return len(self._claims)
 
     @property
     def ids(self) -> t.AbstractSet[tuple[str, str]]:
-        """Workspace and key of each claim."""
+        """The workspace and key of each claim."""
         return self._claims.keys()
 
     def request_claim(
-        self, workspace: str, key: str, request: str, now: float, wall: int, attempt: str = ""
+        self, workspace: str, key: str, request: str, now: float, wall_time: int, attempt: str = ""
     ) -> tuple[Reply, Claim | None]:
-        """Answer a daemon that wants to run a request.
+        """Return the answer to a daemon that requests a claim, and the claim to write first.
+
+        The answer must not be sent before the claim, if there is one, is durable.
 
-        :param now: monotonic seconds.
-        :param wall: wall clock seconds, for expiry alone.
-        :param attempt: unique to this question.
-        :return: the answer, and the claim to make durable before it is given.
+        :param request: digest of the request.
+        :param now: monotonic time in seconds.
+        :param wall_time: wall clock time in seconds, used for the expiry.
+        :param attempt: unique id of the attempt.
         """
         found = self._claims.get((workspace, key))
         if found is None or found.state is ClaimState.RELEASED:
-            reply, claim = self._open(workspace, key, request, now, wall, attempt)
+            reply, claim = self._create(workspace, key, request, now, wall_time, attempt)
         else:
-            reply, claim = self._known(found, request, now), None
+            reply, claim = self._reply_to_existing(found, request, now), None
         return reply, claim
 
-    def _open(
-        self, workspace: str, key: str, request: str, now: float, wall: int, attempt: str
+    def _create(
+        self, workspace: str, key: str, request: str, now: float, wall_time: int, attempt: str
     ) -> tuple[Reply, Claim | None]:
-        if len(self._claims) >= self._limit and not self.expire(wall):
+        if len(self._claims) >= self._limit and not self.expire(wall_time):
             return Reply(ClaimAnswer.BUSY), None
-        until = wall + self._keep
+        until = wall_time + self._ttl_seconds
         claim = Claim(workspace, key, request, ClaimState.RUNNING, until, attempt=attempt)
         writing = dataclasses.replace(claim, state=ClaimState.WRITING)
         self._claims[claim.id] = writing
-        self._since[claim.id] = now
+        self._granted_at[claim.id] = now
         return Reply(ClaimAnswer.GRANTED), claim
 
-    def _known(self, claim: Claim, request: str, now: float) -> Reply:
+    def _reply_to_existing(self, claim: Claim, request: str, now: float) -> Reply:
         if claim.request != request:
             return Reply(ClaimAnswer.MISMATCH)
         if claim.state is ClaimState.DONE:
             return Reply(ClaimAnswer.DONE, claim.outcome)
         if claim.state is ClaimState.UNKNOWN:
             return Reply(ClaimAnswer.UNKNOWN)
-        if now - self._since.get(claim.id, float("-inf")) > self._patience:
+        if now - self._granted_at.get(claim.id, float("-inf")) > self._run_timeout:
             return Reply(ClaimAnswer.UNKNOWN)
         return Reply(ClaimAnswer.RUNNING)
 
     def mark_durable(self, claim: Claim) -> None:
-        """Note that a claim is durable."""
-        self._replace(claim, ClaimState.WRITING)
+        """Record that a claim has been written to the store."""
+        self._replace_if(claim, ClaimState.WRITING)
 
     def discard_unwritten(self, claim: Claim) -> None:
-        """Forget a claim that did not reach the store."""
+        """Discard a claim that could not be written to the store."""
         found = self._claims.get(claim.id)
         if found and found.state is ClaimState.WRITING:
             del self._claims[claim.id]
-            self._since.pop(claim.id, None)
+            self._granted_at.pop(claim.id, None)
 
     def record_outcome(
         self, workspace: str, key: str, outcome: Outcome | None, ran: str, attempt: str = ""
     ) -> Claim | None:
-        """Note how a request ended.
+        """Record the outcome of a request and return the claim to write, if it changed.
 
-        :param ran: ``yes``, ``no`` or ``unknown``.
-        :param attempt: the attempt that tells; what another one tells of a claim is ignored.
-        :return: the claim to make durable, if it is known.
+        :param outcome: response to the request, if there is one.
+        :param ran: whether the request ran: ``yes``, ``no`` or ``unknown``.
+        :param attempt: id of the reporting attempt. Reports of other attempts are ignored.
         """
         found = self._claims.get((workspace, key))
         if found is None or found.state in (ClaimState.DONE, ClaimState.RELEASED):
@@ -174,48 +179,48 @@
             "no": ClaimState.RELEASED,
             "unknown": ClaimState.UNKNOWN,
         }[ran]
-        self._since.pop(found.id, None)
-        ended = dataclasses.replace(found, state=state, outcome=outcome)
-        self._claims[ended.id] = ended
-        return ended
+        self._granted_at.pop(found.id, None)
+        updated = dataclasses.replace(found, state=state, outcome=outcome)
+        self._claims[updated.id] = updated
+        return updated
 
     def restore(self, claims: t.Iterable[Claim]) -> None:
-        """Restore claims that an earlier owner wrote, oldest first.
+        """Restore the claims that previous owners wrote, the oldest first.
 
-        What was running then may be running still, so it counts as unknown.
+        A claim that was running becomes unknown, since its outcome may have been lost.
         """
         for claim in claims:
             state = ClaimState.UNKNOWN if claim.state is ClaimState.RUNNING else claim.state
             self._claims[claim.id] = dataclasses.replace(claim, state=state)
 
-    def expire(self, wall: int) -> int:
-        """Drop the claims whose time is over; return how many went."""
-        late = [key for key, claim in self._claims.items() if claim.until <= wall]
-        for key in late:
+    def expire(self, wall_time: int) -> int:
+        """Remove expired claims and return their number."""
+        expired = [key for key, claim in self._claims.items() if claim.until <= wall_time]
+        for key in expired:
             del self._claims[key]
-            self._since.pop(key, None)
-        return len(late)
+            self._granted_at.pop(key, None)
+        return len(expired)
 
-    def _replace(self, claim: Claim, only_from: ClaimState) -> None:
+    def _replace_if(self, claim: Claim, expected_state: ClaimState) -> None:
         found = self._claims.get(claim.id)
-        if found and found.state is only_from:
+        if found and found.state is expected_state:
             self._claims[claim.id] = claim
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest by which two requests under one key are compared."""
-    # half of the digest is enough to compare two, and claims are kept by the ten thousand
+    """Return the digest that detects different requests with the same key."""
+    # Half of the digest is sufficient for the comparison and saves memory.
     return codec.digest([method, path, body.hex()])[:32]
 
 
 def encode_batch(claims: list[Claim]) -> bytes:
-    """Encode claims for one value of the store."""
+    """Return claims encoded as one value for the store."""
     return codec.pack(claims)
 
 
 def decode_batch(data: bytes) -> list[Claim]:
-    """Decode one value of the store.
+    """Return the claims in a value that was encoded by :func:`encode_batch`.
 
-    :raises DecodeError: if it is broken.
+    :raises DecodeError: if the value is invalid.
     """
     return [codec.validate(Claim, raw) for raw in codec.unpack(data)]
--- a/packages/core/src/thorncleat_core/daemon/directory.py
+++ b/packages/core/src/thorncleat_core/daemon/directory.py
@@ -1,11 +1,10 @@
-"""What all daemons know of each other's work: a map of small versioned records.
+"""A replicated map of small versioned records that the daemons gossip.
 
-Records are flooded over the overlay and compared with a neighbour now and then. The
-directory decides nothing: a lease decides who holds a shard, a permit whether a group may
-be used, the journal what is configured. A stale record costs a failed call at most.
+The records are hints. Leases, permits and the journal are authoritative, so a stale record causes
+at most a failed call.
 
 Owns: this daemon's copy of the records.
-Relies on: versions that only ever rise, each given by the one daemon that may.
+Relies on: versions of a key that only increase and are set by one daemon at a time.
 """
 
 import dataclasses
@@ -20,11 +19,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """One fact.
+    """A versioned record.
 
-    :param key: such as ``group/narrator-0``.
-    :param version: compared as a tuple; the highest wins.
-    :param body: plain values.
+    :param key: key of the record, such as ``group/narrator-0``.
+    :param version: version, compared as a tuple. The highest one wins.
+    :param body: content as plain values.
     """
 
     key: str
@@ -35,58 +34,58 @@
 class Directory:
     """A daemon's copy of all records.
 
-    :param limit: records that are kept; further keys are refused.
+    :param limit: maximum number of records. Further keys are rejected.
     """
 
     def __init__(self, limit: int = 20_000) -> None:
         self._records: dict[str, Record] = {}
         self._limit = limit
-        self._sum = 0
+        self._checksum = 0
 
     def __len__(self) -> int:
         return len(self._records)
 
     @property
     def checksum(self) -> int:
-        """A checksum of all keys and versions, the same for the same content."""
-        return self._sum
+        """A checksum of all keys and versions, independent of their order."""
+        return self._checksum
 
     def get(self, key: str) -> Record | None:
-        """Return a record."""
+        """Return the record of a key, or None."""
         return self._records.get(key)
 
     def with_prefix(self, prefix: str) -> list[Record]:
-        """Return the records whose keys begin with a prefix, sorted by key."""
+        """Return the records whose keys start with a prefix, sorted by key."""
         return sorted(
             (record for key, record in self._records.items() if key.startswith(prefix)),
             key=lambda record: record.key,
         )
 
     def put(self, record: Record) -> bool:
-        """Put a record in; return whether it was news."""
-        known = self._records.get(record.key)
-        if known is not None and known.version >= record.version:
+        """Add or replace a record and return whether it was newer."""
+        existing = self._records.get(record.key)
+        if existing is not None and existing.version >= record.version:
             return False
-        if known is None and len(self._records) >= self._limit:
+        if existing is None and len(self._records) >= self._limit:
             return False
-        if known is not None:
-            self._sum ^= _checksum(known)
+        if existing is not None:
+            self._checksum ^= _checksum(existing)
         self._records[record.key] = record
-        self._sum ^= _checksum(record)
+        self._checksum ^= _checksum(record)
         return True
 
     def remove(self, key: str) -> None:
-        """Drop a record."""
-        known = self._records.pop(key, None)
-        if known is not None:
-            self._sum ^= _checksum(known)
+        """Remove the record of a key, if there is one."""
+        removed = self._records.pop(key, None)
+        if removed is not None:
+            self._checksum ^= _checksum(removed)
 
     def versions(self) -> dict[str, Version]:
-        """Return the version of each key, to compare with a neighbour."""
+        """Return the version of each key, for the comparison with another daemon."""
         return {key: record.version for key, record in self._records.items()}
 
     def newer_than(self, versions: t.Mapping[str, Version]) -> list[Record]:
-        """Return the records that a neighbour with these versions lacks."""
+        """Return the records that are newer than the given versions or not among them."""
         return [
             record
             for key, record in sorted(self._records.items())
@@ -100,8 +99,8 @@
 
 
 def decode(value: t.Any) -> Record:
-    """Validate a record from a peer.
+    """Return a record, validated from a plain value that a peer sent.
 
-    :raises DecodeError: if it doesn't have a record's form.
+    :raises DecodeError: if the value is not a valid record.
     """
     return codec.validate(Record, value)
--- a/packages/core/src/thorncleat_core/daemon/fleet.py
+++ b/packages/core/src/thorncleat_core/daemon/fleet.py
@@ -1,7 +1,7 @@
-"""Instances and where they stand, as the platform lists them.
+"""The instances that the platform lists.
 
 Owns: nothing.
-Relies on: the platform's list, which lags behind.
+Relies on: the platform's list, which may be out of date.
 """
 
 import dataclasses
@@ -12,21 +12,21 @@
 
 
 class InstanceKind(enum.StrEnum):
-    """What an instance is for."""
+    """The role of an instance."""
 
     ENDPOINT = "endpoint"
     ENTRY = "entry"
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform says of an instance; the list lags."""
+    """The state of an instance according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ListedInstance(pydantic.BaseModel):
-    """An instance as it stands in the platform's list."""
+    """The schema of an instance in the platform's list."""
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
 
@@ -44,9 +44,9 @@
 class Instance:
     """An instance.
 
-    :param id: unique for the life of the instance; a replacement has another.
-    :param address: ``host:port``; of an entry instance the port for other daemons.
-    :param accelerators: how many accelerators it carries.
+    :param id: unique id. A replacement instance has a different one.
+    :param address: ``host:port``. For an entry instance, the port is the one for other daemons.
+    :param accelerators: number of accelerators.
     """
 
     id: str
@@ -60,7 +60,7 @@
 
     @classmethod
     def from_listed(cls, listed: ListedInstance) -> "Instance":
-        """Build from a validated row of the platform's list."""
+        """Return the instance for an entry of the platform's list."""
         return cls(**listed.model_dump())
 
 
@@ -68,24 +68,24 @@
 class Fleet:
     """All listed instances.
 
-    :param instances: by instance id.
+    :param instances: instances by id.
     """
 
     instances: t.Mapping[str, Instance]
 
     @classmethod
     def from_instances(cls, instances: t.Iterable[Instance]) -> "Fleet":
-        """Build from instances."""
+        """Return the fleet that consists of some instances."""
         return cls({instance.id: instance for instance in instances})
 
     def endpoints(self) -> list[Instance]:
         """Return all endpoint instances, sorted by id."""
-        found = [
+        endpoints = [
             instance
             for instance in self.instances.values()
             if instance.kind is InstanceKind.ENDPOINT
         ]
-        return sorted(found, key=lambda instance: instance.id)
+        return sorted(endpoints, key=lambda instance: instance.id)
 
     def in_domain(self, fabric_domain: str) -> list[Instance]:
         """Return the endpoint instances of a fabric domain, sorted by id."""
--- a/packages/core/src/thorncleat_core/daemon/keys.py
+++ b/packages/core/src/thorncleat_core/daemon/keys.py
@@ -1,7 +1,7 @@
-"""Keys of callers and operators. Only digests are ever kept.
+"""API keys of callers and operators, of which only digests are stored.
 
 Owns: nothing.
-Relies on: keys being long and random, so that a plain digest keeps them.
+Relies on: long random keys, for which a digest without salt is safe.
 """
 
 import hashlib
@@ -12,22 +12,22 @@
 
 
 def digest(key: str) -> str:
-    """Return the digest under which a key is kept: SHA-256, in hexadecimal."""
+    """Return the hexadecimal SHA-256 digest of a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def is_digest(text: str) -> bool:
-    """Return whether a text has a digest's form."""
+    """Return whether a text has the form of a digest."""
     return _DIGEST.fullmatch(text) is not None
 
 
-def are_equal(one: str, other: str) -> bool:
-    """Compare two digests in constant time."""
-    return hmac.compare_digest(one, other)
+def are_equal(first: str, second: str) -> bool:
+    """Return whether two digests are equal, in constant time."""
+    return hmac.compare_digest(first, second)
 
 
 def parse_bearer(header: str | None) -> str | None:
-    """Return the key of an ``Authorization: Bearer`` header, or None."""
+    """Return the key in the value of an ``Authorization: Bearer`` header, or None."""
     scheme, _, key = (header or "").partition(" ")
     key = key.strip()
     return key if scheme.lower() == "bearer" and key else None
--- a/packages/core/src/thorncleat_core/daemon/leases.py
+++ b/packages/core/src/thorncleat_core/daemon/leases.py
@@ -1,27 +1,26 @@
-"""Leases on shards of the control work, held through the platform's store.
+"""Leases on control shards, granted by the platform's store.
 
-Times are readings of the holder's own monotonic clock, in seconds. Nothing compares the
-clocks of two instances: a lease counts from before the call that got it, and a wait counts
-from after the call that began it, so both err on the safe side.
+All times are in seconds on the holder's own clock. A lease counts from the time its request was
+sent, so the holder stops acting before the store lets the lease expire.
 
-Owns: nothing; the holder keeps its leases.
-Relies on: clocks that run alike to :data:`MAX_DRIFT`, whatever they show.
+Owns: nothing.
+Relies on: clocks whose rates differ by at most :data:`MAX_DRIFT`.
 """
 
 import dataclasses
 
 from ..exceptions import LeaseError
 
-# how much faster one instance's clock may run than another's
+# Maximum relative difference between the clock rates of two instances.
 MAX_DRIFT = 0.01
 
 
 @dataclasses.dataclass(frozen=True)
 class LeaseTerms:
-    """How leases are kept.
+    """The durations of leases in seconds.
 
-    :param ttl: seconds after which the store lets a lease lapse.
-    :param margin: seconds before its end at which the holder stops acting.
+    :param ttl: time after which the store lets a lease expire.
+    :param margin: time before the expiry at which the holder stops acting.
     """
 
     ttl: float = 6.0
@@ -29,19 +28,19 @@
 
     @property
     def renewal_interval(self) -> float:
-        """Seconds between renewals: a third of the time to live."""
+        """The seconds between two renewals."""
         return self.ttl / 3
 
 
 @dataclasses.dataclass
 class HeldLease:
-    """The lease on a shard as its holder sees it.
+    """The lease on a shard from the perspective of its holder.
 
-    :param shard: the shard's number.
-    :param epoch: rises with each new holder and fences its orders.
-    :param create_revision: of the shard's key; store writes compare it.
-    :param acquired_at: when the call that acquired it was answered.
-    :param deadline: when the holder must have stopped acting.
+    :param shard: number of the shard.
+    :param epoch: fencing token, which increases with each new holder.
+    :param create_revision: create revision of the shard's key, compared on each write.
+    :param acquired_at: time when the lease was granted.
+    :param deadline: time when the holder must stop acting.
     """
 
     shard: int
@@ -51,13 +50,13 @@
     deadline: float
 
     def is_held(self, now: float) -> bool:
-        """Return whether the lease is held for certain."""
+        """Return whether the lease is certainly still held."""
         return now < self.deadline
 
     def check(self, now: float) -> None:
-        """Make sure that the lease is held; called right before each act.
+        """Check that the lease is held. To be called right before each action that needs it.
 
-        :raises LeaseError: if it may have lapsed.
+        :raises LeaseError: if the lease may have expired.
         """
         if not self.is_held(now):
             late = now - self.deadline
@@ -65,8 +64,8 @@
 
 
 def deadline_of(sent_at: float, terms: LeaseTerms) -> float:
-    """Return the holder's deadline for a grant or renewal.
+    """Return the deadline of a lease after a grant or renewal.
 
-    :param sent_at: when the call was sent, not when it was answered.
+    :param sent_at: time when the request was sent.
     """
     return sent_at + (terms.ttl - terms.margin) * (1 - MAX_DRIFT)
--- a/packages/core/src/thorncleat_core/daemon/members.py
+++ b/packages/core/src/thorncleat_core/daemon/members.py
@@ -1,11 +1,10 @@
-"""Which daemons are there: the platform's list, corrected by the daemons' own probing.
+"""The membership of daemons: the platform's list without the daemons that fail probes.
 
-A daemon probes only its neighbours on the overlay. A suspicion is a directory record with
-the suspect's own incarnation; only the suspect can raise that and so refute it. A false
-suspicion moves some preferences for a moment and nothing else.
+A daemon probes its neighbours on the overlay. A suspicion is a directory record with the suspect's
+incarnation, and the suspect refutes it by raising the incarnation.
 
-Owns: which daemons are listed, and who of the neighbours has missed probes.
-Relies on: the directory, which carries suspicions and their refutation.
+Owns: the list of daemons and the failed probes of the neighbours.
+Relies on: the directory to distribute suspicions and refutations.
 """
 
 import typing as t
@@ -18,82 +17,84 @@
 
 
 class Members:
-    """The membership as one daemon sees it.
+    """The membership from the perspective of one daemon.
 
-    :param me: this daemon's id.
-    :param tolerance: probes that may fail in a row before a neighbour is suspected.
+    :param own_id: id of this daemon.
+    :param suspect_after: number of consecutive failed probes until a neighbour is suspected.
     """
 
-    def __init__(self, me: str, directory: Directory, tolerance: int = 3) -> None:
-        self._me = me
+    def __init__(self, own_id: str, directory: Directory, suspect_after: int = 3) -> None:
+        self._own_id = own_id
         self._directory = directory
-        self._tolerance = tolerance
+        self._suspect_after = suspect_after
         self._addresses: dict[str, str] = {}
-        self._misses: dict[str, int] = {}
+        self._failed_probes: dict[str, int] = {}
         self._incarnation = 0
         self._neighbours: list[str] = []
-        self._alive: tuple[str, ...] = (me,)
+        self._alive: tuple[str, ...] = (own_id,)
 
     @property
     def addresses(self) -> t.Mapping[str, str]:
-        """Addresses of the listed daemons, this one included."""
+        """The addresses of the listed daemons, including this one."""
         return self._addresses
 
     @property
     def alive(self) -> tuple[str, ...]:
-        """The daemons that are listed and not suspected, sorted; always this one too."""
+        """The ids of the listed daemons that are not suspected and of this one, sorted."""
         return self._alive
 
     @property
     def neighbours(self) -> list[str]:
-        """The daemons to probe and to pass records on to."""
+        """The daemons to probe and to forward records to."""
         return self._neighbours
 
     def update_list(self, addresses: t.Mapping[str, str]) -> None:
-        """Note the platform's list.
+        """Update the platform's list of daemons.
 
-        A daemon that is listed under another address is a new one and not suspected.
+        A daemon whose address has changed starts without failed probes.
+
+        :param addresses: addresses by daemon id.
         """
         for name, address in addresses.items():
             if self._addresses.get(name) not in (None, address):
-                self._misses.pop(name, None)
+                self._failed_probes.pop(name, None)
         for name in set(self._addresses) - set(addresses):
-            self._misses.pop(name, None)
+            self._failed_probes.pop(name, None)
             self._directory.remove(PREFIX + name)
         if set(addresses) != set(self._addresses):
-            self._neighbours = overlay.neighbours(self._me, addresses)
+            self._neighbours = overlay.neighbours(self._own_id, addresses)
         self._addresses = dict(addresses)
         self.refresh_alive()
 
     def record_answer(self, name: str) -> None:
-        """Note an answer of a peer."""
-        self._misses.pop(name, None)
+        """Record a successful probe of a daemon."""
+        self._failed_probes.pop(name, None)
 
     def record_missed_probe(self, name: str) -> Record | None:
-        """Note a probe without answer; return the suspicion to flood when it is due."""
+        """Record a failed probe and return the suspicion to distribute, if there is a new one."""
         if name not in self._addresses:
             return None
-        count = self._misses.get(name, 0) + 1
-        self._misses[name] = count
-        if count < self._tolerance or self._suspected(name):
+        count = self._failed_probes.get(name, 0) + 1
+        self._failed_probes[name] = count
+        if count < self._suspect_after or self._is_suspected(name):
             return None
-        known = self._directory.get(PREFIX + name)
-        incarnation = known.version[0] if known else 0
+        existing = self._directory.get(PREFIX + name)
+        incarnation = existing.version[0] if existing else 0
         return Record(PREFIX + name, (incarnation, 1))
 
     def create_refutation(self) -> Record | None:
-        """Return the record that refutes a suspicion of this daemon, if there is one."""
-        known = self._directory.get(PREFIX + self._me)
-        if known is None or known.version[1] == 0:
+        """Return the record that refutes the suspicion of this daemon, or None if there is none."""
+        existing = self._directory.get(PREFIX + self._own_id)
+        if existing is None or existing.version[1] == 0:
             return None
-        self._incarnation = known.version[0] + 1
-        return Record(PREFIX + self._me, (self._incarnation, 0))
+        self._incarnation = existing.version[0] + 1
+        return Record(PREFIX + self._own_id, (self._incarnation, 0))
 
     def refresh_alive(self) -> None:
-        """Recompute who is alive, after a record or the list changed."""
-        found = {name for name in self._addresses if not self._suspected(name)}
-        self._alive = tuple(sorted(found | {self._me}))
+        """Update :attr:`alive` after a change of the list or of a record."""
+        unsuspected = {name for name in self._addresses if not self._is_suspected(name)}
+        self._alive = tuple(sorted(unsuspected | {self._own_id}))
 
-    def _suspected(self, name: str) -> bool:
-        known = self._directory.get(PREFIX + name)
-        return known is not None and known.version[1] == 1
+    def _is_suspected(self, name: str) -> bool:
+        record = self._directory.get(PREFIX + name)
+        return record is not None and record.version[1] == 1
--- a/packages/core/src/thorncleat_core/daemon/overlay.py
+++ b/packages/core/src/thorncleat_core/daemon/overlay.py
@@ -1,11 +1,10 @@
-"""The overlay: the few peers that a daemon probes and passes records on to.
+"""The overlay network, which determines the peers of each daemon.
 
-Members stand on a ring by the hash of their ids, and each is joined to those 1, 2, 4, ...
-places on. A flood reaches all of 980 members in ten hops at most while every daemon keeps
-about twenty connections, where a mesh would need 979.
+The members form a ring, ordered by the hash of their ids. Each one is connected to the members at
+distances 1, 2, 4 and so on, so the number of connections and hops is logarithmic.
 
 Owns: nothing.
-Relies on: all daemons having about the same list.
+Relies on: all daemons having about the same list of members.
 """
 
 import typing as t
@@ -20,13 +19,13 @@
     )
 
 
-def neighbours(me: str, members: t.Iterable[str]) -> list[str]:
-    """Return the members at distances of 1, 2, 4, ... after this one, nearest first."""
-    order = ring([*members, me])
-    place = order.index(me)
-    found: list[str] = []
-    step = 1
-    while step < len(order):
-        found.append(order[(place + step) % len(order)])
-        step *= 2
-    return found
+def neighbours(own_id: str, members: t.Iterable[str]) -> list[str]:
+    """Return the members at the distances 1, 2, 4, ... after this one, the closest first."""
+    order = ring([*members, own_id])
+    index = order.index(own_id)
+    selected: list[str] = []
+    distance = 1
+    while distance < len(order):
+        selected.append(order[(index + distance) % len(order)])
+        distance *= 2
+    return selected
--- a/packages/core/src/thorncleat_core/daemon/permits.py
+++ b/packages/core/src/thorncleat_core/daemon/permits.py
@@ -1,12 +1,11 @@
-"""Permits: a daemon may use a group only while its holder lately said so.
+"""Permits: short-lived permissions of a daemon to use a group, issued by the group's holder.
 
-A permit counts from the moment the daemon asked, on the daemon's own clock, and never
-outlasts the confirmations that it rests on. Nothing has to be delivered to end one. It
-carries the daemon's credits: how much work of each workspace it may have in the group.
+A permit is valid from the time of the request on the daemon's own clock, and expires no later than
+the confirmations of the group's members. It includes the daemon's credits for each workspace.
 
-Owns: who has asked for which group, and until when.
-Relies on: clocks that run alike to :data:`~thorncleat_core.daemon.leases.MAX_DRIFT`;
-confirmations of all members (:mod:`.groups`).
+Owns: the permits that the holder has issued.
+Relies on: clocks whose rates differ by at most
+:data:`~thorncleat_core.daemon.leases.MAX_DRIFT`, the confirmations in :mod:`.groups`.
 """
 
 import dataclasses
@@ -20,11 +19,11 @@
 
 
 class PermitRequest(t.NamedTuple):
-    """What a daemon asks of a holder; a tuple, since names would double its bytes.
+    """A daemon's request for a permit, sent as a tuple to save bytes.
 
-    :param group: the group to use.
-    :param in_flight: requests of this daemon that the group is running.
-    :param demand: tokens that are running or waiting, for each workspace.
+    :param group: id of the group.
+    :param in_flight: number of requests that this daemon has in flight in the group.
+    :param demand: tokens in flight or queued for each workspace.
     """
 
     group: str
@@ -33,13 +32,13 @@
 
 
 class Permit(t.NamedTuple):
-    """A holder's answer; a tuple as well.
+    """The holder's answer to a request for a permit, sent as a tuple to save bytes.
 
-    :param valid_for: seconds from the moment of asking; 0 if the group is closed.
-    :param draining: whether no new work may be sent.
-    :param leader: address of the member that answers.
-    :param credits: tokens that the daemon may have in the group, for each workspace.
-    :param spare: tokens beyond, for any workspace.
+    :param valid_for: validity in seconds from the time of the request; 0 if the group is closed.
+    :param draining: whether the group takes no new requests.
+    :param leader: address of the group's leader.
+    :param credits: tokens that the daemon may have in flight for each workspace.
+    :param spare: additional tokens for any workspace.
     """
 
     group: str
@@ -53,43 +52,48 @@
 
 
 @dataclasses.dataclass
-class _Holding:
-    asked_at: float
+class _IssuedPermit:
+    """The latest permit of a daemon for a group.
+
+    :param has_drain_notice: whether the permit said that the group is draining.
+    """
+
+    issued_at: float
     in_flight: int
-    told_draining: bool
+    has_drain_notice: bool
     demand: t.Mapping[str, int]
 
 
 class PermitIssuer:
-    """The holder's side: gives permits and knows when all of a group's are over.
+    """Issues a holder's permits and tracks when they expire.
 
-    :param longest: longest validity in seconds.
-    :param capacity: tokens that a group can have in flight.
+    :param max_validity: maximum validity of a permit in seconds.
+    :param capacity: maximum tokens in flight in a group.
     """
 
-    def __init__(self, longest: float, capacity: int) -> None:
-        self._longest = longest
-        self._outlived = longest * (1 + MAX_DRIFT)
+    def __init__(self, max_validity: float, capacity: int) -> None:
+        self._max_validity = max_validity
+        self._expiry_seconds = max_validity * (1 + MAX_DRIFT)
         self._capacity = capacity
-        self._holdings: dict[str, dict[str, _Holding]] = {}
+        self._issued: dict[str, dict[str, _IssuedPermit]] = {}
         self._draining: set[str] = set()
         self._suspended: set[str] = set()
 
     @property
     def draining(self) -> frozenset[str]:
-        """Groups that get no new work."""
+        """The ids of the groups that take no new requests."""
         return frozenset(self._draining)
 
     def drain(self, group: str) -> None:
-        """Let a group finish what it runs and give it no new work."""
+        """Mark a group as draining, so that it takes no new requests."""
         self._draining.add(group)
 
     def suspend(self, group: str) -> None:
-        """Give out no more permits for a group."""
+        """Stop issuing permits for a group."""
         self._suspended.add(group)
 
     def resume(self, group: str) -> None:
-        """Give out permits again."""
+        """Issue permits for a group again and stop draining it."""
         self._draining.discard(group)
         self._suspended.discard(group)
 
@@ -101,59 +105,61 @@
         confirmations: Confirmations,
         now: float,
     ) -> float:
-        """Return for how long a daemon may use a group, in seconds, and note that it may."""
-        end = min(confirmations.open_until(group), now + self._longest)
+        """Issue a permit and return its validity in seconds; 0 if the group can't be used."""
+        end = min(confirmations.open_until(group), now + self._max_validity)
         if group.id in self._suspended or end <= now:
             return 0.0
-        holdings = self._holdings.setdefault(group.id, {})
-        told = group.id in self._draining
-        holdings[daemon] = _Holding(now, request.in_flight, told, request.demand)
+        issued = self._issued.setdefault(group.id, {})
+        is_draining = group.id in self._draining
+        issued[daemon] = _IssuedPermit(now, request.in_flight, is_draining, request.demand)
         return end - now
 
     def grant(self, group: str, daemon: str, weights: t.Mapping[str, float], now: float) -> "Grant":
-        """Return a daemon's part of a group's capacity.
+        """Return the part of a group's capacity that a daemon gets.
 
-        :param weights: the share of each workspace.
+        :param weights: share of each workspace.
         """
-        holdings = self._holdings.get(group, {})
+        issued = self._issued.get(group, {})
         demands = {
-            name: holding.demand
-            for name, holding in holdings.items()
-            if now <= holding.asked_at + self._outlived
+            name: permit.demand
+            for name, permit in issued.items()
+            if now <= permit.issued_at + self._expiry_seconds
         }
         return Grant(*shares.divide(self._capacity, demands, weights, daemon))
 
     def latest_expiry(self, group: str) -> float:
-        """Return a time after which no permit for a group is valid."""
-        holdings = self._holdings.get(group, {})
-        newest = max((holding.asked_at for holding in holdings.values()), default=float("-inf"))
-        return newest + self._outlived
+        """Return the time after which no permit for a group is valid."""
+        issued = self._issued.get(group, {})
+        newest = max((permit.issued_at for permit in issued.values()), default=float("-inf"))
+        return newest + self._expiry_seconds
 
     def is_unused(self, group: str, now: float) -> bool:
-        """Return whether a draining group has no work and gets none.
+        """Return whether a draining group has no requests in flight and gets none.
 
-        Each daemon has either said so after it was told of the drain, or its permit is over.
+        Every daemon must have reported this after it learned of the drain, or have no valid permit.
         """
         return all(
-            (holding.told_draining and holding.in_flight == 0)
-            or now > holding.asked_at + self._outlived
-            for holding in self._holdings.get(group, {}).values()
+            (permit.has_drain_notice and permit.in_flight == 0)
+            or now > permit.issued_at + self._expiry_seconds
+            for permit in self._issued.get(group, {}).values()
         )
 
     def daemons_with_permit(self, group: str, now: float) -> list[str]:
-        """Return the daemons that may hold a valid permit."""
-        holdings = self._holdings.get(group, {})
+        """Return the ids of the daemons that may have a valid permit."""
+        issued = self._issued.get(group, {})
         return [
-            name for name, holding in holdings.items() if now <= holding.asked_at + self._outlived
+            name
+            for name, permit in issued.items()
+            if now <= permit.issued_at + self._expiry_seconds
         ]
 
 
 @dataclasses.dataclass(frozen=True)
 class Grant:
-    """A daemon's part of a group's capacity, in tokens.
+    """The part of a group's capacity that a daemon gets, in tokens.
 
-    :param credits: for each workspace.
-    :param spare: for any workspace.
+    :param credits: tokens for each workspace.
+    :param spare: additional tokens for any workspace.
     """
 
     credits: t.Mapping[str, int]
@@ -162,23 +168,23 @@
 
 @dataclasses.dataclass
 class HeldPermit:
-    """The user's side of a permit.
+    """A permit from the perspective of the daemon that requested it.
 
-    :param until: on the user's own clock.
+    :param until: time of expiry on the daemon's own clock.
     """
 
     permit: Permit
     until: float
 
     def is_usable(self, now: float) -> bool:
-        """Return whether answers of the group may be passed on."""
+        """Return whether responses of the group may be forwarded."""
         return now < self.until
 
     def is_accepting(self, now: float) -> bool:
-        """Return whether new requests may be sent."""
+        """Return whether new requests may be sent to the group."""
         return self.is_usable(now) and not self.permit.draining
 
 
-def to_held_permit(permit: Permit, asked_at: float) -> HeldPermit:
-    """Return the permit as counted from the moment it was asked for."""
-    return HeldPermit(permit, asked_at + permit.valid_for)
+def to_held_permit(permit: Permit, requested_at: float) -> HeldPermit:
+    """Return a permit with its expiry, counted from the time of the request."""
+    return HeldPermit(permit, requested_at + permit.valid_for)
--- a/packages/core/src/thorncleat_core/daemon/placement.py
+++ b/packages/core/src/thorncleat_core/daemon/placement.py
@@ -1,8 +1,7 @@
-"""Choosing instances for new groups: which fabric domain, and which instances in it.
+"""The choice of the fabric domain and the instances for a new group.
 
 Owns: nothing.
-Relies on: the platform's list for what is free; a choice is checked again when a plan is
-confirmed.
+Relies on: the platform's list of instances, which may be out of date until a plan is confirmed.
 """
 
 import collections
@@ -25,7 +24,8 @@
 class FreeInstances:
     """The free instances of a fabric domain.
 
-    :param free: sorted by id.
+    :param domain: fabric domain.
+    :param free: instances sorted by id.
     """
 
     domain: str
@@ -36,49 +36,54 @@
 def find_free_instances(fleet: Fleet, taken: t.Container[str]) -> list[FreeInstances]:
     """Return the free instances of each fabric domain.
 
-    :param taken: instances that are in use or must not be used.
+    :param taken: ids of instances that are in use or must not be used.
     """
-    rooms: dict[str, list[Instance]] = collections.defaultdict(list)
+    by_domain: dict[str, list[Instance]] = collections.defaultdict(list)
     for instance in fleet.endpoints():
         if instance.id not in taken and instance.state is InstanceState.LIVE:
-            rooms[instance.fabric_domain].append(instance)
+            by_domain[instance.fabric_domain].append(instance)
     return [
         FreeInstances(domain, free[0].failure_domain, tuple(free))
-        for domain, free in sorted(rooms.items())
+        for domain, free in sorted(by_domain.items())
     ]
 
 
-def _fits(room: FreeInstances, intent: Intent) -> bool:
-    allowed = not intent.failure_domains or room.failure_domain in intent.failure_domains
-    return allowed and len(room.free) >= intent.instances_per_replica + intent.spares
+def _can_place(candidate: FreeInstances, intent: Intent) -> bool:
+    allowed = not intent.failure_domains or candidate.failure_domain in intent.failure_domains
+    return allowed and len(candidate.free) >= intent.instances_per_replica + intent.spares
 
 
 def place_group(
     intent: Intent,
     group: str,
-    rooms: list[FreeInstances],
+    candidates: list[FreeInstances],
     used: t.Mapping[str, int],
 ) -> Result[Placement, PlacementError]:
-    """Choose the instances of one new group.
+    """Return the placement of a new group, or the error if there is no suitable domain.
 
-    Failure domains with few groups of the intent come first, then the tightest fit.
+    Failure domains with fewer groups of the intent are preferred, then the tightest fit.
 
-    :param rooms: free instances of each domain.
-    :param used: groups of the intent for each failure domain.
-    :return: the placement, or why there is none.
+    :param group: id of the new group.
+    :param candidates: free instances of each fabric domain.
+    :param used: number of groups of the intent in each failure domain.
     """
-    fitting = [room for room in rooms if _fits(room, intent)]
+    fitting = [candidate for candidate in candidates if _can_place(candidate, intent)]
     if not fitting:
-        most = max((len(room.free) for room in rooms), default=0)
+        max_free = max((len(candidate.free) for candidate in candidates), default=0)
         text = (
             f"group {group!r} needs {intent.instances_per_replica} free instances and "
-            f"{intent.spares} spares in one fabric domain; the most that is free is {most}"
+            f"{intent.spares} spares in one fabric domain; the most that is free is {max_free}"
         )
         return Failure(PlacementError(text))
     size = intent.instances_per_replica
-    counted = collections.Counter(dict(used))
-    room = min(
-        fitting, key=lambda room: (counted[room.failure_domain], len(room.free), room.domain)
+    counts = collections.Counter(dict(used))
+    chosen = min(
+        fitting,
+        key=lambda candidate: (
+            counts[candidate.failure_domain],
+            len(candidate.free),
+            candidate.domain,
+        ),
     )
-    members = tuple(instance.id for instance in room.free[:size])
-    return Success(Placement(group, intent.name, room.domain, members))
+    members = tuple(instance.id for instance in chosen.free[:size])
+    return Success(Placement(group, intent.name, chosen.domain, members))
--- a/packages/core/src/thorncleat_core/daemon/queues.py
+++ b/packages/core/src/thorncleat_core/daemon/queues.py
@@ -1,10 +1,10 @@
-"""The queue of one daemon before one model: short, and fair between workspaces.
+"""A fair queue of requests for one model.
 
-Between workspaces deficit round robin by tokens; inside a workspace by priority, then by
-deadline, then by arrival.
+Workspaces take turns by deficit round robin. Within a workspace, requests are ordered by priority,
+deadline and arrival.
 
-Owns: the requests that wait, and how fast they have left lately.
-Relies on: costs in tokens that are estimated before the request runs.
+Owns: the queued requests and the rate at which they leave the queue.
+Relies on: estimates of the requests' costs in tokens.
 """
 
 import collections
@@ -15,11 +15,9 @@
 
 Item = t.TypeVar("Item")
 
-# shortest seconds after which to come back
-MIN_RETRY_AFTER = 0.5
-# longest
-MAX_RETRY_AFTER = 30.0
-# weight of the newest second in the measured drain rate
+MIN_RETRY_AFTER_SECONDS = 0.5
+MAX_RETRY_AFTER_SECONDS = 30.0
+# Weight of the latest interval in the smoothed drain rate.
 RATE_GAIN = 0.3
 
 
@@ -27,9 +25,9 @@
 class QueuedRequest(t.Generic[Item]):
     """A request in the queue.
 
-    :param cost: tokens that it is charged with.
-    :param priority: higher goes first.
-    :param deadline: when it is of no use any more.
+    :param cost: estimated cost in tokens.
+    :param priority: priority; the highest goes first.
+    :param deadline: time after which the request is dropped.
     """
 
     item: Item
@@ -40,40 +38,40 @@
 
 
 class DrainRate:
-    """Tokens a second that leave the queue, smoothed."""
+    """The smoothed rate in tokens per second at which requests leave a queue."""
 
     def __init__(self) -> None:
         self._rate = 0.0
-        self._bucket = 0
-        self._since: float | None = None
+        self._interval_cost = 0
+        self._interval_start: float | None = None
 
     def record(self, cost: int, now: float) -> None:
-        """Count work that was sent on."""
-        self._roll(now)
-        self._bucket += cost
+        """Record a request that left the queue."""
+        self._update(now)
+        self._interval_cost += cost
 
     def tokens_per_second(self, now: float) -> float:
-        """Return the rate in tokens a second; 0 while nothing is known."""
-        self._roll(now)
+        """Return the rate; 0 until the first interval has been measured."""
+        self._update(now)
         return self._rate
 
-    def _roll(self, now: float) -> None:
-        if self._since is None:
-            self._since = now
-        elapsed = now - self._since
+    def _update(self, now: float) -> None:
+        if self._interval_start is None:
+            self._interval_start = now
+        elapsed = now - self._interval_start
         if elapsed < 1.0:
             return
-        newest = self._bucket / elapsed
-        self._rate = newest if not self._rate else self._rate + RATE_GAIN * (newest - self._rate)
-        self._bucket = 0
-        self._since = now
+        latest = self._interval_cost / elapsed
+        self._rate = latest if not self._rate else self._rate + RATE_GAIN * (latest - self._rate)
+        self._interval_cost = 0
+        self._interval_start = now
 
 
 class FairQueue(t.Generic[Item]):
-    """Requests that wait for room.
+    """A queue of requests that is fair between workspaces.
 
-    :param limit: tokens that may wait for each workspace.
-    :param quantum: tokens that a workspace of weight 1 may send a round.
+    :param limit: maximum queued tokens for each workspace.
+    :param quantum: tokens that a workspace of weight 1 may send in a round.
     """
 
     def __init__(self, limit: int, quantum: int = 512) -> None:
@@ -83,35 +81,35 @@
         self._round: collections.deque[str] = collections.deque()
         self._deficit: dict[str, float] = {}
         self._waiting_cost: collections.Counter[str] = collections.Counter()
-        self._sequence = itertools.count()
-        self._dropped: set[int] = set()
+        self._tickets = itertools.count()
+        self._removed: set[int] = set()
         self.drain_rate = DrainRate()
 
     def __len__(self) -> int:
-        return sum(len(queue) for queue in self._queues.values()) - len(self._dropped)
+        return sum(len(queue) for queue in self._queues.values()) - len(self._removed)
 
     @property
     def waiting_cost(self) -> t.Mapping[str, int]:
-        """Tokens that wait, for each workspace."""
+        """The queued tokens of each workspace."""
         return self._waiting_cost
 
     def retry_after(self, waiting: QueuedRequest[Item], now: float) -> float | None:
-        """Return None if a request may wait, else after how many seconds to come back.
+        """Return None if a request can be queued, else the seconds after which to retry.
 
-        It may not if its workspace's queue is full, or if at the rate measured it would
-        not leave the queue before its deadline.
+        A request is rejected if the queue of its workspace is full, or if it is expected to exceed
+        its deadline in the queue.
         """
         ahead = self._waiting_cost[waiting.workspace]
         rate = self.drain_rate.tokens_per_second(now)
-        expected = ahead / rate if rate else 0.0
-        full = ahead > 0 and ahead + waiting.cost > self._limit
-        if not full and now + expected <= waiting.deadline:
+        expected_wait = ahead / rate if rate else 0.0
+        is_full = ahead > 0 and ahead + waiting.cost > self._limit
+        if not is_full and now + expected_wait <= waiting.deadline:
             return None
-        return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, expected))
+        return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, expected_wait))
 
     def add(self, waiting: QueuedRequest[Item]) -> int:
-        """Put a request into the queue; return a ticket for :meth:`remove`."""
-        ticket = next(self._sequence)
+        """Add a request and return a ticket for :meth:`remove`."""
+        ticket = next(self._tickets)
         queue = self._queues.setdefault(waiting.workspace, [])
         if waiting.workspace not in self._deficit:
             self._deficit[waiting.workspace] = 0.0
@@ -121,26 +119,26 @@
         return ticket
 
     def remove(self, ticket: int, waiting: QueuedRequest[Item]) -> None:
-        """Take a request out, whose caller has gone."""
-        self._dropped.add(ticket)
+        """Remove a request whose caller has disconnected."""
+        self._removed.add(ticket)
         self._waiting_cost[waiting.workspace] -= waiting.cost
 
     def pop_expired(self, now: float) -> list[QueuedRequest[Item]]:
-        """Take out and return the requests whose deadline has passed."""
-        found: list[QueuedRequest[Item]] = []
+        """Remove and return the requests whose deadline has passed."""
+        expired: list[QueuedRequest[Item]] = []
         for name, queue in self._queues.items():
-            late = [entry for entry in queue if entry[1] <= now]
-            if not late:
+            late_entries = [entry for entry in queue if entry[1] <= now]
+            if not late_entries:
                 continue
             self._queues[name] = [entry for entry in queue if entry[1] > now]
             heapq.heapify(self._queues[name])
-            for _, _, ticket, waiting in late:
-                if ticket in self._dropped:
-                    self._dropped.discard(ticket)
+            for _, _, ticket, waiting in late_entries:
+                if ticket in self._removed:
+                    self._removed.discard(ticket)
                     continue
                 self._waiting_cost[name] -= waiting.cost
-                found.append(waiting)
-        return found
+                expired.append(waiting)
+        return expired
 
     def pop(
         self,
@@ -148,19 +146,20 @@
         weights: t.Mapping[str, float],
         now: float,
     ) -> QueuedRequest[Item] | None:
-        """Take out the next request that may be sent; None if there is none.
+        """Remove and return the next request that can be sent, or None if there is none.
 
-        :param may_send: whether a workspace has room for a request of a cost.
+        :param may_send: function that returns whether a workspace can send a request of a cost.
+        :param weights: share of each workspace.
         """
         blocked = 0
         while self._round and blocked < len(self._round):
             name = self._round[0]
             head = self._head(name)
             if head is None:
-                self._retire(name)
+                self._remove_workspace(name)
                 continue
             if not may_send(name, head.cost):
-                # a workspace without room keeps no deficit to burst with later
+                # Resetting the deficit prevents a burst once the workspace can send again.
                 self._deficit[name] = 0.0
                 self._round.rotate(-1)
                 blocked += 1
@@ -179,11 +178,11 @@
 
     def _head(self, name: str) -> QueuedRequest[Item] | None:
         queue = self._queues[name]
-        while queue and queue[0][2] in self._dropped:
-            self._dropped.discard(heapq.heappop(queue)[2])
+        while queue and queue[0][2] in self._removed:
+            self._removed.discard(heapq.heappop(queue)[2])
         return queue[0][3] if queue else None
 
-    def _retire(self, name: str) -> None:
+    def _remove_workspace(self, name: str) -> None:
         self._round.remove(name)
         del self._queues[name]
         del self._deficit[name]
--- a/packages/core/src/thorncleat_core/daemon/registry.py
+++ b/packages/core/src/thorncleat_core/daemon/registry.py
@@ -1,7 +1,7 @@
-"""Registries that decorators fill, for behaviour that varies by name.
+"""A registry of implementations that settings select by name.
 
-Owns: the entries of each name.
-Relies on: modules being imported before their names are looked up.
+Owns: the registered entries.
+Relies on: modules being imported before their entries are looked up.
 """
 
 import typing as t
@@ -12,9 +12,9 @@
 
 
 class Registry(t.Generic[T]):
-    """Maps names to implementations.
+    """A mapping from names to implementations.
 
-    :param kind: what is registered, for error messages.
+    :param kind: kind of the entries, for error messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -29,21 +29,21 @@
     def register(self, name: str) -> t.Callable[[T], T]:
         """Return a decorator that registers its target under a name.
 
-        :param name: the name to register; registering it twice is an error in the program.
+        :raises ValueError: by the decorator, if the name is already registered.
         """
 
         def decorate(entry: T) -> T:
             if name in self._entries:
-                raise ValueError(f"{self._kind} {name!r} is registered already")
+                raise ValueError(f"{self._kind} {name!r} is already registered")
             self._entries[name] = entry
             return entry
 
         return decorate
 
     def get(self, name: str) -> T:
-        """Return the entry of a name.
+        """Return the entry that is registered under a name.
 
-        :raises UnknownNameError: if nothing is registered under it.
+        :raises UnknownNameError: if there is none.
         """
         try:
             return self._entries[name]
--- a/packages/core/src/thorncleat_core/daemon/routing.py
+++ b/packages/core/src/thorncleat_core/daemon/routing.py
@@ -1,7 +1,7 @@
-"""Choosing the group for a request among those that this daemon may use.
+"""The choice of the group for a request.
 
 Owns: nothing.
-Relies on: candidates that the daemon has a usable permit for.
+Relies on: callers to pass only groups for which the daemon has a usable permit.
 """
 
 import dataclasses
@@ -12,20 +12,20 @@
 from .. import rendezvous
 from .registry import Registry
 
-# how far above the mean a group may be loaded before affinity yields
-BOUND = 1.25
-# least warmth that a group is reckoned with, so that a load stays finite
+# Maximum load of a group relative to the mean, up to which a request follows its prefix.
+MAX_RELATIVE_LOAD = 1.25
+# Lower bound of the warmth, which keeps the load finite.
 MIN_WARMTH = 0.05
-# leading characters of a prompt that make its identity
+# Number of leading characters that identify a prompt.
 PREFIX_CHARACTERS = 256
 
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """A group that may take a request.
+    """A group to which a request can be sent.
 
-    :param outstanding: tokens that this daemon has in it.
-    :param warmth: 1 for a warmed-up group, less for one that has just come up.
+    :param outstanding: tokens that this daemon has in flight in the group.
+    :param warmth: 1 for a warm group, less for one that has started recently.
     """
 
     group: str
@@ -34,18 +34,19 @@
 
     @property
     def load(self) -> float:
-        """Own work, which weighs more while the group is cold."""
+        """The outstanding tokens, weighted higher while the group is cold."""
         return self.outstanding / max(self.warmth, MIN_WARMTH)
 
 
 class RoutingPolicy(t.Protocol):
-    """A way to choose."""
+    """A function that chooses a group."""
 
     def __call__(self, prefix: str, cost: int, candidates: list[Candidate]) -> str:
-        """Return the group for a request.
+        """Return the id of the group for a request.
 
-        :param prefix: identity of the prompt's beginning; equal prefixes may share a cache.
-        :param candidates: at least one.
+        :param prefix: identity of the prompt's prefix. Equal prefixes can share a cache.
+        :param cost: cost of the request in tokens.
+        :param candidates: one or more groups.
         """
         ...
 
@@ -54,10 +55,9 @@
 
 
 def prefix_identity(model: str, version: str, text: str) -> str:
-    """Return the identity of a prompt's beginning.
+    """Return the identity of a prompt's prefix.
 
-    It is exact over model, version and the leading characters, after the skippy-cache
-    README's rule that state is reused only where all of these match.
+    It covers the model and version too, since engines reuse cached state only if all of them match.
     """
     head = text[:PREFIX_CHARACTERS]
     return xxhash.xxh3_64_hexdigest(f"{model}\0{version}\0{head}".encode())
@@ -65,43 +65,46 @@
 
 @routing_policies.register("bounded_affinity")
 def bounded_affinity(prefix: str, cost: int, candidates: list[Candidate]) -> str:
-    """Prefer the group that the prefix hashes to, unless it is loaded above the bound."""
+    """Choose the group with the highest rank for the prefix that is not overloaded."""
     by_name = {candidate.group: candidate for candidate in candidates}
     total = sum(candidate.load for candidate in candidates) + cost
-    bound = BOUND * total / len(candidates)
+    max_load = MAX_RELATIVE_LOAD * total / len(candidates)
     for name in rendezvous.rank(prefix, by_name):
-        if by_name[name].load <= bound:
+        if by_name[name].load <= max_load:
             return name
     return least_outstanding(prefix, cost, candidates)
 
 
 @routing_policies.register("least_outstanding")
 def least_outstanding(prefix: str, cost: int, candidates: list[Candidate]) -> str:
-    """Take the least loaded group; the prefix decides between equals."""
-    best = min(
+    """Choose the group with the lowest load; the prefix decides between equal loads."""
+    chosen = min(
         candidates,
         key=lambda candidate: (candidate.load, rendezvous.score(prefix, candidate.group)),
     )
-    return best.group
+    return chosen.group
 
 
-# reached by its name alone, which settings may hold as ``requests.routing``
+# Used only if the setting ``requests.routing`` names it.
 @routing_policies.register("prefix_hash")
 def prefix_hash(prefix: str, cost: int, candidates: list[Candidate]) -> str:
-    """Take the group that the prefix hashes to, whatever its load."""
+    """Choose the group with the highest rank for the prefix, regardless of its load."""
     return rendezvous.rank(prefix, [candidate.group for candidate in candidates])[0]
 
 
 def attached_groups(daemon: str, groups: t.Mapping[str, int], limit: int) -> list[str]:
-    """Return the groups that a daemon uses: a bounded subset, spread evenly over daemons.
+    """Return the subset of groups that a daemon uses, which spreads the daemons evenly.
 
-    They are taken shard by shard, so that the permits for them come from few holders.
+    The groups of a shard are taken together, so that few holders issue the permits for them.
 
-    :param groups: the shard of each group.
+    :param daemon: id of the daemon.
+    :param groups: shard of each group.
+    :param limit: maximum number of groups.
     """
     shards = rendezvous.rank(f"attach/{daemon}", {str(shard) for shard in groups.values()})
-    place = {name: number for number, name in enumerate(shards)}
-    order = sorted(
-        groups, key=lambda group: (place[str(groups[group])], -rendezvous.score(daemon, group))
+    shard_ranks = {shard: index for index, shard in enumerate(shards)}
+    ranked = sorted(
+        groups,
+        key=lambda group: (shard_ranks[str(groups[group])], -rendezvous.score(daemon, group)),
     )
-    return order[:limit]
+    return ranked[:limit]
--- a/packages/core/src/thorncleat_core/daemon/shares.py
+++ b/packages/core/src/thorncleat_core/daemon/shares.py
@@ -1,7 +1,7 @@
-"""Weighted max-min shares of a group's capacity between workspaces, over all daemons.
+"""Weighted max-min fair shares of a group's capacity for the workspaces of all daemons.
 
 Owns: nothing.
-Relies on: the demands that daemons name when they ask for permits.
+Relies on: the demands in the daemons' requests for permits.
 """
 
 import collections
@@ -11,22 +11,24 @@
 def max_min(
     capacity: float, demand: t.Mapping[str, float], weights: t.Mapping[str, float]
 ) -> dict[str, float]:
-    """Divide a capacity: nobody gets more than asked, and what one leaves the others share.
+    """Return the max-min fair share of a capacity for each workspace.
 
-    :param capacity: what there is to divide.
-    :param demand: what each one asks for.
-    :param weights: each one's weight, 1 if it has none.
+    No workspace gets more than its demand. What it leaves is shared by the others.
+
+    :param capacity: capacity to divide.
+    :param demand: demand of each workspace.
+    :param weights: weight of each workspace; 1 if it has none.
     """
     granted = dict.fromkeys(demand, 0.0)
-    left = capacity
-    # whoever asks least for its weight is satisfied first, so one pass is enough
+    remaining = capacity
+    # In the order of demand relative to weight, a single pass is sufficient.
     order = sorted(demand, key=lambda name: demand[name] / weights.get(name, 1.0))
-    weight_left = sum(weights.get(name, 1.0) for name in order)
+    remaining_weight = sum(weights.get(name, 1.0) for name in order)
     for name in order:
         weight = weights.get(name, 1.0)
-        granted[name] = min(demand[name], left * weight / weight_left)
-        left -= granted[name]
-        weight_left -= weight
+        granted[name] = min(demand[name], remaining * weight / remaining_weight)
+        remaining -= granted[name]
+        remaining_weight -= weight
     return granted
 
 
@@ -36,22 +38,24 @@
     weights: t.Mapping[str, float],
     daemon: str,
 ) -> tuple[dict[str, int], int]:
-    """Return one daemon's credits for each workspace, and its part of what nobody asks for.
+    """Return a daemon's credits for each workspace, and its share of the unclaimed capacity.
 
-    :param capacity: of the group, in tokens.
-    :param demands: of each daemon, for each workspace.
+    :param capacity: capacity of the group in tokens.
+    :param demands: demand of each daemon for each workspace.
+    :param weights: weight of each workspace; 1 if it has none.
+    :param daemon: id of the daemon.
     """
     total: collections.Counter[str] = collections.Counter()
     for demand in demands.values():
         total.update(demand)
-    wanted = {name: float(amount) for name, amount in total.items() if amount > 0}
-    granted = max_min(capacity, wanted, weights)
-    mine = demands.get(daemon, {})
-    # rounded down for each daemon, so that the sum never exceeds the capacity
+    demanded = {name: float(amount) for name, amount in total.items() if amount > 0}
+    granted = max_min(capacity, demanded, weights)
+    own = demands.get(daemon, {})
+    # Rounding down keeps the sum over all daemons within the capacity.
     credits = {
-        name: int(granted[name] * mine[name] / total[name])
+        name: int(granted[name] * own[name] / total[name])
         for name in granted
-        if mine.get(name, 0) > 0
+        if own.get(name, 0) > 0
     }
-    unasked = capacity - sum(granted.values())
-    return credits, int(unasked / max(1, len(demands)))
+    unclaimed = capacity - sum(granted.values())
+    return credits, int(unclaimed / max(1, len(demands)))
