--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -178,7 +178,7 @@
 
     def demand(self) -> dict[str, int]:
         wanted = collections.Counter(self.ledger.tokens(GROUP.id))
-        wanted.update(self.queue.waiting_cost)
+        wanted.update(self.queue.queued_tokens)
         return {name: amount for name, amount in wanted.items() if amount > 0}
 
 
--- a/packages/core/src/thorncleat_core/daemon/queues.py
+++ b/packages/core/src/thorncleat_core/daemon/queues.py
@@ -80,7 +80,7 @@
         self._queues: dict[str, list[tuple[int, float, int, QueuedRequest[Item]]]] = {}
         self._round: collections.deque[str] = collections.deque()
         self._deficit: dict[str, float] = {}
-        self._waiting_cost: collections.Counter[str] = collections.Counter()
+        self._queued_tokens: collections.Counter[str] = collections.Counter()
         self._tickets = itertools.count()
         self._removed: set[int] = set()
         self.drain_rate = DrainRate()
@@ -89,39 +89,39 @@
         return sum(len(queue) for queue in self._queues.values()) - len(self._removed)
 
     @property
-    def waiting_cost(self) -> t.Mapping[str, int]:
+    def queued_tokens(self) -> t.Mapping[str, int]:
         """The queued tokens of each workspace."""
-        return self._waiting_cost
+        return self._queued_tokens
 
-    def retry_after(self, waiting: QueuedRequest[Item], now: float) -> float | None:
+    def retry_after(self, request: QueuedRequest[Item], now: float) -> float | None:
         """Return None if a request can be queued, else the seconds after which to retry.
 
         A request is rejected if the queue of its workspace is full, or if it is expected to exceed
         its deadline in the queue.
         """
-        ahead = self._waiting_cost[waiting.workspace]
+        ahead = self._queued_tokens[request.workspace]
         rate = self.drain_rate.tokens_per_second(now)
         expected_wait = ahead / rate if rate else 0.0
-        is_full = ahead > 0 and ahead + waiting.cost > self._limit
-        if not is_full and now + expected_wait <= waiting.deadline:
+        is_full = ahead > 0 and ahead + request.cost > self._limit
+        if not is_full and now + expected_wait <= request.deadline:
             return None
         return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, expected_wait))
 
-    def add(self, waiting: QueuedRequest[Item]) -> int:
+    def add(self, request: QueuedRequest[Item]) -> int:
         """Add a request and return a ticket for :meth:`remove`."""
         ticket = next(self._tickets)
-        queue = self._queues.setdefault(waiting.workspace, [])
-        if waiting.workspace not in self._deficit:
-            self._deficit[waiting.workspace] = 0.0
-            self._round.append(waiting.workspace)
-        heapq.heappush(queue, (-waiting.priority, waiting.deadline, ticket, waiting))
-        self._waiting_cost[waiting.workspace] += waiting.cost
+        queue = self._queues.setdefault(request.workspace, [])
+        if request.workspace not in self._deficit:
+            self._deficit[request.workspace] = 0.0
+            self._round.append(request.workspace)
+        heapq.heappush(queue, (-request.priority, request.deadline, ticket, request))
+        self._queued_tokens[request.workspace] += request.cost
         return ticket
 
-    def remove(self, ticket: int, waiting: QueuedRequest[Item]) -> None:
+    def remove(self, ticket: int, request: QueuedRequest[Item]) -> None:
         """Remove a request whose caller has disconnected."""
         self._removed.add(ticket)
-        self._waiting_cost[waiting.workspace] -= waiting.cost
+        self._queued_tokens[request.workspace] -= request.cost
 
     def pop_expired(self, now: float) -> list[QueuedRequest[Item]]:
         """Remove and return the requests whose deadline has passed."""
@@ -132,12 +132,12 @@
                 continue
             self._queues[name] = [entry for entry in queue if entry[1] > now]
             heapq.heapify(self._queues[name])
-            for _, _, ticket, waiting in late_entries:
+            for _, _, ticket, request in late_entries:
                 if ticket in self._removed:
                     self._removed.discard(ticket)
                     continue
-                self._waiting_cost[name] -= waiting.cost
-                expired.append(waiting)
+                self._queued_tokens[name] -= request.cost
+                expired.append(request)
         return expired
 
     def pop(
@@ -171,7 +171,7 @@
                 continue
             self._deficit[name] -= head.cost
             heapq.heappop(self._queues[name])
-            self._waiting_cost[name] -= head.cost
+            self._queued_tokens[name] -= head.cost
             self.drain_rate.record(head.cost, now)
             return head
         return None
@@ -186,5 +186,5 @@
         self._round.remove(name)
         del self._queues[name]
         del self._deficit[name]
-        if not self._waiting_cost[name]:
-            del self._waiting_cost[name]
+        if not self._queued_tokens[name]:
+            del self._queued_tokens[name]
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -156,7 +156,7 @@
         if queue:
             found = self._configuration().intents.get(intent)
             groups = self._permits.groups(intent, found.model) if found else []
-            for workspace, waiting in queue.waiting_cost.items():
+            for workspace, waiting in queue.queued_tokens.items():
                 wanted[workspace] += -(-waiting // max(1, len(groups)))
         return {name: amount for name, amount in wanted.items() if amount > 0}
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -120,7 +120,7 @@
         assert len(self.queue) == len(self.inside)
         for name in NAMES:
             cost = sum(one.cost for one in self.inside.values() if one.workspace == name)
-            assert self.queue.waiting_cost.get(name, 0) == cost
+            assert self.queue.queued_tokens.get(name, 0) == cost
 
 
 TestQueueMachine = QueueMachine.TestCase
