--- a/packages/core/src/thorncleat_core/daemon/claims.py
+++ b/packages/core/src/thorncleat_core/daemon/claims.py
@@ -94,7 +94,7 @@
         self, limit: int = 100_000, keep: int = 86_400, run_timeout: float = 600.0
     ) -> None:
         self._claims: dict[tuple[str, str], Claim] = {}
-        self._granted_at: dict[tuple[str, str], float] = {}
+        self._requested_at: dict[tuple[str, str], float] = {}
         self._limit = limit
         self._ttl_seconds = keep
         self._run_timeout = run_timeout
@@ -135,7 +135,7 @@
         claim = Claim(workspace, key, request, ClaimState.RUNNING, until, attempt=attempt)
         writing = dataclasses.replace(claim, state=ClaimState.WRITING)
         self._claims[claim.id] = writing
-        self._granted_at[claim.id] = now
+        self._requested_at[claim.id] = now
         return Reply(ClaimAnswer.GRANTED), claim
 
     def _reply_to_existing(self, claim: Claim, request: str, now: float) -> Reply:
@@ -145,7 +145,7 @@
             return Reply(ClaimAnswer.DONE, claim.outcome)
         if claim.state is ClaimState.UNKNOWN:
             return Reply(ClaimAnswer.UNKNOWN)
-        if now - self._granted_at.get(claim.id, float("-inf")) > self._run_timeout:
+        if now - self._requested_at.get(claim.id, float("-inf")) > self._run_timeout:
             return Reply(ClaimAnswer.UNKNOWN)
         return Reply(ClaimAnswer.RUNNING)
 
@@ -158,7 +158,7 @@
         found = self._claims.get(claim.id)
         if found and found.state is ClaimState.WRITING:
             del self._claims[claim.id]
-            self._granted_at.pop(claim.id, None)
+            self._requested_at.pop(claim.id, None)
 
     def record_outcome(
         self, workspace: str, key: str, outcome: Outcome | None, ran: str, attempt: str = ""
@@ -179,7 +179,7 @@
             "no": ClaimState.RELEASED,
             "unknown": ClaimState.UNKNOWN,
         }[ran]
-        self._granted_at.pop(found.id, None)
+        self._requested_at.pop(found.id, None)
         updated = dataclasses.replace(found, state=state, outcome=outcome)
         self._claims[updated.id] = updated
         return updated
@@ -198,7 +198,7 @@
         expired = [key for key, claim in self._claims.items() if claim.until <= wall_time]
         for key in expired:
             del self._claims[key]
-            self._granted_at.pop(key, None)
+            self._requested_at.pop(key, None)
         return len(expired)
 
     def _replace_if(self, claim: Claim, expected_state: ClaimState) -> None:
--- a/packages/core/src/thorncleat_core/daemon/members.py
+++ b/packages/core/src/thorncleat_core/daemon/members.py
@@ -71,7 +71,7 @@
         self._failed_probes.pop(name, None)
 
     def record_missed_probe(self, name: str) -> Record | None:
-        """Record a failed probe and return the suspicion to distribute, if there is a new one."""
+        """Record a failed probe and return the suspicion to distribute, if one is due."""
         if name not in self._addresses:
             return None
         count = self._failed_probes.get(name, 0) + 1
--- a/tests/makers.py
+++ b/tests/makers.py
@@ -1,4 +1,4 @@
-"""Makers of values that many tests need."""
+"""Factories for values that several tests need."""
 
 import hashlib
 
@@ -15,7 +15,7 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def instance(name: str, domain: str = "fabric-0", failure: str = "fd-0", **more) -> Instance:
+def instance(name: str, domain: str = "fabric-0", failure_domain: str = "fd-0", **more) -> Instance:
     fields = {
         "kind": InstanceKind.ENDPOINT,
         "address": f"10.0.0.1:{sum(name.encode())}",
@@ -24,7 +24,7 @@
         "state": InstanceState.LIVE,
         **more,
     }
-    return Instance(id=name, fabric_domain=domain, failure_domain=failure, **fields)
+    return Instance(id=name, fabric_domain=domain, failure_domain=failure_domain, **fields)
 
 
 def fleet(domains: int = 2, size: int = 6) -> Fleet:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most one run, whoever asks, whatever is lost."""
+"""A claimed request runs at most once, even if writes and answers are lost."""
 
 import pytest
 from hypothesis import settings
@@ -24,51 +24,51 @@
 
 
 class TestBook:
-    def test_second_asker_is_told_it_runs(self):
+    def test_second_request_is_answered_with_running(self):
         book = ClaimBook()
         _granted(book)
         assert book.request_claim("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.RUNNING
 
-    def test_asker_during_the_write_is_not_granted(self):
+    def test_request_during_the_write_is_not_granted(self):
         book = ClaimBook()
         book.request_claim("w", "k", "r", 0.0, 0)
         assert book.request_claim("w", "k", "r", 0.0, 0)[0].answer is ClaimAnswer.RUNNING
 
-    def test_repeat_gets_the_first_answer(self):
+    def test_repeated_request_gets_the_stored_outcome(self):
         book = ClaimBook()
         _granted(book)
         book.record_outcome("w", "k", DONE, "yes")
         reply, _ = book.request_claim("w", "k", "r", 1.0, 0)
         assert (reply.answer, reply.outcome) == (ClaimAnswer.DONE, DONE)
 
-    def test_same_key_with_another_body(self):
+    def test_same_key_with_another_request_is_a_mismatch(self):
         book = ClaimBook()
         _granted(book)
         assert book.request_claim("w", "k", "other", 1.0, 0)[0].answer is ClaimAnswer.MISMATCH
 
-    def test_same_key_of_another_workspace_is_another(self):
+    def test_same_key_of_another_workspace_is_granted(self):
         book = ClaimBook()
         _granted(book)
         assert book.request_claim("v", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
 
-    def test_not_run_may_be_asked_again(self):
+    def test_key_is_granted_again_if_the_request_did_not_run(self):
         book = ClaimBook()
         _granted(book)
         book.record_outcome("w", "k", None, "no")
         assert book.request_claim("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
 
-    def test_unheard_run_becomes_unknown(self):
+    def test_run_without_outcome_becomes_unknown(self):
         book = ClaimBook(run_timeout=10)
         _granted(book)
         assert book.request_claim("w", "k", "r", 11.0, 0)[0].answer is ClaimAnswer.UNKNOWN
 
-    def test_full_book_refuses_and_expiry_makes_room(self):
+    def test_full_book_rejects_until_claims_expire(self):
         book = ClaimBook(limit=1, keep=100)
         _granted(book)
         assert book.request_claim("w", "other", "r", 0.0, 50)[0].answer is ClaimAnswer.BUSY
         assert book.request_claim("w", "other", "r", 0.0, 100)[0].answer is ClaimAnswer.GRANTED
 
-    def test_batch_survives_the_store(self):
+    def test_batch_is_unchanged_by_encoding_and_decoding(self):
         claim = _granted(ClaimBook())
         assert claims.decode_batch(claims.encode_batch([claim])) == [claim]
         with pytest.raises(DecodeError):
@@ -76,9 +76,9 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Owners come and go, writes and answers are lost, callers repeat anywhere.
+    """Owners change, writes and answers are lost, and callers repeat requests.
 
-    The oracle counts runs: a key runs when its asker hears that it is granted.
+    The model counts the runs of each key. A key runs when a daemon learns that it is granted.
     """
 
     keys = st.sampled_from(["a", "b", "c"])
@@ -126,7 +126,7 @@
             return
         self.running.discard(key)
         if ran == "no":
-            # the daemon knows that nothing was sent
+            # The daemon is certain that nothing was sent.
             self.runs[key] -= 1
         ended = self.book.record_outcome("w", key, DONE if ran == "yes" else None, ran)
         if ended:
@@ -134,7 +134,7 @@
 
     @rule()
     def owner_dies(self):
-        """A new owner reads what is durable; writes of the old one are fenced off."""
+        """A new owner restores the durable claims. Writes of the old owner are fenced."""
         self.book = ClaimBook(run_timeout=50)
         self.book.restore(self.durable)
         self.writing = []
@@ -152,18 +152,18 @@
 TestClaimMachine.settings = settings(max_examples=120, stateful_step_count=40)
 
 
-class TestWhoGivesBack:
-    """A claim is given back only by the attempt that it was given to."""
+class TestRelease:
+    """Only the attempt that holds a claim can release it."""
 
-    def test_an_attempt_that_got_no_answer_cannot_give_back_another_ones_claim(self):
+    def test_attempt_without_an_answer_cannot_release_the_claim_of_another(self):
         book = ClaimBook()
         _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
         book.mark_durable(claim)
-        # the second one's question was lost, so it can't know that the first one runs
+        # The answer to the second attempt was lost, so it can't know that the first one runs.
         assert book.record_outcome("w", "k", None, "no", "second") is None
         assert book.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.RUNNING
 
-    def test_nor_one_whose_fate_is_unknown(self):
+    def test_other_attempt_cannot_release_a_claim_with_unknown_outcome(self):
         book = ClaimBook()
         _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
         book.mark_durable(claim)
@@ -171,7 +171,7 @@
         assert book.record_outcome("w", "k", None, "no", "second") is None
         assert book.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.UNKNOWN
 
-    def test_the_attempt_itself_can_even_after_a_change_of_owner(self):
+    def test_holding_attempt_can_release_after_a_change_of_owner(self):
         book, next_owner = ClaimBook(), ClaimBook()
         _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
         next_owner.restore(claims.decode_batch(claims.encode_batch([claim])))
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Bad settings and intents: each fault is named with its path and line."""
+"""Errors in settings and intents are reported with their path and line."""
 
 import json
 
@@ -47,14 +47,14 @@
 
 
 class TestSyntax:
-    def test_comments_and_trailing_commas_are_read(self, tmp_path):
+    def test_comments_and_trailing_commas_are_accepted(self, tmp_path):
         text = "// first\n" + json.dumps(GOOD)[:-1] + ", /* inner */\n}\n"
         assert _load(tmp_path, text).cluster == "c"
 
     @pytest.mark.parametrize(
         "text", ["", "{", '{"a": }', "[1, 2", '{"a": 1}}', "nonsense", '{"a" 1}', "/* open"]
     )
-    def test_broken_text_is_refused(self, text):
+    def test_invalid_syntax_is_rejected(self, text):
         with pytest.raises(DocumentError):
             jsonc.validate(jsonc.parse(text, "f"), Change)
 
@@ -62,15 +62,15 @@
         with pytest.raises(DocumentError, match=r"f:3: a: key 'a' stands twice, first on line 2"):
             jsonc.parse('{\n"a": 1,\n"a": 2}', "f")
 
-    def test_missing_file(self, tmp_path):
+    def test_missing_file_is_an_error(self, tmp_path):
         with pytest.raises(DocumentError, match="can't be read"):
             settings.load(tmp_path / "none.json")
 
-    def test_document_over_the_value_limit(self):
+    def test_document_over_the_size_limit_is_rejected(self):
         with pytest.raises(DocumentError, match="larger than 1000000 bytes"):
             jsonc.parse('"' + "x" * 1_000_000 + '"', "f")
 
-    def test_negative_numbers_and_null(self):
+    def test_negative_numbers_and_null_are_parsed(self):
         assert jsonc.parse('{"a": -1.5, "b": null, "c": [true]}', "f").value == {
             "a": -1.5,
             "b": None,
@@ -79,11 +79,11 @@
 
 
 class TestSettings:
-    def test_all_faults_at_once_with_lines(self, tmp_path):
+    def test_all_errors_are_reported_with_their_lines(self, tmp_path):
         text = '{\n"cluster": "c",\n"unknown": 1,\n"daemon": {"id": 5}\n}'
         with pytest.raises(DocumentError) as caught:
             _load(tmp_path, text)
-        found = {(one.line, one.path): one.message for one in caught.value.problems}
+        found = {(problem.line, problem.path): problem.message for problem in caught.value.problems}
         assert found[(3, "unknown")] == "unknown key"
         assert found[(4, "daemon.region")] == "this key is required"
         assert "not 5" in found[(4, "daemon.id")]
@@ -103,27 +103,27 @@
             ("log_level", "loud", "'debug'"),
         ],
     )
-    def test_fault_is_named(self, tmp_path, path, value, message):
+    def test_error_names_the_problem(self, tmp_path, path, value, message):
         (problem,) = _problems(tmp_path, **{path: value})
         assert message in problem.message
         assert problem.line > 0
 
-    def test_missing_certificate(self, tmp_path):
+    def test_missing_certificate_files_are_errors(self, tmp_path):
         tls = {"certificate": "/none.pem", "key": "/none.key"}
         problems = _problems(tmp_path, listen__callers_tls=tls)
-        assert [one.path for one in problems] == [
+        assert [problem.path for problem in problems] == [
             "listen.callers_tls.certificate",
             "listen.callers_tls.key",
         ]
 
-    def test_secret_is_not_shown(self, tmp_path):
+    def test_secret_key_is_not_printed(self, tmp_path):
         loaded = _load(tmp_path, json.dumps(GOOD))
         assert "s" * 40 not in repr(loaded)
         assert "s" * 40 not in loaded.model_dump_json()
 
 
 class TestIntents:
-    def _refused(self, text: str) -> str:
+    def _error_text(self, text: str) -> str:
         with pytest.raises(DocumentError) as caught:
             jsonc.validate(jsonc.parse(text, "intent"), Change)
         return str(caught.value)
@@ -138,26 +138,26 @@
             ("workspaces", [], "at least 1 item"),
         ],
     )
-    def test_fault_is_named(self, key, value, message):
+    def test_error_names_the_problem(self, key, value, message):
         fields = change().model_dump(mode="json")["intents"][0] | {key: value}
         text = json.dumps({"intents": [fields]}, indent=1)
-        assert message in self._refused(text)
+        assert message in self._error_text(text)
 
-    def test_key_in_place_of_its_digest_is_not_repeated(self):
+    def test_key_in_place_of_its_digest_is_not_printed(self):
         text = '{"workspaces": [{"name": "a", "key_digests": ["the-secret-itself"]}]}'
-        message = self._refused(text)
+        message = self._error_text(text)
         assert "SHA-256" in message
         assert "the-secret-itself" not in message
 
-    def test_unknown_workspace(self):
+    def test_unknown_workspace_is_an_error(self):
         with pytest.raises(DocumentError, match=r"intents.narrator.workspaces: unknown .* 'a'"):
             Configuration().with_change(change(workspaces=[]))
 
-    def test_two_workspaces_with_one_key(self):
-        both = [{"name": name, "key_digests": [digest("same")]} for name in ("a", "b")]
+    def test_key_of_two_workspaces_is_an_error(self):
+        workspaces = [{"name": name, "key_digests": [digest("same")]} for name in ("a", "b")]
         with pytest.raises(DocumentError, match="share a key"):
-            Configuration().with_change(change(workspaces=both))
+            Configuration().with_change(change(workspaces=workspaces))
 
-    def test_removing_what_is_not_there(self):
+    def test_removal_of_an_unknown_name_is_an_error(self):
         with pytest.raises(DocumentError, match="'x' is not there to remove"):
             Configuration().with_change(Change.model_validate({"remove": {"intents": ["x"]}}))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: forward only, whatever is heard from whom in which order."""
+"""The journal never reverts, whatever entries and snapshots arrive in which order."""
 
 import pytest
 from hypothesis import given
@@ -21,7 +21,7 @@
 
 
 def _chain(length: int) -> list[State]:
-    """Return the states of a chain of entries, the empty one first."""
+    """Return the states of a chain of entries, starting with the empty state."""
     states = [State()]
     for number in range(1, length + 1):
         states.append(states[-1].with_entry(_entry(states[-1], number)))
@@ -30,11 +30,11 @@
 
 def _entry(state: State, number: int) -> Entry:
     if number == 1:
-        made = change()
+        submitted = change()
     else:
         key = {"name": f"w{number}", "key_digests": [digest(str(number))]}
-        made = Change.model_validate({"workspaces": [key]})
-    return Entry(number, state.head.digest, f"plan-{number}", "op", made)
+        submitted = Change.model_validate({"workspaces": [key]})
+    return Entry(number, state.head.digest, f"plan-{number}", "op", submitted)
 
 
 CHAIN = _chain(30)
@@ -42,20 +42,20 @@
 
 
 class TestChain:
-    def test_entry_from_another_past_is_refused(self):
+    def test_entry_with_another_predecessor_is_rejected(self):
         journal = Journal()
         journal.append(ENTRIES[0])
         forked = Entry(2, "other", "p", "op", Change())
         with pytest.raises(JournalError):
             journal.append(forked)
 
-    def test_other_entry_under_a_known_revision_is_refused(self):
+    def test_other_entry_of_an_existing_revision_is_rejected(self):
         journal = Journal()
         journal.append(ENTRIES[0])
         with pytest.raises(JournalError, match="differs"):
             journal.append(Entry(1, "", "another", "op", Change()))
 
-    def test_survives_the_store(self):
+    def test_values_are_unchanged_by_encoding_and_decoding(self):
         entry = ENTRIES[0]
         assert Entry.decode(entry.encode()).digest == entry.digest
         state = CHAIN[5]
@@ -70,7 +70,7 @@
 
 
 class JournalMachine(RuleBasedStateMachine):
-    """Entries and snapshots come late, twice and out of order, from stale peers too."""
+    """Entries and snapshots arrive late, repeatedly and out of order, also from stale peers."""
 
     def __init__(self):
         super().__init__()
