--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Smaller decisions: leases, hashing, membership, budget, routing, retries, burn, plans."""
+"""Leases, hashing, membership, the store's budget, routing, retries, burn rates and plans."""
 
 import collections
 
@@ -41,7 +41,7 @@
     def test_deadline_counts_from_before_the_call(self):
         assert leases.deadline_of(100.0, self.terms) < 105.0
 
-    def test_act_after_the_deadline_is_an_error(self):
+    def test_check_after_the_deadline_is_an_error(self):
         lease = leases.HeldLease(3, 7, 1, 0.0, 5.0)
         lease.check(4.9)
         with pytest.raises(LeaseError, match=r"shard 3 ended 0\.500 s ago"):
@@ -64,7 +64,7 @@
         members = [f"d{number}" for number in range(count)]
         reached, edge, hops = {members[0]}, {members[0]}, 0
         while edge:
-            edge = {n for one in edge for n in overlay.neighbours(one, members)} - reached
+            edge = {n for member in edge for n in overlay.neighbours(member, members)} - reached
             reached |= edge
             hops += bool(edge)
         assert len(reached) == count
@@ -73,11 +73,11 @@
 
 
 class TestDirectory:
-    def test_older_record_is_no_news(self):
-        one = Directory()
-        assert one.put(Record("k", (2, 0)))
-        assert not one.put(Record("k", (1, 9)))
-        assert not one.put(Record("k", (2, 0)))
+    def test_older_record_is_ignored(self):
+        records = Directory()
+        assert records.put(Record("k", (2, 0)))
+        assert not records.put(Record("k", (1, 9)))
+        assert not records.put(Record("k", (2, 0)))
 
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 5)), max_size=20), st.data())
     def test_any_order_ends_the_same(self, rows, data):
@@ -91,24 +91,24 @@
         assert one.checksum == two.checksum
         assert not one.newer_than(two.versions())
 
-    def test_limit_is_kept(self):
-        one = Directory(limit=2)
-        assert [one.put(Record(key, (1,))) for key in "abc"] == [True, True, False]
-        assert one.put(Record("a", (2,)))
+    def test_records_over_the_limit_are_rejected(self):
+        records = Directory(limit=2)
+        assert [records.put(Record(key, (1,))) for key in "abc"] == [True, True, False]
+        assert records.put(Record("a", (2,)))
 
     @pytest.mark.parametrize("raw", [None, 5, {"key": "k"}, {"key": 1, "version": ["x"]}])
-    def test_garbage_is_refused(self, raw):
+    def test_invalid_record_is_rejected(self, raw):
         with pytest.raises(DecodeError):
             directory.decode(raw)
 
 
 class TestMembers:
-    def _members(self, me: str = "a") -> Members:
-        members = Members(me, Directory())
+    def _members(self, own_id: str = "a") -> Members:
+        members = Members(own_id, Directory())
         members.update_list({"a": "1", "b": "2", "c": "3"})
         return members
 
-    def test_suspected_after_three_misses(self):
+    def test_suspicion_after_three_missed_probes(self):
         members = self._members()
         assert [members.record_missed_probe("b") for _ in range(2)] == [None, None]
         suspicion = members.record_missed_probe("b")
@@ -126,7 +126,7 @@
         shared.put(refutation)
         assert members.create_refutation() is None
 
-    def test_this_daemon_counts_itself_alive(self):
+    def test_suspected_daemon_counts_itself_alive(self):
         shared = Directory()
         shared.put(Record("member/a", (0, 1)))
         members = Members("a", shared)
@@ -137,26 +137,26 @@
 class TestBudget:
     def test_fleet_stays_within_its_rate(self):
         fleet = [budget.StoreBudget(budget.FleetRates(writes=100)) for _ in range(9)]
-        for one in fleet:
-            one.set_daemon_count(9)
+        for limiter in fleet:
+            limiter.set_daemon_count(9)
         done = 0
         for tick in range(60 * 50):
-            for one in fleet:
-                done += one.reserve(True, budget.Purpose.LEASE, tick / 50) == 0
+            for limiter in fleet:
+                done += limiter.reserve(True, budget.Purpose.LEASE, tick / 50) == 0
         burst = 9 * fleet[0].calls_per_second(True) * 10
         assert done <= 60 * 100 * 0.8 + burst + 9 * 8
 
-    def test_leases_go_before_all_else(self):
-        one = budget.StoreBudget(budget.FleetRates(writes=100))
-        one.set_daemon_count(980)
-        while not one.reserve(True, budget.Purpose.READ, 0.0):
+    def test_leases_have_priority_over_all_other_calls(self):
+        limiter = budget.StoreBudget(budget.FleetRates(writes=100))
+        limiter.set_daemon_count(980)
+        while not limiter.reserve(True, budget.Purpose.READ, 0.0):
             pass
-        assert one.reserve(True, budget.Purpose.READ, 0.0) > 0
-        assert one.reserve(True, budget.Purpose.LEASE, 0.0) == 0
-        assert one.calls[budget.Purpose.LEASE] == 1
-        assert one.deferred[budget.Purpose.READ] == 2
+        assert limiter.reserve(True, budget.Purpose.READ, 0.0) > 0
+        assert limiter.reserve(True, budget.Purpose.LEASE, 0.0) == 0
+        assert limiter.calls[budget.Purpose.LEASE] == 1
+        assert limiter.deferred[budget.Purpose.READ] == 2
 
-    def test_backoff_grows_and_is_spread(self):
+    def test_backoff_grows_with_jitter(self):
         backoff = budget.Backoff(1.0, max_delay=8.0)
         assert [backoff.next_delay(0.0) for _ in range(5)] == [0.5, 1, 2, 4, 4]
         backoff.reset()
@@ -170,9 +170,11 @@
         assert first == routing.bounded_affinity("p", 10, candidates[::-1])
 
     def test_loaded_group_loses_its_affinity(self):
-        calm = [routing.Candidate(f"g{n}", 10) for n in range(4)]
-        first = routing.bounded_affinity("p", 1, calm)
-        loaded = [routing.Candidate(one.group, 1000 if one.group == first else 10) for one in calm]
+        idle = [routing.Candidate(f"g{n}", 10) for n in range(4)]
+        first = routing.bounded_affinity("p", 1, idle)
+        loaded = [
+            routing.Candidate(group.group, 1000 if group.group == first else 10) for group in idle
+        ]
         assert routing.bounded_affinity("p", 1, loaded) != first
 
     def test_attachment_is_even_and_bounded(self):
@@ -183,13 +185,13 @@
         assert len(used) == 50
         assert max(used.values()) < 2 * 200 * 8 / 50
 
-    def test_unknown_choice_names_the_known(self):
+    def test_error_for_an_unknown_policy_lists_the_registered_ones(self):
         with pytest.raises(UnknownNameError, match="'none', one of bounded_affinity"):
             routing.routing_policies.get("none")
 
 
 class TestRetries:
-    def test_failing_fleet_isnt_loaded_further(self):
+    def test_failing_fleet_gets_few_retries(self):
         retries = RetryThrottle(ratio=0.1, reserve=10)
         taken = sum(retries.try_acquire() for _ in range(1000))
         assert taken == 10
@@ -198,32 +200,32 @@
         assert sum(retries.try_acquire() for _ in range(1000)) in (9, 10)
 
     @pytest.mark.parametrize(
-        ("executed", "repeatable", "attempt", "left", "again"),
+        ("executed", "repeatable", "attempt", "left", "expected"),
         [
             ("no", False, 1, 5.0, True),
             ("no", True, 1, 5.0, True),
             ("unknown", True, 1, 5.0, True),
             ("yes", True, 1, 5.0, True),
-            ("unknown", False, 1, 5.0, False),  # it may have run, and may run only once
+            ("unknown", False, 1, 5.0, False),  # It may have run and must not run twice.
             ("yes", False, 1, 5.0, False),
             ("no", True, 2, 5.0, True),
-            ("no", True, 3, 5.0, False),  # the last of three attempts
-            ("no", True, 1, 0.0, False),  # no time left
+            ("no", True, 3, 5.0, False),  # The last of three attempts.
+            ("no", True, 1, 0.0, False),  # No time left.
         ],
     )
-    def test_what_is_sent_again(self, executed, repeatable, attempt, left, again):
+    def test_conditions_of_a_retry(self, executed, repeatable, attempt, left, expected):
         found = can_retry(
             executed, repeatable=repeatable, attempt=attempt, max_attempts=3, seconds_left=left
         )
-        assert found is again
+        assert found is expected
 
-    def test_never_more_than_half_are_out(self):
+    def test_at_most_half_of_the_endpoints_are_ejected(self):
         ejection = Ejection(threshold=1)
         for name in "abcd":
             ejection.record_failure(name, 0.0)
         assert len(ejection.usable_endpoints("abcd", 0.1)) == 2
 
-    def test_out_and_back(self):
+    def test_ejected_endpoint_returns_after_a_time(self):
         ejection = Ejection(threshold=2, seconds=1.0)
         ejection.record_failure("a", 0.0)
         assert ejection.usable_endpoints("ab", 0.0) == ["a", "b"]
@@ -233,7 +235,7 @@
 
 
 class TestBurn:
-    def test_rates_and_alert(self):
+    def test_burn_rate_triggers_an_alert(self):
         counts = BurnCounts()
         subject = Subject("w", "m")
         for number in range(1000):
@@ -243,7 +245,7 @@
         assert row.alert == "page"
         assert row.causes == {"group_closed": 50}
 
-    def test_windows_forget(self):
+    def test_requests_leave_the_windows(self):
         counts = BurnCounts()
         counts.record(Subject("w", "m"), "late", 0.0)
         (row,) = counts.rows(lambda _: 0.99, 4000.0)
@@ -251,17 +253,17 @@
         assert row.rates["6h"] > 0
 
     def test_merge_of_daemons_is_the_sum(self):
-        one, two = BurnCounts(), BurnCounts()
-        for counts in (one, two):
+        first, second = BurnCounts(), BurnCounts()
+        for counts in (first, second):
             counts.record(Subject("w", "m"), GOOD, 60.0)
-        one.merge(two.export())
-        assert one.rows(lambda _: 0.9, 61.0)[0].total == 2
+        first.merge(second.export())
+        assert first.rows(lambda _: 0.9, 61.0)[0].total == 2
 
 
 class TestPlans:
     def _plan(self, change: Change, state: State | None = None, fleet=None) -> plans.Plan:
         state = state or State()
-        taken = {one for p in state.placements.values() for one in p.members}
+        taken = {member for p in state.placements.values() for member in p.members}
         made = plans.make_plan(change, state, fleet or makers.fleet(), taken)
         return made.unwrap()
 
@@ -280,16 +282,16 @@
         assert isinstance(made, Failure)
         assert "needs 4 free instances and 3 spares" in str(made.failure())
 
-    def test_size_that_no_domain_can_hold(self):
+    def test_group_larger_than_any_domain_is_an_error(self):
         made = plans.make_plan(makers.change(size=32), State(), makers.fleet(), set())
         assert "'narrator-0' needs 32 free instances" in str(made.failure())
 
-    def test_fewer_replicas_stop_the_last(self):
+    def test_fewer_replicas_stop_the_last_group(self):
         state = State().with_entry(self._plan(makers.change(replicas=2)).to_entry("op"))
         plan = self._plan(makers.change(replicas=1), state)
         assert [(step.action, step.group) for step in plan.steps] == [("stop", "narrator-1")]
 
-    def test_new_version_reloads_and_tells_the_downtime(self):
+    def test_new_version_reloads_with_downtime(self):
         state = State().with_entry(self._plan(makers.change()).to_entry("op"))
         newer = makers.change().model_copy(deep=True)
         intent = newer.intents[0].model_copy(update={"version": "v2"})
@@ -298,7 +300,7 @@
         assert plan.downtime_seconds == 120
         assert plan.idle_accelerator_seconds == 4 * 8 * 120
 
-    def test_drain_moves_the_group(self):
+    def test_draining_instance_moves_its_group(self):
         state = State().with_entry(self._plan(makers.change()).to_entry("op"))
         plan = self._plan(Change(draining=["d0-i1"]), state)
         assert [(step.action, step.group) for step in plan.steps] == [("move", "narrator-0")]
@@ -323,9 +325,9 @@
             plans.verify(tampered, plan)
 
 
-class TestPlace:
+class TestRankOf:
     @given(names, st.text("xyz"), st.integers(1, 4))
-    def test_is_the_place_in_the_ranking(self, candidates, key, limit):
+    def test_is_the_index_in_the_ranking(self, candidates, key, limit):
         for index, name in enumerate(rendezvous.rank(key, candidates)):
             expected = index if index < limit else None
             assert rendezvous.rank_of(key, name, candidates, limit) == expected
--- a/tests/test_forms_daemon_stored.py
+++ b/tests/test_forms_daemon_stored.py
@@ -1,4 +1,4 @@
-"""What the daemon of the product's own form keeps in the store, as at b7c2758."""
+"""The values that ``thorncleatd`` stores keep their encoded form."""
 
 import msgpack
 import pytest
@@ -69,7 +69,7 @@
     ),
     "claims": (CLAIMS, encode_batch, decode_batch),
 }
-# written by b7c2758
+# Encoded values that earlier versions have stored.
 WRITTEN = {
     "head": ("82a17601a16482a87265766973696f6e07a6646967657374a164"),
     "entry": (
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("name", VALUES)
 @pytest.mark.parametrize("data", [b"", b"\xc1", msgpack.packb({"v": 2, "d": {}})])
-def test_other_bytes_are_refused(name, data):
+def test_invalid_data_is_rejected(name, data):
     with pytest.raises(DecodeError):
         VALUES[name][2](data)
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Groups and repair: who is in which group, under any order of events."""
+"""No instance is in two groups, whatever the order of failures and repairs."""
 
 import pytest
 from hypothesis import given
@@ -42,33 +42,33 @@
 
 class TestAssignments:
     def test_no_instance_in_two_groups(self):
-        one = Assignments("d").with_group(_group())
+        assignments = Assignments("d").with_group(_group())
         with pytest.raises(AssignmentError, match="'i3' would be in 'g-0' and 'g-1'"):
-            one.with_group(_group("g-1", ("i3", "i4", "i5", "i6")))
+            assignments.with_group(_group("g-1", ("i3", "i4", "i5", "i6")))
 
     def test_leaving_instance_is_not_free(self):
-        one = Assignments("d").with_group(_group()).without_group("g-0")
+        assignments = Assignments("d").with_group(_group()).without_group("g-0")
         with pytest.raises(AssignmentError):
-            one.with_group(_group("g-1"))
-        assert one.with_released(["i0", "i1", "i2", "i3"]).with_group(_group("g-1")).groups
+            assignments.with_group(_group("g-1"))
+        assert assignments.with_released(["i0", "i1", "i2", "i3"]).with_group(_group("g-1")).groups
 
-    def test_stored_value_that_breaks_the_invariant_is_refused(self):
-        bad = Assignments("d", {"a": _group("a"), "b": _group("b")})
+    def test_stored_value_with_an_instance_in_two_groups_is_rejected(self):
+        invalid = Assignments("d", {"a": _group("a"), "b": _group("b")})
         with pytest.raises(AssignmentError):
-            Assignments.decode(bad.encode())
+            Assignments.decode(invalid.encode())
 
-    def test_generation_rises_with_each_change(self):
-        one = Assignments("d").with_group(_group())
-        two = one.with_group(_group(members=("i0", "i1", "i2", "i4")))
-        assert two.groups["g-0"].generation > one.groups["g-0"].generation
-        assert two.leaving == {"i3": "g-0"}
+    def test_generation_increases_with_each_change(self):
+        before = Assignments("d").with_group(_group())
+        after = before.with_group(_group(members=("i0", "i1", "i2", "i4")))
+        assert after.groups["g-0"].generation > before.groups["g-0"].generation
+        assert after.leaving == {"i3": "g-0"}
 
     @given(st.binary(max_size=60))
     def test_garbage_is_refused(self, data):
         with pytest.raises(DecodeError):
             Assignments.decode(data)
 
-    def test_truncated_value_is_refused(self):
+    def test_truncated_value_is_rejected(self):
         data = Assignments("d").with_group(_group()).encode()
         for end in range(len(data)):
             with pytest.raises(DecodeError):
@@ -82,12 +82,12 @@
             assert confirmations.record_report(group, _report(name, group), at)
         return confirmations
 
-    def test_open_while_all_members_confirmed(self):
+    def test_group_is_open_while_all_members_are_confirmed(self):
         confirmations = self._confirmed(_group(), 10.0)
         assert confirmations.is_open(_group(), 11.9)
         assert not confirmations.is_open(_group(), 12.0)
 
-    def test_first_doubt_closes(self):
+    def test_revoked_confirmation_closes_the_group(self):
         confirmations = self._confirmed(_group(), 10.0)
         confirmations.revoke("i2")
         assert not confirmations.is_open(_group(), 10.0)
@@ -96,17 +96,17 @@
     @pytest.mark.parametrize(
         "wrong", [{"ready": False}, {"group": ""}, {"generation": 2}, {"rank": 0}]
     )
-    def test_member_that_serves_otherwise_closes(self, wrong):
+    def test_report_of_another_assignment_closes_the_group(self, wrong):
         confirmations = self._confirmed(_group(), 10.0)
         assert not confirmations.record_report(_group(), _report("i1", _group(), **wrong), 10.5)
         assert not confirmations.is_open(_group(), 10.5)
 
-    def test_confirmation_of_an_old_generation_does_not_open_the_new(self):
+    def test_confirmation_of_an_old_generation_does_not_open_the_group(self):
         confirmations = self._confirmed(_group(), 10.0)
         assert not confirmations.is_open(_group(generation=2), 10.0)
 
 
-def _wanted(count: int = 3, repair_after: float = 3.0) -> repair.DesiredState:
+def _desired(count: int = 3, repair_after: float = 3.0) -> repair.DesiredState:
     configuration = Configuration().with_change(change(size=SIZE))
     placements = {
         f"narrator-{n}": Placement(
@@ -121,8 +121,8 @@
     def _started(self) -> Assignments:
         assignments = Assignments("d")
         view = repair.ObservedDomain(frozenset(INSTANCES))
-        for one in repair.decide_changes(assignments, _wanted(), view, 0.0):
-            assignments = assignments.with_group(one.group)
+        for start in repair.decide_changes(assignments, _desired(), view, 0.0):
+            assignments = assignments.with_group(start.group)
         return assignments
 
     def _view(
@@ -133,59 +133,59 @@
         idle = alive - assignments.occupied_instances()
         return repair.ObservedDomain(idle, missing_since=missing, **more)
 
-    def test_starts_what_is_placed(self):
+    def test_placed_groups_are_started(self):
         assert sorted(self._started().groups) == ["narrator-0", "narrator-1", "narrator-2"]
 
-    def test_waits_for_a_member_to_come_back(self):
+    def test_missing_member_is_not_replaced_at_once(self):
         assignments = self._started()
         view = self._view(assignments, lost=["i0"], since=0.0)
-        assert repair.decide_changes(assignments, _wanted(), view, 2.9) == []
+        assert repair.decide_changes(assignments, _desired(), view, 2.9) == []
 
-    def test_takes_a_spare_in_the_same_place(self):
+    def test_spare_gets_the_rank_of_the_lost_member(self):
         assignments = self._started()
         (found,) = repair.decide_changes(
-            assignments, _wanted(), self._view(assignments, lost=["i1"]), 3.0
+            assignments, _desired(), self._view(assignments, lost=["i1"]), 3.0
         )
         assert found.group.members == ("i0", "i12", "i2", "i3")
         assert not found.graceful
 
-    def test_two_short_groups_share_the_members_of_one(self):
+    def test_one_of_two_groups_without_spares_is_ended_for_the_other(self):
         assignments = self._started()
         lost = ["i0", "i4", "i12", "i13"]
         view = self._view(assignments, lost=lost)
-        assert repair.decide_changes(assignments, _wanted(), view, 9.0) == [
+        assert repair.decide_changes(assignments, _desired(), view, 9.0) == [
             repair.Dissolve("narrator-1", graceful=False)
         ]
-        assert repair.decide_changes(assignments, _wanted(), view, 9.0, "spares") == []
+        assert repair.decide_changes(assignments, _desired(), view, 9.0, "spares") == []
 
-    def test_draining_moves_the_group_gracefully(self):
+    def test_draining_member_is_replaced_gracefully(self):
         assignments = self._started()
         draining = frozenset(["i5"])
         view = self._view(assignments, draining=draining)
         part = repair.ModelPart("m", "v1", rank=1)
-        # the spare loads first, while the group serves on
-        assert repair.decide_changes(assignments, _wanted(), view, 0.0) == [
+        # The spare loads its part while the group keeps serving.
+        assert repair.decide_changes(assignments, _desired(), view, 0.0) == [
             repair.Prepare("i12", "narrator-1", part)
         ]
         view = self._view(assignments, draining=draining, prepared={"i12": part})
-        (found,) = repair.decide_changes(assignments, _wanted(), view, 0.0)
+        (found,) = repair.decide_changes(assignments, _desired(), view, 0.0)
         assert found.graceful
         assert "i5" not in found.group.members
 
-    def test_new_version_goes_group_by_group(self):
+    def test_new_version_is_loaded_by_one_group_at_a_time(self):
         assignments = self._started()
-        wanted = _wanted()
-        newer = wanted.intents["narrator"].model_copy(update={"version": "v2"})
-        wanted = repair.DesiredState(wanted.placements, {"narrator": newer}, 3.0)
-        (found,) = repair.decide_changes(assignments, wanted, self._view(assignments), 0.0)
+        desired = _desired()
+        newer = desired.intents["narrator"].model_copy(update={"version": "v2"})
+        desired = repair.DesiredState(desired.placements, {"narrator": newer}, 3.0)
+        (found,) = repair.decide_changes(assignments, desired, self._view(assignments), 0.0)
         assert (found.group.id, found.group.version) == ("narrator-0", "v2")
         assert found.graceful
 
 
 class RepairMachine(RuleBasedStateMachine):
-    """Instances die, freeze out of groups and come back; the holder repairs at any moment.
+    """Instances fail, return and drain while the holder repairs the groups.
 
-    The oracle is the plain record of which group each engine follows.
+    The model records which group each engine follows.
     """
 
     def __init__(self):
@@ -230,7 +230,7 @@
             draining=frozenset(self.draining),
             prepared={name: part for name, part in self.prepared.items() if name in idle},
         )
-        for found in repair.decide_changes(self.assignments, _wanted(), view, self.now, strategy):
+        for found in repair.decide_changes(self.assignments, _desired(), view, self.now, strategy):
             if isinstance(found, repair.Prepare):
                 assert not self.follows[found.instance]
                 self.prepared[found.instance] = found.part
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -142,16 +142,16 @@
         st.integers(1, 1000),
         st.dictionaries(st.sampled_from(NAMES), st.floats(0.1, 10)),
     )
-    def test_all_daemons_together_never_get_more_than_there_is(self, demanded, capacity, weights):
-        divided = [shares.divide(capacity, demanded, weights, daemon) for daemon in demanded]
-        granted = sum(sum(credits.values()) + spare for credits, spare in divided)
-        assert granted <= capacity
-        for (credits, _), daemon in zip(divided, demanded, strict=True):
+    def test_all_daemons_together_never_get_more_than_there_is(self, asked, capacity, weights):
+        parts = [shares.divide(capacity, asked, weights, daemon) for daemon in asked]
+        given_out = sum(sum(credits.values()) + spare for credits, spare in parts)
+        assert given_out <= capacity
+        for (credits, _), daemon in zip(parts, asked, strict=True):
             for name, amount in credits.items():
-                assert amount <= demanded[daemon][name]
+                assert amount <= asked[daemon][name]
 
     @given(demands, st.integers(1, 1000))
-    def test_max_min_wastes_nothing(self, demanded, capacity):
-        wanted = {name: float(amount) for name, amount in demanded.items()}
+    def test_max_min_wastes_nothing(self, asked, capacity):
+        wanted = {name: float(amount) for name, amount in asked.items()}
         found = shares.max_min(capacity, wanted, {})
         assert sum(found.values()) == pytest.approx(min(capacity, sum(wanted.values())))
