--- a/packages/core/src/thorncleat_core/daemon/leases.py
+++ b/packages/core/src/thorncleat_core/daemon/leases.py
@@ -54,7 +54,7 @@
         return now < self.deadline
 
     def check(self, now: float) -> None:
-        """Check that the lease is held. To be called right before each action that needs it.
+        """Check that the lease is held. Call this right before each action that needs it.
 
         :raises LeaseError: if the lease may have expired.
         """
--- a/packages/core/src/thorncleat_core/daemon/repair.py
+++ b/packages/core/src/thorncleat_core/daemon/repair.py
@@ -24,9 +24,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Prepare:
-    """Load the part of a member that will be replaced on a free instance.
+    """Load a member's part on a free instance, before that instance replaces the member.
 
-    The group keeps serving in the meantime, so the replacement needs no further loading.
+    The group keeps serving in the meantime.
     """
 
     instance: str
