--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -72,12 +72,12 @@
 
     async def _fresh(self, change: Change) -> Plan | web.Response:
         try:
-            fleet = Fleet.of(await self._instances.everything())
+            fleet = Fleet.from_instances(await self._instances.everything())
         except PlatformError as error:
             return problem(503, str(error), accepted="no")
         state, taken = self._actual()
         times = plans.Estimates(load=self._load_seconds)
-        made = plans.make(change, state, fleet, taken, times)
+        made = plans.make_plan(change, state, fleet, taken, times)
         if isinstance(made, Failure):
             return problem(422, str(made.failure()), problems=[])
         return made.unwrap()
@@ -97,7 +97,7 @@
     async def confirm(self, request: web.Request, operator: ActingOperator) -> web.Response:
         """Carry a plan out, if it is still what would be planned now."""
         try:
-            plan = codec.validated(Plan, (await request.json())["plan"])
+            plan = codec.validate(Plan, (await request.json())["plan"])
         except (ValueError, KeyError, TypeError, DecodeError) as error:
             return problem(400, f"a plan is wanted: {error}")
         done = self._accepted_before(plan)
@@ -115,7 +115,7 @@
             if isinstance(fresh, web.Response):
                 return fresh
             plans.verify(plan, fresh)
-            revision = await self._config.accept(plan.entry(operator.name))
+            revision = await self._config.accept(plan.to_entry(operator.name))
         except ConflictError as error:
             return await self._conflict(plan, operator, error)
         except DocumentError as error:
@@ -154,5 +154,5 @@
         "digest": plan.digest,
         "downtime_seconds": plan.downtime_seconds,
         "idle_accelerator_seconds": plan.idle_accelerator_seconds,
-        "plan": json.loads(json.dumps(plan, default=codec.plain)),
+        "plan": json.loads(json.dumps(plan, default=codec.to_plain)),
     }
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -66,7 +66,7 @@
     :param version: version of the view.
     """
     enough = PREFERRED_CAPACITY_SHARE * max(capacities.values())
-    ranked = rendezvous.ranked(f"controller/{version}", capacities)
+    ranked = rendezvous.rank(f"controller/{version}", capacities)
     return sorted(ranked, key=lambda name: capacities[name] < enough).index(candidate)
 
 
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -4,7 +4,7 @@
 
 Owns: the counters of events and requests.
 Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text format, and on
-:func:`thorncleat_core.log_events.observe` to receive each event.
+:func:`thorncleat_core.log_events.add_observer` to receive each event.
 """
 
 import re
@@ -70,11 +70,11 @@
         key = (series, str(label or ""))
         if key not in self._distributions and len(self._distributions) >= MAX_TARGETS:
             key = (series, OTHER_TARGETS)
-        self._distributions.of(*key).note(seconds)
+        self._distributions.get_or_create(*key).record(seconds)
 
     async def handle(self, _: web.BaseRequest) -> web.StreamResponse:
         """Answer a request for the metrics."""
-        return web.Response(body=self.text(), content_type="text/plain")
+        return web.Response(body=self.render(), content_type="text/plain")
 
 
 def _constant_part(cause: str) -> str:
--- a/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/domain_loads.py
@@ -25,4 +25,4 @@
 
 def is_sum_sender(own_id: str, domain_peers: t.Iterable[str]) -> bool:
     """Return whether this daemon sends the total of its failure domain to the others."""
-    return own_id in rendezvous.ranked("sum", {*domain_peers, own_id})[:SUM_SENDERS]
+    return own_id in rendezvous.rank("sum", {*domain_peers, own_id})[:SUM_SENDERS]
--- a/packages/gateway/src/thorncleat_gateway/store/change_codec.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_codec.py
@@ -69,7 +69,7 @@
 
     Daemons of earlier builds ignore ``born``.
     """
-    form: dict[str, t.Any] = codec.plain(endpoint)
+    form: dict[str, t.Any] = codec.to_plain(endpoint)
     if endpoint.born is None:
         del form["born"]
     return form
@@ -90,11 +90,11 @@
 def _decode_change(form: t.Any) -> Change:
     match form:
         case ["configuration", configuration]:
-            return ConfigurationChanged(codec.validated(ServingConfiguration, configuration))
+            return ConfigurationChanged(codec.validate(ServingConfiguration, configuration))
         case ["listed", endpoint]:
-            return EndpointListed(codec.validated(Endpoint, endpoint))
+            return EndpointListed(codec.validate(Endpoint, endpoint))
         case ["gone", str(endpoint_id)]:
             return EndpointRemoved(endpoint_id)
         case ["record", record]:
-            return codec.validated(RecordChanged, record)
+            return codec.validate(RecordChanged, record)
     raise DecodeError(f"{form!r} is no change")
--- a/packages/gateway/src/thorncleat_gateway/store/relays.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relays.py
@@ -113,5 +113,5 @@
     the load.
     """
     by_id = {daemon.id: daemon for daemon in candidates}
-    ranked = [by_id[name] for name in rendezvous.ranked(own.id, by_id)]
+    ranked = [by_id[name] for name in rendezvous.rank(own.id, by_id)]
     return tuple(sorted(ranked, key=lambda daemon: daemon.failure_domain != own.failure_domain))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most one run, whoever asks, whatever is lost."""
+"""A claimed request runs at most once, even if writes and answers are lost."""
 
 import pytest
 from hypothesis import settings
@@ -17,58 +17,58 @@
 
 
 def _granted(book: ClaimBook, key: str = "k"):
-    reply, claim = book.ask("w", key, "r", 0.0, 0)
+    reply, claim = book.request_claim("w", key, "r", 0.0, 0)
     assert reply.answer is ClaimAnswer.GRANTED
-    book.written(claim)
+    book.mark_durable(claim)
     return claim
 
 
 class TestBook:
-    def test_second_asker_is_told_it_runs(self):
+    def test_second_request_is_answered_with_running(self):
         book = ClaimBook()
         _granted(book)
-        assert book.ask("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.RUNNING
+        assert book.request_claim("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.RUNNING
 
-    def test_asker_during_the_write_is_not_granted(self):
+    def test_request_during_the_write_is_not_granted(self):
         book = ClaimBook()
-        book.ask("w", "k", "r", 0.0, 0)
-        assert book.ask("w", "k", "r", 0.0, 0)[0].answer is ClaimAnswer.RUNNING
+        book.request_claim("w", "k", "r", 0.0, 0)
+        assert book.request_claim("w", "k", "r", 0.0, 0)[0].answer is ClaimAnswer.RUNNING
 
-    def test_repeat_gets_the_first_answer(self):
+    def test_repeated_request_gets_the_stored_outcome(self):
         book = ClaimBook()
         _granted(book)
-        book.finish("w", "k", DONE, "yes")
-        reply, _ = book.ask("w", "k", "r", 1.0, 0)
+        book.record_outcome("w", "k", DONE, "yes")
+        reply, _ = book.request_claim("w", "k", "r", 1.0, 0)
         assert (reply.answer, reply.outcome) == (ClaimAnswer.DONE, DONE)
 
-    def test_same_key_with_another_body(self):
+    def test_same_key_with_another_request_is_a_mismatch(self):
         book = ClaimBook()
         _granted(book)
-        assert book.ask("w", "k", "other", 1.0, 0)[0].answer is ClaimAnswer.MISMATCH
+        assert book.request_claim("w", "k", "other", 1.0, 0)[0].answer is ClaimAnswer.MISMATCH
 
-    def test_same_key_of_another_workspace_is_another(self):
+    def test_same_key_of_another_workspace_is_granted(self):
         book = ClaimBook()
         _granted(book)
-        assert book.ask("v", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
+        assert book.request_claim("v", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
 
-    def test_not_run_may_be_asked_again(self):
+    def test_key_is_granted_again_if_the_request_did_not_run(self):
         book = ClaimBook()
         _granted(book)
-        book.finish("w", "k", None, "no")
-        assert book.ask("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
+        book.record_outcome("w", "k", None, "no")
+        assert book.request_claim("w", "k", "r", 1.0, 0)[0].answer is ClaimAnswer.GRANTED
 
-    def test_unheard_run_becomes_unknown(self):
-        book = ClaimBook(patience=10)
+    def test_run_without_outcome_becomes_unknown(self):
+        book = ClaimBook(run_timeout=10)
         _granted(book)
-        assert book.ask("w", "k", "r", 11.0, 0)[0].answer is ClaimAnswer.UNKNOWN
+        assert book.request_claim("w", "k", "r", 11.0, 0)[0].answer is ClaimAnswer.UNKNOWN
 
-    def test_full_book_refuses_and_expiry_makes_room(self):
+    def test_full_book_rejects_until_claims_expire(self):
         book = ClaimBook(limit=1, keep=100)
         _granted(book)
-        assert book.ask("w", "other", "r", 0.0, 50)[0].answer is ClaimAnswer.BUSY
-        assert book.ask("w", "other", "r", 0.0, 100)[0].answer is ClaimAnswer.GRANTED
+        assert book.request_claim("w", "other", "r", 0.0, 50)[0].answer is ClaimAnswer.BUSY
+        assert book.request_claim("w", "other", "r", 0.0, 100)[0].answer is ClaimAnswer.GRANTED
 
-    def test_batch_survives_the_store(self):
+    def test_batch_is_unchanged_by_encoding_and_decoding(self):
         claim = _granted(ClaimBook())
         assert claims.decode_batch(claims.encode_batch([claim])) == [claim]
         with pytest.raises(DecodeError):
@@ -76,9 +76,9 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Owners come and go, writes and answers are lost, callers repeat anywhere.
+    """Owners change, writes and answers are lost, and callers repeat requests.
 
-    The oracle counts runs: a key runs when its asker hears that it is granted.
+    The model counts the runs of each key. A key runs when a daemon learns that it is granted.
     """
 
     keys = st.sampled_from(["a", "b", "c"])
@@ -86,7 +86,7 @@
     def __init__(self):
         super().__init__()
         self.now = 0.0
-        self.book = ClaimBook(patience=50)
+        self.book = ClaimBook(run_timeout=50)
         self.durable: list[claims.Claim] = []
         self.writing: list[tuple[claims.Claim, bool]] = []
         self.running: set[str] = set()
@@ -95,7 +95,7 @@
 
     @rule(key=keys)
     def ask(self, key):
-        reply, claim = self.book.ask("w", key, "r", self.now, 0)
+        reply, claim = self.book.request_claim("w", key, "r", self.now, 0)
         if claim:
             self.writing.append((claim, True))
         elif reply.answer is ClaimAnswer.GRANTED:
@@ -111,10 +111,10 @@
         if not mine:
             return
         if fate == "written":
-            self.book.written(claim)
+            self.book.mark_durable(claim)
             self._run(claim.key)
         else:
-            self.book.not_written(claim)
+            self.book.discard_unwritten(claim)
 
     def _run(self, key):
         self.runs[key] += 1
@@ -126,16 +126,16 @@
             return
         self.running.discard(key)
         if ran == "no":
-            # the daemon knows that nothing was sent
+            # The daemon is certain that nothing was sent.
             self.runs[key] -= 1
-        ended = self.book.finish("w", key, DONE if ran == "yes" else None, ran)
+        ended = self.book.record_outcome("w", key, DONE if ran == "yes" else None, ran)
         if ended:
             self.durable.append(ended)
 
     @rule()
     def owner_dies(self):
-        """A new owner reads what is durable; writes of the old one are fenced off."""
-        self.book = ClaimBook(patience=50)
+        """A new owner restores the durable claims. Writes of the old owner are fenced."""
+        self.book = ClaimBook(run_timeout=50)
         self.book.restore(self.durable)
         self.writing = []
 
@@ -152,28 +152,31 @@
 TestClaimMachine.settings = settings(max_examples=120, stateful_step_count=40)
 
 
-class TestWhoGivesBack:
-    """A claim is given back only by the attempt that it was given to."""
+class TestRelease:
+    """Only the attempt that holds a claim can release it."""
 
-    def test_an_attempt_that_got_no_answer_cannot_give_back_another_ones_claim(self):
+    def test_attempt_without_an_answer_cannot_release_the_claim_of_another(self):
         book = ClaimBook()
-        _, claim = book.ask("w", "k", "r", 0.0, 0, "first")
-        book.written(claim)
-        # the second one's question was lost, so it can't know that the first one runs
-        assert book.finish("w", "k", None, "no", "second") is None
-        assert book.ask("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.RUNNING
+        _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
+        book.mark_durable(claim)
+        # The answer to the second attempt was lost, so it can't know that the first one runs.
+        assert book.record_outcome("w", "k", None, "no", "second") is None
+        assert book.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.RUNNING
 
-    def test_nor_one_whose_fate_is_unknown(self):
+    def test_other_attempt_cannot_release_a_claim_with_unknown_outcome(self):
         book = ClaimBook()
-        _, claim = book.ask("w", "k", "r", 0.0, 0, "first")
-        book.written(claim)
-        book.finish("w", "k", None, "unknown", "first")
-        assert book.finish("w", "k", None, "no", "second") is None
-        assert book.ask("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.UNKNOWN
+        _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
+        book.mark_durable(claim)
+        book.record_outcome("w", "k", None, "unknown", "first")
+        assert book.record_outcome("w", "k", None, "no", "second") is None
+        assert book.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.UNKNOWN
 
-    def test_the_attempt_itself_can_even_after_a_change_of_owner(self):
+    def test_holding_attempt_can_release_after_a_change_of_owner(self):
         book, next_owner = ClaimBook(), ClaimBook()
-        _, claim = book.ask("w", "k", "r", 0.0, 0, "first")
+        _, claim = book.request_claim("w", "k", "r", 0.0, 0, "first")
         next_owner.restore(claims.decode_batch(claims.encode_batch([claim])))
-        assert next_owner.finish("w", "k", None, "no", "first") is not None
-        assert next_owner.ask("w", "k", "r", 1.0, 0, "third")[0].answer is ClaimAnswer.GRANTED
+        assert next_owner.record_outcome("w", "k", None, "no", "first") is not None
+        assert (
+            next_owner.request_claim("w", "k", "r", 1.0, 0, "third")[0].answer
+            is ClaimAnswer.GRANTED
+        )
--- a/tests/test_forms_metrics.py
+++ b/tests/test_forms_metrics.py
@@ -57,7 +57,7 @@
     metrics = wire_forms.GatewayHarness(FixedFeed([])).gateway.metrics
     for number, fields in EVENT_FIELDS.items():
         metrics.record(events.catalogue[number], fields)
-    assert describe_metrics(metrics.text().decode()) == snapshot
+    assert describe_metrics(metrics.render().decode()) == snapshot
 
 
 @pytest.mark.parametrize("number", sorted(events.catalogue))
@@ -66,7 +66,7 @@
     metrics.record(events.catalogue[number], {**EVENT_FIELDS[7303], **EVENT_FIELDS.get(number, {})})
     event_metrics = [
         family
-        for family in describe_metrics(metrics.text().decode())
+        for family in describe_metrics(metrics.render().decode())
         if family["name"] != "thorncleat_seconds"
     ]
     assert event_metrics == snapshot
@@ -76,7 +76,7 @@
 def test_cause_as_a_label(cause, snapshot):
     metrics = Metrics()
     metrics.record(events.catalogue[7305], {"cause": cause, "after": 0.1})
-    assert describe_metrics(metrics.text().decode()) == snapshot
+    assert describe_metrics(metrics.render().decode()) == snapshot
 
 
 async def test_answer_to_whoever_collects_them(snapshot):
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -41,7 +41,7 @@
     for _ in range(3):
         metrics.record(events.REQUEST_DONE, done())
     series = 'thorncleat_requests_total{route="chat",status="200",workspace="growers"}'
-    assert value(metrics.text(), series) == 3
+    assert value(metrics.render(), series) == 3
 
 
 def test_durations_are_shown_as_quantiles():
@@ -50,7 +50,7 @@
     series = (
         'thorncleat_seconds{quantile="0.95",target="chat",what="request_done_seconds_by_route"}'
     )
-    assert value(metrics.text(), series) == pytest.approx(1.5, rel=0.02)
+    assert value(metrics.render(), series) == pytest.approx(1.5, rel=0.02)
 
 
 def test_distribution_is_created_once_for_each_target(monkeypatch):
@@ -65,7 +65,7 @@
     monkeypatch.setattr(distributions, "Distribution", Counted)
     distribution_set = distributions.Distributions()
     for _ in range(3):
-        distribution_set.of("seconds", "chat").note(0.1)
+        distribution_set.of("seconds", "chat").record(0.1)
     assert distribution_set.of("seconds", "chat").count == 3
     assert len(created) == 1
 
@@ -82,14 +82,14 @@
     metrics = Metrics()
     metrics.record(events.REQUEST_REFUSED, {"cause": cause, "after": 0.1})
     series = f'thorncleat_events_total{{cause="{kind}",name="request_refused"}}'
-    assert value(metrics.text(), series) == 1
+    assert value(metrics.render(), series) == 1
 
 
 def test_number_of_targets_is_limited():
     metrics = Metrics()
     for number in range(3 * MAX_TARGETS):
         metrics.record(events.REQUEST_DONE, done(route=f"route-{number}"))
-    text = metrics.text().decode()
+    text = metrics.render().decode()
     assert text.count("thorncleat_durations{") <= MAX_TARGETS + 5
     assert 'target="others"' in text
 
@@ -97,10 +97,10 @@
 def test_events_are_counted_even_if_their_lines_are_dropped(monkeypatch):
     monkeypatch.setattr(log_events, "_observers", [])
     metrics = Metrics()
-    log_events.observe(metrics.record)
+    log_events.add_observer(metrics.record)
     events.STORE_BACK.log(revision=3)
     series = 'thorncleat_events_total{cause="",name="feed_back"}'
-    assert value(metrics.text(), series) == 1
+    assert value(metrics.render(), series) == 1
 
 
 async def test_metrics_are_served_at_their_address(tmp_path):
