--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -138,16 +138,16 @@
 class Turns(EndpointLimits):
     """Each in its turn, by the time of day: one request in a slot of its own."""
 
-    def wait(self, endpoint: Endpoint) -> float:
+    def wait_seconds(self, endpoint: Endpoint) -> float:
         """Return the seconds until the next slot if this one is another's, or is used."""
-        limited = self._of(endpoint)
+        limited = self._limit_of(endpoint)
         if limited is None or limited.notice.limit is None:
             return 0.0
         slot = 1 / rate_shares.rate(limited.notice.limit)
         names = sorted(self._fleet.daemons())
         number = int(self._clock() / slot)
         is_own = names and names[number % len(names)] == self._fleet.own.id
-        has_sent = int(limited.since / slot) == number
+        has_sent = int(limited.last_reserved_at / slot) == number
         return 0.0 if is_own and not has_sent else slot
 
 
@@ -242,7 +242,7 @@
         for daemon in self.daemons.values():
             daemon.fleet.listed = self.registered
             self._follow(daemon)
-        self._each(limit_reporter.REPEAT_SECONDS, self._repeat)
+        self._each(limit_reporter.REPEAT_INTERVAL_SECONDS, self._repeat)
         self._each(0.1, self._look)
         self._each(1.0, self._lapse)
         if self._trouble == "come and go":
@@ -324,11 +324,11 @@
 
     def _request(self, daemon: _SimDaemon) -> None:
         limits = daemon.limits
-        if not limits.with_leave([ENDPOINT]):
+        if not limits.available([ENDPOINT]):
             return
         if not limits.is_limited(ENDPOINT) and self.random.random() > PART_UNLIMITED:
             return
-        limits.take(ENDPOINT)
+        limits.reserve(ENDPOINT)
         sent_at, name = self.now, daemon.fleet.own.id
         self.after(WAY_SECONDS, lambda: self._arrive(daemon, name, sent_at))
 
@@ -347,7 +347,7 @@
             return
         if meta.rate_limit is not None:
             self._told.setdefault(name, self.now)
-        daemon.limits.answered(ENDPOINT, meta, sent_at)
+        daemon.limits.record_answer(ENDPOINT, meta, sent_at)
 
     def _seen(self) -> Seen:
         since = NAMED_AT + limit_rule.KNOWN_SECONDS
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -43,7 +43,7 @@
 from .requests.endpoint_notices import EndpointNotices
 from .requests.endpoint_selector import EndpointSelector
 from .requests.frontend import Frontend
-from .requests.lifted_holds import LiftedHolds
+from .requests.lifted_holds import ReleasedRequests
 from .requests.limit_reporter import LimitReporter
 from .requests.plain import PlainForwarder
 from .requests.quarantine import Quarantine
@@ -106,8 +106,8 @@
         self._notices = EndpointNotices(self.view, clock)
         self._limits = EndpointLimits(self._registration, clock)
         self._wire_peers()
-        engines.on_answer(self._notices.answered)
-        engines.on_answer(lambda endpoint, meta: self._limits.answered(endpoint, meta, None))
+        engines.on_answer(self._notices.record_answer)
+        engines.on_answer(lambda endpoint, meta: self._limits.record_answer(endpoint, meta, None))
         self._wire_control(records, engines)
         self.metrics = Metrics()
         self._add_gauges()
@@ -124,7 +124,7 @@
         self._ended = EndedGroups(self._peers, self._clock)
         self._quarantine = Quarantine(self._clock)
         self._crash_reporter = CrashReporter(self._quarantine, self._peers, self._clock)
-        self._lifted_holds = LiftedHolds(self.view, self._quarantine)
+        self._released_requests = ReleasedRequests(self.view, self._quarantine)
         self._limit_reporter = LimitReporter(self._limits, self.view, self._peers, self._clock)
 
     def _wire_control(self, records: RecordStore, engines: Engines) -> None:
@@ -169,7 +169,7 @@
         add("endpoint_calls_waiting", "For their turn", lambda: self._calls.waiting)
         add("loop_late_seconds", "At most, of the last second", self._lateness)
         add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected)
-        add("requests_quarantined", "Held back", lambda: len(self._quarantine.held))
+        add("requests_quarantined", "Held back", lambda: len(self._quarantine.quarantined))
         add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
 
     def _lateness(self) -> float:
--- a/packages/gateway/src/thorncleat_gateway/requests/admission.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/admission.py
@@ -16,7 +16,7 @@
 
 # part of the deployment's bound for taking a key away, for which the configuration counts as
 # new enough for keys; the rest covers requests under way
-FRESH_PART = 0.9
+KEY_TRUST_FRACTION = 0.9
 
 
 class NotReady(enum.Enum):
@@ -46,14 +46,14 @@
     workspace: Workspace | None
 
 
-def is_fresh(age: float, revoke_within: float | None) -> bool:
+def is_current(age: float, revoke_within: float | None) -> bool:
     """Return whether a configuration is new enough to trust the keys in it.
 
     :param age: seconds since a newer configuration was excluded.
     :param revoke_within: seconds after which a key that was taken away must not work; None to
         serve on whatever the age.
     """
-    return revoke_within is None or age < revoke_within * FRESH_PART
+    return revoke_within is None or age < revoke_within * KEY_TRUST_FRACTION
 
 
 def why_not_ready(*, stopping: bool, loaded: bool, fresh: bool) -> NotReady | None:
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
@@ -1,14 +1,11 @@
-"""Telling the other daemons of crashes, and taking in what they tell.
+"""Exchanges crashes with the other daemons.
 
-What is new is told to all; gathered for a moment, since an endpoint's connections break together,
-but at once if a request was under way at another crash before, since its caller comes back in
-milliseconds. What matters for long, the crashes of requests that were under way at several, is
-repeated each second to a few daemons drawn at random: so one that has just started, was cut off, or
-missed a datagram learns it. Each crash is told with its age, and is one however often it comes.
+New crashes are broadcast in short batches, and at once if one of their requests has crashed an
+endpoint before, since its caller retries within milliseconds. Crashes of such requests are also
+repeated to a few random daemons, so that a daemon which has just started or has missed a datagram
+learns of them. Repeated reports of a crash are merged.
 
-Nothing is sent while no endpoint crashes.
-
-Owns: what is still to be told.
+Owns: the crashes that are still to be reported.
 Relies on: the datagrams of :mod:`..peers.datagrams`; an earlier build rejects these.
 """
 
@@ -32,21 +29,19 @@
 from .quarantine import Involvement
 from .quarantine import Quarantine
 
-# in which breaks of connections gather before they are told
-GATHER_SECONDS = 0.01
-# between two repetitions: with REPEAT_TO, one daemon of 8 to 195 that doesn't know what the others
-# do is missed for 3 s less often than once in 5,000 times
-REPEAT_SECONDS = 1.0
-# daemons that are told at each repetition
-REPEAT_TO = 3
-# crashes and requests in one datagram, of some 25 bytes each, so that it is not split on its way
-MOST_TOLD = 40
+# How long broken connections of an endpoint are collected before its crash is reported.
+BATCH_SECONDS = 0.01
+REPEAT_INTERVAL_SECONDS = 1.0
+# Daemons that receive each repetition.
+REPEAT_FANOUT = 3
+# Crashes and requests in one report, so that its datagram isn't fragmented.
+MAX_REPORT_ENTRIES = 40
 
 
 class CrashReporter(mode.Service):
-    """Tells other daemons what this one has seen, and remembers what they tell.
+    """Reports this daemon's crashes to the others and records those that they report.
 
-    :param clock: seconds that never go back.
+    :param clock: monotonic, in seconds.
     """
 
     def __init__(
@@ -56,116 +51,118 @@
         self._quarantine = quarantine
         self._peers = peers
         self._clock = clock
-        self._untold: dict[Life, Crash] = {}
-        self._has_untold = asyncio.Event()
-        peers.on_message(self._message)
+        self._unreported: dict[Life, Crash] = {}
+        self._has_unreported = asyncio.Event()
+        peers.on_message(self._on_message)
 
-    def endpoint_crashed(
+    def report_crash(
         self, life: Life, at: float, requests: t.Mapping[Fingerprint, Involvement]
     ) -> None:
-        """Tell that requests were under way at an endpoint when it crashed."""
-        repeated = self._quarantine.repeated(requests)
-        if repeated:
-            # with the crashes before, of which a datagram may have been lost
-            self._tell(repeated)
-        crash = self._untold.setdefault(life, Crash(life, at))
+        """Report that requests were under way at an endpoint when it crashed."""
+        recurring = self._quarantine.recurring_crashes(requests)
+        if recurring:
+            # Includes earlier crashes, since the datagram with those may have been lost.
+            self._broadcast(recurring)
+        crash = self._unreported.setdefault(life, Crash(life, at))
         crash.requests.update(requests)
-        self._has_untold.set()
+        self._has_unreported.set()
 
-    def endpoint_lives(self, life: Life, at: float) -> None:
-        """Tell that an endpoint that seemed to have crashed lived later."""
+    def report_endpoint_alive(self, life: Life, at: float) -> None:
+        """Report that an endpoint that seemed to have crashed was alive later."""
         age = self._clock() - at
         self._peers.tell_all(CrashWithdrawal(life.endpoint_id, life.born, b"", age))
 
-    def request_served(self, fingerprint: Fingerprint, at: float) -> None:
-        """Tell that a request was served that had been under way at a crash."""
+    def report_request_served(self, fingerprint: Fingerprint, at: float) -> None:
+        """Report that a request was served that had been under way at a crash."""
         self._peers.tell_all(CrashWithdrawal("", None, fingerprint, self._clock() - at))
 
-    def _message(self, sender: str, message: Message) -> None:
+    def _on_message(self, sender: str, message: Message) -> None:
         now = self._clock()
         match message:
             case CrashReport(crashes):
-                for told in crashes:
-                    self._take(sender, told, now)
+                for crash in crashes:
+                    self._record_report(sender, crash, now)
             case CrashWithdrawal(endpoint_id, born, fingerprint, age):
                 if endpoint_id:
-                    self._quarantine.endpoint_lives(Life(endpoint_id, born), now - age)
+                    self._quarantine.record_endpoint_alive(Life(endpoint_id, born), now - age)
                 if fingerprint:
-                    self._quarantine.request_served(Fingerprint(fingerprint), now - age)
+                    self._quarantine.record_request_served(Fingerprint(fingerprint), now - age)
 
-    def _take(self, sender: str, told: ReportedCrash, now: float) -> None:
+    def _record_report(self, sender: str, crash: ReportedCrash, now: float) -> None:
         requests = {
-            # no crash counts more, whatever a daemon of another build says
-            Fingerprint(one.fingerprint): Involvement(min(one.points, RAN_POINTS), one.ran)
-            for one in told.requests
+            # A daemon of another build may send more points than this one accepts.
+            Fingerprint(request.fingerprint): Involvement(
+                min(request.points, RAN_POINTS), request.ran
+            )
+            for request in crash.requests
         }
-        life = Life(told.endpoint_id, told.born)
-        is_known = self._quarantine.knows(life)
-        new = self._quarantine.note(life, now - told.age, requests)
-        if new and not is_known:
-            _log(life, sender, len(new))
+        life = Life(crash.endpoint_id, crash.born)
+        is_recorded = self._quarantine.has_crashed(life)
+        new = self._quarantine.record_crash(life, now - crash.age, requests)
+        if new and not is_recorded:
+            _log_crash(life, sender, len(new))
 
     @mode.Service.task
-    async def _tell_task(self) -> None:
+    async def _report_task(self) -> None:
         while not self.should_stop:
-            await self._has_untold.wait()
-            await asyncio.sleep(GATHER_SECONDS)
-            self._has_untold.clear()
-            untold, self._untold = self._untold, {}
-            for crash in untold.values():
-                _log(crash.life, None, len(crash.requests))
-            self._tell(untold.values())
-
-    def _tell(self, crashes: t.Iterable[Crash]) -> None:
+            await self._has_unreported.wait()
+            await asyncio.sleep(BATCH_SECONDS)
+            self._has_unreported.clear()
+            unreported, self._unreported = self._unreported, {}
+            for crash in unreported.values():
+                _log_crash(crash.life, None, len(crash.requests))
+            self._broadcast(unreported.values())
+
+    def _broadcast(self, crashes: t.Iterable[Crash]) -> None:
         for report in self._reports(crashes):
             self._peers.tell_all(report)
 
     @mode.Service.task
     async def _repeat_task(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(REPEAT_SECONDS)
+            await asyncio.sleep(REPEAT_INTERVAL_SECONDS)
             if self._quarantine.is_empty:
                 continue
             self._quarantine.expire()
             self._repeat()
 
     def _repeat(self) -> None:
-        repeated = self._quarantine.repeated()
+        recurring = self._quarantine.recurring_crashes()
         others = sorted(self._peers.others)
-        if not repeated or not others:
+        if not recurring or not others:
             return
-        # where there is more than a datagram holds, each repetition tells another part of it
-        random.shuffle(repeated)
-        report = next(self._reports(repeated))
-        for daemon in random.sample(others, min(REPEAT_TO, len(others))):
+        # Each repetition sends another selection of what one datagram can't hold.
+        random.shuffle(recurring)
+        report = next(self._reports(recurring))
+        for daemon in random.sample(others, min(REPEAT_FANOUT, len(others))):
             self._peers.tell(daemon, report)
 
     def _reports(self, crashes: t.Iterable[Crash]) -> t.Iterator[CrashReport]:
-        """Yield reports of some crashes, none of which is too large for a datagram."""
+        """Yield reports of some crashes, each small enough for a datagram."""
         now, size = self._clock(), 0
         report: list[ReportedCrash] = []
-        for told in (part for crash in crashes for part in _reported(crash, now)):
-            if report and size + 1 + len(told.requests) > MOST_TOLD:
+        for reported in (piece for crash in crashes for piece in _split(crash, now)):
+            if report and size + 1 + len(reported.requests) > MAX_REPORT_ENTRIES:
                 yield CrashReport(report)
                 report, size = [], 0
-            report.append(told)
-            size += 1 + len(told.requests)
+            report.append(reported)
+            size += 1 + len(reported.requests)
         if report:
             yield CrashReport(report)
 
 
-def _reported(crash: Crash, now: float) -> t.Iterator[ReportedCrash]:
-    """Yield a crash in parts, none of which is too large for a datagram."""
+def _split(crash: Crash, now: float) -> t.Iterator[ReportedCrash]:
+    """Yield a crash in pieces, each small enough for a datagram."""
     requests = [
-        ReportedRequest(fingerprint, part.points, part.ran)
-        for fingerprint, part in crash.requests.items()
+        ReportedRequest(fingerprint, involvement.points, involvement.run_seconds)
+        for fingerprint, involvement in crash.requests.items()
     ]
-    for begin in range(0, len(requests), MOST_TOLD - 1):
-        part = requests[begin : begin + MOST_TOLD - 1]
-        yield ReportedCrash(crash.life.endpoint_id, crash.life.born, now - crash.at, part)
+    for begin in range(0, len(requests), MAX_REPORT_ENTRIES - 1):
+        piece = requests[begin : begin + MAX_REPORT_ENTRIES - 1]
+        yield ReportedCrash(crash.life.endpoint_id, crash.life.born, now - crash.at, piece)
 
 
-def _log(life: Life, told_by: str | None, requests: int) -> None:
+def _log_crash(life: Life, reported_by: str | None, requests: int) -> None:
     events.CRASH_NOTED.log(
-        endpoint=life.endpoint_id, born=life.born, told_by=told_by, requests=requests
+        endpoint=life.endpoint_id, born=life.born, told_by=reported_by, requests=requests
     )
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
@@ -1,8 +1,8 @@
-"""What an attempt says of crashes: whether its endpoint crashed under it, or lives on.
+"""Derives from this daemon's attempts which endpoints crashed and which are alive.
 
 Owns: nothing; what counts as a crash is a pure function.
-Relies on: :mod:`.quarantine` for what follows from the crashes, and on whoever listens to tell the
-other daemons (:mod:`.crash_reporter`).
+Relies on: :mod:`.quarantine` for what follows from the crashes, and a listener
+(:mod:`.crash_reporter`) that reports them to the other daemons.
 """
 
 import typing as t
@@ -20,24 +20,24 @@
 from .quarantine import Quarantine
 from .request import Request
 
-# without anything from an endpoint, after which its end has another cause than a request that runs
-# there: a group that lacks a member stands still for seconds before it breaks
-STILL_SECONDS = 1.0
-# in which bytes that an endpoint sent before its end may still arrive
+# An endpoint that was silent for this long before it failed was not crashed by a request: a group
+# that lacks a member stalls for seconds before its connections break.
+SILENCE_SECONDS = 1.0
+# How long bytes that an endpoint sent before it crashed may still arrive.
 ARRIVAL_SECONDS = 0.25
 
 
-def points(broken: Broken | None, *, streaming: bool, expected: bool, still: bool) -> int:
+def crash_points(broken: Broken | None, *, streaming: bool, expected: bool, silent: bool) -> int:
     """Return what a failed attempt counts against its request; 0 if it shows no crash.
 
-    An endpoint of a plain service sends the head only when the answer is there, so there a request
-    without one counts as running.
+    An endpoint of a plain service sends the head together with the answer, so a request to it
+    counts as running also without a head.
 
-    :param expected: whether the endpoint was about to end anyway. That its group is being ended
-        says nothing: the controller ends it some milliseconds after its leader's crash.
-    :param still: whether nothing had come from the endpoint for :data:`STILL_SECONDS`.
+    :param expected: whether the endpoint was about to leave. A group that is being ended is no
+        sign of that, since the controller ends it right after a crash of its leader.
+    :param silent: whether nothing had come from the endpoint for :data:`SILENCE_SECONDS`.
     """
-    if broken is None or expected or still:
+    if broken is None or expected or silent:
         return 0
     if broken is Broken.BEFORE_HEAD and streaming:
         return MAY_HAVE_WAITED_POINTS
@@ -45,27 +45,27 @@
 
 
 class CrashListener(t.Protocol):
-    """Whoever is told of what this daemon has seen."""
+    """Receives what this daemon has seen of crashes."""
 
-    def endpoint_crashed(
+    def report_crash(
         self, life: Life, at: float, requests: t.Mapping[Fingerprint, Involvement]
     ) -> None:
-        """Take in that requests were under way at an endpoint when it crashed."""
+        """Report that requests were under way at an endpoint when it crashed."""
         ...
 
-    def endpoint_lives(self, life: Life, at: float) -> None:
-        """Take in that an endpoint that seemed to have crashed lived later."""
+    def report_endpoint_alive(self, life: Life, at: float) -> None:
+        """Report that an endpoint that seemed to have crashed was alive later."""
         ...
 
-    def request_served(self, fingerprint: Fingerprint, at: float) -> None:
-        """Take in that a request was served that had been under way at a crash."""
+    def report_request_served(self, fingerprint: Fingerprint, at: float) -> None:
+        """Report that a request was served that had been under way at a crash."""
         ...
 
 
 class CrashWatch:
-    """Notes what this daemon's attempts say of crashes.
+    """Records what this daemon's attempts show of crashes.
 
-    :param clock: seconds that never go back.
+    :param clock: monotonic, in seconds.
     """
 
     def __init__(
@@ -82,72 +82,75 @@
         self._listener = listener
         self._clock = clock
 
-    def held_for(self, request: Request) -> float:
-        """Return the seconds for which a request is not to be sent; 0 if it may be."""
-        if not self._quarantine.holds_any:
+    def quarantine_seconds_left(self, request: Request) -> float:
+        """Return the seconds until a request is released; 0 if it isn't quarantined."""
+        if not self._quarantine.has_quarantined:
             return 0.0
-        return self._quarantine.held_for(request.fingerprint)
+        return self._quarantine.quarantine_seconds_left(request.fingerprint)
 
     def is_suspect(self, request: Request) -> bool:
         """Return whether a request was under way at a crash."""
         return not self._quarantine.is_empty and self._quarantine.is_suspect(request.fingerprint)
 
-    def keeps_from(self, request: Request, endpoints: t.Callable[[], t.Iterable[Endpoint]]) -> bool:
-        """Return whether a request is to be sent to none of the endpoints that could serve it.
+    def is_denied_last_endpoint(
+        self, request: Request, endpoints: t.Callable[[], t.Iterable[Endpoint]]
+    ) -> bool:
+        """Return whether a request must not be sent, to protect the last endpoint left.
 
-        :param endpoints: returns them; asked only for a request that was at crashes.
+        Other requests would not be served otherwise until the crashed endpoints have restarted.
 
-        One that was at two crashes doesn't get the last endpoint until others are back, so that
-        other requests are still served: of a plain service with 3 endpoints that one request ends,
-        all requests in place of 67 in 100 (virtual time, 10 seeds of 8 s).
+        :param endpoints: returns the endpoints that could serve the request; called only for a
+            request with crashes.
         """
-        if not self.is_suspect(request) or not self._quarantine.spares_last(request.fingerprint):
+        if not self.is_suspect(request) or not self._quarantine.is_denied_last_endpoint(
+            request.fingerprint
+        ):
             return False
-        living = sum(not self._quarantine.knows(endpoint.life) for endpoint in endpoints())
-        return living <= 1
+        alive = sum(not self._quarantine.has_crashed(endpoint.life) for endpoint in endpoints())
+        return alive <= 1
 
-    def failed(self, request: Request, endpoint: Endpoint, failure: AttemptError) -> None:
-        """Note a failed attempt, which may have ended with its endpoint's crash."""
+    def record_failure(self, request: Request, endpoint: Endpoint, failure: AttemptError) -> None:
+        """Record a failed attempt, which a crash of its endpoint may have ended."""
         now = self._clock()
-        found = points(
+        points = crash_points(
             failure.broken,
             streaming=request.service.engine is not None,
-            expected=self._is_expected(endpoint),
-            still=not self._heard_lately(endpoint, request, now),
+            expected=self._is_leaving(endpoint),
+            silent=not self._had_recent_contact(endpoint, request, now),
         )
-        if not found:
+        if not points:
             return
-        ran = now - request.head_at if request.head_at else 0.0
-        told = {request.fingerprint: Involvement(found, ran)}
-        if self._quarantine.note(endpoint.life, now, told):
-            self._listener.endpoint_crashed(endpoint.life, now, told)
+        run_seconds = now - request.head_at if request.head_at else 0.0
+        requests = {request.fingerprint: Involvement(points, run_seconds)}
+        if self._quarantine.record_crash(endpoint.life, now, requests):
+            self._listener.report_crash(endpoint.life, now, requests)
 
-    def answers(self, endpoint: Endpoint, sent_at: float) -> None:
-        """Note that an endpoint began to answer an attempt.
+    def record_answer_started(self, endpoint: Endpoint, sent_at: float) -> None:
+        """Record that an endpoint began to answer an attempt.
 
-        :param sent_at: when the attempt was sent; the endpoint lived then or later.
+        :param sent_at: when the attempt was sent; the endpoint was alive then or later.
         """
-        if self._quarantine.is_empty or not self._quarantine.knows(endpoint.life):
+        if self._quarantine.is_empty or not self._quarantine.has_crashed(endpoint.life):
             return
-        if self._quarantine.endpoint_lives(endpoint.life, sent_at):
-            self._listener.endpoint_lives(endpoint.life, sent_at)
+        if self._quarantine.record_endpoint_alive(endpoint.life, sent_at):
+            self._listener.report_endpoint_alive(endpoint.life, sent_at)
 
-    def served(self, request: Request, endpoint: Endpoint) -> None:
-        """Note that a request was answered whole by an endpoint, which survived it."""
+    def record_served(self, request: Request, endpoint: Endpoint) -> None:
+        """Record that an endpoint has answered a request completely, and so survived it."""
         if self._quarantine.is_empty:
             return
         now = self._clock()
-        self.answers(endpoint, now - ARRIVAL_SECONDS)
+        self.record_answer_started(endpoint, now - ARRIVAL_SECONDS)
         if not self._quarantine.is_suspect(request.fingerprint):
             return
-        self._quarantine.request_served(request.fingerprint, now)
-        self._listener.request_served(request.fingerprint, now)
+        self._quarantine.record_request_served(request.fingerprint, now)
+        self._listener.report_request_served(request.fingerprint, now)
 
-    def _is_expected(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint is leaving."""
+    def _is_leaving(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint is draining or no longer listed."""
         listed = self._view.roster.endpoints.get(endpoint.id)
         return listed is None or listed.draining
 
-    def _heard_lately(self, endpoint: Endpoint, request: Request, now: float) -> bool:
-        begin = now - STILL_SECONDS
+    def _had_recent_contact(self, endpoint: Endpoint, request: Request, now: float) -> bool:
+        begin = now - SILENCE_SECONDS
         return request.sent_at >= begin or self._detector.heard_since(endpoint.id, begin)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -185,7 +185,7 @@
         :raises AttemptError: if there is no answer to this request.
         """
         self._notices.check(endpoint)
-        leave = self._limits.take(endpoint)
+        leave = self._limits.reserve(endpoint)
         has_body = request.body or request.method not in ("GET", "HEAD")
         call = self._client.request(
             request.method,
@@ -199,7 +199,7 @@
             try:
                 response = await stack.enter_async_context(call)
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-                self._limits.give_back(leave)
+                self._limits.cancel(leave)
                 cause = f"no connection: {type(error).__name__}"
                 raise AttemptError(cause, Ran.NO, sent=False) from error
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
@@ -216,8 +216,8 @@
         meta = self._codec.read_answer(response.status, response.headers)
         if meta.request_id is not None and meta.request_id != request.meta.id:
             raise AttemptError("answer of another request", Ran.MAYBE)
-        self._notices.answered(endpoint, meta)
-        self._limits.answered(endpoint, meta, request.sent_at)
+        self._notices.record_answer(endpoint, meta)
+        self._limits.record_answer(endpoint, meta, request.sent_at)
         if meta.not_run:
             cause = f"declined with {response.status}"
             raise AttemptError(cause, Ran.NO, retry_after=meta.retry_after)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -24,11 +24,11 @@
 from ..store.roster import Life
 from . import rate_shares
 from .rate_notice import RateNotice
-from .rate_notice import in_force
+from .rate_notice import merge_notices
 
 # after an answer for which an endpoint's limit is remembered though nobody lists the endpoint, and
 # for which it is remembered that it named none, so that no older word brings one back
-REMEMBERED_SECONDS = 120.0
+NOTICE_TTL_SECONDS = 120.0
 
 
 class Fleet(t.Protocol):
@@ -74,18 +74,18 @@
     life: Life
     notice: RateNotice
     share: float = 0.0
-    since: float = 0.0
+    last_reserved_at: float = 0.0
     basis: _Basis | None = None
 
 
-class Leave(t.NamedTuple):
+class Reservation(t.NamedTuple):
     """Leave for one request.
 
     :param since: what the endpoint's :class:`_Limited` said before.
     """
 
     limited: _Limited
-    since: float
+    last_reserved_at: float
 
 
 Listener = t.Callable[[Life, RateNotice], None]
@@ -110,11 +110,11 @@
         """What is known of each endpoint that has named a limit."""
         return {limited.life: limited.notice for limited in self._limited.values()}
 
-    def on_news(self, listener: Listener) -> None:
+    def on_change(self, listener: Listener) -> None:
         """Call a function when an answer changes what is known of an endpoint."""
         self._listeners.append(listener)
 
-    def answered(self, endpoint: Endpoint, meta: AnswerMeta, sent_at: float | None) -> None:
+    def record_answer(self, endpoint: Endpoint, meta: AnswerMeta, sent_at: float | None) -> None:
         """Take in what an answer says.
 
         :param sent_at: when its request was sent; None for a report or an order, which may name a
@@ -128,90 +128,92 @@
             notice = RateNotice(None, sent_at, now)
         else:
             return
-        if self.take_in(endpoint.life, notice):
+        if self.record_notice(endpoint.life, notice):
             for listener in self._listeners:
                 listener(endpoint.life, notice)
 
-    def take_in(self, life: Life, told: RateNotice) -> bool:
+    def record_notice(self, life: Life, told: RateNotice) -> bool:
         """Take in a notice; return whether it changes the limit of an endpoint."""
         limited = self._limited.get(life.endpoint_id)
         if limited is None:
-            notice = in_force(self._unlimited.get(life), told)
+            notice = merge_notices(self._unlimited.get(life), told)
             if notice.limit is None:
                 self._unlimited[life] = notice
                 return False
             self._limited[life.endpoint_id] = _Limited(life, notice)
             return _changes(life, None, notice)
         if limited.life.is_over(life):
-            if told.heard_at <= limited.notice.heard_at:
+            if told.answered_at <= limited.notice.answered_at:
                 return False
             del self._limited[life.endpoint_id]
-            return self.take_in(life, told)
-        before, limited.notice = limited.notice, in_force(limited.notice, told)
+            return self.record_notice(life, told)
+        before, limited.notice = limited.notice, merge_notices(limited.notice, told)
         return _changes(life, before.limit, limited.notice)
 
-    def with_leave(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+    def available(self, endpoints: list[Endpoint]) -> list[Endpoint]:
         """Return those of some endpoints to which this daemon may send a request now."""
         if not self._limited:
             return endpoints
-        return [endpoint for endpoint in endpoints if not self.wait(endpoint)]
+        return [endpoint for endpoint in endpoints if not self.wait_seconds(endpoint)]
 
     def is_limited(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint takes few requests from all daemons together."""
-        return self._of(endpoint) is not None
+        return self._limit_of(endpoint) is not None
 
-    def wait(self, endpoint: Endpoint) -> float:
+    def wait_seconds(self, endpoint: Endpoint) -> float:
         """Return the seconds until this daemon may send a request; infinite without a share."""
-        limited = self._of(endpoint)
+        limited = self._limit_of(endpoint)
         if limited is None:
             return 0.0
         self._work_out_share(endpoint, limited)
         if not limited.share:
             return math.inf
-        return max(0.0, limited.since + 1 / limited.share - self._clock())
+        return max(0.0, limited.last_reserved_at + 1 / limited.share - self._clock())
 
     def fleet_rate(self, endpoint: Endpoint) -> float:
         """Return the requests a second that all daemons send to an endpoint; 0 if unlimited."""
-        limited = self._of(endpoint)
+        limited = self._limit_of(endpoint)
         if limited is None or limited.notice.limit is None:
             return 0.0
         return rate_shares.rate(limited.notice.limit)
 
-    def take(self, endpoint: Endpoint) -> Leave | None:
+    def reserve(self, endpoint: Endpoint) -> Reservation | None:
         """Take leave for one request; None if the endpoint needs none.
 
         :raises EndpointClosedError: if there is none now.
         """
-        limited = self._of(endpoint)
+        limited = self._limit_of(endpoint)
         if limited is None:
             return None
-        wait = self.wait(endpoint)
+        wait = self.wait_seconds(endpoint)
         if wait:
             raise EndpointClosedError(f"{endpoint.id!r} takes no requests here for {wait:.3f} s")
-        leave = Leave(limited, limited.since)
-        limited.since = self._clock()
+        leave = Reservation(limited, limited.last_reserved_at)
+        limited.last_reserved_at = self._clock()
         return leave
 
-    def give_back(self, leave: Leave | None) -> None:
+    def cancel(self, leave: Reservation | None) -> None:
         """Give leave back, since nothing of the request can have reached the endpoint."""
         if leave is not None:
-            leave.limited.since = min(leave.limited.since, leave.since)
+            leave.limited.last_reserved_at = min(
+                leave.limited.last_reserved_at, leave.last_reserved_at
+            )
 
-    def forget(self, listed: t.Container[str]) -> None:
+    def expire(self, listed: t.Container[str]) -> None:
         """Forget what is long over.
 
         :param listed: the ids of the listed endpoints.
         """
-        begin = self._clock() - REMEMBERED_SECONDS
+        begin = self._clock() - NOTICE_TTL_SECONDS
         for endpoint_id, limited in list(self._limited.items()):
             lasts = limited.notice.limit is not None and endpoint_id in listed
-            if not lasts and limited.notice.heard_at < begin:
+            if not lasts and limited.notice.answered_at < begin:
                 del self._limited[endpoint_id]
         for life, notice in list(self._unlimited.items()):
-            if notice.heard_at < begin:
+            if notice.answered_at < begin:
                 del self._unlimited[life]
 
-    def _of(self, endpoint: Endpoint) -> _Limited | None:
+    def _limit_of(self, endpoint: Endpoint) -> _Limited | None:
         """Return what is known of an endpoint's limit; None if it has none."""
         limited = self._limited.get(endpoint.id) if self._limited else None
         if limited is None or limited.notice.limit is None:
@@ -225,7 +227,7 @@
             return
         share = self._share(endpoint, basis.limit, basis.knowledge)
         if share and not limited.share:
-            limited.since = self._clock()
+            limited.last_reserved_at = self._clock()
         limited.share, limited.basis = share, basis
 
     def _share(self, endpoint: Endpoint, limit: float, knowledge: FleetKnowledge) -> float:
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
@@ -20,7 +20,7 @@
 
 # that an endpoint is believed at most: it may ask for as long as it likes, but a time in another
 # unit, or a time of day, must not shut it out for good
-LONGEST_PAUSE_SECONDS = 3600.0
+MAX_PAUSE_SECONDS = 3600.0
 
 
 class _Pause(t.NamedTuple):
@@ -44,12 +44,12 @@
         self._clock = clock
         self._pauses: dict[str, _Pause] = {}
 
-    def answered(self, endpoint: Endpoint, meta: AnswerMeta) -> None:
+    def record_answer(self, endpoint: Endpoint, meta: AnswerMeta) -> None:
         """Take in what an answer says, which the endpoint itself has given."""
         if meta.draining and meta.speaks_for in (None, endpoint.id):
             self._view.said_draining(endpoint.life)
         if meta.retry_after:
-            self._pause(endpoint.life, min(meta.retry_after, LONGEST_PAUSE_SECONDS))
+            self._pause(endpoint.life, min(meta.retry_after, MAX_PAUSE_SECONDS))
 
     def _pause(self, life: Life, seconds: float) -> None:
         """Note a time; an earlier one that ends later goes on holding."""
@@ -62,7 +62,7 @@
             endpoint=life.endpoint_id, seconds=round(seconds, 3), left=round(until - now, 3)
         )
 
-    def willing(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+    def accepting(self, endpoints: list[Endpoint]) -> list[Endpoint]:
         """Return those of some endpoints that take requests now."""
         # most of the time none pauses, and every choice asks
         if not self._pauses:
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -28,15 +28,15 @@
 # by which that grows each time it fails again before an answer
 AVOID_GROWTH = 2.0
 # up to which it grows
-LONGEST_AVOID_SECONDS = 8.0
+MAX_AVOID_SECONDS = 8.0
 # requests for each slot from which on a group is full
-FULL_PER_SLOT = 2.0
+MAX_REQUESTS_PER_SLOT = 2.0
 # failures of an endpoint weigh less with each answer, by this factor
-FORGET = 0.9
+FAILURE_DECAY = 0.9
 # weights are in requests under way: that of an endpoint which failed all requests lately
 FAILURE_WEIGHT = 12.0
 # requests that an endpoint of a plain service runs at once: only the endpoint itself knows
-UNKNOWN_PLACES = float("inf")
+UNKNOWN_CAPACITY = float("inf")
 # by which a choice varies at random
 SPREAD = 0.9
 # of a group that will probably lose a member
@@ -103,28 +103,30 @@
         if before is not None:
             tried_again = now >= before.until
             growth = AVOID_GROWTH if tried_again else 1.0
-            seconds = min(before.seconds * growth, LONGEST_AVOID_SECONDS)
+            seconds = min(before.seconds * growth, MAX_AVOID_SECONDS)
         self._avoided[endpoint.life] = _Avoided(now + seconds, seconds)
 
     def _is_avoided(self, endpoint: Endpoint) -> bool:
         avoided = self._avoided.get(endpoint.life)
         return avoided is not None and self._clock() < avoided.until
 
-    def answered(self, endpoint: Endpoint, *, well: bool) -> None:
+    def record_result(self, endpoint: Endpoint, *, succeeded: bool) -> None:
         """Note how an attempt at an endpoint ended."""
-        if well:
+        if succeeded:
             self._avoided.pop(endpoint.life, None)
         before = self._failures.get(endpoint.life, 0.0)
-        self._failures[endpoint.life] = before * FORGET + (0.0 if well else 1 - FORGET)
+        self._failures[endpoint.life] = before * FAILURE_DECAY + (
+            0.0 if succeeded else 1 - FAILURE_DECAY
+        )
 
-    def plain(self, service: str, tried: t.Container[str]) -> Endpoint | None:
+    def choose_endpoint(self, service: str, tried: t.Container[str]) -> Endpoint | None:
         """Return the endpoint of a plain service for a request, or None if there is none."""
         usable = [one for one in self.endpoints(service) if one.id not in tried]
-        return self._best(usable, UNKNOWN_PLACES)
+        return self._choose_least_loaded(usable, UNKNOWN_CAPACITY)
 
     def endpoints(self, service: str) -> list[Endpoint]:
         """Return the endpoints of a plain service that take requests."""
-        return self._willing(self._serving(service))
+        return self._accepting(self._serving(service))
 
     def _serving(self, service: str) -> list[Endpoint]:
         """Return the endpoints of a plain service that take requests now or after a pause."""
@@ -132,11 +134,11 @@
 
     def leaders(self, service: str, model: str) -> list[Endpoint]:
         """Return the leaders of the open groups of a model that take requests."""
-        return self._willing(self._leaders.of(service, model))
+        return self._accepting(self._leaders.of(service, model))
 
-    def _willing(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+    def _accepting(self, endpoints: list[Endpoint]) -> list[Endpoint]:
         """Return those of some endpoints that take requests of this daemon now."""
-        return self._limits.with_leave(self._notices.willing(endpoints))
+        return self._limits.available(self._notices.accepting(endpoints))
 
     def pause_left(self, service: str, model: str | None) -> float:
         """Return the seconds until an endpoint takes requests that takes none now.
@@ -149,19 +151,19 @@
         """
         found = self._serving(service) if model is None else self._leaders.of(service, model)
         pauses = [pause for pause in map(self._notices.pause_left, found) if pause]
-        rate = sum(map(self._limits.fleet_rate, self._notices.willing(found)))
+        rate = sum(map(self._limits.fleet_rate, self._notices.accepting(found)))
         if rate:
             pauses.append(1 / rate)
         return min(pauses, default=0.0)
 
-    def leader(
+    def choose_leader(
         self,
         service: str,
         engine: Engine,
         model: str,
         tried: t.Container[str],
         *,
-        apart: bool = False,
+        randomize: bool = False,
     ) -> Endpoint | None:
         """Return the leader of the group for a request, or None if no group can take it.
 
@@ -173,18 +175,23 @@
             choose as well.
         """
         leaders = [leader for leader in self.leaders(service, model) if leader.id not in tried]
-        trusted = [leader for leader in leaders if self._trusts(leader)]
+        trusted = [leader for leader in leaders if self._is_usable(leader)]
         if not trusted:
             trusted = [leader for leader in leaders if not self._detector.suspected_here(leader)]
-        drawn = self._any_with_room(trusted, engine.slots) if apart else None
+        drawn = self._choose_random_with_capacity(trusted, engine.slots) if randomize else None
         if drawn is not None:
             return drawn
-        chosen = self._best(trusted, engine.slots)
-        if chosen is not None and self._load_table.of(chosen.id) >= FULL_PER_SLOT * engine.slots:
+        chosen = self._choose_least_loaded(trusted, engine.slots)
+        if (
+            chosen is not None
+            and self._load_table.of(chosen.id) >= MAX_REQUESTS_PER_SLOT * engine.slots
+        ):
             return None
         return chosen
 
-    def _any_with_room(self, leaders: t.Iterable[Endpoint], slots: int) -> Endpoint | None:
+    def _choose_random_with_capacity(
+        self, leaders: t.Iterable[Endpoint], slots: int
+    ) -> Endpoint | None:
         """Return one of the leaders with room, at random; None if there is none."""
         usable = [
             leader
@@ -193,30 +200,32 @@
         ]
         return random.choice(usable) if usable else None
 
-    def _trusts(self, leader: Endpoint) -> bool:
+    def _is_usable(self, leader: Endpoint) -> bool:
         if self._detector.on_trial(leader):
             return leader.id not in self._load_table.own
         return not self._detector.suspected(leader)
 
-    def known(self, service: str, model: str) -> GroupCount:
+    def count_groups(self, service: str, model: str) -> GroupCount:
         """Return how many groups there are for a request, and how many of them get none."""
         leaders = self._leaders.of(service, model)
         suspected = sum(self._detector.suspected(leader) for leader in leaders)
-        paused = len(leaders) - len(self._willing(leaders))
+        paused = len(leaders) - len(self._accepting(leaders))
         return GroupCount(len(leaders), suspected, paused)
 
-    def others(self, service: str, model: str, tried: t.Container[str]) -> bool:
+    def has_other_group(self, service: str, model: str, tried: t.Container[str]) -> bool:
         """Return whether there is another group for a request, which nobody doubts."""
         return any(
-            leader.id not in tried and not self._doubts(leader)
+            leader.id not in tried and not self._is_doubtful(leader)
             for leader in self.leaders(service, model)
         )
 
-    def _doubts(self, leader: Endpoint) -> bool:
+    def _is_doubtful(self, leader: Endpoint) -> bool:
         """Return whether a leader's group was suspected, and has not been heard since."""
         return self._detector.suspected(leader) or self._detector.on_trial(leader)
 
-    def _best(self, endpoints: t.Sequence[Endpoint], places: float) -> Endpoint | None:
+    def _choose_least_loaded(
+        self, endpoints: t.Sequence[Endpoint], places: float
+    ) -> Endpoint | None:
         """Return the endpoint with the least weight, of those not avoided if there are any.
 
         :param places: requests that an endpoint runs at once.
@@ -237,7 +246,7 @@
 
     def _weight(self, endpoint: Endpoint) -> float:
         failing = FAILURE_WEIGHT * self._failures.get(endpoint.life, 0.0)
-        weak = WEAK_WEIGHT if endpoint.id in self._leaders.weak else 0.0
+        weak = WEAK_WEIGHT if endpoint.id in self._leaders.expiring else 0.0
         far = FAR_WEIGHT if endpoint.failure_domain != self._failure_domain else 0.0
         # daemons that know equally little of each other must not all choose the same
         spread = random.random() * SPREAD
--- a/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
@@ -51,9 +51,11 @@
         :param begun: whether the caller has got the head of an answer.
         :raises RefusalError: if it is.
         """
-        seconds = self._crash_watch.held_for(request)
+        seconds = self._crash_watch.quarantine_seconds_left(request)
         if seconds:
-            end = retry_policy.hold_back(seconds, may_have_run=request.may_have_run, begun=begun)
+            end = retry_policy.refuse_quarantined(
+                seconds, may_have_run=request.may_have_run, begun=begun
+            )
             raise end.error()
 
     def _token(self, request: Request) -> t.Callable[[], bool]:
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -100,7 +100,7 @@
         )
 
     def _fresh(self) -> bool:
-        return admission.is_fresh(self._view.age(), self._settings.revoke_within)
+        return admission.is_current(self._view.age(), self._settings.revoke_within)
 
     def _refused(self, meta: RequestMeta, error: RefusalError, received_at: float) -> web.Response:
         request_log.refused(meta.id, error, self._clock() - received_at, self._view.age())
@@ -155,7 +155,7 @@
             service=service_for(admitted.configuration, route, self.requests),
             workspace=admitted.workspace,
             received_at=received_at,
-            until=min(deadline_at, received_at + route.timeout) - MARGIN_SECONDS,
+            give_up_at=min(deadline_at, received_at + route.timeout) - MARGIN_SECONDS,
             deadline_at=deadline_at,
         )
 
--- a/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -24,7 +24,7 @@
         self._ended = ended
         self._version = -1
         self._leaders: dict[tuple[str, str], list[Endpoint]] = {}
-        self.weak: set[str] = set()
+        self.expiring: set[str] = set()
 
     def of(self, service: str, model: str) -> list[Endpoint]:
         """Return the leaders of the groups of a model, but for those that are being ended."""
@@ -40,7 +40,7 @@
     def _rebuild(self) -> None:
         self._version = self._view.version
         self._leaders = {}
-        self.weak = set()
+        self.expiring = set()
         configuration, roster = self._view.configuration, self._view.roster
         if configuration is None:
             return
@@ -53,7 +53,7 @@
                 continue
             self._leaders.setdefault((endpoint.service, model.name), []).append(endpoint)
             if _is_weak(roster, endpoint, model):
-                self.weak.add(endpoint.id)
+                self.expiring.add(endpoint.id)
 
 
 def _led_model(configuration: ServingConfiguration, leader: Endpoint) -> EngineModel | None:
--- a/packages/gateway/src/thorncleat_gateway/requests/lifted_holds.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/lifted_holds.py
@@ -1,10 +1,10 @@
-"""Operators' word that a request is to be let in again before its time.
+"""Releases quarantined requests on behalf of operators.
 
-An operator writes a record ``thorncleat/lifted/FINGERPRINT`` into the store, with any content; each
-daemon forgets what it remembers of that request when the record comes or changes.
+An operator writes a record ``thorncleat/lifted/FINGERPRINT`` with any content into the store. Each
+daemon then forgets the crashes of that request, and does so again whenever the record changes.
 
-Owns: the positions of those records that were followed.
-Relies on: the store's view for the records, and on the fingerprint as log lines show it.
+Owns: the positions of the records that were applied.
+Relies on: the store's view for the records, and the fingerprint as log lines show it.
 """
 
 from .. import events
@@ -13,38 +13,37 @@
 from .fingerprint import Fingerprint
 from .quarantine import Quarantine
 
-LIFTED = "thorncleat/lifted/"
+RELEASES_PREFIX = "thorncleat/lifted/"
 
 
-class LiftedHolds:
-    """Follows the records by which operators lift holds."""
+class ReleasedRequests:
+    """Applies the records by which operators release requests."""
 
     def __init__(self, view: StoreView, quarantine: Quarantine) -> None:
         self._view = view
         self._quarantine = quarantine
         self._seen_version = -1
-        # of each record that was followed
-        self._followed: dict[str, Position] = {}
-        view.on_change(self._look)
+        self._applied: dict[str, Position] = {}
+        view.on_change(self._apply_records)
 
-    def _look(self) -> None:
+    def _apply_records(self) -> None:
         if self._seen_version == self._view.records_version:
             return
         self._seen_version = self._view.records_version
         listed = {
             key: self._view.position_of(record)
             for key, record in self._view.records.items()
-            if key.startswith(LIFTED)
+            if key.startswith(RELEASES_PREFIX)
         }
         for key, position in listed.items():
-            if self._followed.get(key) != position:
-                self._lift(key.removeprefix(LIFTED))
-        self._followed = listed
+            if self._applied.get(key) != position:
+                self._release(key.removeprefix(RELEASES_PREFIX))
+        self._applied = listed
 
-    def _lift(self, name: str) -> None:
+    def _release(self, name: str) -> None:
         try:
             fingerprint = Fingerprint(bytes.fromhex(name))
         except ValueError as error:
-            events.BAD_DOCUMENT.log(key=LIFTED + name, reason=str(error))
+            events.BAD_DOCUMENT.log(key=RELEASES_PREFIX + name, reason=str(error))
             return
-        self._quarantine.lift(fingerprint)
+        self._quarantine.release(fingerprint)
--- a/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
@@ -27,14 +27,14 @@
 from .rate_notice import RateNotice
 
 # between two repetitions
-REPEAT_SECONDS = 1.0
+REPEAT_INTERVAL_SECONDS = 1.0
 # daemons that are told at each repetition
-REPEAT_TO = 3
+REPEAT_FANOUT = 3
 # after an answer for which what it says is told: less than the others remember that a limit has
 # ended, so that a daemon that was cut off doesn't bring one back
-TOLD_SECONDS = 60.0
+MAX_REPORTED_AGE_SECONDS = 60.0
 # endpoints in one datagram, of some 40 bytes each, so that it is not split on its way
-MOST_TOLD = 25
+MAX_REPORT_ENTRIES = 25
 
 
 class LimitReporter(mode.Service):
@@ -55,7 +55,7 @@
         self._view = view
         self._peers = peers
         self._clock = clock
-        limits.on_news(self._news)
+        limits.on_change(self._news)
         peers.on_message(self._message)
 
     def _news(self, life: Life, notice: RateNotice) -> None:
@@ -63,7 +63,7 @@
 
     def _reported(self, life: Life, notice: RateNotice) -> ReportedLimit:
         now = self._clock()
-        sent_age, heard_age = now - notice.sent_at, now - notice.heard_at
+        sent_age, heard_age = now - notice.sent_at, now - notice.answered_at
         return ReportedLimit(life.endpoint_id, life.born, notice.limit, sent_age, heard_age)
 
     def _message(self, sender: str, message: Message) -> None:
@@ -71,30 +71,30 @@
             return
         now = self._clock()
         for told in message.limits:
-            if told.heard_age > TOLD_SECONDS:
+            if told.heard_age > MAX_REPORTED_AGE_SECONDS:
                 continue
             notice = RateNotice(told.limit, now - told.sent_age, now - told.heard_age)
-            self._limits.take_in(Life(told.endpoint_id, told.born), notice)
+            self._limits.record_notice(Life(told.endpoint_id, told.born), notice)
 
     @mode.Service.task
     async def _repeat_task(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(REPEAT_SECONDS)
-            self._limits.forget(self._view.roster.endpoints)
+            await asyncio.sleep(REPEAT_INTERVAL_SECONDS)
+            self._limits.expire(self._view.roster.endpoints)
             self.repeat()
 
     def repeat(self) -> None:
         """Tell a few daemons what was heard lately."""
-        begin = self._clock() - TOLD_SECONDS
+        begin = self._clock() - MAX_REPORTED_AGE_SECONDS
         lately = [
             self._reported(life, notice)
             for life, notice in self._limits.notices.items()
-            if notice.heard_at >= begin
+            if notice.answered_at >= begin
         ]
         others = sorted(self._peers.others)
         if not lately or not others:
             return
         # where there is more than a datagram holds, each repetition tells another part of it
-        report = LimitReport(random.sample(lately, min(MOST_TOLD, len(lately))))
-        for daemon in random.sample(others, min(REPEAT_TO, len(others))):
+        report = LimitReport(random.sample(lately, min(MAX_REPORT_ENTRIES, len(lately))))
+        for daemon in random.sample(others, min(REPEAT_FANOUT, len(others))):
             self._peers.tell(daemon, report)
--- a/packages/gateway/src/thorncleat_gateway/requests/placement.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/placement.py
@@ -21,7 +21,7 @@
 from ..store.roster import Endpoint
 
 # endpoints that are drawn: the least that make a choice; with more, more daemons choose the same
-DRAWN = 2
+SAMPLE_SIZE = 2
 
 
 def draw(
@@ -35,7 +35,7 @@
     :param is_busy: returns whether an endpoint has no place left.
     """
     near = [endpoint for endpoint in endpoints if endpoint.failure_domain == failure_domain]
-    drawn = random.sample(near, min(DRAWN, len(near)))
-    wanted = DRAWN - sum(not is_busy(endpoint) for endpoint in drawn)
+    drawn = random.sample(near, min(SAMPLE_SIZE, len(near)))
+    wanted = SAMPLE_SIZE - sum(not is_busy(endpoint) for endpoint in drawn)
     far = [endpoint for endpoint in endpoints if endpoint.failure_domain != failure_domain]
     return drawn + random.sample(far, min(wanted, len(far)))
--- a/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
@@ -1,15 +1,11 @@
-"""Which requests end the endpoints that run them, judged by what was under way at each crash.
-
-An endpoint that crashes breaks all of its requests at once, and nothing says which of them was the
-cause. So the judgement is the fewest requests that explain the crashes: the one that was under way
-at most of them is taken for their cause, those crashes no longer count against the others, and so
-on. Whoever only stood beside is at few crashes, of one cause or another, is served in the end, and
-is forgotten with that. The limit counts crashes at different moments: a loss of power breaks a
-request at several endpoints, but at one moment.
-
-Owns: the crashes that are remembered, with the requests of each, and which requests are held.
-Relies on: :mod:`.crash_watch` and :mod:`.crash_reporter` for the crashes, here and elsewhere. All
-times are seconds on the gateway's clock.
+"""Decides which requests crash the endpoints that run them, and quarantines those.
+
+A crash breaks all requests of the endpoint, so the fewest requests that explain all crashes are
+taken for their causes.
+
+Owns: the remembered crashes with the requests of each, and the quarantined requests.
+Relies on: :mod:`.crash_watch` and :mod:`.crash_reporter` for the crashes that this daemon and the
+others have seen. All times are seconds on the gateway's clock.
 """
 
 import dataclasses
@@ -19,46 +15,45 @@
 from . import request_log
 from .fingerprint import Fingerprint
 
-# what a crash counts against a request that ran there
+# What a crash counts against a request that ran on the endpoint.
 RAN_POINTS = 2
-# against one that may have run there, or may only have waited: half as much
+# What a crash counts against a request that was still queued or had just begun to run.
 MAY_HAVE_WAITED_POINTS = 1
-# at which a request is held: three crashes at different moments
-LIMIT_CRASHES = 3
-LIMIT_POINTS = LIMIT_CRASHES * RAN_POINTS
-# within which crashes are of one moment: connections that break together take some milliseconds, a
-# request that is sent again takes a fifth of a second to end the next endpoint
-MOMENT_SECONDS = 0.02
-# crashes from which on a request is kept from the last endpoint that could serve it
-SPARED_CRASHES = 2
-# after the newest of them, for which it is kept from it: others are back by then, 2 to 3 s after
-# their crash
-SPARED_SECONDS = 5.0
-# that a request is held after its newest crash: then it is let in once more, since its endpoints
-# may run other software by then
-HOLD_SECONDS = 600.0
-# for which a crash is remembered, longer than a request is held
-REMEMBER_SECONDS = 3600.0
-# crashes that are remembered at most: with 26 requests each they take 2.0 MB
-MOST_CRASHES = 256
-# requests of one crash that are remembered
-MOST_REQUESTS = 64
+# Crashes at different times after which a request is quarantined.
+QUARANTINE_CRASHES = 3
+QUARANTINE_POINTS = QUARANTINE_CRASHES * RAN_POINTS
+# Crashes within this time count as simultaneous, such as those of a power loss. It is shorter than
+# a retry takes to crash the next endpoint.
+SAME_INSTANT_SECONDS = 0.02
+# Crashes after which a request is denied the last endpoint that could serve it.
+LAST_ENDPOINT_DENIAL_CRASHES = 2
+# How long a request is denied the last endpoint after its latest crash; crashed endpoints have
+# usually restarted by then.
+LAST_ENDPOINT_DENIAL_SECONDS = 5.0
+# How long a request stays quarantined after its latest crash. It gets another chance then, since
+# the endpoints may run other software.
+QUARANTINE_SECONDS = 600.0
+# How long a crash is remembered.
+CRASH_TTL_SECONDS = 3600.0
+MAX_CRASHES = 256
+MAX_REQUESTS_PER_CRASH = 64
 
 
 class Involvement(t.NamedTuple):
     """A request's part in a crash.
 
-    :param points: what it counts, :data:`RAN_POINTS` or :data:`MAY_HAVE_WAITED_POINTS`.
-    :param ran: seconds from the head of its answer to the crash.
+    :param points: what the crash counts against the request, :data:`RAN_POINTS` or
+        :data:`MAY_HAVE_WAITED_POINTS`.
+    :param run_seconds: from the head of the answer to the crash.
     """
 
     points: int
-    ran: float
+    run_seconds: float
 
 
 @dataclasses.dataclass(eq=False)
 class Crash:
-    """The end of an endpoint's life, with the requests that it broke.
+    """The crash of an endpoint, with the requests that it broke.
 
     :param at: when the first connection broke.
     """
@@ -68,50 +63,49 @@
     requests: dict[Fingerprint, Involvement] = dataclasses.field(default_factory=dict)
 
 
-class _Account(t.NamedTuple):
-    """What crashes count against a request; the larger one is the likelier cause.
+class CrashScore(t.NamedTuple):
+    """What crashes count against a request; the request with the largest is the likeliest cause.
 
-    :param points: of crashes at different moments.
-    :param minus_ran: less the seconds that it ran before them: a cause ran shortly.
-    :param newest_at: when the newest of the crashes was.
+    :param points: sum over the crashes, simultaneous ones counted once.
+    :param negative_run_seconds: minus the seconds that the request ran before the crashes, since
+        the cause of a crash usually ran only shortly.
+    :param newest_at: when the latest of the crashes happened.
     """
 
     points: int
-    minus_ran: float
+    negative_run_seconds: float
     newest_at: float
 
 
-def account(fingerprint: Fingerprint, crashes: t.Iterable[Crash]) -> _Account:
-    """Return what some crashes count against a request; those of one moment count once."""
-    points, ran = 0, 0.0
-    moment_at, moment_points, newest_at = float("-inf"), 0, float("-inf")
+def crash_score(fingerprint: Fingerprint, crashes: t.Iterable[Crash]) -> CrashScore:
+    """Return what some crashes count against a request; simultaneous crashes count once."""
+    points, run_seconds = 0, 0.0
+    instant_at, instant_points, newest_at = float("-inf"), 0, float("-inf")
     for crash in sorted(crashes, key=lambda crash: crash.at):
-        part = crash.requests[fingerprint]
-        if crash.at - moment_at > MOMENT_SECONDS:
-            points += moment_points
-            moment_at, moment_points = crash.at, 0
-        moment_points = max(moment_points, part.points)
-        ran += part.ran
+        involvement = crash.requests[fingerprint]
+        if crash.at - instant_at > SAME_INSTANT_SECONDS:
+            points += instant_points
+            instant_at, instant_points = crash.at, 0
+        instant_points = max(instant_points, involvement.points)
+        run_seconds += involvement.run_seconds
         newest_at = crash.at
-    return _Account(points + moment_points, -ran, newest_at)
+    return CrashScore(points + instant_points, -run_seconds, newest_at)
 
 
 class Quarantine:
-    """Remembers crashes, and holds the requests that explain them.
+    """Remembers crashes and quarantines the requests that explain them.
 
-    :param clock: seconds that never go back.
+    :param clock: monotonic, in seconds.
     """
 
     def __init__(self, clock: t.Callable[[], float]) -> None:
         self._clock = clock
         self._crashes: dict[str, list[Crash]] = {}
-        self._by_request: dict[Fingerprint, list[Crash]] = {}
-        # those of them that have enough crashes to be held
-        self._frequent: set[Fingerprint] = set()
-        # until when each request is held
-        self._held: dict[Fingerprint, float] = {}
-        # when an endpoint was last known to live, or a request to be served: crashes before that,
-        # told late, don't count
+        self._crashes_by_request: dict[Fingerprint, list[Crash]] = {}
+        # Requests with enough crashes for a quarantine.
+        self._candidates: set[Fingerprint] = set()
+        self._quarantined_until: dict[Fingerprint, float] = {}
+        # Crashes before these times that are reported late don't count.
         self._alive_at: dict[Life, float] = {}
         self._served_at: dict[Fingerprint, float] = {}
 
@@ -121,186 +115,199 @@
         return not self._crashes
 
     @property
-    def holds_any(self) -> bool:
-        """Whether any request may be held."""
-        return bool(self._held)
+    def has_quarantined(self) -> bool:
+        """Whether any request may be quarantined."""
+        return bool(self._quarantined_until)
 
     @property
-    def held(self) -> t.Collection[Fingerprint]:
-        """The requests that are held."""
+    def quarantined(self) -> t.Collection[Fingerprint]:
+        """The requests that are quarantined now."""
         now = self._clock()
-        return [fingerprint for fingerprint, until in self._held.items() if until > now]
+        return [
+            fingerprint for fingerprint, until in self._quarantined_until.items() if until > now
+        ]
 
-    def held_for(self, fingerprint: Fingerprint) -> float:
-        """Return the seconds for which a request is still held; 0 if it isn't."""
-        return max(0.0, self._held.get(fingerprint, 0.0) - self._clock())
+    def quarantine_seconds_left(self, fingerprint: Fingerprint) -> float:
+        """Return the seconds until a request is released; 0 if it isn't quarantined."""
+        return max(0.0, self._quarantined_until.get(fingerprint, 0.0) - self._clock())
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Return whether a request was under way at a crash that is remembered."""
-        return fingerprint in self._by_request
+        """Return whether a request was under way at a remembered crash."""
+        return fingerprint in self._crashes_by_request
 
-    def spares_last(self, fingerprint: Fingerprint) -> bool:
-        """Return whether a request is to be kept from the last endpoint that could serve it."""
-        crashes = self._by_request.get(fingerprint, ())
-        if len(crashes) < SPARED_CRASHES:
+    def is_denied_last_endpoint(self, fingerprint: Fingerprint) -> bool:
+        """Return whether a request must not get the last endpoint that could serve it."""
+        crashes = self._crashes_by_request.get(fingerprint, ())
+        if len(crashes) < LAST_ENDPOINT_DENIAL_CRASHES:
             return False
         newest_at = max(crash.at for crash in crashes)
-        return self._clock() < newest_at + SPARED_SECONDS
+        return self._clock() < newest_at + LAST_ENDPOINT_DENIAL_SECONDS
 
-    def knows(self, life: Life) -> bool:
-        """Return whether an endpoint's life is remembered to have ended by a crash."""
-        return self._find(life) is not None
+    def has_crashed(self, life: Life) -> bool:
+        """Return whether a crash of an endpoint's incarnation is remembered."""
+        return self._find_crash(life) is not None
 
-    def note(
+    def record_crash(
         self, life: Life, at: float, requests: t.Mapping[Fingerprint, Involvement]
     ) -> dict[Fingerprint, Involvement]:
-        """Remember a crash, or more requests of one that is remembered; return what is new.
+        """Record a crash, or more requests of a recorded one.
 
-        It may be told several times and by several daemons, and is one crash.
+        Reports of the same crash by several daemons are merged.
+
+        :returns: the requests that were not recorded before.
         """
         if at <= self._alive_at.get(life, float("-inf")):
             return {}
-        wanted = {
-            fingerprint: found
-            for fingerprint, found in requests.items()
+        unserved = {
+            fingerprint: involvement
+            for fingerprint, involvement in requests.items()
             if at > self._served_at.get(fingerprint, float("-inf"))
         }
-        crash = self._find(life)
-        known = crash.requests if crash is not None else {}
-        unknown = [(key, found) for key, found in wanted.items() if key not in known]
-        new = dict(unknown[: MOST_REQUESTS - len(known)])
+        crash = self._find_crash(life)
+        recorded = crash.requests if crash is not None else {}
+        unrecorded = [(key, found) for key, found in unserved.items() if key not in recorded]
+        new = dict(unrecorded[: MAX_REQUESTS_PER_CRASH - len(recorded)])
         if not new:
             return {}
         if crash is None:
-            crash = self._add(Crash(life, at))
-        for fingerprint, found in new.items():
-            crash.requests[fingerprint] = found
+            crash = self._add_crash(Crash(life, at))
+        for fingerprint, involvement in new.items():
+            crash.requests[fingerprint] = involvement
             self._link(fingerprint, crash)
-        self._judge()
+        self._evaluate()
         return new
 
-    def endpoint_lives(self, life: Life, at: float) -> bool:
-        """Forget a crash of an endpoint that lived later; return whether one was remembered."""
-        crash = self._find(life)
+    def record_endpoint_alive(self, life: Life, at: float) -> bool:
+        """Forget a crash that an endpoint has outlived.
+
+        :param at: a time at which the endpoint was alive.
+        :returns: whether such a crash was recorded.
+        """
+        crash = self._find_crash(life)
         self._alive_at[life] = max(at, self._alive_at.get(life, at))
         if crash is None or crash.at >= at:
             return False
-        self._drop(crash)
-        self._judge()
+        self._remove_crash(crash)
+        self._evaluate()
         return True
 
-    def request_served(self, fingerprint: Fingerprint, at: float) -> bool:
-        """Forget the crashes of a request that was served later; return whether there were any."""
+    def record_request_served(self, fingerprint: Fingerprint, at: float) -> bool:
+        """Forget a request's crashes from before it was served.
+
+        :returns: whether there were any.
+        """
         self._served_at[fingerprint] = max(at, self._served_at.get(fingerprint, at))
-        crashes = [crash for crash in self._by_request.get(fingerprint, []) if crash.at < at]
+        crashes = [
+            crash for crash in self._crashes_by_request.get(fingerprint, []) if crash.at < at
+        ]
         for crash in crashes:
             del crash.requests[fingerprint]
             self._unlink(fingerprint, crash)
             if not crash.requests:
-                self._drop(crash)
+                self._remove_crash(crash)
         if crashes:
-            self._judge()
+            self._evaluate()
         return bool(crashes)
 
-    def lift(self, fingerprint: Fingerprint) -> None:
-        """Forget all crashes of a request until now."""
-        self.request_served(fingerprint, self._clock())
+    def release(self, fingerprint: Fingerprint) -> None:
+        """Release a request and forget all its crashes until now."""
+        self.record_request_served(fingerprint, self._clock())
 
-    def repeated(self, among: t.Iterable[Fingerprint] | None = None) -> list[Crash]:
-        """Return the crashes of requests that were under way at several, with these alone.
+    def recurring_crashes(self, among: t.Iterable[Fingerprint] | None = None) -> list[Crash]:
+        """Return the crashes of requests that have several, reduced to these requests.
 
-        :param among: the requests that are asked for; None for all.
+        :param among: the requests to consider; None for all.
         """
-        asked = self._by_request if among is None else among
-        wanted = {key for key in asked if len(self._by_request.get(key, ())) > 1}
-        if not wanted:
+        considered = self._crashes_by_request if among is None else among
+        recurring = {key for key in considered if len(self._crashes_by_request.get(key, ())) > 1}
+        if not recurring:
             return []
         found = []
-        for crash in self._all():
-            requests = {key: part for key, part in crash.requests.items() if key in wanted}
+        for crash in self._all_crashes():
+            requests = {key: item for key, item in crash.requests.items() if key in recurring}
             if requests:
                 found.append(Crash(crash.life, crash.at, requests))
         return found
 
     def expire(self) -> None:
-        """Forget what is too old."""
-        begin = self._clock() - REMEMBER_SECONDS
-        for crash in self._all():
+        """Forget everything older than :data:`CRASH_TTL_SECONDS`."""
+        begin = self._clock() - CRASH_TTL_SECONDS
+        for crash in self._all_crashes():
             if crash.at < begin:
-                self._drop(crash)
+                self._remove_crash(crash)
         self._alive_at = {life: at for life, at in self._alive_at.items() if at >= begin}
         self._served_at = {key: at for key, at in self._served_at.items() if at >= begin}
-        self._judge()
+        self._evaluate()
 
-    def _all(self) -> list[Crash]:
+    def _all_crashes(self) -> list[Crash]:
         return [crash for crashes in self._crashes.values() for crash in crashes]
 
-    def _find(self, life: Life) -> Crash | None:
-        """Return the crash of an endpoint's life, also if one of the two doesn't tell ``born``."""
+    def _find_crash(self, life: Life) -> Crash | None:
+        """Return the crash of an incarnation, also if either of the two lacks ``born``."""
         for crash in self._crashes.get(life.endpoint_id, ()):
             if not crash.life.is_over(life):
                 return crash
         return None
 
-    def _add(self, crash: Crash) -> Crash:
-        crashes = self._all()
-        if len(crashes) >= MOST_CRASHES:
-            self._drop(min(crashes, key=self._keeping_rank))
+    def _add_crash(self, crash: Crash) -> Crash:
+        crashes = self._all_crashes()
+        if len(crashes) >= MAX_CRASHES:
+            self._remove_crash(min(crashes, key=self._retention_rank))
         self._crashes.setdefault(crash.life.endpoint_id, []).append(crash)
         return crash
 
-    def _keeping_rank(self, crash: Crash) -> tuple[bool, float]:
-        """Return a rank for keeping a crash: those of requests that are held, then newer ones."""
-        return not self._held.keys().isdisjoint(crash.requests), crash.at
+    def _retention_rank(self, crash: Crash) -> tuple[bool, float]:
+        """Return a rank by which crashes of quarantined requests, then newer ones, are retained."""
+        return not self._quarantined_until.keys().isdisjoint(crash.requests), crash.at
 
-    def _drop(self, crash: Crash) -> None:
-        kept = [other for other in self._crashes[crash.life.endpoint_id] if other is not crash]
-        if kept:
-            self._crashes[crash.life.endpoint_id] = kept
+    def _remove_crash(self, crash: Crash) -> None:
+        remaining = [other for other in self._crashes[crash.life.endpoint_id] if other is not crash]
+        if remaining:
+            self._crashes[crash.life.endpoint_id] = remaining
         else:
             del self._crashes[crash.life.endpoint_id]
         for fingerprint in crash.requests:
             self._unlink(fingerprint, crash)
 
     def _link(self, fingerprint: Fingerprint, crash: Crash) -> None:
-        crashes = self._by_request.setdefault(fingerprint, [])
+        crashes = self._crashes_by_request.setdefault(fingerprint, [])
         crashes.append(crash)
-        if len(crashes) >= LIMIT_CRASHES:
-            self._frequent.add(fingerprint)
+        if len(crashes) >= QUARANTINE_CRASHES:
+            self._candidates.add(fingerprint)
 
     def _unlink(self, fingerprint: Fingerprint, crash: Crash) -> None:
-        kept = [other for other in self._by_request[fingerprint] if other is not crash]
-        if kept:
-            self._by_request[fingerprint] = kept
+        remaining = [other for other in self._crashes_by_request[fingerprint] if other is not crash]
+        if remaining:
+            self._crashes_by_request[fingerprint] = remaining
         else:
-            del self._by_request[fingerprint]
-        if len(kept) < LIMIT_CRASHES:
-            self._frequent.discard(fingerprint)
+            del self._crashes_by_request[fingerprint]
+        if len(remaining) < QUARANTINE_CRASHES:
+            self._candidates.discard(fingerprint)
 
-    def _judge(self) -> None:
-        """Hold the fewest requests that explain the crashes."""
+    def _evaluate(self) -> None:
+        """Quarantine the fewest requests that explain the crashes."""
         now = self._clock()
-        held: dict[Fingerprint, float] = {}
-        unexplained = {key: self._by_request[key] for key in self._frequent}
+        quarantined: dict[Fingerprint, float] = {}
+        unexplained = {key: self._crashes_by_request[key] for key in self._candidates}
         while unexplained:
-            accounts = {key: account(key, crashes) for key, crashes in unexplained.items()}
-            cause = max(accounts, key=lambda key: (accounts[key], key))
-            if accounts[cause].points < LIMIT_POINTS:
+            scores = {key: crash_score(key, crashes) for key, crashes in unexplained.items()}
+            cause = max(scores, key=lambda key: (scores[key], key))
+            if scores[cause].points < QUARANTINE_POINTS:
                 break
-            held[cause] = accounts[cause].newest_at + HOLD_SECONDS
+            quarantined[cause] = scores[cause].newest_at + QUARANTINE_SECONDS
             explained = unexplained.pop(cause)
             unexplained = {
                 key: [crash for crash in crashes if crash not in explained]
                 for key, crashes in unexplained.items()
             }
-        before = self._held
-        self._held = {key: until for key, until in held.items() if until > now}
-        self._log_difference(before, now)
-
-    def _log_difference(self, before: t.Mapping[Fingerprint, float], now: float) -> None:
-        for fingerprint in self._held.keys() - before.keys():
-            lives = [crash.life for crash in self._by_request[fingerprint]]
-            request_log.quarantined(fingerprint, lives, self._held[fingerprint] - now)
-        for fingerprint in before.keys() - self._held.keys():
+        before = self._quarantined_until
+        self._quarantined_until = {key: until for key, until in quarantined.items() if until > now}
+        self._log_changes(before, now)
+
+    def _log_changes(self, before: t.Mapping[Fingerprint, float], now: float) -> None:
+        for fingerprint in self._quarantined_until.keys() - before.keys():
+            lives = [crash.life for crash in self._crashes_by_request[fingerprint]]
+            request_log.quarantined(fingerprint, lives, self._quarantined_until[fingerprint] - now)
+        for fingerprint in before.keys() - self._quarantined_until.keys():
             is_over = before[fingerprint] <= now
             request_log.released(fingerprint, "time is over" if is_over else "not the cause")
--- a/packages/gateway/src/thorncleat_gateway/requests/rate_notice.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/rate_notice.py
@@ -24,10 +24,10 @@
 
     limit: float | None
     sent_at: float
-    heard_at: float
+    answered_at: float
 
 
-def in_force(known: RateNotice | None, told: RateNotice) -> RateNotice:
+def merge_notices(known: RateNotice | None, told: RateNotice) -> RateNotice:
     """Return what holds of an endpoint after another notice.
 
     :param known: what held before; None if nothing was known.
@@ -35,14 +35,17 @@
     if known is None:
         return told
     if told.limit == known.limit:
-        sent_at, heard_at = max(known.sent_at, told.sent_at), max(known.heard_at, told.heard_at)
-        return RateNotice(known.limit, sent_at, heard_at)
+        sent_at, answered_at = (
+            max(known.sent_at, told.sent_at),
+            max(known.answered_at, told.answered_at),
+        )
+        return RateNotice(known.limit, sent_at, answered_at)
     return told if _is_newer(known, told) else known
 
 
 def _is_newer(known: RateNotice, told: RateNotice) -> bool:
     """Return whether a notice with another figure takes the place of the known one."""
-    if told.sent_at > known.heard_at:
+    if told.sent_at > known.answered_at:
         return True
     if told.sent_at < known.sent_at or told.limit is None:
         return False
--- a/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
@@ -23,20 +23,20 @@
 
 # of a limit, requests a second for which one daemon has a share: with more holders their first
 # requests come on top of the rate, with fewer some have too few callers to use theirs
-RATE_OF_HOLDER = 1.0
+RATE_PER_HOLDER = 1.0
 # of a limit that is given out: with one request at once of each holder the requests of any 4 s stay
 # within the limit
-PART_GIVEN_OUT = 0.75
+ALLOCATED_FRACTION = 0.75
 # of its share that a daemon uses whose list is old: another one may have got the same share since
-PART_IF_OLD = 0.25
+STALE_LIST_FRACTION = 0.25
 # requests a second that are sent to an endpoint whose limit is lower, since only its answers can
 # tell that it takes more again
-LEAST_RATE = 1 / 30
+MIN_RATE = 1 / 30
 
 
 def rate(limit: float) -> float:
     """Return the requests a second that all daemons together send to an endpoint with a limit."""
-    return max(PART_GIVEN_OUT * limit, LEAST_RATE)
+    return max(ALLOCATED_FRACTION * limit, MIN_RATE)
 
 
 def share(
@@ -52,11 +52,11 @@
     """
     if knowledge is FleetKnowledge.NONE or own.id not in daemons:
         return 0.0
-    holders = max(1, min(len(daemons), math.ceil(limit / RATE_OF_HOLDER)))
+    holders = max(1, min(len(daemons), math.ceil(limit / RATE_PER_HOLDER)))
     if not _is_holder(endpoint, own, daemons.values(), holders):
         return 0.0
     of_holder = rate(limit) / holders
-    return of_holder * PART_IF_OLD if knowledge is FleetKnowledge.OLD else of_holder
+    return of_holder * STALE_LIST_FRACTION if knowledge is FleetKnowledge.OLD else of_holder
 
 
 def _is_holder(endpoint: Endpoint, own: Daemon, daemons: t.Iterable[Daemon], holders: int) -> bool:
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -26,10 +26,10 @@
 LOWEST_PRIORITY = 9
 # least remaining time that an endpoint is told, in seconds: never nothing, in the platform's
 # unit of a millisecond
-LEAST_REMAINING_SECONDS = 0.001
+MIN_REMAINING_SECONDS = 0.001
 
 
-class Late(enum.Enum):
+class MissedTarget(enum.Enum):
     """Which of its route's targets an answer missed; the value stands in the log line."""
 
     FIRST_EVENT = "first event"
@@ -62,7 +62,7 @@
     service: Service
     workspace: Workspace | None
     received_at: float
-    until: float
+    give_up_at: float
     deadline_at: float
     tried: set[str] = dataclasses.field(default_factory=set)
     sends: int = 0
@@ -87,7 +87,7 @@
         own = self.workspace.priority if self.workspace else 0
         return min(LOWEST_PRIORITY, 2 * own + min(1, self.route.priority))
 
-    def event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that an event of the answer came."""
         if self.first_event_at:
             self.longest_pause = max(self.longest_pause, now - self.last_event_at)
@@ -95,13 +95,13 @@
             self.first_event_at = now
         self.last_event_at = now
 
-    def late(self, now: float) -> Late | None:
+    def missed_target(self, now: float) -> MissedTarget | None:
         """Return which target an answer that is whole now has missed; None if none."""
         if not self.first_event_at:
-            return Late.ANSWER if now - self.received_at > self.route.target else None
+            return MissedTarget.ANSWER if now - self.received_at > self.route.target else None
         if self.first_event_at - self.received_at > self.route.target:
-            return Late.FIRST_EVENT
-        return Late.PAUSE if self.longest_pause > self.route.gap_target else None
+            return MissedTarget.FIRST_EVENT
+        return MissedTarget.PAUSE if self.longest_pause > self.route.gap_target else None
 
     def forward_meta(
         self, endpoint: Endpoint, now: float, last_event_id: str | None
@@ -111,14 +111,14 @@
         :param last_event_id: the last event that the caller has, or None.
         """
         return ForwardMeta(
-            remaining=max(LEAST_REMAINING_SECONDS, self.deadline_at - now),
+            remaining=max(MIN_REMAINING_SECONDS, self.deadline_at - now),
             endpoint_id=endpoint.id,
             workspace=self.workspace.name if self.workspace else None,
             priority=self.priority,
             last_event_id=last_event_id,
         )
 
-    def failed(self, endpoint: Endpoint, failure: AttemptError, *, counted: bool) -> None:
+    def record_failure(self, endpoint: Endpoint, failure: AttemptError, *, counted: bool) -> None:
         """Note that an attempt failed.
 
         :param counted: whether it counts towards the route's attempts, see
@@ -132,6 +132,6 @@
         if failure.ran is Ran.MAYBE:
             self.may_have_run = True
 
-    def used(self, now: float) -> AttemptsUsed:
+    def attempts_used(self, now: float) -> AttemptsUsed:
         """Return what it has used up."""
-        return AttemptsUsed(self.sends, self.unsent, self.may_have_run, now >= self.until)
+        return AttemptsUsed(self.sends, self.unsent, self.may_have_run, now >= self.give_up_at)
--- a/packages/gateway/src/thorncleat_gateway/requests/request_log.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request_log.py
@@ -48,7 +48,7 @@
 
     :param config_age: seconds since a newer configuration was excluded.
     """
-    late = request.late(now)
+    late = request.missed_target(now)
     events.REQUEST_DONE.log(
         request=request.meta.id,
         route=request.route.name,
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
@@ -20,10 +20,10 @@
 STREAM_SECONDS = 0.4
 # for which endpoints' pauses are waited for at most, in seconds: a third of the 8 s that the most
 # patient callers of today wait
-LONGEST_WAIT_SECONDS = 2.7
+MAX_WAIT_SECONDS = 2.7
 
 
-def in_a_pause(usual: float, pause_left: float) -> float:
+def during_pause(usual: float, pause_left: float) -> float:
     """Return when to come back while endpoints want no requests of this daemon.
 
     Where none is left, most other daemons have been asked for a pause as well, so to come back
@@ -35,4 +35,4 @@
     """
     if not pause_left:
         return usual
-    return min(pause_left, LONGEST_WAIT_SECONDS) + random.uniform(0, usual)
+    return min(pause_left, MAX_WAIT_SECONDS) + random.uniform(0, usual)
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -21,10 +21,10 @@
 from .refusal import Refusal
 
 # attempts that do not count towards the route's, after which none is left
-UNSENT_TRIES = 4
+MAX_UNSENT_ATTEMPTS = 4
 # part of the route's target after which a repeatable request that has attempts left goes to
 # another endpoint
-PATIENCE = 0.8
+ATTEMPT_TARGET_FRACTION = 0.8
 # seconds for which a stream that has begun waits for a group to go on in
 WAIT_FOR_GROUP_SECONDS = 2.0
 # causes, as they stand in log lines and answers
@@ -52,12 +52,12 @@
     late: bool
 
 
-class Next(enum.Enum):
+class NextStep(enum.Enum):
     """What to do other than end the request with an answer of the gateway's own."""
 
-    SEND_AGAIN = "send again"
+    RETRY = "send again"
     # the answer with a failure status that an endpoint of a plain service gave before
-    RETURN_KEPT_ANSWER = "return kept answer"
+    RETURN_FAILED_ANSWER = "return kept answer"
     WAIT_FOR_GROUP = "wait for group"
 
 
@@ -72,8 +72,8 @@
         return CutError(self.cause)
 
 
-StreamDecision = t.Literal[Next.SEND_AGAIN] | Refusal | CutAnswer
-PlainDecision = t.Literal[Next.SEND_AGAIN, Next.RETURN_KEPT_ANSWER] | Refusal
+StreamDecision = t.Literal[NextStep.RETRY] | Refusal | CutAnswer
+PlainDecision = t.Literal[NextStep.RETRY, NextStep.RETURN_FAILED_ANSWER] | Refusal
 
 
 def give_up(cause: str, seconds: float | None, *, may_have_run: bool) -> Refusal:
@@ -84,9 +84,9 @@
     return Refusal(502, cause) if may_have_run else Refusal(503, cause, seconds)
 
 
-def within_attempts(route: Route, sends: int, unsent: int) -> bool:
+def has_attempts_left(route: Route, sends: int, unsent: int) -> bool:
     """Return whether a request has attempts left."""
-    return sends < route.max_attempts and unsent < UNSENT_TRIES
+    return sends < route.max_attempts and unsent < MAX_UNSENT_ATTEMPTS
 
 
 def after_stream_failure(
@@ -105,9 +105,9 @@
     :param begun: whether the caller has got the head of the answer.
     """
     movable = failure.ran is Ran.NO or route.resumable
-    allowed = not used.late and movable and within_attempts(route, used.sends, used.unsent)
+    allowed = not used.late and movable and has_attempts_left(route, used.sends, used.unsent)
     if allowed and take_token():
-        return Next.SEND_AGAIN
+        return NextStep.RETRY
     cause = OUT_OF_TIME if used.late else failure.cause
     if begun:
         return CutAnswer(cause)
@@ -120,44 +120,48 @@
     route: Route,
     take_token: t.Callable[[], bool],
     *,
-    has_kept: bool,
+    has_failed_answer: bool,
 ) -> PlainDecision:
     """Decide how a request to a plain service goes on.
 
     :param take_token: takes a token of the retry budget; returns whether there was one.
     :param has_kept: whether an endpoint has answered with a failure status.
     """
-    if used.late and has_kept:
+    if used.late and has_failed_answer:
         # an endpoint's own answer, though a failure, tells the caller more than one of ours
-        return Next.RETURN_KEPT_ANSWER
+        return NextStep.RETURN_FAILED_ANSWER
     if used.late:
         return give_up(OUT_OF_TIME, retry_after.PLAIN_SECONDS, may_have_run=used.may_have_run)
     if used.may_have_run and not route.repeatable:
         return give_up(failure.cause, None, may_have_run=True)
-    if within_attempts(route, used.sends, used.unsent) and take_token():
-        return Next.SEND_AGAIN
-    if has_kept:
-        return Next.RETURN_KEPT_ANSWER
+    if has_attempts_left(route, used.sends, used.unsent) and take_token():
+        return NextStep.RETRY
+    if has_failed_answer:
+        return NextStep.RETURN_FAILED_ANSWER
     return give_up(failure.cause, retry_after.PLAIN_SECONDS, may_have_run=used.may_have_run)
 
 
 def without_endpoint(
-    *, may_have_run: bool, has_kept: bool, cause: str = NO_ENDPOINT, pause_left: float = 0.0
-) -> t.Literal[Next.RETURN_KEPT_ANSWER] | Refusal:
+    *,
+    may_have_run: bool,
+    has_failed_answer: bool,
+    cause: str = NO_ENDPOINT,
+    pause_left: float = 0.0,
+) -> t.Literal[NextStep.RETURN_FAILED_ANSWER] | Refusal:
     """Decide how a request to a plain service ends if there is no endpoint that it may try.
 
     :param has_kept: whether an endpoint has answered with a failure status.
     :param pause_left: seconds until one takes requests that wants none now; 0 if none does.
     """
-    if has_kept:
-        return Next.RETURN_KEPT_ANSWER
-    seconds = retry_after.in_a_pause(retry_after.PLAIN_SECONDS, pause_left)
+    if has_failed_answer:
+        return NextStep.RETURN_FAILED_ANSWER
+    seconds = retry_after.during_pause(retry_after.PLAIN_SECONDS, pause_left)
     return give_up(cause, seconds, may_have_run=may_have_run)
 
 
 def without_group(
     cause: str, *, may_have_run: bool, begun: bool, waited: bool, pause_left: float = 0.0
-) -> t.Literal[Next.WAIT_FOR_GROUP] | Refusal | CutAnswer:
+) -> t.Literal[NextStep.WAIT_FOR_GROUP] | Refusal | CutAnswer:
     """Decide how a streamed request goes on while no group can take it.
 
     :param cause: of the refusal if nothing has begun.
@@ -167,12 +171,12 @@
     :param waited: whether the time to wait for a group is over.
     """
     if not begun:
-        seconds = retry_after.in_a_pause(retry_after.STREAM_SECONDS, pause_left)
+        seconds = retry_after.during_pause(retry_after.STREAM_SECONDS, pause_left)
         return give_up(cause, seconds, may_have_run=may_have_run)
-    return CutAnswer(NO_GROUP_LEFT) if waited else Next.WAIT_FOR_GROUP
+    return CutAnswer(NO_GROUP_LEFT) if waited else NextStep.WAIT_FOR_GROUP
 
 
-def hold_back(seconds: float, *, may_have_run: bool, begun: bool) -> Refusal | CutAnswer:
+def refuse_quarantined(seconds: float, *, may_have_run: bool, begun: bool) -> Refusal | CutAnswer:
     """Decide how a request ends that is not to be sent, since it ends its endpoints.
 
     429 tells it apart from a want of room, promises that it has not run, and lets callers whose
@@ -188,7 +192,7 @@
     return Refusal(429, ENDS_ENDPOINTS, seconds)
 
 
-def may_try_elsewhere(route: Route, sends: int, *, late: bool) -> bool:
+def can_try_elsewhere(route: Route, sends: int, *, late: bool) -> bool:
     """Return whether a plain request whose next attempt fails could go to another endpoint.
 
     So its answer need not be waited for to the end, nor be passed on if it says that the
@@ -205,10 +209,10 @@
     :param left: seconds until the request is given up.
     :param elsewhere: whether it could go to another endpoint after that.
     """
-    return min(left, PATIENCE * route.target) if elsewhere else left
+    return min(left, ATTEMPT_TARGET_FRACTION * route.target) if elsewhere else left
 
 
-def may_leave_group(route: Route, sends: int) -> bool:
+def can_leave_group(route: Route, sends: int) -> bool:
     """Return whether a stream may leave a silent group for another one.
 
     :param sends: attempts before the running one that count towards the route's.
--- a/packages/gateway/src/thorncleat_gateway/requests/route_split.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/route_split.py
@@ -12,7 +12,7 @@
 
 # the fractional parts of its multiples are spread evenly over 0 to 1: a property of the golden
 # ratio, so that few requests already keep close to the weights
-GOLDEN_RATIO_PART = 0.6180339887
+GOLDEN_RATIO_FRACTION = 0.6180339887
 
 
 def split_for(route: Route, number: int) -> Split:
@@ -24,7 +24,7 @@
     if len(route.splits) == 1:
         return route.splits[0]
     total = sum(split.weight for split in route.splits)
-    point = (number * GOLDEN_RATIO_PART) % 1.0 * total
+    point = (number * GOLDEN_RATIO_FRACTION) % 1.0 * total
     for split in route.splits:
         point -= split.weight
         if point < 0:
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -26,7 +26,7 @@
 from .forwarder import Forwarder
 from .request import Request
 from .retry_policy import WAIT_FOR_GROUP_SECONDS
-from .retry_policy import Next
+from .retry_policy import NextStep
 from .retry_policy import StreamDecision
 
 # between two looks for a group to go on in, in seconds
@@ -90,8 +90,8 @@
             try:
                 answer = await self._attempt(request, endpoint, splitter, caller)
                 if answer is None:
-                    self._selector.answered(endpoint, well=True)
-                    self._crash_watch.served(request, endpoint)
+                    self._selector.record_result(endpoint, succeeded=True)
+                    self._crash_watch.record_served(request, endpoint)
                     return
                 kept.append(answer)
                 self._selector.avoid(endpoint)
@@ -102,7 +102,7 @@
                 continue
             except AttemptError as failure:
                 decision = self._after_failure(request, endpoint, failure, caller)
-                if decision is not Next.SEND_AGAIN:
+                if decision is not NextStep.RETRY:
                     raise decision.error() from failure
             splitter.restart()
 
@@ -112,9 +112,9 @@
         """Note a failed attempt and decide how the request goes on."""
         heard = self._detector.heard_since(endpoint.id, request.sent_at)
         counted = retry_policy.counts_as_sent(failure, heard_since_sent=heard)
-        request.failed(endpoint, failure, counted=counted)
-        self._crash_watch.failed(request, endpoint, failure)
-        self._selector.answered(endpoint, well=False)
+        request.record_failure(endpoint, failure, counted=counted)
+        self._crash_watch.record_failure(request, endpoint, failure)
+        self._selector.record_result(endpoint, succeeded=False)
         request_log.failed(request, endpoint, failure, self._clock())
         if not failure.sent:
             self._selector.avoid(endpoint)
@@ -125,7 +125,7 @@
             self._detector.suspect(endpoint, failure.cause)
         return retry_policy.after_stream_failure(
             failure,
-            request.used(self._clock()),
+            request.attempts_used(self._clock()),
             request.route,
             self._token(request),
             begun=caller.begun,
@@ -136,17 +136,19 @@
 
         :raises RefusalError: if there is none.
         """
-        until = min(request.until, self._clock() + WAIT_FOR_GROUP_SECONDS)
+        until = min(request.give_up_at, self._clock() + WAIT_FOR_GROUP_SECONDS)
         service, model = request.service.name, request.meta.model
         # requests that a crash broke go to groups drawn at random, so that they don't follow its
         # cause into the next group
-        apart = self._crash_watch.is_suspect(request)
+        randomize = self._crash_watch.is_suspect(request)
         while True:
             self._check_held(request, begun=caller.begun)
-            spared = self._crash_watch.keeps_from(
+            spared = self._crash_watch.is_denied_last_endpoint(
                 request, lambda: self._selector.leaders(service, model)
             )
-            endpoint = self._selector.leader(service, engine, model, request.tried, apart=apart)
+            endpoint = self._selector.choose_leader(
+                service, engine, model, request.tried, randomize=randomize
+            )
             if endpoint is not None and not spared:
                 return endpoint
             no_group = retry_policy.LAST_ENDPOINT if spared else self._no_group(service, model)
@@ -157,12 +159,12 @@
                 waited=self._clock() >= until,
                 pause_left=self._selector.pause_left(service, model),
             )
-            if decision is not Next.WAIT_FOR_GROUP:
+            if decision is not NextStep.WAIT_FOR_GROUP:
                 raise decision.error()
             await asyncio.sleep(LOOK_SECONDS)
 
     def _no_group(self, service: str, model: str) -> str:
-        groups = self._selector.known(service, model)
+        groups = self._selector.count_groups(service, model)
         cause = f"no group for {model!r}: {groups.open} open, {groups.suspected} of them suspected"
         return f"{cause}, {groups.paused} paused" if groups.paused else cause
 
@@ -171,7 +173,7 @@
     ) -> EndpointAnswer | None:
         """Pass an answer on; return it instead if it says that the endpoint failed."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + request.until - self._clock()
+        until = loop.time() + request.give_up_at - self._clock()
         attempt: StreamAttempt | None = None
         with self._load_table.running(endpoint.id):
             try:
@@ -193,7 +195,9 @@
 
     def _movable(self, request: Request) -> bool:
         """Return whether an attempt could go on in another group now."""
-        return retry_policy.may_leave_group(request.route, request.sends) and self._selector.others(
+        return retry_policy.can_leave_group(
+            request.route, request.sends
+        ) and self._selector.has_other_group(
             request.service.name, request.meta.model, request.tried
         )
 
@@ -213,7 +217,7 @@
         async with self._endpoint_client.open(endpoint, request, meta) as exchange:
             request.head_at = self._clock()
             self._detector.heard(endpoint.id, request.head_at)
-            self._crash_watch.answers(endpoint, request.sent_at)
+            self._crash_watch.record_answer_started(endpoint, request.sent_at)
             if exchange.status != 200:
                 return await self._without_stream(exchange, caller)
             await self._relay(request, exchange, attempt, splitter, caller)
@@ -234,7 +238,7 @@
             whole = splitter.feed(data)
             if not whole:
                 continue
-            request.event(now)
+            request.record_event(now)
             if not caller.begun:
                 await caller.begin(exchange.status, exchange.headers)
             attempt.held_by_caller = True
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -306,7 +306,7 @@
             return 0
         except RefusalError as error:
             if error.cause == retry_policy.ENDS_ENDPOINTS:
-                self.world.held[request.body] += 1
+                self.world.quarantined[request.body] += 1
             return error.status
 
 
@@ -329,7 +329,7 @@
         self.ended: list[str] = []
         self.crashed_by: dict[bytes, list[float]] = collections.defaultdict(list)
         self.sends: dict[bytes, list[float]] = collections.defaultdict(list)
-        self.held: collections.Counter[bytes] = collections.Counter()
+        self.quarantined: collections.Counter[bytes] = collections.Counter()
         self.outcomes: collections.Counter[bool] = collections.Counter()
         self._tasks: set[asyncio.Task] = set()
         self._lives = 0
@@ -421,7 +421,7 @@
             service=self.view.service,
             workspace=WORKSPACE,
             received_at=now,
-            until=now + 6.0,
+            give_up_at=now + 6.0,
             deadline_at=now + 6.0,
         )
 
@@ -471,7 +471,7 @@
     @property
     def held_bystanders(self) -> int:
         """How many ordinary requests were held at any time."""
-        return sum(not body.startswith(b"fatal") for body in self.held)
+        return sum(not body.startswith(b"fatal") for body in self.quarantined)
 
     @property
     def served(self) -> float:
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -26,7 +26,7 @@
 from thorncleat_gateway.requests.endpoint_limits import EndpointLimits
 from thorncleat_gateway.requests.endpoint_notices import EndpointNotices
 from thorncleat_gateway.requests.endpoint_selector import EndpointSelector
-from thorncleat_gateway.requests.limit_reporter import REPEAT_SECONDS
+from thorncleat_gateway.requests.limit_reporter import REPEAT_INTERVAL_SECONDS
 from thorncleat_gateway.requests.limit_reporter import LimitReporter
 from thorncleat_gateway.requests.plain import PlainForwarder
 from thorncleat_gateway.requests.quarantine import Quarantine
@@ -282,7 +282,7 @@
 
     async def _repeat_limits(self) -> None:
         while True:
-            await asyncio.sleep(REPEAT_SECONDS)
+            await asyncio.sleep(REPEAT_INTERVAL_SECONDS)
             for daemon in self.daemons:
                 daemon.limit_reporter.repeat()
 
@@ -305,7 +305,7 @@
             service=self.daemons[0].view.service,
             workspace=WORKSPACE,
             received_at=now,
-            until=now + left,
+            give_up_at=now + left,
             deadline_at=now + left,
         )
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -96,7 +96,7 @@
     ],
 )
 def test_configuration_is_fresh_enough_for_keys(age, revoke_within, fresh):
-    assert admission.is_fresh(age, revoke_within) is fresh
+    assert admission.is_current(age, revoke_within) is fresh
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -9,7 +9,7 @@
 from thorncleat_gateway.exceptions import Ran
 from thorncleat_gateway.peers.datagrams import GroupEnded
 from thorncleat_gateway.requests.endpoint_client import EndpointAnswer
-from thorncleat_gateway.requests.quarantine import LIMIT_CRASHES
+from thorncleat_gateway.requests.quarantine import QUARANTINE_CRASHES
 from thorncleat_gateway.requests.quarantine import RAN_POINTS
 from thorncleat_gateway.requests.quarantine import Involvement
 from thorncleat_gateway.store.roster import Life
@@ -42,7 +42,7 @@
         await self.world.end()
 
     def fails(self, failure=CUT):
-        self.watch.failed(self.request, self.endpoint, failure)
+        self.watch.record_failure(self.request, self.endpoint, failure)
         return self.daemon.quarantine.is_suspect(self.request.fingerprint)
 
 
@@ -106,8 +106,8 @@
 def test_endpoint_that_answers_a_later_request_has_not_crashed(after):
     def answers(scene):
         scene.fails()
-        scene.watch.answers(scene.endpoint, scene.world.now() + after)
-        return scene.daemon.quarantine.knows(scene.endpoint.life)
+        scene.watch.record_answer_started(scene.endpoint, scene.world.now() + after)
+        return scene.daemon.quarantine.has_crashed(scene.endpoint.life)
 
     assert play(answers) is (after < 0)
 
@@ -120,9 +120,9 @@
     failed = EndpointAnswer(500, (), b"failed")
 
     async def fails(_request, _endpoint):
-        for number in range(LIMIT_CRASHES):
+        for number in range(QUARANTINE_CRASHES):
             told = {request.fingerprint: Involvement(RAN_POINTS, 0.0)}
-            daemon.quarantine.note(Life(f"other-{number}", None), 900.0 + number, told)
+            daemon.quarantine.record_crash(Life(f"other-{number}", None), 900.0 + number, told)
         return failed
 
     daemon.plain._attempt = fails
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -71,7 +71,7 @@
         self.view.version += 1
 
     def chosen(self):
-        found = {self.selector.leader("narrator", ENGINE, "m", ()) for _ in range(20)}
+        found = {self.selector.choose_leader("narrator", ENGINE, "m", ()) for _ in range(20)}
         return {leader.id if leader else None for leader in found}
 
 
@@ -95,8 +95,8 @@
     for leader in (FIRST, SECOND):
         daemon.peers.receive("controller", GroupEnded(leader.membership.group))
     assert daemon.chosen() == {None}
-    assert daemon.selector.known("narrator", "m") == (0, 0, 0)
-    assert not daemon.selector.others("narrator", "m", ())
+    assert daemon.selector.count_groups("narrator", "m") == (0, 0, 0)
+    assert not daemon.selector.has_other_group("narrator", "m", ())
 
 
 def test_next_group_of_its_leader_is_another_group(daemon):
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -19,7 +19,7 @@
 from thorncleat_gateway.exceptions import EndpointClosedError
 from thorncleat_gateway.ports import AnswerMeta
 from thorncleat_gateway.requests import rate_shares
-from thorncleat_gateway.requests.endpoint_limits import REMEMBERED_SECONDS
+from thorncleat_gateway.requests.endpoint_limits import NOTICE_TTL_SECONDS
 from thorncleat_gateway.requests.endpoint_limits import EndpointLimits
 from thorncleat_gateway.requests.rate_notice import RateNotice
 from thorncleat_gateway.store.fleet_knowledge import FleetKnowledge
@@ -128,11 +128,11 @@
     named = AnswerMeta("r", True, False, False, rate_limit=2.0, names_rate_limit=True)
     served = AnswerMeta("r", True, False, False)
     await asyncio.sleep(1.0)
-    daemon.limits.answered(endpoint, named, now + 0.5)
-    daemon.limits.answered(endpoint, served, now + 0.9)
+    daemon.limits.record_answer(endpoint, named, now + 0.5)
+    daemon.limits.record_answer(endpoint, served, now + 0.9)
     early = daemon.limits.is_limited(endpoint)
     await asyncio.sleep(1.0)
-    daemon.limits.answered(endpoint, served, now + 1.5)
+    daemon.limits.record_answer(endpoint, served, now + 1.5)
     later = daemon.limits.is_limited(endpoint)
     await world.end()
     return early, later
@@ -149,7 +149,7 @@
     (daemon,), worker = world.daemons, world.workers[0]
     worker.says = {"Server-Limit": "0.5"}
     statuses = [(await world.call("first", daemon)).status]
-    daemon.limits.wait(worker.endpoint)
+    daemon.limits.wait_seconds(worker.endpoint)
     await asyncio.sleep(1 / rate_shares.rate(0.5))
     worker.alive = False
     statuses.append((await world.call("second", daemon)).status)
@@ -189,10 +189,10 @@
         self.fleet = Alone()
         self.limits = EndpointLimits(self.fleet, lambda: self.now)
         self.news = []
-        self.limits.on_news(lambda life, notice: self.news.append(notice.limit))
+        self.limits.on_change(lambda life, notice: self.news.append(notice.limit))
 
     def hears(self, meta, endpoint=ENDPOINT, sent_ago=0.0):
-        self.limits.answered(endpoint, meta, self.now - sent_ago)
+        self.limits.record_answer(endpoint, meta, self.now - sent_ago)
 
 
 @pytest.fixture
@@ -222,9 +222,9 @@
 
 
 def test_report_or_order_may_name_a_limit_and_ends_none(scene):
-    scene.limits.answered(ENDPOINT, NAMED, None)
+    scene.limits.record_answer(ENDPOINT, NAMED, None)
     scene.now += 1
-    scene.limits.answered(ENDPOINT, SERVED, None)
+    scene.limits.record_answer(ENDPOINT, SERVED, None)
     assert scene.limits.is_limited(ENDPOINT)
 
 
@@ -243,34 +243,34 @@
 def test_leave_is_not_saved_up_and_the_first_one_is_waited_for(scene):
     scene.hears(NAMED)
     seconds = 1 / rate_shares.rate(2.0)
-    assert scene.limits.wait(ENDPOINT) == pytest.approx(seconds)
+    assert scene.limits.wait_seconds(ENDPOINT) == pytest.approx(seconds)
     scene.now += 100
-    assert scene.limits.take(ENDPOINT) is not None
+    assert scene.limits.reserve(ENDPOINT) is not None
     with pytest.raises(EndpointClosedError, match=r"'i-1' takes no requests here for 0\.667 s"):
-        scene.limits.take(ENDPOINT)
+        scene.limits.reserve(ENDPOINT)
     scene.now += seconds
-    assert scene.limits.with_leave([ENDPOINT]) == [ENDPOINT]
+    assert scene.limits.available([ENDPOINT]) == [ENDPOINT]
 
 
 def test_leave_comes_back_if_no_connection_stood(scene):
     scene.hears(NAMED)
-    scene.limits.wait(ENDPOINT)
+    scene.limits.wait_seconds(ENDPOINT)
     scene.now += 100
-    leave = scene.limits.take(ENDPOINT)
-    assert scene.limits.wait(ENDPOINT) > 0
-    scene.limits.give_back(leave)
-    assert scene.limits.wait(ENDPOINT) == 0
+    leave = scene.limits.reserve(ENDPOINT)
+    assert scene.limits.wait_seconds(ENDPOINT) > 0
+    scene.limits.cancel(leave)
+    assert scene.limits.wait_seconds(ENDPOINT) == 0
 
 
 def test_share_that_comes_back_is_waited_for_again(scene):
     scene.hears(NAMED)
-    scene.limits.wait(ENDPOINT)
+    scene.limits.wait_seconds(ENDPOINT)
     scene.now += 100
-    assert scene.limits.wait(ENDPOINT) == 0
+    assert scene.limits.wait_seconds(ENDPOINT) == 0
     scene.fleet.known = FleetKnowledge.NONE
-    assert scene.limits.wait(ENDPOINT) == math.inf
+    assert scene.limits.wait_seconds(ENDPOINT) == math.inf
     scene.fleet.known = FleetKnowledge.RECENT
-    assert scene.limits.wait(ENDPOINT) > 0
+    assert scene.limits.wait_seconds(ENDPOINT) > 0
 
 
 def test_another_life_takes_requests_until_it_names_a_limit_itself(scene):
@@ -281,13 +281,13 @@
     scene.hears(NAMED, again)
     assert scene.limits.is_limited(again)
     # what is told of the life before doesn't take its place
-    scene.limits.take_in(ENDPOINT.life, RateNotice(1.0, 99.0, 99.5))
+    scene.limits.record_notice(ENDPOINT.life, RateNotice(1.0, 99.0, 99.5))
     assert scene.limits.is_limited(again)
 
 
 def test_limit_that_was_heard_after_its_end_does_not_come_back(scene):
     scene.hears(SERVED)
-    scene.limits.take_in(ENDPOINT.life, RateNotice(2.0, 90.0, 91.0))
+    scene.limits.record_notice(ENDPOINT.life, RateNotice(2.0, 90.0, 91.0))
     assert not scene.limits.is_limited(ENDPOINT)
 
 
@@ -295,12 +295,12 @@
     scene.hears(NAMED)
     other = Endpoint("i-2", "narrator", "10.0.0.2:1", "z0", born=5)
     scene.hears(SERVED, other)
-    scene.now += REMEMBERED_SECONDS + 1
-    scene.limits.forget({"i-1", "i-2"})
+    scene.now += NOTICE_TTL_SECONDS + 1
+    scene.limits.expire({"i-1", "i-2"})
     assert scene.limits.is_limited(ENDPOINT)
     # an endpoint that starts again and again under its id leaves nothing behind
     assert not scene.limits._unlimited
-    scene.limits.forget(())
+    scene.limits.expire(())
     assert not scene.limits.notices
 
 
@@ -314,7 +314,7 @@
     # most of it is used while nothing is wrong
     assert seen.used > (0.5 if trouble == "calm" else 0)
     # the slowest holder's next request, and its answer
-    assert seen.again_after < 1 / (rate_shares.rate(limit) * rate_shares.PART_IF_OLD) + 1
+    assert seen.again_after < 1 / (rate_shares.rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
 
 
 @pytest.mark.parametrize(("way", "daemons", "limit"), [("own", 8, 1.0), ("fixed", 195, 10.0)])
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -6,7 +6,7 @@
 
 from thorncleat_gateway.exceptions import EndpointClosedError
 from thorncleat_gateway.ports import AnswerMeta
-from thorncleat_gateway.requests.endpoint_notices import LONGEST_PAUSE_SECONDS
+from thorncleat_gateway.requests.endpoint_notices import MAX_PAUSE_SECONDS
 from thorncleat_gateway.requests.endpoint_notices import EndpointNotices
 from thorncleat_gateway.store.roster import Endpoint
 from thorncleat_gateway.store.roster import Life
@@ -33,7 +33,7 @@
         self.notices = EndpointNotices(self.view, lambda: self.now)
 
     def asks(self, seconds, endpoint=ENDPOINT):
-        self.notices.answered(endpoint, dataclasses.replace(DECLINED, retry_after=seconds))
+        self.notices.record_answer(endpoint, dataclasses.replace(DECLINED, retry_after=seconds))
 
     def left(self, endpoint=ENDPOINT):
         return self.notices.pause_left(endpoint)
@@ -73,13 +73,13 @@
 
 def test_good_answer_to_an_earlier_request_lifts_nothing(scene):
     scene.asks(3.0)
-    scene.notices.answered(ENDPOINT, SERVED)
+    scene.notices.record_answer(ENDPOINT, SERVED)
     assert scene.left() == 3.0
 
 
 def test_time_in_another_unit_does_not_shut_an_endpoint_out_for_good(scene):
     scene.asks(1_800_000_000.0)
-    assert scene.left() == LONGEST_PAUSE_SECONDS
+    assert scene.left() == MAX_PAUSE_SECONDS
 
 
 def test_another_life_knows_nothing_of_it(scene):
@@ -102,7 +102,7 @@
 
 
 def test_request_chosen_before_the_word_is_not_sent_after_it(scene):
-    scene.notices.answered(ENDPOINT, dataclasses.replace(SERVED, draining=True))
+    scene.notices.record_answer(ENDPOINT, dataclasses.replace(SERVED, draining=True))
     with pytest.raises(EndpointClosedError, match="'i-1' is draining"):
         scene.notices.check(ENDPOINT)
 
@@ -110,5 +110,5 @@
 @pytest.mark.parametrize(("speaks_for", "draining"), [(None, True), ("i-1", True), ("i-2", False)])
 def test_answer_on_behalf_of_another_endpoint_says_nothing_of_this_one(scene, speaks_for, draining):
     meta = dataclasses.replace(DECLINED, draining=True, speaks_for=speaks_for)
-    scene.notices.answered(ENDPOINT, meta)
+    scene.notices.record_answer(ENDPOINT, meta)
     assert scene.view.roster.endpoints["i-1"].draining is draining
--- a/tests/test_endpoint_pauses.py
+++ b/tests/test_endpoint_pauses.py
@@ -178,13 +178,13 @@
     await world.begin()
     (daemon,) = world.daemons
     world.workers[0].declines = {"Retry-After": "3"}
-    choose = daemon.selector.plain
+    choose = daemon.selector.choose_endpoint
 
     def choose_the_first_once(service, tried):
         first = world.workers[0].endpoint
         return choose(service, tried) if first.id in tried else first
 
-    daemon.selector.plain = choose_the_first_once
+    daemon.selector.choose_endpoint = choose_the_first_once
     statuses = [(await world.call(name, daemon)).status for name in ("first", "second")]
     await world.end()
     return statuses, len(world.workers[0].arrivals)
--- a/tests/test_endpoint_selector.py
+++ b/tests/test_endpoint_selector.py
@@ -141,13 +141,13 @@
     ],
 )
 def test_group_for_a_request(given, tried, expected):
-    chosen = selector(**given).leader("narrator", ENGINE, "m", tried)
+    chosen = selector(**given).choose_leader("narrator", ENGINE, "m", tried)
     assert (chosen.id if chosen else None) == expected
 
 
 def test_no_group_of_another_model_or_service():
-    assert selector().leader("narrator", ENGINE, "n", ()) is None
-    assert selector().leader("desk", ENGINE, "m", ()) is None
+    assert selector().choose_leader("narrator", ENGINE, "n", ()) is None
+    assert selector().choose_leader("desk", ENGINE, "m", ()) is None
 
 
 @pytest.mark.parametrize(
@@ -155,7 +155,7 @@
 )
 def test_group_in_the_own_failure_domain_comes_before_one_that_is_alike(load, expected):
     groups = [dataclasses.replace(member, failure_domain=member.id[0]) for member in GROUPS]
-    assert selector(groups, load).leader("narrator", ENGINE, "m", ()).id == expected
+    assert selector(groups, load).choose_leader("narrator", ENGINE, "m", ()).id == expected
 
 
 DESKS = [Endpoint("a", "desk", "", "a"), Endpoint("b", "desk", "", "a")]
@@ -175,17 +175,17 @@
     ],
 )
 def test_endpoint_of_a_plain_service(endpoints, load, tried, expected):
-    chosen = selector(endpoints, load).plain("desk", tried)
+    chosen = selector(endpoints, load).choose_endpoint("desk", tried)
     assert (chosen.id if chosen else None) == expected
 
 
 def test_refusing_endpoint_is_avoided_for_a_while_if_there_is_another():
     made = selector(DESKS, {"b": 3})
     made.avoid(DESKS[0])
-    assert made.plain("desk", ()).id == "b"
-    assert made.plain("desk", ("b",)).id == "a"
+    assert made.choose_endpoint("desk", ()).id == "b"
+    assert made.choose_endpoint("desk", ("b",)).id == "a"
     made.now[0] += AVOID_SECONDS
-    assert made.plain("desk", ()).id == "a"
+    assert made.choose_endpoint("desk", ()).id == "a"
 
 
 def test_endpoint_that_fails_again_when_it_is_tried_is_avoided_for_longer():
@@ -196,14 +196,14 @@
         # several requests that fail together are one failure
         made.avoid(DESKS[0])
         begun = made.now[0]
-        while made.plain("desk", ()).id == "b":
+        while made.choose_endpoint("desk", ()).id == "b":
             made.now[0] += 0.25
         avoided.append(made.now[0] - begun)
     assert avoided == [1.0, 2.0, 4.0, 8.0, 8.0]
-    made.answered(DESKS[0], well=True)
+    made.record_result(DESKS[0], succeeded=True)
     made.avoid(DESKS[0])
     made.now[0] += AVOID_SECONDS
-    assert made.plain("desk", ()).id == "a"
+    assert made.choose_endpoint("desk", ()).id == "a"
 
 
 @pytest.mark.parametrize(
@@ -218,9 +218,9 @@
 )
 def test_failures_weigh_and_are_forgotten(ends, load_of_other, expected):
     made = selector(DESKS, {"a": load_of_other})
-    for well in ends:
-        made.answered(DESKS[1], well=well)
-    assert made.plain("desk", ()).id == expected
+    for succeeded in ends:
+        made.record_result(DESKS[1], succeeded=succeeded)
+    assert made.choose_endpoint("desk", ()).id == expected
 
 
 @pytest.mark.parametrize(
@@ -235,15 +235,15 @@
 )
 def test_groups_known_and_others_than_the_first(given, known, others):
     made = selector(**given)
-    assert made.known("narrator", "m") == known
-    assert made.others("narrator", "m", ("a0",)) is others
+    assert made.count_groups("narrator", "m") == known
+    assert made.has_other_group("narrator", "m", ("a0",)) is others
 
 
 THREE = [member("a0", 1), member("b0", 2), member("c0", 3)]
 
 
 def _drawn_apart(made):
-    return {made.leader("narrator", ENGINE, "m", (), apart=True).id for _ in range(40)}
+    return {made.choose_leader("narrator", ENGINE, "m", (), randomize=True).id for _ in range(40)}
 
 
 def test_requests_that_a_crash_broke_go_to_any_group_with_room():
@@ -269,15 +269,15 @@
     meta = AnswerMeta("r", signed=False, not_run=True, encoded=False, retry_after=seconds)
     for endpoint in made._view.roster.endpoints.values():
         if endpoint.id in names:
-            made.notices.answered(endpoint, meta)
+            made.notices.record_answer(endpoint, meta)
 
 
 def test_paused_group_gets_no_request_though_it_has_the_least_load():
     made = selector(load={"b0": 5})
     _pause(made, "a0")
-    assert made.leader("narrator", ENGINE, "m", ()).id == "b0"
+    assert made.choose_leader("narrator", ENGINE, "m", ()).id == "b0"
     assert _drawn_apart(made) == {"b0"}
-    assert made.known("narrator", "m") == (2, 0, 1)
+    assert made.count_groups("narrator", "m") == (2, 0, 1)
     assert [leader.id for leader in made.leaders("narrator", "m")] == ["b0"]
 
 
@@ -289,14 +289,14 @@
 def test_paused_group_is_no_last_resort(given):
     made = selector(**given)
     _pause(made, "a0")
-    found = made.leader("narrator", ENGINE, "m", ())
+    found = made.choose_leader("narrator", ENGINE, "m", ())
     assert found is None or found.id == "b0"
 
 
 def test_no_stream_leaves_its_group_for_a_paused_one():
     made = selector()
     _pause(made, "b0")
-    assert not made.others("narrator", "m", ("a0",))
+    assert not made.has_other_group("narrator", "m", ("a0",))
 
 
 def test_first_end_of_the_pauses_is_known():
@@ -307,12 +307,12 @@
     assert made.pause_left("narrator", "m") == 1.0
     made.now[0] += 1.0
     assert made.pause_left("narrator", "m") == 2.0
-    assert made.leader("narrator", ENGINE, "m", ()).id == "b0"
+    assert made.choose_leader("narrator", ENGINE, "m", ()).id == "b0"
 
 
 def test_plain_endpoints_that_pause_get_none_though_all_others_were_tried():
     made = selector(DESKS)
     _pause(made, "b")
-    assert made.plain("desk", ("a",)) is None
+    assert made.choose_endpoint("desk", ("a",)) is None
     assert [one.id for one in made.endpoints("desk")] == ["a"]
     assert made.pause_left("desk", None) == 3.0
--- a/tests/test_limit_reporter.py
+++ b/tests/test_limit_reporter.py
@@ -11,7 +11,7 @@
 from thorncleat_gateway.peers.datagrams import ReportedLimit
 from thorncleat_gateway.ports import AnswerMeta
 from thorncleat_gateway.requests import limit_reporter
-from thorncleat_gateway.requests.endpoint_limits import REMEMBERED_SECONDS
+from thorncleat_gateway.requests.endpoint_limits import NOTICE_TTL_SECONDS
 from thorncleat_gateway.requests.endpoint_limits import EndpointLimits
 from thorncleat_gateway.requests.limit_reporter import LimitReporter
 from thorncleat_gateway.store.roster import Endpoint
@@ -51,7 +51,7 @@
         self.reporter = LimitReporter(self.limits, view, self.peers, lambda: self.now)
 
     def hears(self, limit, endpoint=ENDPOINT):
-        self.limits.answered(endpoint, named(limit), self.now - 0.25)
+        self.limits.record_answer(endpoint, named(limit), self.now - 0.25)
 
     def is_told(self, *told):
         for handler in self.peers.handlers:
@@ -88,13 +88,13 @@
 def test_other_messages_and_old_words_say_nothing(scene):
     for handler in scene.peers.handlers:
         handler("edge-1", LoadReport({"i-1": 3}, ["i-1"]))
-    scene.is_told(ReportedLimit("i-1", 5, 2.0, 70.0, limit_reporter.TOLD_SECONDS + 1))
+    scene.is_told(ReportedLimit("i-1", 5, 2.0, 70.0, limit_reporter.MAX_REPORTED_AGE_SECONDS + 1))
     assert not scene.limits.is_limited(ENDPOINT)
 
 
 def test_an_end_is_remembered_for_longer_than_a_limit_is_told():
     """Else a daemon that was cut off would bring back what the others know to be over."""
-    assert REMEMBERED_SECONDS > limit_reporter.TOLD_SECONDS
+    assert NOTICE_TTL_SECONDS > limit_reporter.MAX_REPORTED_AGE_SECONDS
 
 
 def test_what_was_heard_lately_is_repeated_to_a_few(scene):
@@ -103,10 +103,10 @@
     scene.is_told(ReportedLimit("i-1", 5, 2.0, 1.0, 0.5))
     scene.reporter.repeat()
     receivers = {to for to, _ in scene.peers.told}
-    assert len(receivers) == limit_reporter.REPEAT_TO
+    assert len(receivers) == limit_reporter.REPEAT_FANOUT
     assert receivers <= scene.peers.others
     scene.peers.told.clear()
-    scene.now += limit_reporter.TOLD_SECONDS + 1
+    scene.now += limit_reporter.MAX_REPORTED_AGE_SECONDS + 1
     scene.reporter.repeat()
     assert scene.peers.told == []
 
@@ -117,7 +117,7 @@
     scene.peers.told.clear()
     scene.reporter.repeat()
     _, report = scene.peers.told[0]
-    assert len(report.limits) == limit_reporter.MOST_TOLD
+    assert len(report.limits) == limit_reporter.MAX_REPORT_ENTRIES
     assert len(datagrams.encode("edge-riga-a-1", report)) < 1400
 
 
@@ -127,13 +127,13 @@
         scene.hears(2.0)
         scene.hears(3.0, Endpoint("i-2", "narrator", "10.0.0.2:1", "z0", born=5))
         scene.peers.told.clear()
-        await asyncio.sleep(limit_reporter.REPEAT_SECONDS + 0.1)
+        await asyncio.sleep(limit_reporter.REPEAT_INTERVAL_SECONDS + 0.1)
         repeated = len(scene.peers.told)
-        scene.now += REMEMBERED_SECONDS + 1
-        await asyncio.sleep(limit_reporter.REPEAT_SECONDS)
+        scene.now += NOTICE_TTL_SECONDS + 1
+        await asyncio.sleep(limit_reporter.REPEAT_INTERVAL_SECONDS)
         await scene.reporter.stop()
         return repeated
 
-    assert virtual_time.run(play()) == limit_reporter.REPEAT_TO
+    assert virtual_time.run(play()) == limit_reporter.REPEAT_FANOUT
     # of an endpoint that nobody lists
     assert set(scene.limits.notices) == {ENDPOINT.life}
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -105,7 +105,7 @@
     def request(self):
         self.at(self.now + random.expovariate(self.per_second), self.request)
         number = random.randrange(len(self.tables))
-        chosen = self.selectors[number].leader("narrator", ENGINE, "m", ())
+        chosen = self.selectors[number].choose_leader("narrator", ENGINE, "m", ())
         if chosen is None:
             self.found[False] += 1
             return
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,15 +7,15 @@
 from thorncleat_gateway.ports import RecordChanged
 from thorncleat_gateway.requests import crash_watch
 from thorncleat_gateway.requests import fingerprint
-from thorncleat_gateway.requests.lifted_holds import LiftedHolds
-from thorncleat_gateway.requests.quarantine import HOLD_SECONDS
+from thorncleat_gateway.requests.lifted_holds import ReleasedRequests
+from thorncleat_gateway.requests.quarantine import CRASH_TTL_SECONDS
+from thorncleat_gateway.requests.quarantine import LAST_ENDPOINT_DENIAL_SECONDS
+from thorncleat_gateway.requests.quarantine import MAX_CRASHES
+from thorncleat_gateway.requests.quarantine import MAX_REQUESTS_PER_CRASH
 from thorncleat_gateway.requests.quarantine import MAY_HAVE_WAITED_POINTS
-from thorncleat_gateway.requests.quarantine import MOMENT_SECONDS
-from thorncleat_gateway.requests.quarantine import MOST_CRASHES
-from thorncleat_gateway.requests.quarantine import MOST_REQUESTS
+from thorncleat_gateway.requests.quarantine import QUARANTINE_SECONDS
 from thorncleat_gateway.requests.quarantine import RAN_POINTS
-from thorncleat_gateway.requests.quarantine import REMEMBER_SECONDS
-from thorncleat_gateway.requests.quarantine import SPARED_SECONDS
+from thorncleat_gateway.requests.quarantine import SAME_INSTANT_SECONDS
 from thorncleat_gateway.requests.quarantine import Involvement
 from thorncleat_gateway.requests.quarantine import Quarantine
 from thorncleat_gateway.store.roster import Life
@@ -46,11 +46,11 @@
 def crash(quarantine, clock, number, after=1.0, **requests):
     clock.now += after
     told = {name.encode(): part for name, part in requests.items()}
-    return quarantine.note(Life(f"w{number}", None), clock.now, told)
+    return quarantine.record_crash(Life(f"w{number}", None), clock.now, told)
 
 
-def held(quarantine):
-    return sorted(name.decode() for name in quarantine.held)
+def quarantined_names(quarantine):
+    return sorted(name.decode() for name in quarantine.quarantined)
 
 
 class TestFingerprint:
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "streaming", "expected", "still", "points"),
+    ("broken", "streaming", "expected", "silent", "points"),
     [
         pytest.param(Broken.AFTER_HEAD, True, False, False, RAN_POINTS, id="it ran"),
         pytest.param(
@@ -87,8 +87,8 @@
         pytest.param(Broken.AFTER_HEAD, True, False, True, 0, id="its group stood still"),
     ],
 )
-def test_what_an_attempt_counts(broken, streaming, expected, still, points):
-    found = crash_watch.points(broken, streaming=streaming, expected=expected, still=still)
+def test_what_an_attempt_counts(broken, streaming, expected, silent, points):
+    found = crash_watch.crash_points(broken, streaming=streaming, expected=expected, silent=silent)
     assert found == points
 
 
@@ -96,48 +96,48 @@
     def test_third_crash_holds_a_request(self, quarantine, clock):
         for number in range(2):
             crash(quarantine, clock, number, a=RAN)
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
         crash(quarantine, clock, 2, a=RAN)
-        assert held(quarantine) == ["a"]
-        assert quarantine.held_for(b"a") == HOLD_SECONDS
+        assert quarantined_names(quarantine) == ["a"]
+        assert quarantine.quarantine_seconds_left(b"a") == QUARANTINE_SECONDS
 
     def test_request_that_may_have_waited_counts_half(self, quarantine, clock):
         for number in range(5):
             crash(quarantine, clock, number, a=WAITED)
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
         crash(quarantine, clock, 5, a=WAITED)
-        assert held(quarantine) == ["a"]
+        assert quarantined_names(quarantine) == ["a"]
 
     def test_crash_told_by_several_daemons_is_one(self, quarantine, clock):
         for _ in range(5):
             crash(quarantine, clock, 1, a=RAN)
         crash(quarantine, clock, 2, a=RAN)
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
 
     @pytest.mark.parametrize("born", [(None, 7), (7, None), (7, 7)])
     def test_daemon_that_does_not_know_the_life_tells_of_the_same_crash(
         self, quarantine, clock, born
     ):
         for value in born:
-            quarantine.note(Life("w1", value), clock.now, {b"a": RAN})
-        assert len(quarantine.repeated()) == 0
+            quarantine.record_crash(Life("w1", value), clock.now, {b"a": RAN})
+        assert len(quarantine.recurring_crashes()) == 0
 
     def test_lives_under_one_id_are_several(self, quarantine, clock):
         for born in range(3):
             clock.now += 1.0
-            quarantine.note(Life("w1", born), clock.now, {b"a": RAN})
-        assert held(quarantine) == ["a"]
+            quarantine.record_crash(Life("w1", born), clock.now, {b"a": RAN})
+        assert quarantined_names(quarantine) == ["a"]
 
     def test_endpoints_that_end_at_one_moment_count_once(self, quarantine, clock):
         """As when a domain loses power under content that many callers ask for."""
         for number in range(20):
             crash(quarantine, clock, number, after=0.001, a=RAN)
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
 
     def test_moments_do_not_chain(self, quarantine, clock):
         for number in range(8):
-            crash(quarantine, clock, number, after=0.9 * MOMENT_SECONDS, a=RAN)
-        assert held(quarantine) == ["a"]
+            crash(quarantine, clock, number, after=0.9 * SAME_INSTANT_SECONDS, a=RAN)
+        assert quarantined_names(quarantine) == ["a"]
 
 
 class TestCause:
@@ -145,37 +145,37 @@
         crash(quarantine, clock, 1, a=RAN, b=LONG, c=LONG)
         crash(quarantine, clock, 2, a=RAN, b=RAN)
         crash(quarantine, clock, 3, a=RAN, b=LONG, d=LONG)
-        assert held(quarantine) == ["a"]
+        assert quarantined_names(quarantine) == ["a"]
 
     def test_who_stood_beside_several_causes_is_let_go(self, quarantine, clock):
         """At three crashes it is held, until it shows that they have other causes."""
         for number, cause in enumerate(("x", "y", "z")):
             crash(quarantine, clock, number, **{cause: RAN, "b": LONG})
-        assert held(quarantine) == ["b"]
+        assert quarantined_names(quarantine) == ["b"]
         for number, cause in enumerate(("x", "x", "x", "y", "y", "y"), 3):
             crash(quarantine, clock, number, **{cause: RAN})
-        assert held(quarantine) == ["x", "y"]
+        assert quarantined_names(quarantine) == ["x", "y"]
 
     def test_two_causes_are_both_held(self, quarantine, clock):
         for number in range(6):
             crash(quarantine, clock, number, **{"xy"[number % 2]: RAN})
-        assert held(quarantine) == ["x", "y"]
+        assert quarantined_names(quarantine) == ["x", "y"]
 
     def test_of_two_with_the_same_crashes_the_one_that_ran_shortly(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=LONG, b=RAN)
-        assert held(quarantine) == ["b"]
+        assert quarantined_names(quarantine) == ["b"]
 
 
 class TestLastEndpoint:
     def test_request_is_kept_from_it_after_two_crashes_for_some_time(self, quarantine, clock):
         crash(quarantine, clock, 1, a=RAN)
-        assert not quarantine.spares_last(b"a")
+        assert not quarantine.is_denied_last_endpoint(b"a")
         crash(quarantine, clock, 2, a=RAN, b=RAN)
-        assert quarantine.spares_last(b"a")
-        assert not quarantine.spares_last(b"b")
-        clock.now += SPARED_SECONDS
-        assert not quarantine.spares_last(b"a")
+        assert quarantine.is_denied_last_endpoint(b"a")
+        assert not quarantine.is_denied_last_endpoint(b"b")
+        clock.now += LAST_ENDPOINT_DENIAL_SECONDS
+        assert not quarantine.is_denied_last_endpoint(b"a")
 
 
 class TestWithdrawn:
@@ -183,61 +183,61 @@
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
         crashed_at = clock.now
-        assert not quarantine.endpoint_lives(Life("w2", None), crashed_at - 0.5)
-        assert quarantine.endpoint_lives(Life("w2", None), crashed_at + 0.5)
-        assert held(quarantine) == []
+        assert not quarantine.record_endpoint_alive(Life("w2", None), crashed_at - 0.5)
+        assert quarantine.record_endpoint_alive(Life("w2", None), crashed_at + 0.5)
+        assert quarantined_names(quarantine) == []
         # told again by a daemon that doesn't know
-        assert not quarantine.note(Life("w2", None), crashed_at, {b"a": RAN})
-        assert held(quarantine) == []
+        assert not quarantine.record_crash(Life("w2", None), crashed_at, {b"a": RAN})
+        assert quarantined_names(quarantine) == []
 
     def test_next_life_says_nothing_of_the_one_before(self, quarantine, clock):
-        quarantine.note(Life("w1", 1), clock.now, {b"a": RAN})
-        assert not quarantine.endpoint_lives(Life("w1", 2), clock.now + 1.0)
-        assert quarantine.knows(Life("w1", 1))
+        quarantine.record_crash(Life("w1", 1), clock.now, {b"a": RAN})
+        assert not quarantine.record_endpoint_alive(Life("w1", 2), clock.now + 1.0)
+        assert quarantine.has_crashed(Life("w1", 1))
 
     def test_request_that_is_served(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=RAN, b=LONG)
         clock.now += 1.0
-        assert quarantine.request_served(b"a", clock.now)
-        assert held(quarantine) == ["b"]
-        assert not quarantine.note(Life("w2", None), clock.now - 1.0, {b"a": RAN})
+        assert quarantine.record_request_served(b"a", clock.now)
+        assert quarantined_names(quarantine) == ["b"]
+        assert not quarantine.record_crash(Life("w2", None), clock.now - 1.0, {b"a": RAN})
 
     def test_content_that_many_ask_for_is_never_held(self, quarantine, clock):
         for number in range(50):
             crash(quarantine, clock, number, popular=LONG)
-            quarantine.request_served(b"popular", clock.now + 0.5)
-            assert held(quarantine) == []
+            quarantine.record_request_served(b"popular", clock.now + 0.5)
+            assert quarantined_names(quarantine) == []
 
 
 class TestTime:
     def test_held_request_is_let_in_again_and_held_at_its_next_crash(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
-        clock.now += HOLD_SECONDS + 1.0
+        clock.now += QUARANTINE_SECONDS + 1.0
         quarantine.expire()
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
         crash(quarantine, clock, 3, a=RAN)
-        assert held(quarantine) == ["a"]
+        assert quarantined_names(quarantine) == ["a"]
 
     def test_crashes_are_forgotten(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
-        clock.now += REMEMBER_SECONDS + 1.0
+        clock.now += CRASH_TTL_SECONDS + 1.0
         quarantine.expire()
         assert quarantine.is_empty
         crash(quarantine, clock, 3, a=RAN)
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
 
     def test_memory_is_bounded_and_keeps_what_is_held(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
-        for number in range(2 * MOST_CRASHES):
-            requests = {f"r{number}-{one}": LONG for one in range(2 * MOST_REQUESTS)}
+        for number in range(2 * MAX_CRASHES):
+            requests = {f"r{number}-{one}": LONG for one in range(2 * MAX_REQUESTS_PER_CRASH)}
             crash(quarantine, clock, 100 + number, after=0.5, **requests)
-        assert held(quarantine) == ["a"]
-        assert sum(map(len, quarantine._crashes.values())) == MOST_CRASHES
-        assert len(quarantine._by_request) <= MOST_CRASHES * MOST_REQUESTS
+        assert quarantined_names(quarantine) == ["a"]
+        assert sum(map(len, quarantine._crashes.values())) == MAX_CRASHES
+        assert len(quarantine._crashes_by_request) <= MAX_CRASHES * MAX_REQUESTS_PER_CRASH
 
 
 class View:
@@ -262,38 +262,38 @@
 class TestLifted:
     def test_operator_lifts_a_hold(self, quarantine, clock):
         view = View()
-        followed = LiftedHolds(view, quarantine)
+        followed = ReleasedRequests(view, quarantine)
         for number in range(3):
             crash(quarantine, clock, number, a=RAN, b=RAN)
         clock.now += 1.0
         view.write(f"thorncleat/lifted/{b'b'.hex()}", 7)
-        assert held(quarantine) == ["a"]
+        assert quarantined_names(quarantine) == ["a"]
         view.write(f"thorncleat/lifted/{b'a'.hex()}", 8)
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
         # once for each time that it is written
         for number in range(3, 6):
             crash(quarantine, clock, number, a=RAN)
         view.write("thorncleat/daemons/edge-1", 9)
-        assert held(quarantine) == ["a"]
+        assert quarantined_names(quarantine) == ["a"]
         clock.now += 1.0
         view.write(f"thorncleat/lifted/{b'a'.hex()}", 10)
-        assert held(quarantine) == []
+        assert quarantined_names(quarantine) == []
         assert followed
 
     def test_record_that_names_no_request_lifts_nothing(self, quarantine, clock):
         view = View()
-        followed = LiftedHolds(view, quarantine)
+        followed = ReleasedRequests(view, quarantine)
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
         view.write("thorncleat/lifted/other words", 7)
-        assert held(quarantine) == ["a"]
+        assert quarantined_names(quarantine) == ["a"]
         assert followed
 
 
 def test_only_requests_of_several_crashes_are_repeated(quarantine, clock):
     crash(quarantine, clock, 1, a=RAN, b=LONG)
-    assert quarantine.repeated() == []
+    assert quarantine.recurring_crashes() == []
     crash(quarantine, clock, 2, a=RAN, c=LONG)
-    assert [set(one.requests) for one in quarantine.repeated()] == [{b"a"}, {b"a"}]
-    assert quarantine.repeated([b"b", b"c"]) == []
-    assert len(quarantine.repeated([b"c", b"a"])) == 2
+    assert [set(one.requests) for one in quarantine.recurring_crashes()] == [{b"a"}, {b"a"}]
+    assert quarantine.recurring_crashes([b"b", b"c"]) == []
+    assert len(quarantine.recurring_crashes([b"c", b"a"])) == 2
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -123,8 +123,8 @@
     await asyncio.sleep(5.0)
     world.daemons.append(late)
     late.peers.cut = False
-    assert not late.quarantine.holds_any
-    took = await world.until(lambda: late.quarantine.holds_any)
+    assert not late.quarantine.has_quarantined
+    took = await world.until(lambda: late.quarantine.has_quarantined)
     await world.end()
     return took
 
@@ -137,9 +137,11 @@
     """Return after how many seconds all daemons hold a request whose third crash one has seen."""
     world = CrashWorld(GROWN, seed)
     await world.begin()
-    while not any(daemon.quarantine.holds_any for daemon in world.daemons):
+    while not any(daemon.quarantine.has_quarantined for daemon in world.daemons):
         await world.call(b"fatal 0", tries=1)
-    took = await world.until(lambda: all(daemon.quarantine.holds_any for daemon in world.daemons))
+    took = await world.until(
+        lambda: all(daemon.quarantine.has_quarantined for daemon in world.daemons)
+    )
     await world.end()
     return took
 
--- a/tests/test_rate_notice.py
+++ b/tests/test_rate_notice.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from thorncleat_gateway.requests.rate_notice import RateNotice
-from thorncleat_gateway.requests.rate_notice import in_force
+from thorncleat_gateway.requests.rate_notice import merge_notices
 
 
-def named(limit, sent_at, heard_at):
-    return RateNotice(limit, sent_at, heard_at)
+def named(limit, sent_at, answered_at):
+    return RateNotice(limit, sent_at, answered_at)
 
 
 KNOWN = named(2.0, 10.0, 11.0)
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("case", CASES)
 def test_cases(case):
     known, told, held = CASES[case]
-    assert in_force(known, told) == held
+    assert merge_notices(known, told) == held
 
 
 def said(at, change_at):
@@ -59,8 +59,8 @@
     held = None
     for number in order:
         if number < len(notices):
-            held = in_force(held, notices[number])
-    last_named = max((one.heard_at for one in notices if one.limit is not None), default=None)
+            held = merge_notices(held, notices[number])
+    last_named = max((one.answered_at for one in notices if one.limit is not None), default=None)
     shows_the_end = [one.sent_at for one in notices if one.limit is None]
     if last_named is None or max(shows_the_end, default=0.0) > last_named:
         assert held.limit is None
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -83,7 +83,9 @@
     daemons = fleet(8)
     (holder,) = [name for name in daemons if share(1.0, name, daemons)]
     whole = share(1.0, holder, daemons)
-    assert share(1.0, holder, daemons, FleetKnowledge.OLD) == whole * rate_shares.PART_IF_OLD
+    assert (
+        share(1.0, holder, daemons, FleetKnowledge.OLD) == whole * rate_shares.STALE_LIST_FRACTION
+    )
     assert share(1.0, holder, daemons, FleetKnowledge.NONE) == 0
     without = {name: one for name, one in daemons.items() if name != holder}
     alone = rate_shares.share(1.0, ENDPOINT, daemons[holder], without, FleetKnowledge.RECENT)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -9,10 +9,10 @@
 from thorncleat_gateway.requests import retry_after
 from thorncleat_gateway.requests import retry_policy
 from thorncleat_gateway.requests.refusal import Refusal
-from thorncleat_gateway.requests.retry_policy import UNSENT_TRIES
+from thorncleat_gateway.requests.retry_policy import MAX_UNSENT_ATTEMPTS
 from thorncleat_gateway.requests.retry_policy import AttemptsUsed
 from thorncleat_gateway.requests.retry_policy import CutAnswer
-from thorncleat_gateway.requests.retry_policy import Next
+from thorncleat_gateway.requests.retry_policy import NextStep
 from thorncleat_gateway.store.serving import Route
 from thorncleat_gateway.store.serving import RouteKind
 from thorncleat_gateway.store.serving import Split
@@ -49,8 +49,8 @@
         return self.tokens >= 0
 
 
-AGAIN = Next.SEND_AGAIN
-KEPT = Next.RETURN_KEPT_ANSWER
+AGAIN = NextStep.RETRY
+KEPT = NextStep.RETURN_FAILED_ANSWER
 
 # failure, used, route, begun, tokens; decision, whether the budget was asked
 STREAMS = [
@@ -91,7 +91,7 @@
     (
         "not sent, too often",
         NO,
-        used(0, UNSENT_TRIES),
+        used(0, MAX_UNSENT_ATTEMPTS),
         STREAM,
         False,
         1,
@@ -201,7 +201,7 @@
     (
         "not sent, too often",
         NO,
-        used(0, UNSENT_TRIES),
+        used(0, MAX_UNSENT_ATTEMPTS),
         ONCE,
         False,
         1,
@@ -264,26 +264,32 @@
 
 
 @pytest.mark.parametrize(
-    ("failure", "spent", "on", "has_kept", "tokens", "expected", "asked"),
+    ("failure", "spent", "on", "has_failed_answer", "tokens", "expected", "asked"),
     [pytest.param(*row, id=name) for name, *row in PLAIN],
 )
-def test_plain_request_after_a_failure(failure, spent, on, has_kept, tokens, expected, asked):
+def test_plain_request_after_a_failure(
+    failure, spent, on, has_failed_answer, tokens, expected, asked
+):
     budget = Budget(tokens)
-    decision = retry_policy.after_plain_failure(failure, spent, on, budget.take, has_kept=has_kept)
+    decision = retry_policy.after_plain_failure(
+        failure, spent, on, budget.take, has_failed_answer=has_failed_answer
+    )
     assert decision == expected
     assert budget.asked == asked
 
 
 @pytest.mark.parametrize(
-    ("may_have_run", "has_kept", "expected"),
+    ("may_have_run", "has_failed_answer", "expected"),
     [
         pytest.param(False, False, Refusal(503, "no endpoint", 0.3), id="nothing has run"),
         pytest.param(True, False, Refusal(502, "no endpoint", None), id="may have run"),
         pytest.param(True, True, KEPT, id="an endpoint has answered"),
     ],
 )
-def test_no_endpoint_is_left(may_have_run, has_kept, expected):
-    found = retry_policy.without_endpoint(may_have_run=may_have_run, has_kept=has_kept)
+def test_no_endpoint_is_left(may_have_run, has_failed_answer, expected):
+    found = retry_policy.without_endpoint(
+        may_have_run=may_have_run, has_failed_answer=has_failed_answer
+    )
     assert found == expected
 
 
@@ -292,7 +298,7 @@
     [
         pytest.param(False, False, False, Refusal(503, "c", 0.4), id="nothing has run"),
         pytest.param(True, False, False, Refusal(502, "c", None), id="may have run"),
-        pytest.param(True, True, False, Next.WAIT_FOR_GROUP, id="begun: wait"),
+        pytest.param(True, True, False, NextStep.WAIT_FOR_GROUP, id="begun: wait"),
         pytest.param(True, True, True, CutAnswer("no group to go on in"), id="waited in vain"),
     ],
 )
@@ -326,7 +332,7 @@
     ],
 )
 def test_plain_request_could_go_elsewhere(on, sends, late, expected):
-    assert retry_policy.may_try_elsewhere(on, sends, late=late) is expected
+    assert retry_policy.can_try_elsewhere(on, sends, late=late) is expected
 
 
 @pytest.mark.parametrize(
@@ -350,7 +356,7 @@
     ],
 )
 def test_stream_may_leave_a_silent_group(on, sends, expected):
-    assert retry_policy.may_leave_group(on, sends) is expected
+    assert retry_policy.can_leave_group(on, sends) is expected
 
 
 def test_decisions_end_the_request_with_what_they_say():
@@ -387,7 +393,7 @@
     ],
 )
 def test_time_to_come_back_in_a_pause(pause_left, least, most):
-    found = [retry_after.in_a_pause(0.3, pause_left) for _ in range(50)]
+    found = [retry_after.during_pause(0.3, pause_left) for _ in range(50)]
     assert least <= min(found) <= max(found) <= most
     assert least == most or max(found) - min(found) > 0.2
 
@@ -396,7 +402,9 @@
 def test_refusal_while_all_pause(plain):
     """Nothing has run, so the caller is told at once when one can be asked again."""
     if plain:
-        end = retry_policy.without_endpoint(may_have_run=False, has_kept=False, pause_left=1.5)
+        end = retry_policy.without_endpoint(
+            may_have_run=False, has_failed_answer=False, pause_left=1.5
+        )
     else:
         end = retry_policy.without_group(
             "c", may_have_run=False, begun=False, waited=False, pause_left=1.5
