--- a/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
@@ -1,14 +1,12 @@
-"""Telling the other daemons of endpoints that take few requests, and taking in what they tell.
+"""Exchanges endpoints' rate limits with the other daemons.
 
-A daemon without a share of a limit gets no answers of the endpoint, and one that has just started
-got none yet. So what an answer changes is told to all at once, and what was heard lately is
-repeated each second to a few daemons drawn at random.
-
-Nothing is sent while no endpoint names a limit.
+A daemon without a share of a limit, or one that has just started, gets no answers that name it. So
+changes are broadcast, and recent notices are repeated to a few random daemons. Nothing is sent
+while no endpoint has a limit.
 
 Owns: nothing.
-Relies on: :mod:`.endpoint_limits`, which keeps what is known, and the datagrams of
-:mod:`..peers.datagrams`; an earlier build rejects these.
+Relies on: :mod:`.endpoint_limits` for the notices, and the datagrams of :mod:`..peers.datagrams`;
+an earlier build rejects these.
 """
 
 import asyncio
@@ -26,21 +24,20 @@
 from .endpoint_limits import EndpointLimits
 from .rate_notice import RateNotice
 
-# between two repetitions
 REPEAT_INTERVAL_SECONDS = 1.0
-# daemons that are told at each repetition
+# Daemons that receive each repetition.
 REPEAT_FANOUT = 3
-# after an answer for which what it says is told: less than the others remember that a limit has
-# ended, so that a daemon that was cut off doesn't bring one back
+# How long a notice is reported after its answer. The others remember for longer that a limit has
+# ended, so that a daemon which was cut off doesn't restore it.
 MAX_REPORTED_AGE_SECONDS = 60.0
-# endpoints in one datagram, of some 40 bytes each, so that it is not split on its way
+# Endpoints in one report, so that its datagram isn't fragmented.
 MAX_REPORT_ENTRIES = 25
 
 
 class LimitReporter(mode.Service):
-    """Tells other daemons what this one has heard of limits, and passes on what they tell.
+    """Reports limits to the other daemons and records those that they report.
 
-    :param clock: seconds that never go back.
+    :param clock: monotonic, in seconds.
     """
 
     def __init__(
@@ -55,26 +52,26 @@
         self._view = view
         self._peers = peers
         self._clock = clock
-        limits.on_change(self._news)
-        peers.on_message(self._message)
+        limits.on_change(self._on_change)
+        peers.on_message(self._on_message)
 
-    def _news(self, life: Life, notice: RateNotice) -> None:
-        self._peers.tell_all(LimitReport([self._reported(life, notice)]))
+    def _on_change(self, life: Life, notice: RateNotice) -> None:
+        self._peers.tell_all(LimitReport([self._to_report(life, notice)]))
 
-    def _reported(self, life: Life, notice: RateNotice) -> ReportedLimit:
+    def _to_report(self, life: Life, notice: RateNotice) -> ReportedLimit:
         now = self._clock()
-        sent_age, heard_age = now - notice.sent_at, now - notice.answered_at
-        return ReportedLimit(life.endpoint_id, life.born, notice.limit, sent_age, heard_age)
+        sent_age, answer_age = now - notice.sent_at, now - notice.answered_at
+        return ReportedLimit(life.endpoint_id, life.born, notice.limit, sent_age, answer_age)
 
-    def _message(self, sender: str, message: Message) -> None:
+    def _on_message(self, sender: str, message: Message) -> None:
         if not isinstance(message, LimitReport):
             return
         now = self._clock()
-        for told in message.limits:
-            if told.heard_age > MAX_REPORTED_AGE_SECONDS:
+        for reported in message.limits:
+            if reported.heard_age > MAX_REPORTED_AGE_SECONDS:
                 continue
-            notice = RateNotice(told.limit, now - told.sent_age, now - told.heard_age)
-            self._limits.record_notice(Life(told.endpoint_id, told.born), notice)
+            notice = RateNotice(reported.limit, now - reported.sent_age, now - reported.heard_age)
+            self._limits.record_notice(Life(reported.endpoint_id, reported.born), notice)
 
     @mode.Service.task
     async def _repeat_task(self) -> None:
@@ -84,17 +81,17 @@
             self.repeat()
 
     def repeat(self) -> None:
-        """Tell a few daemons what was heard lately."""
+        """Send recent notices to a few random daemons."""
         begin = self._clock() - MAX_REPORTED_AGE_SECONDS
-        lately = [
-            self._reported(life, notice)
+        recent = [
+            self._to_report(life, notice)
             for life, notice in self._limits.notices.items()
             if notice.answered_at >= begin
         ]
         others = sorted(self._peers.others)
-        if not lately or not others:
+        if not recent or not others:
             return
-        # where there is more than a datagram holds, each repetition tells another part of it
-        report = LimitReport(random.sample(lately, min(MAX_REPORT_ENTRIES, len(lately))))
+        # Each repetition sends another selection of what one datagram can't hold.
+        report = LimitReport(random.sample(recent, min(MAX_REPORT_ENTRIES, len(recent))))
         for daemon in random.sample(others, min(REPEAT_FANOUT, len(others))):
             self._peers.tell(daemon, report)
--- a/packages/gateway/src/thorncleat_gateway/requests/rate_notice.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/rate_notice.py
@@ -1,13 +1,9 @@
-"""What an endpoint's answers say of the requests that it takes from all daemons together.
+"""The rate limit that an endpoint names in an answer, and which of two notices prevails.
 
-Answers overtake each other, and daemons tell each other what they have heard. So a notice holds
-the moments between which the endpoint has said it, and of two notices the one is kept that holds
-whichever came first. Where that can't be told, the limit goes on: to keep to it for one more answer
-costs little, and to leave it too soon gives the endpoint more than it takes.
+Answers and reports of other daemons arrive in any order, so a notice carries the interval in which
+the endpoint stated it. If the order of two notices can't be determined, the stricter one prevails.
 
-Pure.
-
-Owns: nothing.
+Owns: nothing; every rule is a pure function.
 Relies on: times of one daemon's own clock.
 """
 
@@ -15,11 +11,11 @@
 
 
 class RateNotice(t.NamedTuple):
-    """A limit that an endpoint has named in an answer, or that it named none.
+    """What an answer says of the endpoint's rate limit.
 
-    :param limit: requests a second; None if it named none.
-    :param sent_at: when the request was sent that it answers, on the gateway's clock.
-    :param heard_at: when the answer came.
+    :param limit: requests per second; None if the answer named no limit.
+    :param sent_at: when the request was sent, on the gateway's clock.
+    :param answered_at: when the answer came.
     """
 
     limit: float | None
@@ -27,26 +23,26 @@
     answered_at: float
 
 
-def merge_notices(known: RateNotice | None, told: RateNotice) -> RateNotice:
-    """Return what holds of an endpoint after another notice.
+def merge_notices(current: RateNotice | None, new: RateNotice) -> RateNotice:
+    """Return the notice that prevails after a new one.
 
-    :param known: what held before; None if nothing was known.
+    :param current: the notice that prevailed before; None if there was none.
     """
-    if known is None:
-        return told
-    if told.limit == known.limit:
+    if current is None:
+        return new
+    if new.limit == current.limit:
         sent_at, answered_at = (
-            max(known.sent_at, told.sent_at),
-            max(known.answered_at, told.answered_at),
+            max(current.sent_at, new.sent_at),
+            max(current.answered_at, new.answered_at),
         )
-        return RateNotice(known.limit, sent_at, answered_at)
-    return told if _is_newer(known, told) else known
+        return RateNotice(current.limit, sent_at, answered_at)
+    return new if _is_replaced_by(current, new) else current
 
 
-def _is_newer(known: RateNotice, told: RateNotice) -> bool:
-    """Return whether a notice with another figure takes the place of the known one."""
-    if told.sent_at > known.answered_at:
+def _is_replaced_by(current: RateNotice, new: RateNotice) -> bool:
+    """Return whether the current notice is replaced by one with a different limit."""
+    if new.sent_at > current.answered_at:
         return True
-    if told.sent_at < known.sent_at or told.limit is None:
+    if new.sent_at < current.sent_at or new.limit is None:
         return False
-    return known.limit is None or told.limit < known.limit
+    return current.limit is None or new.limit < current.limit
--- a/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
@@ -1,15 +1,11 @@
-"""Which daemons send to an endpoint that takes few requests, and how many each.
+"""Divides an endpoint's rate limit among the daemons.
 
-The limit holds for all daemons together, and they can't ask each other before each request. So it
-is divided by the list of daemons, which all know alike. Were each to get the same part, there would
-be as many first requests as daemons: with eight of them and a limit of one a second that alone is
-the endpoint's fill for 8 s. So a few have a share and the others none: chosen by rendezvous
-hashing, those of the endpoint's failure domain first.
+Daemons can't coordinate before each request, so each computes its share from the list of daemons. A
+few daemons chosen by rendezvous hashing hold all shares, since the first requests of many holders
+together would exceed the limit. Daemons of the endpoint's failure domain are preferred.
 
-Pure.
-
-Owns: nothing.
-Relies on: :mod:`..store.fleet_knowledge` for who may use a share at all.
+Owns: nothing; every rule is a pure function.
+Relies on: :mod:`..store.fleet_knowledge` for which daemons may use a share.
 """
 
 import math
@@ -21,21 +17,20 @@
 from ..store.relays import Daemon
 from ..store.roster import Endpoint
 
-# of a limit, requests a second for which one daemon has a share: with more holders their first
-# requests come on top of the rate, with fewer some have too few callers to use theirs
+# Requests per second of a limit for each daemon that holds a share.
 RATE_PER_HOLDER = 1.0
-# of a limit that is given out: with one request at once of each holder the requests of any 4 s stay
-# within the limit
+# Fraction of a limit that is allocated; the rest covers the first requests of the holders.
 ALLOCATED_FRACTION = 0.75
-# of its share that a daemon uses whose list is old: another one may have got the same share since
+# Fraction of its share that a daemon with a stale list uses, since another daemon may hold the same
+# share by now.
 STALE_LIST_FRACTION = 0.25
-# requests a second that are sent to an endpoint whose limit is lower, since only its answers can
-# tell that it takes more again
+# Requests per second that are sent to an endpoint whatever its limit, since only its answers can
+# raise the limit.
 MIN_RATE = 1 / 30
 
 
 def rate(limit: float) -> float:
-    """Return the requests a second that all daemons together send to an endpoint with a limit."""
+    """Return the requests per second of all daemons together to an endpoint with a limit."""
     return max(ALLOCATED_FRACTION * limit, MIN_RATE)
 
 
@@ -46,26 +41,26 @@
     daemons: t.Mapping[str, Daemon],
     knowledge: FleetKnowledge,
 ) -> float:
-    """Return the requests a second that a daemon may send to an endpoint; 0 for none.
+    """Return the requests per second that a daemon may send to an endpoint; 0 for none.
 
-    :param limit: requests a second that the endpoint takes from all daemons together.
+    :param limit: requests per second that the endpoint takes from all daemons together.
     """
     if knowledge is FleetKnowledge.NONE or own.id not in daemons:
         return 0.0
     holders = max(1, min(len(daemons), math.ceil(limit / RATE_PER_HOLDER)))
     if not _is_holder(endpoint, own, daemons.values(), holders):
         return 0.0
-    of_holder = rate(limit) / holders
-    return of_holder * STALE_LIST_FRACTION if knowledge is FleetKnowledge.OLD else of_holder
+    per_holder = rate(limit) / holders
+    return per_holder * STALE_LIST_FRACTION if knowledge is FleetKnowledge.OLD else per_holder
 
 
 def _is_holder(endpoint: Endpoint, own: Daemon, daemons: t.Iterable[Daemon], holders: int) -> bool:
-    """Return whether a daemon is among the first of the list in the order of an endpoint."""
+    """Return whether a daemon is among an endpoint's preferred ones."""
     key = f"limit {endpoint.id} {endpoint.born}"
 
     def preference(daemon: Daemon) -> tuple[bool, int, str]:
-        is_near = daemon.failure_domain == endpoint.failure_domain
-        return is_near, rendezvous.score(key, daemon.id), daemon.id
+        is_same_domain = daemon.failure_domain == endpoint.failure_domain
+        return is_same_domain, rendezvous.score(key, daemon.id), daemon.id
 
-    mine = preference(own)
-    return sum(preference(daemon) > mine for daemon in daemons) < holders
+    own_preference = preference(own)
+    return sum(preference(daemon) > own_preference for daemon in daemons) < holders
