--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -238,7 +238,7 @@
 
     def _build_requests(self) -> Frontend:
         settings, clock = self._settings, self._clock
-        self._client = endpoint_client.session()
+        self._client = endpoint_client.create_session()
         calls = EndpointClient(
             self._client, self._codec, self._notices, self._limits, settings.connect_timeout
         )
--- a/packages/gateway/src/thorncleat_gateway/http_session.py
+++ b/packages/gateway/src/thorncleat_gateway/http_session.py
@@ -3,7 +3,7 @@
 Owns: the session and its connections.
 Relies on: aiohttp, which repeats a call by itself if its method allows that and a kept
 connection turns out to be closed. Requests of callers must never be repeated so; they go
-through :func:`thorncleat_gateway.requests.endpoint_client.session`.
+through :func:`thorncleat_gateway.requests.endpoint_client.create_session`.
 """
 
 import aiohttp
--- a/packages/gateway/src/thorncleat_gateway/requests/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request: from a caller to an endpoint and back."""
+"""Request handling: admission, endpoint selection, forwarding, retries and quarantine."""
--- a/packages/gateway/src/thorncleat_gateway/requests/admission.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/admission.py
@@ -1,8 +1,8 @@
-"""Whether this daemon is ready, and whether it lets a caller's request in.
+"""Whether this daemon is ready, and whether it admits a caller's request.
 
 Owns: nothing; every rule is a pure function.
-Relies on: :mod:`..store.serving` for routes, keys and limits, and on the age of the
-configuration as :mod:`..store.view` proves it.
+Relies on: :mod:`..store.serving` for routes, keys and limits, and the age of the configuration as
+:mod:`..store.view` proves it.
 """
 
 import dataclasses
@@ -14,13 +14,13 @@
 from . import retry_after
 from .refusal import Refusal
 
-# part of the deployment's bound for taking a key away, for which the configuration counts as
-# new enough for keys; the rest covers requests under way
+# Fraction of the deployment's bound for revoking a key during which a configuration is trusted; the
+# rest covers running requests.
 KEY_TRUST_FRACTION = 0.9
 
 
 class NotReady(enum.Enum):
-    """Why a daemon should get no requests; the value is what the balancer is told."""
+    """Why a daemon should get no requests; the value is sent to the load balancer."""
 
     STOPPING = "stopping"
     NO_CONFIGURATION = "no configuration yet"
@@ -36,9 +36,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Admitted:
-    """A request that is let in.
+    """A request that is admitted.
 
-    :param workspace: whose key it carries; None where no key is asked for.
+    :param workspace: the owner of the request's key; None if no key is required.
     """
 
     configuration: ServingConfiguration
@@ -47,26 +47,26 @@
 
 
 def is_current(age: float, revoke_within: float | None) -> bool:
-    """Return whether a configuration is new enough to trust the keys in it.
+    """Return whether a configuration is recent enough for its keys to be trusted.
 
-    :param age: seconds since a newer configuration was excluded.
-    :param revoke_within: seconds after which a key that was taken away must not work; None to
-        serve on whatever the age.
+    :param age: seconds since the configuration was last confirmed as the newest.
+    :param revoke_within: seconds after which a revoked key must not work; None to trust keys at
+        any age.
     """
     return revoke_within is None or age < revoke_within * KEY_TRUST_FRACTION
 
 
-def why_not_ready(*, stopping: bool, loaded: bool, fresh: bool) -> NotReady | None:
+def why_not_ready(*, is_stopping: bool, is_loaded: bool, is_current: bool) -> NotReady | None:
     """Return why this daemon should get no requests, or None if it should.
 
-    :param loaded: whether there is a configuration.
-    :param fresh: whether it is new enough for keys.
+    :param is_loaded: whether there is a configuration.
+    :param is_current: whether its keys can be trusted.
     """
-    if stopping:
+    if is_stopping:
         return NotReady.STOPPING
-    if not loaded:
+    if not is_loaded:
         return NotReady.NO_CONFIGURATION
-    if not fresh:
+    if not is_current:
         return NotReady.CONFIGURATION_TOO_OLD
     return None
 
@@ -77,17 +77,17 @@
     path: str,
     key: str | None,
     *,
-    closed: bool,
-    fresh: bool,
+    is_closed: bool,
+    is_current: bool,
 ) -> Admitted | Refusal:
-    """Decide whether a request is let in, before its body is read.
+    """Decide whether a request is admitted, before its body is read.
 
     :param path: without the query.
-    :param key: that the caller sent, or None.
-    :param closed: whether this daemon takes no more requests.
-    :param fresh: whether the configuration is new enough for keys.
+    :param key: the key that the caller sent, or None.
+    :param is_closed: whether this daemon accepts no more requests.
+    :param is_current: whether the keys of the configuration can be trusted.
     """
-    if closed:
+    if is_closed:
         return STOPPING
     if configuration is None:
         return NO_CONFIGURATION
@@ -96,7 +96,7 @@
         return NO_ROUTE
     if route.public or not configuration.workspaces:
         return Admitted(configuration, route, None)
-    if not fresh:
+    if not is_current:
         return TOO_OLD_FOR_KEYS
     workspace = configuration.workspace_for(key) if key else None
     if workspace is None:
@@ -105,9 +105,9 @@
 
 
 def body_refusal(size: int, limit: int) -> Refusal | None:
-    """Return why a body is not taken, or None if it is.
+    """Return the refusal of a body that is too large, or None.
 
-    :param size: bytes that have come so far.
+    :param size: bytes received so far.
     :param limit: bytes that a body may have.
     """
     return Refusal(413, f"body over {limit} bytes") if size > limit else None
--- a/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
@@ -1,4 +1,4 @@
-"""The caller's side of an answer: the head, the bytes, the end, or a broken connection.
+"""The caller's side of an answer: its head, its body, its end, or a broken connection.
 
 Owns: one answer, as far as it was sent.
 Relies on: aiohttp's server.
@@ -12,14 +12,14 @@
 
 
 class CallerResponse:
-    """An answer on its way to a caller.
+    """An answer that is being sent to a caller.
 
-    :param closing: returns whether the connection should not be used again.
+    :param is_closing: returns whether the connection should not be reused.
     """
 
-    def __init__(self, request: web.BaseRequest, closing: t.Callable[[], bool]) -> None:
+    def __init__(self, request: web.BaseRequest, is_closing: t.Callable[[], bool]) -> None:
         self._request = request
-        self._closing = closing
+        self._is_closing = is_closing
         self._response: web.StreamResponse | None = None
 
     @property
@@ -29,16 +29,16 @@
 
     @property
     def sent(self) -> web.StreamResponse:
-        """The answer as far as it was sent; it must have begun."""
+        """The answer as far as it was sent; the head must have been sent."""
         assert self._response is not None
         return self._response
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head."""
+        """Send the status and the headers."""
         response = web.StreamResponse(status=status)
         for name, value in headers:
             response.headers.add(name, value)
-        if self._closing():
+        if self._is_closing():
             response.force_close()
         self._response = response
         if "Content-Length" not in response.headers and self._request.version >= (1, 1):
@@ -50,10 +50,10 @@
         await self.sent.write(data)
 
     async def end(self) -> None:
-        """End the answer as whole."""
+        """Complete the answer."""
         await self.sent.write_eof()
 
     def cut(self) -> None:
-        """Break the connection, so that the answer can't be taken for whole."""
+        """Break the connection, so that the answer can't be taken for complete."""
         if self._request.transport is not None:
             self._request.transport.abort()
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -1,7 +1,7 @@
-"""One attempt at an endpoint, with what is known of its fate when it fails.
+"""Sends attempts to endpoints and classifies their failures.
 
 Owns: the connections to endpoints, one for each attempt.
-Relies on: aiohttp as its client library, and on the platform's adapter
+Relies on: aiohttp as its client library, and the platform's adapter
 (:class:`~..ports.HeaderCodec`) for the names of headers.
 """
 
@@ -31,51 +31,50 @@
 from .endpoint_notices import EndpointNotices
 from .request import Request
 
-# headers that the client library adds by itself; only the caller's own are sent
+# Headers that the client library would add by itself; only the caller's own are sent.
 SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
-# status from which on an answer needs no signature of the endpoint: it carries no result
-UNSIGNED_STATUS = 400
-# value of SO_LINGER: on, for no time
-DROP_UNSENT = struct.pack("ii", 1, 0)
+# Answers with this status or a higher one carry no result, so they need no signature.
+MIN_UNSIGNED_STATUS = 400
+# Value of SO_LINGER (on, for no time) that resets a connection when it is closed.
+LINGER_NONE = struct.pack("ii", 1, 0)
 
 
 class _Connection(ResponseHandler):
-    """A connection of one attempt, which treats both ends that the client library does not.
+    """A connection of one attempt, which handles resets more strictly than the client library.
 
-    An answer without a length ends with its connection; the library takes a reset for such an
-    end, here it fails the answer. And a connection that is closed before its answer is whole goes
-    on sending what its buffers hold; here the rest of an attempt that was given up is dropped, so
-    that it doesn't reach the endpoint after the caller has left.
+    A reset fails an answer without a length, which the library would take for complete. Closing the
+    connection before the answer is complete drops the unsent data, so that an abandoned attempt
+    doesn't reach the endpoint later.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail an answer that was still coming if the connection did not end in order."""
+        """Fail an incomplete answer if the connection was not closed cleanly."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(repr(exc)))
         super().connection_lost(exc)
 
     def close(self) -> None:
-        """Close the connection; with a reset if the answer is not whole."""
+        """Close the connection, with a reset if the answer is incomplete."""
         transport = self.transport
-        answered = self._payload is not None and self._payload.is_eof()
-        if transport is not None and not answered:
-            connected = transport.get_extra_info("socket")
-            connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, DROP_UNSENT)
+        is_complete = self._payload is not None and self._payload.is_eof()
+        if transport is not None and not is_complete:
+            tcp_socket = transport.get_extra_info("socket")
+            tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
             transport.abort()
         super().close()
 
 
-def session() -> aiohttp.ClientSession:
-    """Return a session in which each call has a connection of its own.
+def create_session() -> aiohttp.ClientSession:
+    """Return a session that opens a new connection for each request.
 
-    So no answer can be mistaken for another request's, and no kept connection can be closed
-    by the endpoint while a request crosses it.
+    Thus no answer can be taken for another request's, and no idle connection can be closed by the
+    endpoint while a request is being sent on it.
     """
     connector = aiohttp.TCPConnector(limit=0, force_close=True, happy_eyeballs_delay=None)
-    made = functools.partial(_Connection, loop=asyncio.get_running_loop())
-    # the library has no public way to choose the class of connections
-    connector._factory = t.cast(functools.partial[ResponseHandler], made)
+    factory = functools.partial(_Connection, loop=asyncio.get_running_loop())
+    # The library has no public way to choose the class of connections.
+    connector._factory = t.cast(functools.partial[ResponseHandler], factory)
     return aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
@@ -85,26 +84,26 @@
     )
 
 
-# status from which on an answer says that the endpoint failed
-FAILURE_STATUS = 500
+# Answers with this status or a higher one mean that the endpoint failed.
+MIN_FAILURE_STATUS = 500
 
 
 @dataclasses.dataclass(frozen=True)
 class EndpointAnswer:
-    """An endpoint's whole answer."""
+    """An endpoint's complete answer."""
 
     status: int
     headers: Headers
     body: bytes
 
     @property
-    def failed(self) -> bool:
-        """Whether it says that the endpoint failed."""
-        return self.status >= FAILURE_STATUS
+    def is_failure(self) -> bool:
+        """Whether the status means that the endpoint failed."""
+        return self.status >= MIN_FAILURE_STATUS
 
 
 class Exchange:
-    """An endpoint's answer whose head has come."""
+    """An endpoint's answer whose head has been received."""
 
     def __init__(self, response: aiohttp.ClientResponse, codec: HeaderCodec) -> None:
         self._response = response
@@ -120,44 +119,44 @@
         """The endpoint's headers that the caller gets."""
         return self._codec.for_caller(self.status, list(self._response.headers.items()))
 
-    async def body(self) -> bytes:
-        """Return the whole body.
+    async def read_body(self) -> bytes:
+        """Return the complete body.
 
-        :raises AttemptError: if it was cut short.
+        :raises AttemptError: if the connection broke before its end.
         """
         try:
             return await self._response.read()
         except (aiohttp.ClientError, ConnectionError) as error:
-            raise _answer_cut(error) from error
+            raise _cut_error(error) from error
 
-    async def whole(self) -> EndpointAnswer:
-        """Return the whole answer.
+    async def read(self) -> EndpointAnswer:
+        """Return the complete answer.
 
-        :raises AttemptError: if it was cut short.
+        :raises AttemptError: if the connection broke before its end.
         """
-        return EndpointAnswer(self.status, self.headers, await self.body())
+        return EndpointAnswer(self.status, self.headers, await self.read_body())
 
-    async def more(self) -> bytes:
-        """Return the next bytes of the body as they come; nothing at its end.
+    async def read_chunk(self) -> bytes:
+        """Return the next bytes of the body as they arrive; none at its end.
 
-        :raises AttemptError: if it was cut short.
+        :raises AttemptError: if the connection broke before its end.
         """
         try:
             return await self._response.content.readany()
         except (aiohttp.ClientError, ConnectionError) as error:
-            raise _answer_cut(error) from error
+            raise _cut_error(error) from error
 
 
-def _answer_cut(error: Exception) -> AttemptError:
+def _cut_error(error: Exception) -> AttemptError:
     cause = f"answer cut: {type(error).__name__}"
     return AttemptError(cause, Ran.MAYBE, broken=Broken.AFTER_HEAD)
 
 
 class EndpointClient:
-    """Opens exchanges with endpoints that take requests.
+    """Opens exchanges with endpoints that accept requests.
 
-    :param connect_timeout: seconds for a connection to come up; by so much later than the check at
-        most a request is sent.
+    :param connect_timeout: seconds; also the longest time between the check whether an endpoint
+        accepts requests and the sending of one.
     """
 
     def __init__(
@@ -178,14 +177,14 @@
     async def open(
         self, endpoint: Endpoint, request: Request, meta: ForwardMeta
     ) -> t.AsyncIterator[Exchange]:
-        """Send a request and yield the exchange once the answer's head is there.
+        """Send a request and yield the exchange once the head of the answer is received.
 
-        :param meta: what the endpoint is told beside the caller's own headers.
-        :raises EndpointClosedError: if the endpoint takes none now; nothing was sent.
+        :param meta: what the endpoint gets in addition to the caller's own headers.
+        :raises EndpointClosedError: if the endpoint accepts none now; nothing was sent.
         :raises AttemptError: if there is no answer to this request.
         """
         self._notices.check(endpoint)
-        leave = self._limits.reserve(endpoint)
+        reservation = self._limits.reserve(endpoint)
         has_body = request.body or request.method not in ("GET", "HEAD")
         call = self._client.request(
             request.method,
@@ -199,7 +198,7 @@
             try:
                 response = await stack.enter_async_context(call)
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-                self._limits.cancel(leave)
+                self._limits.cancel(reservation)
                 cause = f"no connection: {type(error).__name__}"
                 raise AttemptError(cause, Ran.NO, sent=False) from error
             except (aiohttp.ClientError, ConnectionError, ValueError) as error:
@@ -207,10 +206,10 @@
                 cause = f"no answer: {type(error).__name__}"
                 raise AttemptError(cause, Ran.MAYBE, broken=broken) from error
             stack.callback(response.close)
-            self._check(response, endpoint, request)
+            self._check_answer(response, endpoint, request)
             yield Exchange(response, self._codec)
 
-    def _check(
+    def _check_answer(
         self, response: aiohttp.ClientResponse, endpoint: Endpoint, request: Request
     ) -> None:
         meta = self._codec.read_answer(response.status, response.headers)
@@ -221,14 +220,15 @@
         if meta.not_run:
             cause = f"declined with {response.status}"
             raise AttemptError(cause, Ran.NO, retry_after=meta.retry_after)
-        if meta.encoded or (not meta.signed and response.status < UNSIGNED_STATUS):
+        if meta.encoded or (not meta.signed and response.status < MIN_UNSIGNED_STATUS):
             raise AttemptError("not the endpoint's own answer", Ran.MAYBE)
 
 
-async def within(seconds: float, work: t.Awaitable[t.Any]) -> t.Any:
-    """Return the result of some work, for which an attempt has some seconds.
+async def complete_within(seconds: float, work: t.Awaitable[t.Any]) -> t.Any:
+    """Return the result of an attempt's work.
 
-    :raises AttemptError: if it takes longer.
+    :param seconds: the timeout.
+    :raises AttemptError: if the work takes longer.
     """
     try:
         return await asyncio.wait_for(work, max(0.0, seconds))
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
@@ -1,12 +1,11 @@
-"""Whether an endpoint takes requests of this daemon now, by what it has said in its answers.
+"""Whether an endpoint accepts requests of this daemon, by what its answers say.
 
-An endpoint that turns a request away may name a time in which it wants no other from this daemon.
-One that drains says so in every answer; the list shows that later, and not at all while the store
-is away. Both hold for every way to an endpoint, so they are asked where an endpoint is chosen and
-once more where a request is sent.
+An endpoint that declines a request may ask this daemon for a pause, and a draining endpoint says so
+in every answer, before the list shows it. Both apply to every way to an endpoint, so they are
+checked when an endpoint is chosen and again right before a request is sent.
 
-Owns: until when each endpoint wants no requests.
-Relies on: the store's view, which keeps what endpoints say of draining beside what it reads.
+Owns: until when each endpoint pauses.
+Relies on: the store's view, which keeps the endpoints that said they drain beside the list.
 """
 
 import typing as t
@@ -18,15 +17,14 @@
 from ..store.roster import Life
 from ..store.view import StoreView
 
-# that an endpoint is believed at most: it may ask for as long as it likes, but a time in another
-# unit, or a time of day, must not shut it out for good
+# Longest pause that an endpoint gets, so that a time in the wrong unit doesn't exclude it for good.
 MAX_PAUSE_SECONDS = 3600.0
 
 
 class _Pause(t.NamedTuple):
-    """A time in which an endpoint wants no requests.
+    """A pause that an endpoint has asked for.
 
-    :param until: seconds on the gateway's clock.
+    :param until: when the pause ends, on the gateway's clock.
     """
 
     life: Life
@@ -34,9 +32,9 @@
 
 
 class EndpointNotices:
-    """Keeps what endpoints have said to this daemon about taking requests.
+    """Keeps the pauses that endpoints have asked this daemon for.
 
-    :param clock: seconds that never go back.
+    :param clock: monotonic, in seconds.
     """
 
     def __init__(self, view: StoreView, clock: t.Callable[[], float]) -> None:
@@ -45,17 +43,17 @@
         self._pauses: dict[str, _Pause] = {}
 
     def record_answer(self, endpoint: Endpoint, meta: AnswerMeta) -> None:
-        """Take in what an answer says, which the endpoint itself has given."""
+        """Record what an answer of the endpoint itself says about accepting requests."""
         if meta.draining and meta.speaks_for in (None, endpoint.id):
             self._view.said_draining(endpoint.life)
         if meta.retry_after:
             self._pause(endpoint.life, min(meta.retry_after, MAX_PAUSE_SECONDS))
 
     def _pause(self, life: Life, seconds: float) -> None:
-        """Note a time; an earlier one that ends later goes on holding."""
+        """Record a pause; it doesn't shorten a running one."""
         now = self._clock()
-        until = max(now + seconds, now + self._left(life))
-        # those of endpoints that nobody asks for any more
+        until = max(now + seconds, now + self._seconds_left(life))
+        # Removes the pauses of endpoints that are never looked up again.
         self._pauses = {key: pause for key, pause in self._pauses.items() if pause.until > now}
         self._pauses[life.endpoint_id] = _Pause(life, until)
         events.ENDPOINT_PAUSED.log(
@@ -63,17 +61,17 @@
         )
 
     def accepting(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """Return those of some endpoints that take requests now."""
-        # most of the time none pauses, and every choice asks
+        """Return the endpoints that accept requests now."""
+        # Fast path, since every choice of an endpoint runs this.
         if not self._pauses:
             return endpoints
         return [endpoint for endpoint in endpoints if not self.pause_left(endpoint)]
 
     def pause_left(self, endpoint: Endpoint) -> float:
-        """Return the seconds for which an endpoint wants no requests; 0 if it takes some."""
-        return self._left(endpoint.life) if self._pauses else 0.0
+        """Return the seconds left of an endpoint's pause; 0 if it doesn't pause."""
+        return self._seconds_left(endpoint.life) if self._pauses else 0.0
 
-    def _left(self, life: Life) -> float:
+    def _seconds_left(self, life: Life) -> float:
         pause = self._pauses.get(life.endpoint_id)
         if pause is None or pause.life.is_over(life):
             return 0.0
@@ -83,11 +81,9 @@
         return max(0.0, left)
 
     def check(self, endpoint: Endpoint) -> None:
-        """Check right before a request is sent that its endpoint takes it.
+        """Check right before a request is sent that its endpoint still accepts requests.
 
-        The endpoint may have spoken after it was chosen.
-
-        :raises EndpointClosedError: if it takes none.
+        :raises EndpointClosedError: if it doesn't.
         """
         seconds = self.pause_left(endpoint)
         if seconds:
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -1,10 +1,9 @@
-"""Which endpoint gets a request: of those that can take it, the one with the least weight.
+"""Selects the endpoint for a request: the one with the least weight that accepts requests.
 
-Owns: how often each endpoint failed lately, and which are avoided for a while.
-Relies on: :mod:`.group_leaders` and the roster for those there are, :mod:`.endpoint_notices` for
-those that want no requests, :mod:`.endpoint_limits` for those that take few from all daemons
-together, :mod:`..peers.load_table` for the requests that they have, and
-:mod:`..peers.failure_detector` for those that are suspected.
+Owns: the recent failures of each endpoint, and which endpoints are avoided for a while.
+Relies on: :mod:`.group_leaders` and the roster for the endpoints, :mod:`.endpoint_notices` for
+those that pause, :mod:`.endpoint_limits` for rate limits, :mod:`..peers.load_table` for the running
+requests, and :mod:`..peers.failure_detector` for suspected groups.
 """
 
 import random
@@ -22,35 +21,32 @@
 from .endpoint_notices import EndpointNotices
 from .group_leaders import GroupLeaders
 
-# for which an endpoint that refused a connection, or a group that answered with a failure, is
-# avoided at first
+# How long an endpoint is avoided after the first refused connection or, for a group, failed answer.
 AVOID_SECONDS = 1.0
-# by which that grows each time it fails again before an answer
+# Growth of that time with each failure in a row.
 AVOID_GROWTH = 2.0
-# up to which it grows
 MAX_AVOID_SECONDS = 8.0
-# requests for each slot from which on a group is full
+# Requests for each slot of a group before the group counts as full.
 MAX_REQUESTS_PER_SLOT = 2.0
-# failures of an endpoint weigh less with each answer, by this factor
+# Factor by which each result reduces the weight of earlier failures.
 FAILURE_DECAY = 0.9
-# weights are in requests under way: that of an endpoint which failed all requests lately
+# Weights are in running requests. This one is for an endpoint that failed all recent requests.
 FAILURE_WEIGHT = 12.0
-# requests that an endpoint of a plain service runs at once: only the endpoint itself knows
+# Concurrent requests of a plain service's endpoint, which doesn't publish its capacity.
 UNKNOWN_CAPACITY = float("inf")
-# by which a choice varies at random
+# Range of the random part of a weight.
 SPREAD = 0.9
-# of a group that will probably lose a member
+# Weight of a group that is about to lose a member.
 WEAK_WEIGHT = 4.0
-# of an endpoint in another failure domain: its way is longer, and bytes between failure domains
-# cost
+# Weight of an endpoint in another failure domain, for the latency and the cost of the traffic.
 FAR_WEIGHT = 2.0
 
 
 class _Avoided(t.NamedTuple):
-    """An endpoint that is avoided.
+    """How long an endpoint is avoided.
 
-    :param until: when it is tried again, in seconds on the gateway's clock.
-    :param seconds: for which it is avoided.
+    :param until: when the endpoint is tried again, on the gateway's clock.
+    :param seconds: the duration.
     """
 
     until: float
@@ -58,9 +54,9 @@
 
 
 class GroupCount(t.NamedTuple):
-    """How many groups there are for a request, and how many of them get none.
+    """The number of a model's open groups, and of those that get no requests.
 
-    :param paused: that take none of this daemon now.
+    :param paused: groups that accept no requests of this daemon now.
     """
 
     open: int
@@ -69,7 +65,7 @@
 
 
 class EndpointSelector:
-    """Knows which endpoints can take a request, and chooses the least loaded.
+    """Chooses the least loaded endpoint among those that accept a request.
 
     :param failure_domain: of this daemon.
     """
@@ -97,12 +93,12 @@
         self._failures: dict[Life, float] = {}
 
     def avoid(self, endpoint: Endpoint) -> None:
-        """Prefer others for some time, for longer if it failed when it was tried again."""
+        """Prefer other endpoints for some time, for longer if this one was retried and failed."""
         now, seconds = self._clock(), AVOID_SECONDS
         before = self._avoided.get(endpoint.life)
         if before is not None:
-            tried_again = now >= before.until
-            growth = AVOID_GROWTH if tried_again else 1.0
+            was_retried = now >= before.until
+            growth = AVOID_GROWTH if was_retried else 1.0
             seconds = min(before.seconds * growth, MAX_AVOID_SECONDS)
         self._avoided[endpoint.life] = _Avoided(now + seconds, seconds)
 
@@ -111,7 +107,7 @@
         return avoided is not None and self._clock() < avoided.until
 
     def record_result(self, endpoint: Endpoint, *, succeeded: bool) -> None:
-        """Note how an attempt at an endpoint ended."""
+        """Record whether an attempt at an endpoint succeeded."""
         if succeeded:
             self._avoided.pop(endpoint.life, None)
         before = self._failures.get(endpoint.life, 0.0)
@@ -121,33 +117,35 @@
 
     def choose_endpoint(self, service: str, tried: t.Container[str]) -> Endpoint | None:
         """Return the endpoint of a plain service for a request, or None if there is none."""
-        usable = [one for one in self.endpoints(service) if one.id not in tried]
+        usable = [endpoint for endpoint in self.endpoints(service) if endpoint.id not in tried]
         return self._choose_least_loaded(usable, UNKNOWN_CAPACITY)
 
     def endpoints(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a plain service that take requests."""
+        """Return the endpoints of a plain service that accept requests now."""
         return self._accepting(self._serving(service))
 
     def _serving(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a plain service that take requests now or after a pause."""
-        return [one for one in self._view.roster.of_service(service) if not one.draining]
+        """Return the endpoints of a plain service that accept requests now or after a pause."""
+        return [
+            endpoint for endpoint in self._view.roster.of_service(service) if not endpoint.draining
+        ]
 
     def leaders(self, service: str, model: str) -> list[Endpoint]:
-        """Return the leaders of the open groups of a model that take requests."""
+        """Return the leaders of a model's open groups that accept requests now."""
         return self._accepting(self._leaders.of(service, model))
 
     def _accepting(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """Return those of some endpoints that take requests of this daemon now."""
+        """Return the endpoints that accept requests of this daemon now."""
         return self._limits.available(self._notices.accepting(endpoints))
 
     def pause_left(self, service: str, model: str | None) -> float:
-        """Return the seconds until an endpoint takes requests that takes none now.
+        """Return the seconds until the next of the pausing or limited endpoints accepts a request.
 
-        Of those that take few from all daemons together, it is the time between two requests that
-        any daemon sends to any of them, since the caller may come back at another one.
+        For rate limits it is the interval between the requests of all daemons, since the caller
+        may retry at another daemon.
 
-        :param model: of a group; None for a plain service.
-        :returns: 0 if each takes some.
+        :param model: of the groups; None for a plain service.
+        :returns: 0 if no endpoint pauses or has a limit.
         """
         found = self._serving(service) if model is None else self._leaders.of(service, model)
         pauses = [pause for pause in map(self._notices.pause_left, found) if pause]
@@ -167,21 +165,21 @@
     ) -> Endpoint | None:
         """Return the leader of the group for a request, or None if no group can take it.
 
-        Groups that are suspected get none, by whomever they are, and one on trial gets one
-        request at a time; if there is no other, those that only other daemons suspect are used,
-        since these may be cut off themselves.
+        Suspected groups get no requests, and a group on probation gets one at a time. If no other
+        group is left, groups that only other daemons suspect are used, since those daemons may be
+        partitioned themselves.
 
-        :param apart: whether to draw any group with room, in place of the one that others would
-            choose as well.
+        :param randomize: whether to choose a random group with free slots instead of the least
+            loaded one.
         """
         leaders = [leader for leader in self.leaders(service, model) if leader.id not in tried]
-        trusted = [leader for leader in leaders if self._is_usable(leader)]
-        if not trusted:
-            trusted = [leader for leader in leaders if not self._detector.suspected_here(leader)]
-        drawn = self._choose_random_with_capacity(trusted, engine.slots) if randomize else None
-        if drawn is not None:
-            return drawn
-        chosen = self._choose_least_loaded(trusted, engine.slots)
+        usable = [leader for leader in leaders if self._is_usable(leader)]
+        if not usable:
+            usable = [leader for leader in leaders if not self._detector.suspected_here(leader)]
+        random_leader = self._choose_random(usable, engine.slots) if randomize else None
+        if random_leader is not None:
+            return random_leader
+        chosen = self._choose_least_loaded(usable, engine.slots)
         if (
             chosen is not None
             and self._load_table.of(chosen.id) >= MAX_REQUESTS_PER_SLOT * engine.slots
@@ -189,10 +187,8 @@
             return None
         return chosen
 
-    def _choose_random_with_capacity(
-        self, leaders: t.Iterable[Endpoint], slots: int
-    ) -> Endpoint | None:
-        """Return one of the leaders with room, at random; None if there is none."""
+    def _choose_random(self, leaders: t.Iterable[Endpoint], slots: int) -> Endpoint | None:
+        """Return a random leader of a group with free slots; None if there is none."""
         usable = [
             leader
             for leader in leaders
@@ -206,29 +202,29 @@
         return not self._detector.suspected(leader)
 
     def count_groups(self, service: str, model: str) -> GroupCount:
-        """Return how many groups there are for a request, and how many of them get none."""
+        """Count the open groups of a model and those that get no requests."""
         leaders = self._leaders.of(service, model)
         suspected = sum(self._detector.suspected(leader) for leader in leaders)
         paused = len(leaders) - len(self._accepting(leaders))
         return GroupCount(len(leaders), suspected, paused)
 
     def has_other_group(self, service: str, model: str, tried: t.Container[str]) -> bool:
-        """Return whether there is another group for a request, which nobody doubts."""
+        """Return whether another group can take a request and is beyond suspicion."""
         return any(
             leader.id not in tried and not self._is_doubtful(leader)
             for leader in self.leaders(service, model)
         )
 
     def _is_doubtful(self, leader: Endpoint) -> bool:
-        """Return whether a leader's group was suspected, and has not been heard since."""
+        """Return whether a leader's group is suspected or on probation."""
         return self._detector.suspected(leader) or self._detector.on_trial(leader)
 
     def _choose_least_loaded(
-        self, endpoints: t.Sequence[Endpoint], places: float
+        self, endpoints: t.Sequence[Endpoint], capacity: float
     ) -> Endpoint | None:
-        """Return the endpoint with the least weight, of those not avoided if there are any.
+        """Return the endpoint with the least weight; avoided endpoints only if there are no others.
 
-        :param places: requests that an endpoint runs at once.
+        :param capacity: concurrent requests of an endpoint.
         """
         usable = [endpoint for endpoint in endpoints if not self._is_avoided(endpoint)] or endpoints
         if not usable:
@@ -237,17 +233,16 @@
             drawn = placement.draw(
                 usable,
                 self._failure_domain,
-                lambda endpoint: self._load_table.of(endpoint.id) >= places,
+                lambda endpoint: self._load_table.of(endpoint.id) >= capacity,
             )
-            # few daemons may use those that take few requests, so each looks at them each time:
-            # else most of what they take goes unused
-            usable = drawn + [one for one in usable if self._limits.is_limited(one)]
+            # Few daemons hold a share of a limited endpoint, so sampling would leave shares unused.
+            usable = drawn + [endpoint for endpoint in usable if self._limits.is_limited(endpoint)]
         return min(usable, key=self._weight)
 
     def _weight(self, endpoint: Endpoint) -> float:
         failing = FAILURE_WEIGHT * self._failures.get(endpoint.life, 0.0)
-        weak = WEAK_WEIGHT if endpoint.id in self._leaders.expiring else 0.0
-        far = FAR_WEIGHT if endpoint.failure_domain != self._failure_domain else 0.0
-        # daemons that know equally little of each other must not all choose the same
+        expiring = WEAK_WEIGHT if endpoint.id in self._leaders.expiring else 0.0
+        remote = FAR_WEIGHT if endpoint.failure_domain != self._failure_domain else 0.0
+        # Keeps daemons with the same view of the loads from choosing the same endpoint.
         spread = random.random() * SPREAD
-        return self._load_table.of(endpoint.id) + failing + weak + far + spread
+        return self._load_table.of(endpoint.id) + failing + expiring + remote + spread
--- a/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
@@ -1,4 +1,4 @@
-"""What plain and streamed requests have in common: the parts that an attempt needs.
+"""What plain and streamed requests share: the collaborators that an attempt needs.
 
 Owns: nothing of its own.
 Relies on: the selector, the load table, the failure detector and the retry budgets, which are
@@ -18,9 +18,9 @@
 
 
 class Forwarder:
-    """Base class of those that send requests to endpoints.
+    """Base class of the forwarders, which send requests to endpoints.
 
-    :param clock: seconds that never go back.
+    :param clock: monotonic, in seconds.
     """
 
     def __init__(
@@ -41,23 +41,24 @@
         self._crash_watch = crash_watch
         self._clock = clock
 
-    def _count(self, request: Request) -> None:
+    def _count_request(self, request: Request) -> None:
         """Count a caller's request towards the retry budget of its service."""
         self._retry_budgets.request(request.service.name)
 
-    def _check_held(self, request: Request, *, begun: bool) -> None:
-        """Check before an attempt that the request is not held back.
+    def _check_quarantine(self, request: Request, *, begun: bool) -> None:
+        """Check before an attempt that the request isn't quarantined.
 
         :param begun: whether the caller has got the head of an answer.
         :raises RefusalError: if it is.
+        :raises CutError: in place of that if the caller has got the head.
         """
         seconds = self._crash_watch.quarantine_seconds_left(request)
         if seconds:
-            end = retry_policy.refuse_quarantined(
+            decision = retry_policy.refuse_quarantined(
                 seconds, may_have_run=request.may_have_run, begun=begun
             )
-            raise end.error()
+            raise decision.error()
 
-    def _token(self, request: Request) -> t.Callable[[], bool]:
+    def _token_source(self, request: Request) -> t.Callable[[], bool]:
         """Return a function that takes a token of the retry budget for a request."""
         return lambda: self._retry_budgets.take(request.service.name)
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -1,7 +1,7 @@
-"""The callers' side: each request is let in or refused, forwarded, and logged when it ends.
+"""The callers' side: admits or refuses each request, forwards it, and logs its end.
 
 Owns: the counts of requests, and whether this daemon is stopping.
-Relies on: :mod:`.admission` for who is let in, :mod:`.route_split` for the service, the
+Relies on: :mod:`.admission` for who is admitted, :mod:`.route_split` for the service, the
 forwarders for the answer, and the store's view for the configuration and its age.
 """
 
@@ -28,9 +28,9 @@
 from .route_split import service_for
 from .streams import StreamForwarder
 
-# before the bound itself, so that the final answer is there in time
+# How long before its deadline a request is given up, so that the final answer arrives in time.
 MARGIN_SECONDS = 0.05
-# for callers who don't say how long they wait
+# Deadline for callers that send none.
 DEFAULT_DEADLINE_SECONDS = 60.0
 
 
@@ -38,9 +38,9 @@
     """Answers callers' requests.
 
     :param stopping: whether this daemon is about to end.
-    :param closed: whether it takes no more requests.
-    :param requests: that have come since the start.
-    :param running: requests that are being answered.
+    :param closed: whether it accepts no more requests.
+    :param requests: number of requests since the start.
+    :param running: number of requests that are being answered.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         """Answer whether this daemon is ready."""
         if not self._codec.is_readiness(request.method, request.path):
             return web.Response(status=404)
-        reason = self._not_ready()
+        reason = self._not_ready_reason()
         if reason is not None:
             return web.Response(status=503, text=reason.value)
         return web.Response(status=200, text="ready")
@@ -86,29 +86,31 @@
             caller.cut()
             return caller.sent
         except RefusalError as error:
-            return self._refused(meta, error, received_at)
+            return self._refusal_response(meta, error, received_at)
         except (asyncio.CancelledError, ConnectionError):
             request_log.caller_left(meta.id, self._clock() - received_at, begun=caller.begun)
             raise
         finally:
             self.running -= 1
 
-    def _not_ready(self) -> NotReady | None:
+    def _not_ready_reason(self) -> NotReady | None:
         """Return why this daemon should get no requests, or None if it should."""
         return admission.why_not_ready(
-            stopping=self.stopping, loaded=self._view.loaded, fresh=self._fresh()
+            is_stopping=self.stopping, is_loaded=self._view.loaded, is_current=self._is_current()
         )
 
-    def _fresh(self) -> bool:
+    def _is_current(self) -> bool:
         return admission.is_current(self._view.age(), self._settings.revoke_within)
 
-    def _refused(self, meta: RequestMeta, error: RefusalError, received_at: float) -> web.Response:
+    def _refusal_response(
+        self, meta: RequestMeta, error: RefusalError, received_at: float
+    ) -> web.Response:
         request_log.refused(meta.id, error, self._clock() - received_at, self._view.age())
         response = web.Response(status=error.status, text=error.cause + "\n")
         if error.retry_after is not None:
             response.headers["Retry-After"] = f"{error.retry_after:.2f}"
-        # the next connection may reach a daemon that can serve the caller
-        if self.stopping or (error.status == 503 and not self._fresh()):
+        # The caller's next connection may reach a daemon that can serve it.
+        if self.stopping or (error.status == 503 and not self._is_current()):
             response.force_close()
         return response
 
@@ -124,18 +126,18 @@
             request.headers.get("Host", ""),
             request.raw_path.split("?", 1)[0],
             meta.key,
-            closed=self.closed,
-            fresh=self._fresh(),
+            is_closed=self.closed,
+            is_current=self._is_current(),
         )
         if isinstance(admitted, Refusal):
             raise admitted.error()
         body = await _read_body(request, admitted.configuration.limits.body_bytes)
-        accepted = self._request(request, meta, admitted, body, received_at)
-        await self._forward(accepted, caller)
-        request_log.done(accepted, caller.sent.status, self._clock(), self._view.age())
+        forwarded = self._create_request(request, meta, admitted, body, received_at)
+        await self._forward(forwarded, caller)
+        request_log.done(forwarded, caller.sent.status, self._clock(), self._view.age())
         return caller.sent
 
-    def _request(
+    def _create_request(
         self,
         request: web.BaseRequest,
         meta: RequestMeta,
@@ -172,16 +174,17 @@
 
 
 async def _read_body(request: web.BaseRequest, limit: int) -> bytes:
-    """Return the whole body.
+    """Return the complete body.
 
-    :raises RefusalError: as soon as more than the limit has come, in bytes.
+    :param limit: bytes that a body may have.
+    :raises RefusalError: as soon as more bytes than that are received.
     """
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while data := await request.content.readany():
         size += len(data)
         refusal = admission.body_refusal(size, limit)
         if refusal is not None:
             raise refusal.error()
-        parts.append(data)
-    return b"".join(parts)
+        chunks.append(data)
+    return b"".join(chunks)
--- a/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -1,6 +1,6 @@
-"""Which endpoints lead the groups of each service and model.
+"""The leaders of the groups of each service and model.
 
-Owns: a table of leaders, made anew whenever the store's view has changed.
+Owns: a table of leaders, rebuilt whenever the store's view has changed.
 Relies on: :mod:`..store.view` for endpoints and configuration, and :mod:`..groups.ended` for
 the groups that are being ended.
 """
@@ -16,7 +16,7 @@
 class GroupLeaders:
     """The leaders of all groups that are open.
 
-    :param weak: ids of the leaders with a member that is draining or not listed.
+    :param expiring: ids of the leaders with a member that is draining or not listed.
     """
 
     def __init__(self, view: StoreView, ended: EndedGroups) -> None:
@@ -27,7 +27,7 @@
         self.expiring: set[str] = set()
 
     def of(self, service: str, model: str) -> list[Endpoint]:
-        """Return the leaders of the groups of a model, but for those that are being ended."""
+        """Return the leaders of a model's groups, without groups that are being ended."""
         if self._version != self._view.version:
             self._rebuild()
         listed = self._leaders.get((service, model), [])
@@ -45,27 +45,27 @@
         if configuration is None:
             return
         for endpoint in roster.endpoints.values():
-            # a look at every endpoint for each change of the store: keep it short for the most
+            # Runs for every endpoint at each change of the store, so most are skipped early.
             if not endpoint.leads:
                 continue
             model = _led_model(configuration, endpoint)
             if model is None:
                 continue
             self._leaders.setdefault((endpoint.service, model.name), []).append(endpoint)
-            if _is_weak(roster, endpoint, model):
+            if _is_expiring(roster, endpoint, model):
                 self.expiring.add(endpoint.id)
 
 
 def _led_model(configuration: ServingConfiguration, leader: Endpoint) -> EngineModel | None:
-    """Return the model of a leader's group, or None if it takes no requests."""
+    """Return the model of a leader's group; None if the group takes no requests."""
     if not leader.models or leader.draining:
         return None
     service = configuration.services.get(leader.service)
     return service.engine.model(leader.models[0]) if service and service.engine else None
 
 
-def _is_weak(roster: Roster, leader: Endpoint, model: EngineModel) -> bool:
-    """Return whether fewer members than the model needs are listed and not draining."""
+def _is_expiring(roster: Roster, leader: Endpoint, model: EngineModel) -> bool:
+    """Return whether a group has fewer listed members that aren't draining than its model needs."""
     assert leader.membership is not None
     members = roster.groups[leader.membership.group].members.values()
     return sum(not member.draining for member in members) < model.size
--- a/packages/gateway/src/thorncleat_gateway/requests/placement.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/placement.py
@@ -1,18 +1,11 @@
-"""Among which endpoints a daemon chooses, where hundreds of daemons choose by old reports.
+"""Samples the endpoints among which a daemon chooses.
 
-The load pattern: all daemons see the same reports, some tenths of a second old, and each sends its
-next request to the endpoint that has the fewest by them. Until the next reports all go there, and
-the first events of what it gets beyond its places come late.
-
-So each draws two endpoints of its own failure domain at random, whose reports are the newest, and
-takes the better one. An endpoint that looks best then gets only as many requests as draw it.
-Others are drawn only where the own failure domain has no room: they look better than they are,
-since what is known of them is older.
-
-Pure, but for the random numbers.
+All daemons see the same load reports, which lag behind. Would each choose the least loaded endpoint
+of all, they would overload it until the next reports. So each daemon samples two endpoints of its
+own failure domain at random, and endpoints of other domains only if those have no capacity left.
 
 Owns: nothing.
-Relies on: :mod:`..peers.load_table` for whether the requests of other daemons are known one by one.
+Relies on: :mod:`..peers.load_table` for whether the requests of other daemons are known singly.
 """
 
 import random
@@ -20,7 +13,7 @@
 
 from ..store.roster import Endpoint
 
-# endpoints that are drawn: the least that make a choice; with more, more daemons choose the same
+# Endpoints in a sample; a larger sample makes more daemons choose the same endpoint.
 SAMPLE_SIZE = 2
 
 
@@ -32,10 +25,10 @@
     """Return the endpoints to choose among.
 
     :param failure_domain: of this daemon.
-    :param is_busy: returns whether an endpoint has no place left.
+    :param is_busy: returns whether an endpoint has no capacity left.
     """
-    near = [endpoint for endpoint in endpoints if endpoint.failure_domain == failure_domain]
-    drawn = random.sample(near, min(SAMPLE_SIZE, len(near)))
-    wanted = SAMPLE_SIZE - sum(not is_busy(endpoint) for endpoint in drawn)
-    far = [endpoint for endpoint in endpoints if endpoint.failure_domain != failure_domain]
-    return drawn + random.sample(far, min(wanted, len(far)))
+    local = [endpoint for endpoint in endpoints if endpoint.failure_domain == failure_domain]
+    drawn = random.sample(local, min(SAMPLE_SIZE, len(local)))
+    missing = SAMPLE_SIZE - sum(not is_busy(endpoint) for endpoint in drawn)
+    remote = [endpoint for endpoint in endpoints if endpoint.failure_domain != failure_domain]
+    return drawn + random.sample(remote, min(missing, len(remote)))
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -1,7 +1,7 @@
-"""Requests to plain services: the whole answer, or a refusal that says whether it ran.
+"""Requests to plain services: the complete answer, or a refusal that tells whether they ran.
 
-Owns: nothing beside the request at hand.
-Relies on: :mod:`.retry_policy` for what follows a failed attempt, and on
+Owns: nothing beyond the request at hand.
+Relies on: :mod:`.retry_policy` for what follows a failed attempt, and
 :mod:`.endpoint_selector` for the endpoint.
 """
 
@@ -14,7 +14,7 @@
 from . import request_log
 from . import retry_policy
 from .endpoint_client import EndpointAnswer
-from .endpoint_client import within
+from .endpoint_client import complete_within
 from .forwarder import Forwarder
 from .refusal import Refusal
 from .request import Request
@@ -28,31 +28,31 @@
     async def serve(self, request: Request) -> EndpointAnswer:
         """Return an endpoint's answer.
 
-        :raises RefusalError: if there is none.
+        :raises RefusalError: if there is none, or the request is quarantined.
         """
-        self._count(request)
-        kept: EndpointAnswer | None = None
+        self._count_request(request)
+        answer: EndpointAnswer | None = None
         while True:
-            if kept is not None and self._crash_watch.quarantine_seconds_left(request):
-                # an endpoint's own answer, though a failure, tells the caller more than one of ours
-                return kept
-            self._check_held(request, begun=False)
-            endpoint = self._choose(request)
+            if answer is not None and self._crash_watch.quarantine_seconds_left(request):
+                # An endpoint's failed answer tells the caller more than a refusal does.
+                return answer
+            self._check_quarantine(request, begun=False)
+            endpoint = self._choose_endpoint(request)
             if endpoint is None:
-                return self._end(self._without_endpoint(request, kept), kept)
+                return self._resolve(self._without_endpoint(request, answer), answer)
             try:
-                kept = await self._attempt(request, endpoint)
+                answer = await self._attempt(request, endpoint)
                 self._detector.heard(endpoint.id, self._clock())
-                self._selector.record_result(endpoint, succeeded=not kept.failed)
+                self._selector.record_result(endpoint, succeeded=not answer.is_failure)
                 self._crash_watch.record_answer_started(endpoint, request.sent_at)
-                if not kept.failed:
+                if not answer.is_failure:
                     self._crash_watch.record_served(request, endpoint)
-                    return kept
+                    return answer
                 if not self._can_try_elsewhere(request):
-                    return kept
-                failure = AttemptError(f"status {kept.status}", Ran.MAYBE)
+                    return answer
+                failure = AttemptError(f"status {answer.status}", Ran.MAYBE)
             except EndpointClosedError:
-                # it has said so since it was chosen; another one is chosen now
+                # The endpoint stopped accepting requests after it was chosen.
                 request.tried.add(endpoint.id)
                 continue
             except AttemptError as error:
@@ -61,36 +61,36 @@
                 if not failure.sent:
                     self._selector.avoid(endpoint)
             decision = self._after_failure(
-                request, endpoint, failure, has_failed_answer=kept is not None
+                request, endpoint, failure, has_failed_answer=answer is not None
             )
             if decision is not NextStep.RETRY:
-                return self._end(decision, kept)
+                return self._resolve(decision, answer)
 
-    def _choose(self, request: Request) -> Endpoint | None:
+    def _choose_endpoint(self, request: Request) -> Endpoint | None:
         """Return the endpoint for the next attempt; None if there is none."""
         service = request.service.name
-        if self._is_spared(request):
+        if self._is_denied_last_endpoint(request):
             return None
         return self._selector.choose_endpoint(service, request.tried)
 
-    def _is_spared(self, request: Request) -> bool:
-        """Return whether a request is kept from the last endpoint, which it may end."""
+    def _is_denied_last_endpoint(self, request: Request) -> bool:
+        """Return whether a request must not get the last endpoint, which it may crash."""
         service = request.service.name
         return self._crash_watch.is_denied_last_endpoint(
             request, lambda: self._selector.endpoints(service)
         )
 
     def _without_endpoint(
-        self, request: Request, kept: EndpointAnswer | None
+        self, request: Request, failed_answer: EndpointAnswer | None
     ) -> t.Literal[NextStep.RETURN_FAILED_ANSWER] | Refusal:
-        """Return how a request ends that no endpoint can take."""
+        """Decide how a request ends that no endpoint can take."""
         pause_left = self._selector.pause_left(request.service.name, None)
         cause = retry_policy.ALL_PAUSED if pause_left else retry_policy.NO_ENDPOINT
-        if self._is_spared(request):
+        if self._is_denied_last_endpoint(request):
             cause = retry_policy.LAST_ENDPOINT
         return retry_policy.without_endpoint(
             may_have_run=request.may_have_run,
-            has_failed_answer=kept is not None,
+            has_failed_answer=failed_answer is not None,
             cause=cause,
             pause_left=pause_left,
         )
@@ -103,7 +103,7 @@
         *,
         has_failed_answer: bool,
     ) -> PlainDecision:
-        # a plain service gives no sign of life but its answer, so whatever was sent counts
+        # A plain service shows no sign of life before its answer, so every sent attempt counts.
         request.record_failure(endpoint, failure, counted=failure.sent)
         self._crash_watch.record_failure(request, endpoint, failure)
         request_log.failed(request, endpoint, failure, self._clock())
@@ -111,34 +111,37 @@
             failure,
             request.attempts_used(self._clock()),
             request.route,
-            self._token(request),
+            self._token_source(request),
             has_failed_answer=has_failed_answer,
         )
 
     @staticmethod
-    def _end(
-        decision: t.Literal[NextStep.RETURN_FAILED_ANSWER] | Refusal, kept: EndpointAnswer | None
+    def _resolve(
+        decision: t.Literal[NextStep.RETURN_FAILED_ANSWER] | Refusal,
+        failed_answer: EndpointAnswer | None,
     ) -> EndpointAnswer:
-        """Return the answer that was kept, or raise the refusal."""
+        """Return the failed answer, or raise the refusal."""
         if isinstance(decision, Refusal):
             raise decision.error()
-        assert kept is not None
-        return kept
+        assert failed_answer is not None
+        return failed_answer
 
     def _can_try_elsewhere(self, request: Request) -> bool:
-        late = self._clock() >= request.give_up_at
-        return retry_policy.can_try_elsewhere(request.route, request.sends, late=late)
+        is_late = self._clock() >= request.give_up_at
+        return retry_policy.can_try_elsewhere(request.route, request.sends, is_late=is_late)
 
     async def _attempt(self, request: Request, endpoint: Endpoint) -> EndpointAnswer:
         left = request.give_up_at - self._clock()
         elsewhere = self._can_try_elsewhere(request)
         seconds = retry_policy.attempt_seconds(request.route, left, elsewhere=elsewhere)
         with self._load_table.running(endpoint.id):
-            answer: EndpointAnswer = await within(seconds, self._exchange(request, endpoint))
+            answer: EndpointAnswer = await complete_within(
+                seconds, self._exchange(request, endpoint)
+            )
         return answer
 
     async def _exchange(self, request: Request, endpoint: Endpoint) -> EndpointAnswer:
         request.sent_at = self._clock()
         meta = request.forward_meta(endpoint, request.sent_at, None)
         async with self._endpoint_client.open(endpoint, request, meta) as exchange:
-            return await exchange.whole()
+            return await exchange.read()
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -1,8 +1,8 @@
-"""A caller's request while it is served: what it asks for, and what it has used up so far.
+"""The state of a caller's request while it is served.
 
-Owns: the state of one request.
+Owns: what one request asks for, and the attempts that it has used.
 Relies on: :mod:`.retry_policy` for what that state means after a failed attempt, and
-:class:`~..ports.ForwardMeta` for what endpoints are told.
+:class:`~..ports.ForwardMeta` for what endpoints are sent.
 """
 
 import dataclasses
@@ -22,15 +22,14 @@
 from .fingerprint import Fingerprint
 from .retry_policy import AttemptsUsed
 
-# rank of the least urgent requests; engines know ranks 0 to 9
+# Priority of the least urgent requests; engines accept 0 to 9.
 LOWEST_PRIORITY = 9
-# least remaining time that an endpoint is told, in seconds: never nothing, in the platform's
-# unit of a millisecond
+# Shortest remaining time that is sent to an endpoint: the platform's unit, a millisecond.
 MIN_REMAINING_SECONDS = 0.001
 
 
 class MissedTarget(enum.Enum):
-    """Which of its route's targets an answer missed; the value stands in the log line."""
+    """The target of its route that an answer missed; the value is written to the log line."""
 
     FIRST_EVENT = "first event"
     PAUSE = "pause"
@@ -41,16 +40,16 @@
 class Request:
     """A caller's request; times are seconds on the gateway's clock.
 
-    :param until: when it is given up.
+    :param give_up_at: when the gateway gives the request up.
     :param deadline_at: when the caller gives it up.
-    :param tried: endpoints that failed it, or took no requests when it was about to be sent.
-    :param sends: attempts that count towards the route's.
-    :param unsent: attempts that don't, since they cannot have run.
+    :param tried: ids of the endpoints that failed the request or didn't accept it.
+    :param sends: attempts that count towards the route's limit.
+    :param unsent: attempts that don't count, since they cannot have run.
     :param may_have_run: whether any attempt may have run.
     :param longest_pause: between two events of the answer, in seconds.
-    :param endpoint_id: the endpoint of the newest attempt of a streamed request.
-    :param sent_at: when that attempt began.
-    :param head_at: when the head of its answer came; 0 if it hasn't.
+    :param endpoint_id: the endpoint of the latest attempt of a streamed request.
+    :param sent_at: when the latest attempt began.
+    :param head_at: when the head of its answer came; 0 before that.
     """
 
     meta: RequestMeta
@@ -77,18 +76,18 @@
 
     @functools.cached_property
     def fingerprint(self) -> Fingerprint:
-        """What it asks for, as a digest that its caller's other tries share."""
+        """The digest that this request shares with the caller's retries of it."""
         workspace = self.workspace.name if self.workspace else ""
         return fingerprint.of(workspace, self.route.host, self.path, self.body)
 
     @property
     def priority(self) -> int:
-        """The rank for engines: the workspace's before the route's; 0 is the highest."""
-        own = self.workspace.priority if self.workspace else 0
-        return min(LOWEST_PRIORITY, 2 * own + min(1, self.route.priority))
+        """The priority for engines, by workspace and then by route; 0 is the most urgent."""
+        workspace_priority = self.workspace.priority if self.workspace else 0
+        return min(LOWEST_PRIORITY, 2 * workspace_priority + min(1, self.route.priority))
 
     def record_event(self, now: float) -> None:
-        """Note that an event of the answer came."""
+        """Record that an event of the answer came."""
         if self.first_event_at:
             self.longest_pause = max(self.longest_pause, now - self.last_event_at)
         else:
@@ -96,7 +95,7 @@
         self.last_event_at = now
 
     def missed_target(self, now: float) -> MissedTarget | None:
-        """Return which target an answer that is whole now has missed; None if none."""
+        """Return the target that an answer completed now has missed, or None."""
         if not self.first_event_at:
             return MissedTarget.ANSWER if now - self.received_at > self.route.target else None
         if self.first_event_at - self.received_at > self.route.target:
@@ -106,9 +105,9 @@
     def forward_meta(
         self, endpoint: Endpoint, now: float, last_event_id: str | None
     ) -> ForwardMeta:
-        """Return what an endpoint is told with an attempt.
+        """Return the metadata that an endpoint gets with an attempt.
 
-        :param last_event_id: the last event that the caller has, or None.
+        :param last_event_id: id of the last event that the caller has got, or None.
         """
         return ForwardMeta(
             remaining=max(MIN_REMAINING_SECONDS, self.deadline_at - now),
@@ -119,9 +118,9 @@
         )
 
     def record_failure(self, endpoint: Endpoint, failure: AttemptError, *, counted: bool) -> None:
-        """Note that an attempt failed.
+        """Record a failed attempt.
 
-        :param counted: whether it counts towards the route's attempts, see
+        :param counted: whether it counts towards the route's limit, see
             :func:`.retry_policy.counts_as_sent`.
         """
         self.tried.add(endpoint.id)
@@ -133,5 +132,5 @@
             self.may_have_run = True
 
     def attempts_used(self, now: float) -> AttemptsUsed:
-        """Return what it has used up."""
+        """Return the attempts used so far."""
         return AttemptsUsed(self.sends, self.unsent, self.may_have_run, now >= self.give_up_at)
--- a/packages/gateway/src/thorncleat_gateway/requests/request_log.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request_log.py
@@ -1,4 +1,4 @@
-"""The log lines of a request's way, one function for each.
+"""Writes the log lines of a request, with one function for each.
 
 Owns: nothing.
 Relies on: :mod:`..events` for the numbers and names of the lines.
@@ -14,14 +14,14 @@
 from .fingerprint import Fingerprint
 from .request import Request
 
-# endpoints that one line names
-MOST_ENDPOINTS = 8
+# Endpoints that one line names at most.
+MAX_ENDPOINTS = 8
 
 
 def sent(request: Request, endpoint: Endpoint, load: int, last_event_id: str | None) -> None:
-    """Write the line of an attempt of a streamed request.
+    """Log an attempt of a streamed request.
 
-    :param load: requests under way at the endpoint.
+    :param load: requests running on the endpoint.
     """
     events.REQUEST_SENT.log(
         request=request.meta.id, endpoint=endpoint.id, load=load, last=last_event_id
@@ -29,7 +29,7 @@
 
 
 def failed(request: Request, endpoint: Endpoint, failure: AttemptError, now: float) -> None:
-    """Write the line of a failed attempt."""
+    """Log a failed attempt."""
     events.REQUEST_MOVED.log(
         request=request.meta.id,
         endpoint=endpoint.id,
@@ -44,11 +44,11 @@
 
 
 def done(request: Request, status: int, now: float, config_age: float) -> None:
-    """Write the line of an answer that was passed on whole.
+    """Log an answer that was passed on completely.
 
-    :param config_age: seconds since a newer configuration was excluded.
+    :param config_age: seconds since the configuration was last confirmed as the newest.
     """
-    late = request.missed_target(now)
+    missed_target = request.missed_target(now)
     events.REQUEST_DONE.log(
         request=request.meta.id,
         route=request.route.name,
@@ -59,16 +59,16 @@
         first_event=round(max(0.0, request.first_event_at - request.received_at), 3),
         longest_pause=round(request.longest_pause, 3),
         seconds=round(now - request.received_at, 3),
-        late=late.value if late else None,
+        late=missed_target.value if missed_target else None,
         config_age=round(config_age, 3),
     )
 
 
 def refused(request_id: str, refusal: RefusalError, after: float, config_age: float) -> None:
-    """Write the line of an answer of the gateway's own.
+    """Log a refusal.
 
     :param after: seconds since the request came.
-    :param config_age: seconds since a newer configuration was excluded.
+    :param config_age: seconds since the configuration was last confirmed as the newest.
     """
     events.REQUEST_REFUSED.log(
         request=request_id,
@@ -81,31 +81,31 @@
 
 
 def quarantined(fingerprint: Fingerprint, lives: t.Sequence[Life], seconds: float) -> None:
-    """Write the line of a request that is held back.
+    """Log that a request is quarantined.
 
-    :param lives: the endpoints that it ended.
-    :param seconds: for which it is held back, if it ends no other meanwhile.
+    :param lives: the endpoints that crashed with the request.
+    :param seconds: until its release, unless it crashes another endpoint.
     """
     events.QUARANTINED.log(
         fingerprint=fingerprint.hex(),
-        endpoints=[life.endpoint_id for life in lives[:MOST_ENDPOINTS]],
+        endpoints=[life.endpoint_id for life in lives[:MAX_ENDPOINTS]],
         crashes=len(lives),
         seconds=round(seconds, 1),
     )
 
 
 def released(fingerprint: Fingerprint, cause: str) -> None:
-    """Write the line of a request that is no longer held back."""
+    """Log that a request is released from quarantine."""
     events.RELEASED.log(fingerprint=fingerprint.hex(), cause=cause)
 
 
 def cut(request_id: str, cause: str) -> None:
-    """Write the line of an answer that was broken off."""
+    """Log an answer that was cut."""
     events.REQUEST_CUT.log(request=request_id, cause=cause)
 
 
 def caller_left(request_id: str, after: float, *, begun: bool) -> None:
-    """Write the line of a caller who has gone.
+    """Log that a caller has disconnected.
 
     :param after: seconds since the request came.
     :param begun: whether the caller had got the head of the answer.
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
@@ -1,6 +1,4 @@
-"""When a caller whose request has not run is told to come back, in seconds, for each case.
-
-Pure, but for the random numbers.
+"""The seconds after which a caller whose request has not run is asked to retry.
 
 Owns: nothing.
 Relies on: callers that honour ``Retry-After`` with its fractions, up to a third of the time
@@ -9,30 +7,28 @@
 
 import random
 
-# the daemon is stopping: another one can take the request at once
+# The daemon is stopping; another one can take the request at once.
 STOPPING_SECONDS = 0.05
-# no configuration, or one too old for keys: the store or a relay has to answer first, or the
-# balancer has to choose another daemon
+# The configuration is missing or too old for keys; the store or a relay has to answer first, or the
+# load balancer has to choose another daemon.
 CONFIGURATION_SECONDS = 0.5
-# no endpoint of a plain service answered, or the retry budget is spent
+# No endpoint of a plain service answered, or the retry budget is spent.
 PLAIN_SECONDS = 0.3
-# no group for the model, or a stream that has not begun is given up
+# No group for the model, or a stream that has not begun is given up.
 STREAM_SECONDS = 0.4
-# for which endpoints' pauses are waited for at most, in seconds: a third of the 8 s that the most
-# patient callers of today wait
-MAX_WAIT_SECONDS = 2.7
+# Upper bound of the wait for pausing endpoints; callers don't honour a longer one.
+MAX_PAUSE_WAIT_SECONDS = 2.7
 
 
 def during_pause(usual: float, pause_left: float) -> float:
-    """Return when to come back while endpoints want no requests of this daemon.
+    """Return the seconds until a retry, also while endpoints pause.
 
-    Where none is left, most other daemons have been asked for a pause as well, so to come back
-    sooner is in vain. The pauses end together, and the callers are spread so that they don't all
-    come at that moment.
+    If every endpoint pauses for this daemon, most do for the other daemons as well, so an earlier
+    retry would fail. The retries are spread at random, since the pauses end together.
 
-    :param usual: seconds for the kind of request.
-    :param pause_left: seconds until the first of them takes requests; 0 if none wants a pause.
+    :param usual: seconds without pauses, for the kind of request.
+    :param pause_left: seconds until the first endpoint accepts requests; 0 if none pauses.
     """
     if not pause_left:
         return usual
-    return min(pause_left, MAX_WAIT_SECONDS) + random.uniform(0, usual)
+    return min(pause_left, MAX_PAUSE_WAIT_SECONDS) + random.uniform(0, usual)
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
@@ -1,11 +1,11 @@
-"""How many retries a daemon may send, so that all daemons together stay within a budget.
+"""Limits the retries of a daemon, so that all daemons together stay within a budget.
 
-Each daemon has its part of the fixed allowance and the ratio of its own requests. The parts
-add up to the whole budget whatever the daemons know of each other's counts.
+Each daemon gets an equal share of the fixed allowance, and a ratio of its own requests. These add
+up to the whole budget without any exchange between the daemons.
 
 Owns: this daemon's requests and retries within the window, for each service.
-Relies on: the number of daemons that are listed. The list may lack some that live, since they could
-not renew their records; so the largest number of late counts.
+Relies on: the number of listed daemons. The list may lack running daemons that could not renew
+their records, so the largest recent number is used.
 """
 
 import collections
@@ -13,21 +13,21 @@
 import math
 import typing as t
 
-# part of the budget that is used; the rest covers requests and retries in different windows
-SAFETY = 0.8
+# Fraction of the budget that is used; the rest covers requests and retries in different windows.
+USED_FRACTION = 0.8
 
-# for which a daemon counts that is listed no more: longer than records run out in an outage of the
-# store and come back
-LISTED_LATELY_SECONDS = 60.0
+# How long a daemon counts after it was last listed, so that it is counted through an outage of the
+# store.
+UNLISTED_DAEMON_TTL_SECONDS = 60.0
 
 
 @dataclasses.dataclass(frozen=True)
 class RetryBudgetSettings:
     """The budget of all daemons for one service.
 
-    :param ratio: retries for each request in a window.
-    :param extra: retries in a window beside these.
-    :param window: seconds.
+    :param ratio: retries for each request in the window.
+    :param extra: fixed number of retries in the window on top of these.
+    :param window: length of the window in seconds.
     """
 
     ratio: float
@@ -38,8 +38,8 @@
 class RetryBudget:
     """Counts one daemon's requests and retries to one service in a sliding window."""
 
-    def __init__(self, terms: RetryBudgetSettings) -> None:
-        self._terms = terms
+    def __init__(self, settings: RetryBudgetSettings) -> None:
+        self._settings = settings
         self._requests: collections.deque[float] = collections.deque()
         self._retries: collections.deque[float] = collections.deque()
 
@@ -49,66 +49,71 @@
         self._forget(now)
 
     def left(self, now: float, daemons: int) -> int:
-        """Return how many retries may be sent now.
+        """Return the number of retries that may be sent now.
 
         :param daemons: daemons that share the budget.
         """
         self._forget(now)
-        own = self._terms.ratio * len(self._requests) + self._terms.extra / max(1, daemons)
-        return math.floor(own * SAFETY) - len(self._retries)
+        own = self._settings.ratio * len(self._requests) + self._settings.extra / max(1, daemons)
+        return math.floor(own * USED_FRACTION) - len(self._retries)
 
     def take(self, now: float, daemons: int) -> bool:
-        """Count a retry if one may be sent. Returns whether it may."""
+        """Count a retry if the budget allows one; return whether it does."""
         if self.left(now, daemons) < 1:
             return False
         self._retries.append(now)
         return True
 
     def _forget(self, now: float) -> None:
-        begin = now - self._terms.window
+        begin = now - self._settings.window
         for times in (self._requests, self._retries):
             while times and times[0] < begin:
                 times.popleft()
 
 
-class _LargestOfLate:
-    """The largest value that a number had of late."""
+class _RecentMaximum:
+    """The largest recent value of a number."""
 
     def __init__(self) -> None:
-        # values with the moments at which they were seen, each larger than those after it
+        # Times and values; each value is larger than those after it.
         self._seen: collections.deque[tuple[float, int]] = collections.deque()
 
-    def of(self, value: int, now: float) -> int:
-        """Note a value and return the largest one."""
+    def update(self, value: int, now: float) -> int:
+        """Record a value and return the largest recent one."""
         while self._seen and self._seen[-1][1] <= value:
             self._seen.pop()
         self._seen.append((now, value))
-        while self._seen[0][0] < now - LISTED_LATELY_SECONDS:
+        while self._seen[0][0] < now - UNLISTED_DAEMON_TTL_SECONDS:
             self._seen.popleft()
         return self._seen[0][1]
 
 
 class RetryBudgets:
-    """The retry budget of each service, as far as it is this daemon's.
+    """This daemon's share of the retry budget of each service.
 
     :param daemons: returns how many daemons are listed.
     """
 
     def __init__(
-        self, terms: RetryBudgetSettings, clock: t.Callable[[], float], daemons: t.Callable[[], int]
+        self,
+        settings: RetryBudgetSettings,
+        clock: t.Callable[[], float],
+        daemons: t.Callable[[], int],
     ) -> None:
         self._clock = clock
         self._daemons = daemons
-        self._sharers = _LargestOfLate()
-        self._budgets: dict[str, RetryBudget] = collections.defaultdict(lambda: RetryBudget(terms))
+        self._daemon_count = _RecentMaximum()
+        self._budgets: dict[str, RetryBudget] = collections.defaultdict(
+            lambda: RetryBudget(settings)
+        )
 
     def request(self, service: str) -> None:
         """Count a caller's request to a service."""
         now = self._clock()
-        self._sharers.of(self._daemons(), now)
+        self._daemon_count.update(self._daemons(), now)
         self._budgets[service].request(now)
 
     def take(self, service: str) -> bool:
-        """Count a retry to a service if one may be sent. Returns whether it may."""
+        """Count a retry to a service if the budget allows one; return whether it does."""
         now = self._clock()
-        return self._budgets[service].take(now, self._sharers.of(self._daemons(), now))
+        return self._budgets[service].take(now, self._daemon_count.update(self._daemons(), now))
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -1,12 +1,9 @@
-"""What happens to a request after a failed attempt: send it again, give it up, or cut it.
+"""Decides after a failed attempt whether a request is retried, refused, or its answer cut.
 
-The retry budget comes in as a function, since taking a token is a part of the rule: it is asked
-only where everything else allows another attempt.
-
-Owns: nothing; every rule is a pure function of the failure, of what the request has used up and
-of its route.
+Owns: nothing; every rule is a pure function of the failure, the attempts used and the route. The
+retry budget is passed as a function, which takes a token only if everything else allows a retry.
 Relies on: :class:`~..exceptions.AttemptError` for what is known of a failed attempt, and
-:mod:`.retry_after` for the times to come back.
+:mod:`.retry_after` for the times after which callers should retry.
 """
 
 import dataclasses
@@ -20,14 +17,14 @@
 from . import retry_after
 from .refusal import Refusal
 
-# attempts that do not count towards the route's, after which none is left
+# Limit of the attempts that don't count towards the route's.
 MAX_UNSENT_ATTEMPTS = 4
-# part of the route's target after which a repeatable request that has attempts left goes to
-# another endpoint
+# Fraction of the route's target after which a repeatable request with attempts left is tried at
+# another endpoint.
 ATTEMPT_TARGET_FRACTION = 0.8
-# seconds for which a stream that has begun waits for a group to go on in
+# How long a stream that has begun waits for a group on which it can resume.
 WAIT_FOR_GROUP_SECONDS = 2.0
-# causes, as they stand in log lines and answers
+# Causes, as written in log lines and answers.
 OUT_OF_TIME = "out of time"
 NO_ENDPOINT = "no endpoint"
 ALL_PAUSED = "every endpoint wants no requests for a time"
@@ -38,37 +35,37 @@
 
 @dataclasses.dataclass(frozen=True)
 class AttemptsUsed:
-    """What a request has used up, its newest failed attempt included.
+    """The attempts of a request, including the latest failed one.
 
-    :param sends: attempts that count towards the route's.
-    :param unsent: attempts that don't, since they cannot have run.
+    :param sends: attempts that count towards the route's limit.
+    :param unsent: attempts that don't count, since they cannot have run.
     :param may_have_run: whether any attempt may have run.
-    :param late: whether its time is over.
+    :param is_late: whether the request has run out of time.
     """
 
     sends: int
     unsent: int
     may_have_run: bool
-    late: bool
+    is_late: bool
 
 
 class NextStep(enum.Enum):
-    """What to do other than end the request with an answer of the gateway's own."""
+    """What to do next, other than refuse the request or cut its answer."""
 
     RETRY = "send again"
-    # the answer with a failure status that an endpoint of a plain service gave before
+    # The latest answer with a failure status from an endpoint of a plain service.
     RETURN_FAILED_ANSWER = "return kept answer"
     WAIT_FOR_GROUP = "wait for group"
 
 
 @dataclasses.dataclass(frozen=True)
 class CutAnswer:
-    """Break the connection of a caller who has got a part of the answer."""
+    """The connection of a caller who has got a part of the answer is broken."""
 
     cause: str
 
     def error(self) -> CutError:
-        """Return the error that ends the request so."""
+        """Return the error that ends the request in this way."""
         return CutError(self.cause)
 
 
@@ -77,9 +74,9 @@
 
 
 def give_up(cause: str, seconds: float | None, *, may_have_run: bool) -> Refusal:
-    """Return the final answer; whether it promises anything depends on what may have run.
+    """Return the refusal of a request, which promises that nothing has run if that is certain.
 
-    :param seconds: after which coming back helps if nothing has run.
+    :param seconds: after which the caller should retry if nothing has run; None for no advice.
     """
     return Refusal(502, cause) if may_have_run else Refusal(503, cause, seconds)
 
@@ -97,18 +94,18 @@
     *,
     begun: bool,
 ) -> StreamDecision:
-    """Decide how a streamed request goes on.
+    """Decide how a streamed request proceeds after a failed attempt.
 
-    A route with a resumable stream lets an attempt that may have run go on in another group.
+    On a resumable route an attempt that may have run can resume on another group.
 
     :param take_token: takes a token of the retry budget; returns whether there was one.
     :param begun: whether the caller has got the head of the answer.
     """
-    movable = failure.ran is Ran.NO or route.resumable
-    allowed = not used.late and movable and has_attempts_left(route, used.sends, used.unsent)
+    can_migrate = failure.ran is Ran.NO or route.resumable
+    allowed = not used.is_late and can_migrate and has_attempts_left(route, used.sends, used.unsent)
     if allowed and take_token():
         return NextStep.RETRY
-    cause = OUT_OF_TIME if used.late else failure.cause
+    cause = OUT_OF_TIME if used.is_late else failure.cause
     if begun:
         return CutAnswer(cause)
     return give_up(cause, retry_after.STREAM_SECONDS, may_have_run=used.may_have_run)
@@ -122,15 +119,15 @@
     *,
     has_failed_answer: bool,
 ) -> PlainDecision:
-    """Decide how a request to a plain service goes on.
+    """Decide how a request to a plain service proceeds after a failed attempt.
 
     :param take_token: takes a token of the retry budget; returns whether there was one.
-    :param has_kept: whether an endpoint has answered with a failure status.
+    :param has_failed_answer: whether an endpoint has answered with a failure status.
     """
-    if used.late and has_failed_answer:
-        # an endpoint's own answer, though a failure, tells the caller more than one of ours
+    if used.is_late and has_failed_answer:
+        # An endpoint's failed answer tells the caller more than a refusal does.
         return NextStep.RETURN_FAILED_ANSWER
-    if used.late:
+    if used.is_late:
         return give_up(OUT_OF_TIME, retry_after.PLAIN_SECONDS, may_have_run=used.may_have_run)
     if used.may_have_run and not route.repeatable:
         return give_up(failure.cause, None, may_have_run=True)
@@ -148,10 +145,10 @@
     cause: str = NO_ENDPOINT,
     pause_left: float = 0.0,
 ) -> t.Literal[NextStep.RETURN_FAILED_ANSWER] | Refusal:
-    """Decide how a request to a plain service ends if there is no endpoint that it may try.
+    """Decide how a request to a plain service ends if no endpoint is left for it.
 
-    :param has_kept: whether an endpoint has answered with a failure status.
-    :param pause_left: seconds until one takes requests that wants none now; 0 if none does.
+    :param has_failed_answer: whether an endpoint has answered with a failure status.
+    :param pause_left: seconds until a pausing endpoint accepts requests; 0 if none pauses.
     """
     if has_failed_answer:
         return NextStep.RETURN_FAILED_ANSWER
@@ -162,12 +159,12 @@
 def without_group(
     cause: str, *, may_have_run: bool, begun: bool, waited: bool, pause_left: float = 0.0
 ) -> t.Literal[NextStep.WAIT_FOR_GROUP] | Refusal | CutAnswer:
-    """Decide how a streamed request goes on while no group can take it.
+    """Decide how a streamed request proceeds while no group can take it.
 
-    :param cause: of the refusal if nothing has begun.
-    :param pause_left: seconds until one takes requests that wants none now; 0 if none does.
-    :param begun: whether the caller has got the head of the answer; only then is it worth
-        waiting, since a caller who has nothing can come back to another daemon.
+    :param cause: the cause of a refusal.
+    :param pause_left: seconds until a pausing endpoint accepts requests; 0 if none pauses.
+    :param begun: whether the caller has got the head of the answer. Before that the request is
+        refused without a wait, since the caller can retry at another daemon.
     :param waited: whether the time to wait for a group is over.
     """
     if not begun:
@@ -177,12 +174,12 @@
 
 
 def refuse_quarantined(seconds: float, *, may_have_run: bool, begun: bool) -> Refusal | CutAnswer:
-    """Decide how a request ends that is not to be sent, since it ends its endpoints.
+    """Decide how a quarantined request ends.
 
-    429 tells it apart from a want of room, promises that it has not run, and lets callers whose
-    requests may run once come back when it is let in again.
+    Status 429 distinguishes the quarantine from a lack of capacity and promises that the request
+    has not run, so that callers may retry after its release.
 
-    :param seconds: after which it is let in again.
+    :param seconds: until the release.
     :param begun: whether the caller has got the head of an answer.
     """
     if begun:
@@ -192,38 +189,40 @@
     return Refusal(429, ENDS_ENDPOINTS, seconds)
 
 
-def can_try_elsewhere(route: Route, sends: int, *, late: bool) -> bool:
-    """Return whether a plain request whose next attempt fails could go to another endpoint.
+def can_try_elsewhere(route: Route, sends: int, *, is_late: bool) -> bool:
+    """Return whether a plain request could go to another endpoint if its next attempt fails.
 
-    So its answer need not be waited for to the end, nor be passed on if it says that the
-    endpoint failed.
+    If so, the attempt may be given up early, and its failed answer need not be passed on.
 
-    :param sends: attempts before the next one that count towards the route's.
+    :param sends: earlier attempts that count towards the route's limit.
+    :param is_late: whether the request has run out of time.
     """
-    return route.repeatable and sends + 1 < route.max_attempts and not late
+    return route.repeatable and sends + 1 < route.max_attempts and not is_late
 
 
 def attempt_seconds(route: Route, left: float, *, elsewhere: bool) -> float:
-    """Return the seconds that an attempt at a plain service gets.
+    """Return the timeout in seconds of an attempt at a plain service.
 
     :param left: seconds until the request is given up.
-    :param elsewhere: whether it could go to another endpoint after that.
+    :param elsewhere: whether the request could go to another endpoint afterwards.
     """
     return min(left, ATTEMPT_TARGET_FRACTION * route.target) if elsewhere else left
 
 
 def can_leave_group(route: Route, sends: int) -> bool:
-    """Return whether a stream may leave a silent group for another one.
+    """Return whether a stream can leave a silent group for another one.
 
-    :param sends: attempts before the running one that count towards the route's.
+    :param sends: attempts before the running one that count towards the route's limit.
     """
     return route.resumable and sends + 1 < route.max_attempts
 
 
 def counts_as_sent(failure: AttemptError, *, heard_since_sent: bool) -> bool:
-    """Return whether a failed attempt at a group counts towards the route's attempts.
+    """Return whether a failed attempt at a group counts towards the route's limit.
+
+    The limit bounds how many endpoints may run a request. An endpoint that declined the request has
+    not run it, nor has a group that was silent from before the attempt on.
 
-    The route bounds how many endpoints may run a request. One that declined it has not run it;
-    nor has a group that nobody has heard since: it was silent before.
+    :param heard_since_sent: whether the group has sent anything since the attempt began.
     """
     return failure.ran is Ran.MAYBE and heard_since_sent
--- a/packages/gateway/src/thorncleat_gateway/requests/route_split.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/route_split.py
@@ -1,7 +1,6 @@
-"""Which service of a route gets a request, where a route is split over several.
+"""Chooses the service for a request of a route that is split over several services.
 
-Owns: nothing; the choice is a pure function of the route and of a number that rises with each
-request.
+Owns: nothing; the choice is a pure function of the route and the number of the request.
 Relies on: :mod:`..store.serving` for routes and services.
 """
 
@@ -10,8 +9,8 @@
 from ..store.serving import ServingConfiguration
 from ..store.serving import Split
 
-# the fractional parts of its multiples are spread evenly over 0 to 1: a property of the golden
-# ratio, so that few requests already keep close to the weights
+# The fractional parts of its multiples are evenly spread over 0 to 1, so that even a few requests
+# follow the weights closely.
 GOLDEN_RATIO_FRACTION = 0.6180339887
 
 
@@ -29,11 +28,11 @@
         point -= split.weight
         if point < 0:
             return split
-    # rounding, or no part has a weight
+    # Reached by a rounding error, or if no part has a weight.
     return route.splits[-1]
 
 
 def service_for(configuration: ServingConfiguration, route: Route, number: int) -> Service:
-    """Return the service that a request goes to; one that nobody has described is plain."""
+    """Return the service that a request goes to; a service without a description is plain."""
     name = split_for(route, number).service
     return configuration.services.get(name) or Service(name)
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -1,6 +1,6 @@
-"""Streamed requests: events are passed on as they come, and go on elsewhere if a group fails.
+"""Streamed requests: events are passed on as they come, and a failed stream resumes elsewhere.
 
-Owns: nothing beside the request at hand.
+Owns: nothing beyond the request at hand.
 Relies on: :mod:`.retry_policy` for what follows a failed attempt,
 :mod:`..peers.failure_detector` to leave a silent group, and :mod:`.endpoint_selector` for the
 group.
@@ -29,8 +29,7 @@
 from .retry_policy import NextStep
 from .retry_policy import StreamDecision
 
-# between two looks for a group to go on in, in seconds
-LOOK_SECONDS = 0.05
+GROUP_POLL_INTERVAL_SECONDS = 0.05
 
 
 class CallerStream(t.Protocol):
@@ -42,7 +41,7 @@
         ...
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head."""
+        """Send the status and the headers."""
         ...
 
     async def write(self, data: bytes) -> None:
@@ -50,54 +49,54 @@
         ...
 
     async def end(self) -> None:
-        """End the answer as whole."""
+        """Complete the answer."""
         ...
 
 
 class StreamForwarder(Forwarder):
-    """Serves requests from the groups of a service."""
+    """Serves streamed requests from the groups of a service."""
 
     async def serve(self, request: Request, engine: Engine, caller: CallerStream) -> None:
-        """Pass an answer on until it is whole.
+        """Pass an answer on until it is complete.
 
         :raises RefusalError: if nothing of it was passed on.
-        :raises CutError: if it can't be completed.
+        :raises CutError: if a part was passed on and the rest can't be.
         """
-        self._count(request)
-        kept: list[EndpointAnswer] = []
+        self._count_request(request)
+        failed_answers: list[EndpointAnswer] = []
         try:
-            await self._serve(request, engine, caller, kept)
+            await self._serve(request, engine, caller, failed_answers)
         except RefusalError:
-            if not kept or caller.begun:
+            if not failed_answers or caller.begun:
                 raise
-            # an endpoint's own answer, though a failure, tells the caller more than one of ours
-            await _pass_on(kept[-1], caller)
+            # An endpoint's failed answer tells the caller more than a refusal does.
+            await _pass_on(failed_answers[-1], caller)
 
     async def _serve(
         self,
         request: Request,
         engine: Engine,
         caller: CallerStream,
-        kept: list[EndpointAnswer],
+        failed_answers: list[EndpointAnswer],
     ) -> None:
         """Make attempts until an answer is passed on.
 
-        :param kept: takes the answers by which endpoints say that they failed.
+        :param failed_answers: collects the answers with a failure status.
         """
         splitter = EventSplitter()
         while True:
-            endpoint = await self._choose(request, engine, caller)
+            endpoint = await self._choose_leader(request, engine, caller)
             try:
                 answer = await self._attempt(request, endpoint, splitter, caller)
                 if answer is None:
                     self._selector.record_result(endpoint, succeeded=True)
                     self._crash_watch.record_served(request, endpoint)
                     return
-                kept.append(answer)
+                failed_answers.append(answer)
                 self._selector.avoid(endpoint)
                 raise AttemptError(f"status {answer.status}", Ran.MAYBE)
             except EndpointClosedError:
-                # it has said so since it was chosen; another one is chosen now
+                # The endpoint stopped accepting requests after it was chosen.
                 request.tried.add(endpoint.id)
                 continue
             except AttemptError as failure:
@@ -109,10 +108,10 @@
     def _after_failure(
         self, request: Request, endpoint: Endpoint, failure: AttemptError, caller: CallerStream
     ) -> StreamDecision:
-        """Note a failed attempt and decide how the request goes on."""
-        heard = self._detector.heard_since(endpoint.id, request.sent_at)
-        counted = retry_policy.counts_as_sent(failure, heard_since_sent=heard)
-        request.record_failure(endpoint, failure, counted=counted)
+        """Record a failed attempt and decide how the request proceeds."""
+        has_contact = self._detector.heard_since(endpoint.id, request.sent_at)
+        is_counted = retry_policy.counts_as_sent(failure, heard_since_sent=has_contact)
+        request.record_failure(endpoint, failure, counted=is_counted)
         self._crash_watch.record_failure(request, endpoint, failure)
         self._selector.record_result(endpoint, succeeded=False)
         request_log.failed(request, endpoint, failure, self._clock())
@@ -120,38 +119,42 @@
             self._selector.avoid(endpoint)
             self._detector.suspect(endpoint, failure.cause)
         elif failure.broken is not None and not self._load_table.own[endpoint.id]:
-            # all that this daemon had there broke, so the endpoint has most likely crashed; others
-            # would connect in vain, and the controller would learn it from them
+            # All requests of this daemon to the endpoint broke, so it has most likely crashed.
+            # Suspecting it spares the other daemons failed connections and informs the controller.
             self._detector.suspect(endpoint, failure.cause)
         return retry_policy.after_stream_failure(
             failure,
             request.attempts_used(self._clock()),
             request.route,
-            self._token(request),
+            self._token_source(request),
             begun=caller.begun,
         )
 
-    async def _choose(self, request: Request, engine: Engine, caller: CallerStream) -> Endpoint:
-        """Return the leader of the group for the next attempt.
+    async def _choose_leader(
+        self, request: Request, engine: Engine, caller: CallerStream
+    ) -> Endpoint:
+        """Return the leader of the next attempt's group; a stream that has begun waits for one.
 
-        :raises RefusalError: if there is none.
+        :raises RefusalError: if there is none, or the request is quarantined.
+        :raises CutError: in place of that if the caller has got the head of the answer.
         """
         until = min(request.give_up_at, self._clock() + WAIT_FOR_GROUP_SECONDS)
         service, model = request.service.name, request.meta.model
-        # requests that a crash broke go to groups drawn at random, so that they don't follow its
-        # cause into the next group
+        # Requests that a crash broke go to random groups, so that they don't meet its cause again.
         randomize = self._crash_watch.is_suspect(request)
         while True:
-            self._check_held(request, begun=caller.begun)
-            spared = self._crash_watch.is_denied_last_endpoint(
+            self._check_quarantine(request, begun=caller.begun)
+            is_denied = self._crash_watch.is_denied_last_endpoint(
                 request, lambda: self._selector.leaders(service, model)
             )
             endpoint = self._selector.choose_leader(
                 service, engine, model, request.tried, randomize=randomize
             )
-            if endpoint is not None and not spared:
+            if endpoint is not None and not is_denied:
                 return endpoint
-            no_group = retry_policy.LAST_ENDPOINT if spared else self._no_group(service, model)
+            no_group = (
+                retry_policy.LAST_ENDPOINT if is_denied else self._no_group_cause(service, model)
+            )
             decision = retry_policy.without_group(
                 no_group,
                 may_have_run=request.may_have_run,
@@ -161,17 +164,17 @@
             )
             if decision is not NextStep.WAIT_FOR_GROUP:
                 raise decision.error()
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(GROUP_POLL_INTERVAL_SECONDS)
 
-    def _no_group(self, service: str, model: str) -> str:
-        groups = self._selector.count_groups(service, model)
-        cause = f"no group for {model!r}: {groups.open} open, {groups.suspected} of them suspected"
-        return f"{cause}, {groups.paused} paused" if groups.paused else cause
+    def _no_group_cause(self, service: str, model: str) -> str:
+        count = self._selector.count_groups(service, model)
+        cause = f"no group for {model!r}: {count.open} open, {count.suspected} of them suspected"
+        return f"{cause}, {count.paused} paused" if count.paused else cause
 
     async def _attempt(
         self, request: Request, endpoint: Endpoint, splitter: EventSplitter, caller: CallerStream
     ) -> EndpointAnswer | None:
-        """Pass an answer on; return it instead if it says that the endpoint failed."""
+        """Pass an answer on, or return it if it has a failure status."""
         loop = asyncio.get_running_loop()
         until = loop.time() + request.give_up_at - self._clock()
         attempt: StreamAttempt | None = None
@@ -181,7 +184,7 @@
                     attempt = StreamAttempt(
                         endpoint,
                         self._clock(),
-                        movable=lambda: self._movable(request),
+                        movable=lambda: self._can_migrate(request),
                         leave=lambda: scope.reschedule(loop.time()),
                     )
                     self._detector.begin(attempt)
@@ -193,8 +196,8 @@
                 if attempt is not None:
                     self._detector.end(attempt)
 
-    def _movable(self, request: Request) -> bool:
-        """Return whether an attempt could go on in another group now."""
+    def _can_migrate(self, request: Request) -> bool:
+        """Return whether an attempt could resume on another group now."""
         return retry_policy.can_leave_group(
             request.route, request.sends
         ) and self._selector.has_other_group(
@@ -211,15 +214,15 @@
         endpoint = attempt.leader
         request.endpoint_id = endpoint.id
         request.sent_at, request.head_at = self._clock(), 0.0
-        last = splitter.last_id or request.meta.last_event_id
-        meta = request.forward_meta(endpoint, self._clock(), last)
-        request_log.sent(request, endpoint, self._load_table.of(endpoint.id), last)
+        last_event_id = splitter.last_id or request.meta.last_event_id
+        meta = request.forward_meta(endpoint, self._clock(), last_event_id)
+        request_log.sent(request, endpoint, self._load_table.of(endpoint.id), last_event_id)
         async with self._endpoint_client.open(endpoint, request, meta) as exchange:
             request.head_at = self._clock()
             self._detector.heard(endpoint.id, request.head_at)
             self._crash_watch.record_answer_started(endpoint, request.sent_at)
             if exchange.status != 200:
-                return await self._without_stream(exchange, caller)
+                return await self._pass_on_whole(exchange, caller)
             await self._relay(request, exchange, attempt, splitter, caller)
             return None
 
@@ -231,35 +234,35 @@
         splitter: EventSplitter,
         caller: CallerStream,
     ) -> None:
-        while data := await exchange.more():
+        while data := await exchange.read_chunk():
             now = self._clock()
             attempt.event(now)
             self._detector.heard(attempt.leader.id, now)
-            whole = splitter.feed(data)
-            if not whole:
+            events = splitter.feed(data)
+            if not events:
                 continue
             request.record_event(now)
             if not caller.begun:
                 await caller.begin(exchange.status, exchange.headers)
             attempt.held_by_caller = True
-            await caller.write(whole)
+            await caller.write(events)
             attempt.held_by_caller = False
-        if splitter.mid_event or not splitter.events:
+        if splitter.is_mid_event or not splitter.event_count:
             cause = "the stream ended within an event"
             raise AttemptError(cause, Ran.MAYBE, broken=Broken.AFTER_HEAD)
         await caller.end()
 
-    async def _without_stream(
+    async def _pass_on_whole(
         self, exchange: Exchange, caller: CallerStream
     ) -> EndpointAnswer | None:
-        """Pass on an answer that is no stream; return it instead if another group may do better.
+        """Pass on an answer that isn't a stream, or return it if it has a failure status.
 
         :raises AttemptError: if the caller has got the head of another answer.
         """
         if caller.begun:
             raise AttemptError(f"status {exchange.status}", Ran.MAYBE)
-        answer = await exchange.whole()
-        if answer.failed:
+        answer = await exchange.read()
+        if answer.is_failure:
             return answer
         await _pass_on(answer, caller)
         return None
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -147,7 +147,7 @@
         self._left = worker.world.events_of(request)
         self._number = 0
 
-    async def more(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         if not self._left:
             return b""
         await self._worker.run(0.05)
@@ -155,7 +155,7 @@
         self._number += 1
         return b"id: %d\ndata: x\n\n" % self._number
 
-    async def whole(self) -> EndpointAnswer:
+    async def read(self) -> EndpointAnswer:
         return EndpointAnswer(200, (), b"whole")
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -82,7 +82,7 @@
     ],
 )
 def test_caller_is_let_in(configuration, path, key, closed, fresh, outcome):
-    found = admission.admit(configuration, "shop", path, key, closed=closed, fresh=fresh)
+    found = admission.admit(configuration, "shop", path, key, is_closed=closed, is_current=fresh)
     assert found == outcome
 
 
@@ -109,7 +109,9 @@
     ],
 )
 def test_daemon_is_ready(stopping, loaded, fresh, reason):
-    assert admission.why_not_ready(stopping=stopping, loaded=loaded, fresh=fresh) is reason
+    assert (
+        admission.why_not_ready(is_stopping=stopping, is_loaded=loaded, is_current=fresh) is reason
+    )
 
 
 def test_balancer_is_told_these_words():
--- a/tests/test_endpoint_client.py
+++ b/tests/test_endpoint_client.py
@@ -22,7 +22,7 @@
 async def test_attempt_that_is_given_up_is_not_delivered_later(endpoint):
     """A request whose caller has left must not reach its endpoint once the link works again."""
     host, port = endpoint.getsockname()
-    async with endpoint_client.session() as session:
+    async with endpoint_client.create_session() as session:
         attempt = asyncio.create_task(session.post(f"http://{host}:{port}/", data=BODY))
         accepted, _ = await asyncio.to_thread(endpoint.accept)
         with accepted:
@@ -38,7 +38,7 @@
 
 async def test_connection_of_a_whole_answer_ends_in_order(endpoint):
     host, port = endpoint.getsockname()
-    async with endpoint_client.session() as session:
+    async with endpoint_client.create_session() as session:
         attempt = asyncio.create_task(session.post(f"http://{host}:{port}/", data=b"x"))
         accepted, _ = await asyncio.to_thread(endpoint.accept)
         with accepted:
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -16,12 +16,12 @@
             out += splitter.feed(rest[:size])
             rest = rest[size:]
         assert out == self.STREAM
-        assert not splitter.mid_event
+        assert not splitter.is_mid_event
 
     def test_a_run_that_continues_repeats_nothing(self):
         splitter = EventSplitter()
         out = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
-        assert splitter.mid_event
+        assert splitter.is_mid_event
         splitter.restart()
         out += splitter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
         assert out == b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -332,7 +332,7 @@
     ],
 )
 def test_plain_request_could_go_elsewhere(on, sends, late, expected):
-    assert retry_policy.can_try_elsewhere(on, sends, late=late) is expected
+    assert retry_policy.can_try_elsewhere(on, sends, is_late=late) is expected
 
 
 @pytest.mark.parametrize(
