--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -1,8 +1,7 @@
-"""Daemons that forward requests, endpoints that crash, and callers that try again, in virtual time.
+"""A fleet in virtual time: daemons that forward requests, endpoints that crash, callers that retry.
 
-The request path is the real one: forwarders, selector, detector, quarantine and reporter of each
-daemon. What lies around it is played: endpoints and their groups, the store's view with its lag,
-datagrams that are late and sometimes lost, and callers.
+The request path of each daemon is real. Endpoints and groups, the store's view with its lag, lossy
+datagrams and callers are simulated.
 """
 
 import asyncio
@@ -52,31 +51,29 @@
 from thorncleat_gateway.store.serving import Split
 from thorncleat_gateway.store.serving import Workspace
 
-# one way, in seconds
-WAY = 0.0014
-DATAGRAMS_LOST = 0.03
-# from a crash until the list no longer shows the group
-LIST_LAG = 0.5
-# in which calm daemons have to know, as the bound for contact of today's deployments
-CONTACT = 3.0
+ONE_WAY_SECONDS = 0.0014
+DATAGRAM_LOSS = 0.03
+# Time from a crash until the list no longer shows the group.
+LIST_LAG_SECONDS = 0.5
+# Time within which all running daemons must know of a crash.
+CONTACT_SECONDS = 3.0
 WORKSPACE = Workspace("growers", ("key",))
-# between two looks for something to come about
-LOOK = 0.005
+POLL_INTERVAL_SECONDS = 0.005
 
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """A site.
+    """The size of a site.
 
-    :param rate: ordinary requests a second.
-    :param back: seconds after which a crashed endpoint, and its group, are back.
+    :param rate: ordinary requests per second.
+    :param restart_seconds: time after which a crashed endpoint and its group serve again.
     """
 
     daemons: int
     endpoints: int
     slots: int
     rate: float
-    back: float = 2.5
+    restart_seconds: float = 2.5
     plain: bool = False
 
 
@@ -88,7 +85,7 @@
         self.number = number
         self.born = born
         self.alive = True
-        self.died = asyncio.Event()
+        self.crash_event = asyncio.Event()
         self.slots = asyncio.Semaphore(world.size.slots)
         group = Membership(GroupId(born, f"g{number}"), 0, GroupState.OPEN)
         self.endpoint = Endpoint(
@@ -98,46 +95,46 @@
             f"z{number % 3}",
             models=() if world.size.plain else ("m",),
             membership=None if world.size.plain else group,
-            born=born if world.tells_born else None,
+            born=born if world.publishes_born else None,
         )
-        if not world.tells_born:
+        if not world.publishes_born:
             self.endpoint = dataclasses.replace(self.endpoint, id=f"w{number}-{born}")
 
     def crash(self) -> None:
         if not self.alive:
             return
         self.alive = False
-        self.world.ended.append(self.endpoint.id)
-        self.died.set()
-        self.world.later(LIST_LAG, lambda: self.world.unlist(self))
-        self.world.later(self.world.size.back, lambda: self.world.start(self.number))
+        self.world.crashed.append(self.endpoint.id)
+        self.crash_event.set()
+        self.world.later(LIST_LAG_SECONDS, lambda: self.world.unlist(self))
+        self.world.later(self.world.size.restart_seconds, lambda: self.world.start(self.number))
 
     async def run(self, seconds: float) -> None:
-        """Let time pass that a request needs.
+        """Run a request for some seconds.
 
         :raises AttemptError: if the endpoint crashes meanwhile.
         """
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.died.wait(), seconds)
+            await asyncio.wait_for(self.crash_event.wait(), seconds)
         if not self.alive:
             raise AttemptError("answer cut: X", Ran.MAYBE, broken=Broken.AFTER_HEAD)
 
-    async def slot(self) -> None:
-        """Wait for a place.
+    async def acquire_slot(self) -> None:
+        """Wait for a free slot.
 
         :raises AttemptError: if the endpoint crashes meanwhile.
         """
-        taken = asyncio.ensure_future(self.slots.acquire())
-        died = asyncio.ensure_future(self.died.wait())
-        await asyncio.wait([taken, died], return_when=asyncio.FIRST_COMPLETED)
-        died.cancel()
+        acquired = asyncio.ensure_future(self.slots.acquire())
+        crashed = asyncio.ensure_future(self.crash_event.wait())
+        await asyncio.wait([acquired, crashed], return_when=asyncio.FIRST_COMPLETED)
+        crashed.cancel()
         if not self.alive:
-            taken.cancel()
+            acquired.cancel()
             raise AttemptError("no answer: X", Ran.MAYBE, broken=Broken.BEFORE_HEAD)
 
 
 class Exchange:
-    """An answer of a worker: events, or one body."""
+    """An answer of a worker: a stream of events, or one body."""
 
     status = 200
     headers = ()
@@ -160,7 +157,7 @@
 
 
 class Client:
-    """One daemon's way to the workers."""
+    """One daemon's connections to the workers."""
 
     def __init__(self, world: "CrashWorld") -> None:
         self._world = world
@@ -168,12 +165,12 @@
     @contextlib.asynccontextmanager
     async def open(self, endpoint, request, meta):
         world = self._world
-        await asyncio.sleep(WAY)
+        await asyncio.sleep(ONE_WAY_SECONDS)
         worker = world.workers.get(endpoint.id)
         if worker is None or not worker.alive or worker.endpoint.life.is_over(endpoint.life):
             raise AttemptError("no connection: X", Ran.NO, sent=False)
-        world.arrived(request, worker)
-        await worker.slot()
+        world.record_arrival(request, worker)
+        await worker.acquire_slot()
         try:
             if world.is_fatal(request):
                 world.random_later(0.02, 0.1, worker.crash)
@@ -181,7 +178,7 @@
                 if world.size.plain:
                     await worker.run(1.0 if world.is_fatal(request) else 0.05)
             except AttemptError as error:
-                # a plain endpoint sends its head with its answer
+                # A plain endpoint sends the head together with the answer.
                 raise AttemptError("no answer: X", Ran.MAYBE, broken=Broken.BEFORE_HEAD) from error
             yield Exchange(worker, request)
         finally:
@@ -189,7 +186,7 @@
 
 
 class View:
-    """What all daemons know from the store."""
+    """The view of the store that all daemons share."""
 
     def __init__(self, size: Size) -> None:
         self.version = 0
@@ -200,7 +197,7 @@
 
 
 class Peers:
-    """Datagrams of one daemon, as bytes."""
+    """The datagrams of one daemon, in their encoded form."""
 
     def __init__(self, world: "CrashWorld", id: str) -> None:
         self._world = world
@@ -229,10 +226,12 @@
         if isinstance(message, CrashReport | CrashWithdrawal):
             self.bytes += len(data)
             assert len(data) < 1400
-        if world.random.random() < DATAGRAMS_LOST:
+        if world.random.random() < DATAGRAM_LOSS:
             return
-        receiver = next(one for one in world.daemons if one.peers.id == other).peers
-        world.random_later(WAY, 2 * WAY, lambda: receiver.receive(self, data))
+        receiver = next(daemon for daemon in world.daemons if daemon.peers.id == other).peers
+        world.random_later(
+            ONE_WAY_SECONDS, 2 * ONE_WAY_SECONDS, lambda: receiver.receive(self, data)
+        )
 
     def receive(self, sender: "Peers", data: bytes) -> None:
         if self.cut or sender.cut:
@@ -288,14 +287,14 @@
         self.watch = watch
         parts = (Client(world), selector, self.table, budgets, self.detector, watch, clock)
         self.plain, self.streams = PlainForwarder(*parts), StreamForwarder(*parts)
-        self.peers.on_message(self._loads)
+        self.peers.on_message(self._on_load_report)
 
-    def _loads(self, sender, message) -> None:
+    def _on_load_report(self, sender, message) -> None:
         if isinstance(message, LoadReport):
             self.table.report(sender, message.counts)
 
     async def serve(self, request: Request) -> int:
-        """Return the status that the caller got; 0 for an answer that was cut."""
+        """Return the status that the caller gets; 0 for an answer that was cut."""
         caller = Caller()
         try:
             if self.world.size.plain:
@@ -311,24 +310,24 @@
 
 
 class CrashWorld:
-    """A site, with the figures that are asked of it.
+    """A site and its statistics.
 
-    :ivar ended: ids of the workers that crashed.
-    :ivar sends: moments at which each request reached a worker, by body.
-    :ivar held: answers that said that a request ends its endpoints, by body.
-    :ivar outcomes: of ordinary requests, after their callers tried again.
+    :ivar crashed: ids of the workers that crashed.
+    :ivar arrivals: times at which each request reached a worker, by body.
+    :ivar quarantined: number of answers that named a quarantine, by body.
+    :ivar outcomes: whether ordinary requests were served, after their callers' retries.
     """
 
-    def __init__(self, size: Size, seed: int, *, tells_born: bool = False) -> None:
+    def __init__(self, size: Size, seed: int, *, publishes_born: bool = False) -> None:
         self.size = size
         self.random = random.Random(seed)
-        self.tells_born = tells_born
+        self.publishes_born = publishes_born
         self.view = View(size)
         self.workers: dict[str, Worker] = {}
         self.daemons: list[Daemon] = []
-        self.ended: list[str] = []
+        self.crashed: list[str] = []
         self.crashed_by: dict[bytes, list[float]] = collections.defaultdict(list)
-        self.sends: dict[bytes, list[float]] = collections.defaultdict(list)
+        self.arrivals: dict[bytes, list[float]] = collections.defaultdict(list)
         self.quarantined: collections.Counter[bytes] = collections.Counter()
         self.outcomes: collections.Counter[bool] = collections.Counter()
         self._tasks: set[asyncio.Task] = set()
@@ -340,17 +339,17 @@
     def later(self, seconds, action) -> None:
         asyncio.get_running_loop().call_later(seconds, action)
 
-    def random_later(self, least, most, action) -> None:
-        self.later(self.random.uniform(least, most), action)
+    def random_later(self, min_seconds, max_seconds, action) -> None:
+        self.later(self.random.uniform(min_seconds, max_seconds), action)
 
-    async def until(self, true) -> float:
-        """Return after how many seconds something is true; more than the bound if it isn't."""
-        begun = self.now()
-        for _ in range(round(2 * CONTACT / LOOK)):
-            if true():
+    async def until(self, condition) -> float:
+        """Return the seconds until a condition is true; more than the bound if it stays false."""
+        started_at = self.now()
+        for _ in range(round(2 * CONTACT_SECONDS / POLL_INTERVAL_SECONDS)):
+            if condition():
                 break
-            await asyncio.sleep(LOOK)
-        return self.now() - begun
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        return self.now() - started_at
 
     async def begin(self) -> None:
         for number in range(self.size.endpoints):
@@ -380,7 +379,7 @@
                     if other is not daemon:
                         other.table.report(daemon.peers.id, counts)
 
-    # workers
+    # Workers.
 
     def start(self, number: int) -> None:
         self._lives += 1
@@ -393,17 +392,17 @@
         self.view.roster.unlist(worker.endpoint.id, self.now(), None)
         self.view.version += 1
 
-    def arrived(self, request: Request, worker: Worker) -> None:
-        self.sends[request.body].append(self.now())
+    def record_arrival(self, request: Request, worker: Worker) -> None:
+        self.arrivals[request.body].append(self.now())
 
     def is_fatal(self, request: Request) -> bool:
         return request.body.startswith(b"fatal")
 
     def events_of(self, request: Request) -> int:
-        """Return how many events a request has; a fatal one never comes to its end."""
+        """Return the number of events of a request; a fatal one never completes."""
         return 1000 if self.is_fatal(request) else 4 + sum(request.body) % 22
 
-    # callers
+    # Callers.
 
     def request(self, body: bytes) -> Request:
         kind = RouteKind.REPEATABLE if self.size.plain else RouteKind.STREAMING
@@ -426,54 +425,56 @@
         )
 
     async def call(self, body: bytes, tries: int = 2) -> bool:
-        """Try a request at one daemon after the other; return whether it was served."""
+        """Try a request at random daemons in turn; return whether it was served."""
         for _ in range(tries):
-            await asyncio.sleep(WAY)
+            await asyncio.sleep(ONE_WAY_SECONDS)
             status = await self.random.choice(self.daemons).serve(self.request(body))
             if status == 200:
                 return True
-            await asyncio.sleep(WAY)
+            await asyncio.sleep(ONE_WAY_SECONDS)
         return False
 
-    async def ordinary(self, seconds: float, bodies=None) -> None:
-        """Let ordinary requests come for some time.
+    async def send_ordinary(self, seconds: float, bodies=None) -> None:
+        """Send ordinary requests for some time.
 
-        :param bodies: drawn from; a new one for each request by default.
+        :param bodies: the bodies to draw from; a new body for each request by default.
         """
         until, number = self.now() + seconds, 0
         while self.now() < until:
             await asyncio.sleep(self.random.expovariate(self.size.rate))
             number += 1
             body = self.random.choice(bodies) if bodies else b"ordinary %d" % number
-            self._spawn(self._note(body))
+            self._spawn(self._call_and_record(body))
 
-    async def _note(self, body: bytes) -> None:
+    async def _call_and_record(self, body: bytes) -> None:
         self.outcomes[await self.call(body)] += 1
 
-    async def fatal(self, seconds: float, name: bytes, pause=(0.2, 4.0)) -> None:
-        """Let a request that no endpoint survives come again and again."""
+    async def send_fatal(self, seconds: float, name: bytes, pause=(0.2, 4.0)) -> None:
+        """Send a request that no endpoint survives again and again."""
         until = self.now() + seconds
         while self.now() < until:
             await asyncio.sleep(self.random.uniform(*pause))
             await self.call(b"fatal " + name)
 
-    # figures
+    # Statistics.
 
-    def ended_by(self, name: bytes) -> int:
-        """Return how many endpoints a fatal request reached."""
-        return len(self.sends[b"fatal " + name])
+    def crashes_by(self, name: bytes) -> int:
+        """Return the number of endpoints that a fatal request reached."""
+        return len(self.arrivals[b"fatal " + name])
 
-    def sends_too_many(self, name: bytes) -> int:
-        """Return how often it was sent after the bound for contact since its third."""
-        sends = self.sends[b"fatal " + name]
-        return sum(at > sends[2] + CONTACT for at in sends) if len(sends) > 2 else 0
+    def late_arrivals(self, name: bytes) -> int:
+        """Return how often a fatal request arrived too long after its third arrival."""
+        arrivals = self.arrivals[b"fatal " + name]
+        return (
+            sum(at > arrivals[2] + CONTACT_SECONDS for at in arrivals) if len(arrivals) > 2 else 0
+        )
 
     @property
-    def held_bystanders(self) -> int:
-        """How many ordinary requests were held at any time."""
+    def quarantined_bystanders(self) -> int:
+        """How many ordinary requests were ever quarantined."""
         return sum(not body.startswith(b"fatal") for body in self.quarantined)
 
     @property
-    def served(self) -> float:
-        """The part of the ordinary requests that was served."""
+    def served_fraction(self) -> float:
+        """The fraction of the ordinary requests that was served."""
         return self.outcomes[True] / max(1, self.outcomes.total())
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,7 @@
-"""What this daemon's attempts say of crashes, with the parts around it played."""
+"""What a daemon's attempts show of crashes.
+
+Guards against crashes that are missed, and against other failures that are taken for crashes.
+"""
 
 import dataclasses
 
@@ -23,7 +26,7 @@
 
 
 class Scene:
-    """A daemon with a request under way at an endpoint."""
+    """A daemon with a request that is running on an endpoint."""
 
     def __init__(self):
         self.world = CrashWorld(SIZE, 1)
@@ -41,31 +44,31 @@
     async def __aexit__(self, *error):
         await self.world.end()
 
-    def fails(self, failure=CUT):
+    def fail(self, failure=CUT):
         self.watch.record_failure(self.request, self.endpoint, failure)
         return self.daemon.quarantine.is_suspect(self.request.fingerprint)
 
 
 def play(scene):
-    async def whole():
-        async with Scene() as made:
-            return scene(made)
+    async def play_scene():
+        async with Scene() as started:
+            return scene(started)
 
-    return virtual_time.run(whole())
+    return virtual_time.run(play_scene())
 
 
-def test_broken_attempt_is_noted():
-    assert play(lambda scene: scene.fails())
+def test_broken_attempt_is_a_crash():
+    assert play(lambda scene: scene.fail())
 
 
-def test_attempt_that_did_not_break_is_not():
-    assert not play(lambda scene: scene.fails(AttemptError("group silent", Ran.MAYBE)))
+def test_silent_group_is_no_crash():
+    assert not play(lambda scene: scene.fail(AttemptError("group silent", Ran.MAYBE)))
 
 
 def test_endpoint_that_leaves_is_no_crash():
     def leaving(scene):
         scene.world.view.roster.put(dataclasses.replace(scene.endpoint, draining=True))
-        return scene.fails()
+        return scene.fail()
 
     assert not play(leaving)
 
@@ -73,31 +76,28 @@
 def test_endpoint_that_is_not_listed_is_no_crash():
     def unlisted(scene):
         scene.world.unlist(scene.worker)
-        return scene.fails()
+        return scene.fail()
 
     assert not play(unlisted)
 
 
-def test_group_that_stood_still_is_no_crash():
-    def still(scene):
+def test_group_that_was_silent_before_is_no_crash():
+    def silent(scene):
         scene.request.sent_at -= 5.0
-        return scene.fails()
-
-    assert not play(still)
+        return scene.fail()
 
+    assert not play(silent)
 
-def test_group_that_is_ended_at_once_for_its_leaders_crash_is_one():
-    """A daemon whose loop is late reads the controller's word before it sees its streams break.
 
-    The controller asks a suspected leader and ends its group some 8 ms after the crash.
-    """
+def test_group_that_is_ended_for_its_leaders_crash_is_a_crash():
+    """A daemon with a slow loop may read that the group is ended before its streams break."""
 
     def ended(scene):
         group = scene.endpoint.membership.group
         for handler in scene.daemon.peers.handlers:
             handler("edge-1", GroupEnded(group))
         assert group in scene.daemon.ended
-        return scene.fails()
+        return scene.fail()
 
     assert play(ended)
 
@@ -105,15 +105,15 @@
 @pytest.mark.parametrize("after", [-0.5, 0.5])
 def test_endpoint_that_answers_a_later_request_has_not_crashed(after):
     def answers(scene):
-        scene.fails()
+        scene.fail()
         scene.watch.record_answer_started(scene.endpoint, scene.world.now() + after)
         return scene.daemon.quarantine.has_crashed(scene.endpoint.life)
 
     assert play(answers) is (after < 0)
 
 
-async def _held_after_a_failure_status():
-    """Return what a caller gets whose request is held while an endpoint answers it with 500."""
+async def _quarantined_after_a_failure_status():
+    """Return whether a request that is quarantined during an attempt gets the failed answer."""
     world = CrashWorld(dataclasses.replace(SIZE, plain=True), 1)
     await world.begin()
     daemon, request = world.daemons[0], world.request(b"body")
@@ -121,8 +121,8 @@
 
     async def fails(_request, _endpoint):
         for number in range(QUARANTINE_CRASHES):
-            told = {request.fingerprint: Involvement(RAN_POINTS, 0.0)}
-            daemon.quarantine.record_crash(Life(f"other-{number}", None), 900.0 + number, told)
+            involved = {request.fingerprint: Involvement(RAN_POINTS, 0.0)}
+            daemon.quarantine.record_crash(Life(f"other-{number}", None), 900.0 + number, involved)
         return failed
 
     daemon.plain._attempt = fails
@@ -131,5 +131,5 @@
     return answer is failed
 
 
-def test_answer_that_an_endpoint_gave_is_passed_on_though_the_request_is_held():
-    assert virtual_time.run(_held_after_a_failure_status())
+def test_failed_answer_is_passed_on_though_the_request_is_quarantined():
+    assert virtual_time.run(_quarantined_after_a_failure_status())
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,11 +1,6 @@
-"""A request that ends each endpoint which begins to run it, sent again and again by its caller.
+"""A request that crashes each endpoint which begins to run it, retried again and again by its caller.
 
-On a site of eight daemons one such request ended 26 leaders of groups, and a second one 22: each
-try of it was sent to two endpoints, each time its caller tried again all counts began anew, and no
-daemon told the others. The lines of one try: "request_sent" to its first endpoint, 0.220 s later
-"attempt_failed" with "answer cut: ClientPayloadError" and sends=1, 0.3 ms later "request_sent" to
-the next endpoint, there "answer cut: ClientPayloadError" again with sends=2, and "request_refused"
-with 502. The same request came back every 2.5 to 5 s, at any daemon, and ended two more each time.
+Guards against retries that spread the crash over the fleet: each try crashed two more endpoints.
 """
 
 import pytest
@@ -17,22 +12,22 @@
 DAEMONS = 3
 GROUPS = 8
 TRIES = 12
-# endpoints that such a request may end at most
-LIMIT = 3
+# Endpoints that such a request may crash.
+MAX_CRASHES = 3
 
 
 @pytest.mark.parametrize("head", [True, False], ids=["after an event", "before the head"])
-async def test_request_that_ends_its_endpoints_is_kept_from_the_others(tmp_path, head):
+async def test_fatal_request_is_quarantined(tmp_path, head):
     async with site(tmp_path, domains=GROUPS, daemons=DAEMONS) as made:
         for worker in made.workers:
             worker.crashes_on = FATAL
             worker.crash_events = 1 if head else 0
         for number in range(TRIES):
             await made.try_fatal(FATAL, number)
-        # one that is never seen to begin may only have waited; it counts half
-        allowed = LIMIT if head else 2 * LIMIT
+        # A request that never began to answer may only have waited, so its crashes count half.
+        allowed = MAX_CRASHES if head else 2 * MAX_CRASHES
         assert sum(worker.crashes for worker in made.workers) <= allowed
-        # other requests of the same caller are served at each daemon
+        # Other requests of the same caller are served by each daemon.
         for daemon in range(DAEMONS):
             status, _, body = await made.chat(daemon=daemon, number=f"other-{daemon}")
             assert (status, body) == (200, events(1, 2, 3, 4, 5))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,7 @@
-"""Which requests are held back: what counts as a crash, and which request explains the crashes."""
+"""Which requests are quarantined, and what counts as a crash.
+
+Guards against a quarantine of requests that were only running beside the cause of a crash.
+"""
 
 import pytest
 
@@ -45,8 +48,8 @@
 
 def crash(quarantine, clock, number, after=1.0, **requests):
     clock.now += after
-    told = {name.encode(): part for name, part in requests.items()}
-    return quarantine.record_crash(Life(f"w{number}", None), clock.now, told)
+    involved = {name.encode(): part for name, part in requests.items()}
+    return quarantine.record_crash(Life(f"w{number}", None), clock.now, involved)
 
 
 def quarantined_names(quarantine):
@@ -54,7 +57,7 @@
 
 
 class TestFingerprint:
-    def test_same_for_all_tries_of_a_request(self):
+    def test_same_for_all_retries_of_a_request(self):
         first = fingerprint.of("growers", "Shop.example", "/chat/x?a=1", b"body")
         assert first == fingerprint.of("growers", "shop.example", "/chat/x?a=1", b"body")
         assert len(first) == fingerprint.DIGEST_BYTES
@@ -70,30 +73,35 @@
             pytest.param(("growers", "h", "/", b"xb"), id="a body that begins with the path's end"),
         ],
     )
-    def test_another_request_has_another(self, parts):
+    def test_different_requests_differ(self, parts):
         assert fingerprint.of(*parts) != fingerprint.of("growers", "h", "/x", b"b")
 
 
 @pytest.mark.parametrize(
     ("broken", "streaming", "expected", "silent", "points"),
     [
-        pytest.param(Broken.AFTER_HEAD, True, False, False, RAN_POINTS, id="it ran"),
+        pytest.param(Broken.AFTER_HEAD, True, False, False, RAN_POINTS, id="the request ran"),
         pytest.param(
-            Broken.BEFORE_HEAD, True, False, False, MAY_HAVE_WAITED_POINTS, id="it may have waited"
+            Broken.BEFORE_HEAD,
+            True,
+            False,
+            False,
+            MAY_HAVE_WAITED_POINTS,
+            id="the request may have waited",
         ),
         pytest.param(Broken.BEFORE_HEAD, False, False, False, RAN_POINTS, id="a plain service"),
         pytest.param(None, True, False, False, 0, id="silence, a refusal, a failure status"),
-        pytest.param(Broken.AFTER_HEAD, True, True, False, 0, id="the endpoint leaves"),
-        pytest.param(Broken.AFTER_HEAD, True, False, True, 0, id="its group stood still"),
+        pytest.param(Broken.AFTER_HEAD, True, True, False, 0, id="the endpoint is leaving"),
+        pytest.param(Broken.AFTER_HEAD, True, False, True, 0, id="the group was silent"),
     ],
 )
-def test_what_an_attempt_counts(broken, streaming, expected, silent, points):
+def test_points_of_an_attempt(broken, streaming, expected, silent, points):
     found = crash_watch.crash_points(broken, streaming=streaming, expected=expected, silent=silent)
     assert found == points
 
 
 class TestLimit:
-    def test_third_crash_holds_a_request(self, quarantine, clock):
+    def test_third_crash_quarantines_a_request(self, quarantine, clock):
         for number in range(2):
             crash(quarantine, clock, number, a=RAN)
         assert quarantined_names(quarantine) == []
@@ -108,47 +116,45 @@
         crash(quarantine, clock, 5, a=WAITED)
         assert quarantined_names(quarantine) == ["a"]
 
-    def test_crash_told_by_several_daemons_is_one(self, quarantine, clock):
+    def test_crash_reported_by_several_daemons_counts_once(self, quarantine, clock):
         for _ in range(5):
             crash(quarantine, clock, 1, a=RAN)
         crash(quarantine, clock, 2, a=RAN)
         assert quarantined_names(quarantine) == []
 
     @pytest.mark.parametrize("born", [(None, 7), (7, None), (7, 7)])
-    def test_daemon_that_does_not_know_the_life_tells_of_the_same_crash(
-        self, quarantine, clock, born
-    ):
+    def test_report_without_incarnation_is_the_same_crash(self, quarantine, clock, born):
         for value in born:
             quarantine.record_crash(Life("w1", value), clock.now, {b"a": RAN})
         assert len(quarantine.recurring_crashes()) == 0
 
-    def test_lives_under_one_id_are_several(self, quarantine, clock):
+    def test_incarnations_of_an_endpoint_count_separately(self, quarantine, clock):
         for born in range(3):
             clock.now += 1.0
             quarantine.record_crash(Life("w1", born), clock.now, {b"a": RAN})
         assert quarantined_names(quarantine) == ["a"]
 
-    def test_endpoints_that_end_at_one_moment_count_once(self, quarantine, clock):
-        """As when a domain loses power under content that many callers ask for."""
+    def test_simultaneous_crashes_count_once(self, quarantine, clock):
+        """As in a power loss of a failure domain that serves a popular request."""
         for number in range(20):
             crash(quarantine, clock, number, after=0.001, a=RAN)
         assert quarantined_names(quarantine) == []
 
-    def test_moments_do_not_chain(self, quarantine, clock):
+    def test_simultaneous_crashes_do_not_chain(self, quarantine, clock):
         for number in range(8):
             crash(quarantine, clock, number, after=0.9 * SAME_INSTANT_SECONDS, a=RAN)
         assert quarantined_names(quarantine) == ["a"]
 
 
 class TestCause:
-    def test_who_stood_beside_is_not_held(self, quarantine, clock):
+    def test_bystander_is_not_quarantined(self, quarantine, clock):
         crash(quarantine, clock, 1, a=RAN, b=LONG, c=LONG)
         crash(quarantine, clock, 2, a=RAN, b=RAN)
         crash(quarantine, clock, 3, a=RAN, b=LONG, d=LONG)
         assert quarantined_names(quarantine) == ["a"]
 
-    def test_who_stood_beside_several_causes_is_let_go(self, quarantine, clock):
-        """At three crashes it is held, until it shows that they have other causes."""
+    def test_bystander_of_several_causes_is_released(self, quarantine, clock):
+        """It is quarantined after three crashes until their causes show."""
         for number, cause in enumerate(("x", "y", "z")):
             crash(quarantine, clock, number, **{cause: RAN, "b": LONG})
         assert quarantined_names(quarantine) == ["b"]
@@ -156,19 +162,19 @@
             crash(quarantine, clock, number, **{cause: RAN})
         assert quarantined_names(quarantine) == ["x", "y"]
 
-    def test_two_causes_are_both_held(self, quarantine, clock):
+    def test_two_causes_are_both_quarantined(self, quarantine, clock):
         for number in range(6):
             crash(quarantine, clock, number, **{"xy"[number % 2]: RAN})
         assert quarantined_names(quarantine) == ["x", "y"]
 
-    def test_of_two_with_the_same_crashes_the_one_that_ran_shortly(self, quarantine, clock):
+    def test_of_two_with_the_same_crashes_the_one_with_the_shorter_run(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=LONG, b=RAN)
         assert quarantined_names(quarantine) == ["b"]
 
 
 class TestLastEndpoint:
-    def test_request_is_kept_from_it_after_two_crashes_for_some_time(self, quarantine, clock):
+    def test_request_is_denied_it_for_some_time_after_two_crashes(self, quarantine, clock):
         crash(quarantine, clock, 1, a=RAN)
         assert not quarantine.is_denied_last_endpoint(b"a")
         crash(quarantine, clock, 2, a=RAN, b=RAN)
@@ -179,18 +185,18 @@
 
 
 class TestWithdrawn:
-    def test_endpoint_that_lives(self, quarantine, clock):
+    def test_endpoint_that_is_alive(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
         crashed_at = clock.now
         assert not quarantine.record_endpoint_alive(Life("w2", None), crashed_at - 0.5)
         assert quarantine.record_endpoint_alive(Life("w2", None), crashed_at + 0.5)
         assert quarantined_names(quarantine) == []
-        # told again by a daemon that doesn't know
+        # Reported again by a daemon that doesn't know.
         assert not quarantine.record_crash(Life("w2", None), crashed_at, {b"a": RAN})
         assert quarantined_names(quarantine) == []
 
-    def test_next_life_says_nothing_of_the_one_before(self, quarantine, clock):
+    def test_next_incarnation_does_not_clear_the_crash_of_the_previous(self, quarantine, clock):
         quarantine.record_crash(Life("w1", 1), clock.now, {b"a": RAN})
         assert not quarantine.record_endpoint_alive(Life("w1", 2), clock.now + 1.0)
         assert quarantine.has_crashed(Life("w1", 1))
@@ -203,7 +209,7 @@
         assert quarantined_names(quarantine) == ["b"]
         assert not quarantine.record_crash(Life("w2", None), clock.now - 1.0, {b"a": RAN})
 
-    def test_content_that_many_ask_for_is_never_held(self, quarantine, clock):
+    def test_popular_request_is_never_quarantined(self, quarantine, clock):
         for number in range(50):
             crash(quarantine, clock, number, popular=LONG)
             quarantine.record_request_served(b"popular", clock.now + 0.5)
@@ -211,7 +217,9 @@
 
 
 class TestTime:
-    def test_held_request_is_let_in_again_and_held_at_its_next_crash(self, quarantine, clock):
+    def test_request_is_released_after_a_time_and_quarantined_at_its_next_crash(
+        self, quarantine, clock
+    ):
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
         clock.now += QUARANTINE_SECONDS + 1.0
@@ -229,11 +237,11 @@
         crash(quarantine, clock, 3, a=RAN)
         assert quarantined_names(quarantine) == []
 
-    def test_memory_is_bounded_and_keeps_what_is_held(self, quarantine, clock):
+    def test_memory_is_bounded_and_keeps_quarantined_requests(self, quarantine, clock):
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
         for number in range(2 * MAX_CRASHES):
-            requests = {f"r{number}-{one}": LONG for one in range(2 * MAX_REQUESTS_PER_CRASH)}
+            requests = {f"r{number}-{index}": LONG for index in range(2 * MAX_REQUESTS_PER_CRASH)}
             crash(quarantine, clock, 100 + number, after=0.5, **requests)
         assert quarantined_names(quarantine) == ["a"]
         assert sum(map(len, quarantine._crashes.values())) == MAX_CRASHES
@@ -241,7 +249,7 @@
 
 
 class View:
-    """The records of the store, as a daemon knows them."""
+    """The records of the store, as a daemon sees them."""
 
     def __init__(self):
         self.records = {}
@@ -259,10 +267,10 @@
         self._listener()
 
 
-class TestLifted:
-    def test_operator_lifts_a_hold(self, quarantine, clock):
+class TestRelease:
+    def test_operator_releases_a_request(self, quarantine, clock):
         view = View()
-        followed = ReleasedRequests(view, quarantine)
+        releases = ReleasedRequests(view, quarantine)
         for number in range(3):
             crash(quarantine, clock, number, a=RAN, b=RAN)
         clock.now += 1.0
@@ -270,7 +278,7 @@
         assert quarantined_names(quarantine) == ["a"]
         view.write(f"thorncleat/lifted/{b'a'.hex()}", 8)
         assert quarantined_names(quarantine) == []
-        # once for each time that it is written
+        # Each write of the record releases the request once.
         for number in range(3, 6):
             crash(quarantine, clock, number, a=RAN)
         view.write("thorncleat/daemons/edge-1", 9)
@@ -278,22 +286,22 @@
         clock.now += 1.0
         view.write(f"thorncleat/lifted/{b'a'.hex()}", 10)
         assert quarantined_names(quarantine) == []
-        assert followed
+        assert releases
 
-    def test_record_that_names_no_request_lifts_nothing(self, quarantine, clock):
+    def test_record_that_names_no_request_releases_nothing(self, quarantine, clock):
         view = View()
-        followed = ReleasedRequests(view, quarantine)
+        releases = ReleasedRequests(view, quarantine)
         for number in range(3):
             crash(quarantine, clock, number, a=RAN)
         view.write("thorncleat/lifted/other words", 7)
         assert quarantined_names(quarantine) == ["a"]
-        assert followed
+        assert releases
 
 
-def test_only_requests_of_several_crashes_are_repeated(quarantine, clock):
+def test_recurring_crashes_are_those_of_requests_with_several(quarantine, clock):
     crash(quarantine, clock, 1, a=RAN, b=LONG)
     assert quarantine.recurring_crashes() == []
     crash(quarantine, clock, 2, a=RAN, c=LONG)
-    assert [set(one.requests) for one in quarantine.recurring_crashes()] == [{b"a"}, {b"a"}]
+    assert [set(crash.requests) for crash in quarantine.recurring_crashes()] == [{b"a"}, {b"a"}]
     assert quarantine.recurring_crashes([b"b", b"c"]) == []
     assert len(quarantine.recurring_crashes([b"c", b"a"])) == 2
