--- a/tests/notice_endpoints.py
+++ b/tests/notice_endpoints.py
@@ -1,6 +1,6 @@
 """The endpoints of :mod:`tests.notice_world`, and the connections of one daemon to them.
 
-Each endpoint checks what reaches it against what it has answered to whom.
+Each endpoint checks the requests that reach it against its own answers.
 """
 
 import asyncio
@@ -21,24 +21,23 @@
 if t.TYPE_CHECKING:
     from .notice_world import NoticeWorld
 
-# one way, in seconds
-WAY = 0.0014
-# after an answer that asks for no requests, for what was on its way to the endpoint
-IN_FLIGHT = 0.5
-# that may still reach it in the rest of the time that it asked for
-MOST_IN_PAUSE = 2
-# after an answer by an endpoint that drains, for callers' requests that were sent before
-DRAIN = 2.0
-EVENT = 0.05
-PLAIN_RUN = 0.05
+ONE_WAY_SECONDS = 0.0014
+# How long requests that were on their way may arrive after an answer that asks for a pause.
+IN_FLIGHT_SECONDS = 0.5
+# Requests that may arrive in the rest of the pause.
+MAX_IN_PAUSE = 2
+# How long callers' earlier requests may arrive after the answer of a draining endpoint.
+DRAIN_SECONDS = 2.0
+EVENT_SECONDS = 0.05
+PLAIN_RUN_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """A site.
+    """The size of a site.
 
-    :param rate: requests a second.
-    :param queue: requests that wait at an endpoint at most.
+    :param rate: requests per second.
+    :param queue: length of an endpoint's queue.
     :param pause: seconds that an endpoint asks for when its queue is full.
     """
 
@@ -54,35 +53,38 @@
 class Worker:
     """An endpoint, or the leader of a group, which checks what reaches it.
 
-    :ivar declines: headers beside "not run" with which it declines every request; None if it
-        declines only when its queue is full.
-    :ivar says: headers of all its answers.
-    :ivar in_pauses: requests that reached it in a pause that it had asked for, by daemon and by
-        when it had asked.
-    :ivar late_sends: of these, how many were sent after the answer had come.
-    :ivar sends_to_draining: requests that were sent to it after the daemon had its word.
+    :ivar decline_headers: headers beside "not run" with which every request is declined; None to
+        decline requests only when the queue is full.
+    :ivar extra_headers: headers of all answers.
+    :ivar pauses: the pauses asked for, as their times and seconds, by daemon.
+    :ivar in_pauses: requests that arrived within a pause, by daemon and time of the pause.
+    :ivar late_sends: of these, the requests that were sent after the answer had arrived.
+    :ivar draining_since: when each daemon first received that the endpoint drains.
+    :ivar sends_to_draining: requests that were sent after their daemon had received that.
+    :ivar late_to_draining: of these, the requests that their callers sent long after it.
+    :ivar senders: the daemons that sent the requests in ``arrivals``.
+    :ivar limited_since: when each daemon first received a limit.
     """
 
     def __init__(self, world: "NoticeWorld", number: int, born: int) -> None:
         self.world = world
         self.number = number
         self.alive = True
-        # breaks the streams that it runs
+        # Breaks the running streams.
         self.cut = asyncio.Event()
-        self.declines: dict[str, str] | None = None
-        self.says: dict[str, str] = {}
+        self.decline_headers: dict[str, str] | None = None
+        self.extra_headers: dict[str, str] = {}
         self.running = 0
         self.waiting: collections.deque[asyncio.Future] = collections.deque()
-        self.asked: dict[str, list[tuple[float, float]]] = collections.defaultdict(list)
-        self.told: dict[str, float] = {}
+        self.pauses: dict[str, list[tuple[float, float]]] = collections.defaultdict(list)
+        self.draining_since: dict[str, float] = {}
         self.in_pauses: collections.Counter = collections.Counter()
         self.late_sends = 0
         self.sends_to_draining = 0
         self.late_to_draining = 0
         self.arrivals: list[float] = []
-        # by whom they were sent; and when each daemon was first told of a limit
         self.senders: list[str] = []
-        self.told_limit: dict[str, float] = {}
+        self.limited_since: dict[str, float] = {}
         self.declined = 0
         group = Membership(GroupId(born, f"g{number}"), 0, GroupState.OPEN)
         self.endpoint = Endpoint(
@@ -96,54 +98,56 @@
         )
 
     @property
-    def most_in_a_pause(self) -> int:
+    def max_in_a_pause(self) -> int:
         return max(self.in_pauses.values(), default=0)
 
-    def arrives(self, daemon: str, sent_at: float, caller_sent_at: float) -> None:
-        """Check a request against what this endpoint has answered to its daemon."""
+    def record_arrival(self, daemon: str, sent_at: float, caller_sent_at: float) -> None:
+        """Check a request against the answers that its daemon got from this endpoint."""
         now = self.world.now()
         self.arrivals.append(now)
         self.senders.append(daemon)
-        for asked_at, seconds in self.asked[daemon]:
+        for asked_at, seconds in self.pauses[daemon]:
             if now > asked_at + seconds:
                 continue
-            if now > asked_at + IN_FLIGHT:
+            if now > asked_at + IN_FLIGHT_SECONDS:
                 self.in_pauses[daemon, asked_at] += 1
-            if sent_at > asked_at + 2 * WAY:
+            if sent_at > asked_at + 2 * ONE_WAY_SECONDS:
                 self.late_sends += 1
-        told_at = self.told.get(daemon)
-        if told_at is not None:
-            self.sends_to_draining += sent_at > told_at
-            self.late_to_draining += caller_sent_at > told_at + DRAIN
-
-    def answer(self, daemon: str, status: int, headers: dict[str, str]) -> multidict.CIMultiDict:
-        """Note what an answer says, and return its headers."""
-        headers = {**headers, **self.says}
+        draining_since = self.draining_since.get(daemon)
+        if draining_since is not None:
+            self.sends_to_draining += sent_at > draining_since
+            self.late_to_draining += caller_sent_at > draining_since + DRAIN_SECONDS
+
+    def record_answer(
+        self, daemon: str, status: int, headers: dict[str, str]
+    ) -> multidict.CIMultiDict:
+        """Record what an answer says, and return its headers."""
+        headers = {**headers, **self.extra_headers}
         now = self.world.now()
         if status == 503 and "Retry-After" in headers:
             with contextlib.suppress(ValueError):
-                self.asked[daemon].append((now, float(headers["Retry-After"])))
+                self.pauses[daemon].append((now, float(headers["Retry-After"])))
         if "Server-Limit" in headers:
-            self.told_limit.setdefault(daemon, now + 2 * WAY)
+            self.limited_since.setdefault(daemon, now + 2 * ONE_WAY_SECONDS)
         if headers.get("Server-Leaving") == "1":
-            self.told.setdefault(daemon, now + 2 * WAY)
+            self.draining_since.setdefault(daemon, now + 2 * ONE_WAY_SECONDS)
         return multidict.CIMultiDict(headers)
 
-    def most_in_a_span(self, begin: float, end: float = float("inf")) -> int:
-        """Return how many requests reached it in some span, of daemons that it had told.
+    def max_in_a_span(self, begin: float, end: float = float("inf")) -> int:
+        """Return the most requests within a span from daemons that know the limit.
 
-        :param begin: of the time that is looked at, on the loop's clock.
+        :param begin: start of the examined time, on the loop's clock.
         """
         counted = [
             at
             for at, daemon in zip(self.arrivals, self.senders, strict=True)
             if begin <= at <= end
-            and at >= self.told_limit.get(daemon, at) + limit_rule.TOLD_SECONDS
+            and at >= self.limited_since.get(daemon, at) + limit_rule.TOLD_SECONDS
         ]
         return limit_rule.most_in_a_span(counted)
 
-    async def slot(self) -> bool:
-        """Wait for a place; return whether there is one, or room to wait."""
+    async def acquire_slot(self) -> bool:
+        """Wait for a slot; return False at once if the queue is full."""
         if self.running < self.world.size.slots:
             self.running += 1
             return True
@@ -154,7 +158,7 @@
         await turn
         return True
 
-    def free(self) -> None:
+    def release_slot(self) -> None:
         while self.waiting:
             turn = self.waiting.popleft()
             if not turn.done():
@@ -164,7 +168,7 @@
 
 
 class Content:
-    """The body of an answer, as it comes."""
+    """The body of a streamed answer."""
 
     def __init__(self, worker: Worker, events: int) -> None:
         self._worker = worker
@@ -174,7 +178,7 @@
     async def readany(self) -> bytes:
         if not self._left:
             return b""
-        await asyncio.sleep(EVENT)
+        await asyncio.sleep(EVENT_SECONDS)
         if self._worker.cut.is_set():
             raise aiohttp.ClientPayloadError("cut")
         self._left -= 1
@@ -206,38 +210,42 @@
     async def request(self, method, url, *, data, headers, timeout, allow_redirects):
         world, sent_at = self._world, self._world.now()
         headers = multidict.CIMultiDict(headers)
-        await asyncio.sleep(world.connecting)
+        await asyncio.sleep(world.connect_seconds)
         worker = world.at(f"{url.host}:{url.port}")
         if worker is None:
             raise aiohttp.ConnectionTimeoutError("nobody")
-        await asyncio.sleep(WAY)
+        await asyncio.sleep(ONE_WAY_SECONDS)
         request_id = headers["X-Thorncleat-Attempt-Id"]
         echo = {"X-Thorncleat-Attempt-Id": request_id}
         not_run = {**echo, "X-Thorncleat-Not-Executed": "1"}
         if headers["X-Thorncleat-Expect-Instance"] != worker.endpoint.id:
-            yield await self._back(421, multidict.CIMultiDict({**not_run, **worker.says}))
+            yield await self._respond(
+                421, multidict.CIMultiDict({**not_run, **worker.extra_headers})
+            )
             return
-        worker.arrives(self._daemon, sent_at, world.sent_at[request_id])
-        if worker.declines is not None:
+        worker.record_arrival(self._daemon, sent_at, world.sent_at[request_id])
+        if worker.decline_headers is not None:
             worker.declined += 1
-            yield await self._back(
-                503, worker.answer(self._daemon, 503, {**not_run, **worker.declines})
+            yield await self._respond(
+                503, worker.record_answer(self._daemon, 503, {**not_run, **worker.decline_headers})
             )
             return
-        if not await worker.slot():
+        if not await worker.acquire_slot():
             worker.declined += 1
             pause = {"Retry-After": f"{world.size.pause:.2f}"} if world.size.pause else {}
-            yield await self._back(503, worker.answer(self._daemon, 503, {**not_run, **pause}))
+            yield await self._respond(
+                503, worker.record_answer(self._daemon, 503, {**not_run, **pause})
+            )
             return
         try:
             if world.size.plain:
-                await asyncio.sleep(PLAIN_RUN)
+                await asyncio.sleep(PLAIN_RUN_SECONDS)
             signed = {**echo, "X-Thorncleat-Response-Stamp": "stamp"}
-            answered = worker.answer(self._daemon, 200, signed)
-            yield await self._back(200, answered, Content(worker, world.events()))
+            answer_headers = worker.record_answer(self._daemon, 200, signed)
+            yield await self._respond(200, answer_headers, Content(worker, world.events()))
         finally:
-            worker.free()
+            worker.release_slot()
 
-    async def _back(self, status, headers, content=None) -> Response:
-        await asyncio.sleep(WAY)
+    async def _respond(self, status, headers, content=None) -> Response:
+        await asyncio.sleep(ONE_WAY_SECONDS)
         return Response(status, headers, content)
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -1,11 +1,8 @@
-"""Daemons, endpoints that ask for no requests or say that they drain, and callers, in virtual time.
+"""A fleet in virtual time whose endpoints ask for pauses, name limits or drain.
 
-The request path of each daemon is the real one, the client of endpoints and the adapter's headers
-included. What lies around it is played: the connections, the endpoints, the store's list, and
-callers who come back at another daemon.
-
-The oracle stands in the endpoints (:mod:`tests.notice_endpoints`), so it knows nothing of what a
-daemon believes.
+The request path of each daemon is real, including the client of endpoints and the adapter's
+headers. Connections, endpoints, the store's list and callers are simulated. The checks are made by
+the endpoints (:mod:`tests.notice_endpoints`), independently of the daemons.
 """
 
 import asyncio
@@ -51,22 +48,21 @@
 from thorncleat_platform.headers import PlatformHeaders
 
 from .crash_world import Peers
-from .notice_endpoints import WAY
+from .notice_endpoints import ONE_WAY_SECONDS
 from .notice_endpoints import Session
 from .notice_endpoints import Size
 from .notice_endpoints import Worker
 
-# of callers, and their routes' targets
-DEADLINE = 6.0
-# tries of a caller after the first one, as of those of today
+DEADLINE_SECONDS = 6.0
+# Retries of a caller after its first try.
 RETRIES = 1
-TARGET = 1.3
-CONNECT_TIMEOUT = 0.25
+TARGET_SECONDS = 1.3
+CONNECT_TIMEOUT_SECONDS = 0.25
 WORKSPACE = Workspace("growers", ("key",))
 
 
 class View:
-    """What one daemon knows from the store."""
+    """The view that one daemon has of the store."""
 
     def __init__(self, size: Size) -> None:
         self.version = 0
@@ -110,7 +106,7 @@
 class Outcome:
     """How one try of a request ended; times are on the loop's clock.
 
-    :param retry_after: seconds after which to come back, or None.
+    :param retry_after: seconds after which to retry, or None.
     """
 
     status: int
@@ -124,19 +120,20 @@
     """What one daemon knows of the others.
 
     :ivar listed: the daemons of its list.
+    :ivar current_knowledge: how far the daemon may rely on the list.
     """
 
     def __init__(self, world: "NoticeWorld", id: str) -> None:
         number = int(id.removeprefix("edge-"))
         self.own = registered(number)
         self.listed = world.registered
-        self.known = FleetKnowledge.RECENT
+        self.current_knowledge = FleetKnowledge.RECENT
 
     def daemons(self):
         return self.listed
 
     def knowledge(self) -> FleetKnowledge:
-        return self.known
+        return self.current_knowledge
 
 
 def registered(number: int) -> RegisteredDaemon:
@@ -174,7 +171,9 @@
         self.budgets = RetryBudgets(terms, clock, lambda: world.size.daemons)
         watch = CrashWatch(quarantine, self.view, self.detector, reporter, clock)
         session = Session(world, self.peers.id)
-        client = EndpointClient(session, PlatformHeaders(), notices, self.limits, CONNECT_TIMEOUT)
+        client = EndpointClient(
+            session, PlatformHeaders(), notices, self.limits, CONNECT_TIMEOUT_SECONDS
+        )
         parts = (client, self.selector, self.table, self.budgets, self.detector, watch, clock)
         self.plain, self.streams = PlainForwarder(*parts), StreamForwarder(*parts)
 
@@ -194,13 +193,13 @@
 
 
 class NoticeWorld:
-    """A site, with the figures that are asked of it.
+    """A site and its statistics.
 
-    :ivar served: requests that were served, by whether that was within the target, counted from
-        their callers' first try.
-    :ivar unserved: requests that were not, by the cause of the last refusal.
-    :ivar tries: at all daemons.
-    :ivar connecting: seconds that a connection takes to come up.
+    :ivar served: number of requests that were served, by whether that was within the target,
+        counted from their callers' first try.
+    :ivar unserved: number of other requests, by the cause of the last refusal.
+    :ivar tries: number of tries at all daemons.
+    :ivar connect_seconds: time that a connection takes to come up.
     """
 
     def __init__(self, size: Size, seed: int) -> None:
@@ -214,7 +213,7 @@
         self.unserved: collections.Counter[str] = collections.Counter()
         self.refusals: list[Outcome] = []
         self.tries = 0
-        self.connecting = WAY
+        self.connect_seconds = ONE_WAY_SECONDS
         self._tasks: set[asyncio.Task] = set()
         self._lives = 0
 
@@ -224,16 +223,16 @@
     def later(self, seconds, action) -> None:
         asyncio.get_running_loop().call_later(seconds, action)
 
-    def random_later(self, least, most, action) -> None:
-        self.later(self.random.uniform(least, most), action)
+    def random_later(self, min_seconds, max_seconds, action) -> None:
+        self.later(self.random.uniform(min_seconds, max_seconds), action)
 
     def events(self) -> int:
         return self.random.randint(4, 26)
 
     def at(self, address: str) -> Worker | None:
         """Return the endpoint that listens at an address."""
-        found = (one for one in self.workers.values() if one.endpoint.address == address)
-        return next((one for one in found if one.alive), None)
+        found = (worker for worker in self.workers.values() if worker.endpoint.address == address)
+        return next((worker for worker in found if worker.alive), None)
 
     async def begin(self) -> None:
         numbers = range(self.size.daemons)
@@ -250,7 +249,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def start(self, number: int) -> Worker:
-        """Start an endpoint, or start it again under its id, with nothing known of before."""
+        """Start an endpoint, or restart it under its id without its earlier state."""
         self._lives += 1
         worker = Worker(self, number, self._lives)
         self.workers[number] = worker
@@ -258,7 +257,7 @@
         return worker
 
     def publish(self, endpoint: Endpoint) -> None:
-        """Let every daemon's list have an entry."""
+        """Put an entry into every daemon's list."""
         for daemon in self.daemons:
             daemon.view.put(endpoint)
 
@@ -286,12 +285,27 @@
             for daemon in self.daemons:
                 daemon.limit_reporter.repeat()
 
-    # callers
+    # Callers.
 
-    def request(self, name: str, *, resumable: bool = True, left: float = DEADLINE) -> Request:
+    def request(
+        self, name: str, *, resumable: bool = True, left: float = DEADLINE_SECONDS
+    ) -> Request:
         kind = RouteKind.REPEATABLE if self.size.plain else RouteKind.STREAMING
         splits = (Split("narrator", 1.0),)
-        route = Route("r", "h", "/", kind, DEADLINE, TARGET, 0.2, 1, splits, 2, False, resumable)
+        route = Route(
+            "r",
+            "h",
+            "/",
+            kind,
+            DEADLINE_SECONDS,
+            TARGET_SECONDS,
+            0.2,
+            1,
+            splits,
+            2,
+            False,
+            resumable,
+        )
         now = self.now()
         self.sent_at[name] = now
         headers = (("X-Thorncleat-Attempt-Id", name),)
@@ -310,56 +324,56 @@
         )
 
     async def call(self, name: str, daemon: Daemon | None = None) -> Outcome:
-        """Send one try of a request to a daemon, drawn if it isn't given."""
+        """Send one try of a request to a daemon, a random one by default."""
         self.tries += 1
-        await asyncio.sleep(WAY)
+        await asyncio.sleep(ONE_WAY_SECONDS)
         chosen = daemon or self.random.choice(self.daemons)
-        left = DEADLINE - self.now() + self.sent_at.get(name.partition("/")[0], self.now())
+        left = DEADLINE_SECONDS - self.now() + self.sent_at.get(name.partition("/")[0], self.now())
         outcome = await chosen.serve(self.request(name, left=left))
         if outcome.status == 503:
             self.refusals.append(outcome)
         return outcome
 
-    async def _ask(self, name: str) -> None:
-        """Try a request until it is served, coming back when the answer says so."""
-        begun, number = self.now(), 0
-        self.sent_at[name] = begun
+    async def _call_until_served(self, name: str) -> None:
+        """Retry a request until it is served, when the answers ask for it."""
+        started_at, number = self.now(), 0
+        self.sent_at[name] = started_at
         while True:
             outcome = await self.call(f"{name}/{number}")
             number += 1
-            left = begun + DEADLINE - self.now()
+            left = started_at + DEADLINE_SECONDS - self.now()
             if outcome.status == 200:
-                self.served[outcome.answered_at - begun <= TARGET] += 1
+                self.served[outcome.answered_at - started_at <= TARGET_SECONDS] += 1
                 return
             if outcome.status != 503 or left <= 0 or number > RETRIES:
                 self.unserved[outcome.cause or str(outcome.status)] += 1
                 return
             await asyncio.sleep(min(outcome.retry_after or 0.05, left / 3))
 
-    async def requests(self, seconds: float, rate: float | None = None) -> None:
-        """Let requests come for some time, and wait for their ends."""
+    async def send_requests(self, seconds: float, rate: float | None = None) -> None:
+        """Send requests for some time, and wait for their ends."""
         until, number = self.now() + seconds, 0
-        asked = []
+        tasks = []
         while self.now() < until:
             await asyncio.sleep(self.random.expovariate(rate or self.size.rate))
             number += 1
-            asked.append(self._spawn(self._ask(f"q{self.now():.6f}-{number}")))
-        await asyncio.gather(*asked)
+            tasks.append(self._spawn(self._call_until_served(f"q{self.now():.6f}-{number}")))
+        await asyncio.gather(*tasks)
 
-    # figures
+    # Statistics.
 
     @property
-    def most_in_a_pause(self) -> int:
-        """Requests that reached an endpoint from one daemon in a pause, at most."""
-        return max(worker.most_in_a_pause for worker in self.workers.values())
+    def max_in_a_pause(self) -> int:
+        """The most requests that reached an endpoint from one daemon within a pause."""
+        return max(worker.max_in_a_pause for worker in self.workers.values())
 
     @property
     def late_sends(self) -> int:
-        """Requests that were sent though their daemon had been asked for a pause."""
+        """Requests that were sent after their daemon had been asked for a pause."""
         return sum(worker.late_sends for worker in self.workers.values())
 
     @property
-    def in_time(self) -> float:
-        """The part of all requests that was served within the target."""
+    def in_time_fraction(self) -> float:
+        """The fraction of all requests that was served within the target."""
         total = self.served.total() + self.unserved.total()
         return self.served[True] / max(1, total)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes each endpoint which begins to run it, retried again and again by its caller.
+"""A request that crashes each endpoint which begins to run it, and that its caller retries.
 
 Guards against retries that spread the crash over the fleet: each try crashed two more endpoints.
 """
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -30,8 +30,8 @@
 async def _one_drains(seed):
     world = NoticeWorld(Size(), seed)
     await world.begin()
-    world.workers[0].says = DRAINING
-    await world.requests(6.0)
+    world.workers[0].extra_headers = DRAINING
+    await world.send_requests(6.0)
     await world.end()
     return world
 
@@ -39,7 +39,7 @@
 def test_endpoint_that_says_that_it_drains_gets_no_new_requests():
     for seed in SEEDS:
         world = virtual_time.run(_one_drains(seed))
-        assert world.workers[0].told
+        assert world.workers[0].draining_since
         assert world.workers[0].late_to_draining == 0
         assert world.workers[0].sends_to_draining == 0
         assert not world.unserved
@@ -113,10 +113,10 @@
         node.view.said_draining(leader.entry().life)
     if refuses:
         world.drain_and_work_on(leader, refuses, requests=0)
-    begun, former = world.now(), leader.group
-    while _standing_large(world) in (None, former) and world.now() < begun + LONGEST_SECONDS:
+    started_at, former = world.now(), leader.group
+    while _standing_large(world) in (None, former) and world.now() < started_at + LONGEST_SECONDS:
         await world.pass_time(0.1)
-    seconds = world.now() - begun
+    seconds = world.now() - started_at
     await world.stop()
     return world, seconds
 
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -38,12 +38,12 @@
 async def _one_names_a_limit(size, seed, limit):
     world = NoticeWorld(size, seed)
     await world.begin()
-    await world.requests(2.0)
-    world.workers[0].says = {"Server-Limit": limit}
-    begun = world.now()
-    await world.requests(16.0)
+    await world.send_requests(2.0)
+    world.workers[0].extra_headers = {"Server-Limit": limit}
+    started_at = world.now()
+    await world.send_requests(16.0)
     await world.end()
-    return world, world.workers[0].most_in_a_span(begun + limit_rule.KNOWN_SECONDS)
+    return world, world.workers[0].max_in_a_span(started_at + limit_rule.KNOWN_SECONDS)
 
 
 @pytest.mark.parametrize("limit", ["0.1", "1", "1.2"])
@@ -59,20 +59,23 @@
     """All endpoints take fewer requests than come, for some time."""
     world = NoticeWorld(GROUPS, seed)
     await world.begin()
-    await world.requests(2.0)
+    await world.send_requests(2.0)
     for worker in world.workers.values():
-        worker.says = {"Server-Limit": limit}
-    begun = world.now()
-    await world.requests(12.0)
+        worker.extra_headers = {"Server-Limit": limit}
+    started_at = world.now()
+    await world.send_requests(12.0)
     spans = [
-        worker.most_in_a_span(begun + limit_rule.KNOWN_SECONDS) for worker in world.workers.values()
+        worker.max_in_a_span(started_at + limit_rule.KNOWN_SECONDS)
+        for worker in world.workers.values()
+    ]
+    refused = [
+        one for one in world.refusals if one.answered_at > started_at + limit_rule.KNOWN_SECONDS
     ]
-    refused = [one for one in world.refusals if one.answered_at > begun + limit_rule.KNOWN_SECONDS]
     for worker in world.workers.values():
-        worker.says = {}
-    await world.requests(4.0)
+        worker.extra_headers = {}
+    await world.send_requests(4.0)
     world.unserved.clear()
-    await world.requests(4.0)
+    await world.send_requests(4.0)
     await world.end()
     return world, spans, refused
 
@@ -91,11 +94,11 @@
     world = NoticeWorld(size, seed)
     await world.begin()
     worker = world.workers[0]
-    worker.says = {"Server-Limit": "1"}
-    await world.requests(8.0)
-    worker.says = {}
+    worker.extra_headers = {"Server-Limit": "1"}
+    await world.send_requests(8.0)
+    worker.extra_headers = {}
     over_at = world.now()
-    asked = world.spawn(world.requests(10.0))
+    asked = world.spawn(world.send_requests(10.0))
     for _ in range(1000):
         if not any(daemon.limits.is_limited(worker.endpoint) for daemon in world.daemons):
             break
@@ -147,7 +150,7 @@
     world = NoticeWorld(Size(daemons=1, endpoints=1, plain=True), 1)
     await world.begin()
     (daemon,), worker = world.daemons, world.workers[0]
-    worker.says = {"Server-Limit": "0.5"}
+    worker.extra_headers = {"Server-Limit": "0.5"}
     statuses = [(await world.call("first", daemon)).status]
     daemon.limits.wait_seconds(worker.endpoint)
     await asyncio.sleep(1 / rate_shares.rate(0.5))
--- a/tests/test_endpoint_pauses.py
+++ b/tests/test_endpoint_pauses.py
@@ -12,7 +12,7 @@
 import pytest
 
 from . import virtual_time
-from .notice_endpoints import MOST_IN_PAUSE
+from .notice_endpoints import MAX_IN_PAUSE
 from .notice_endpoints import Size
 from .notice_world import NoticeWorld
 
@@ -25,8 +25,8 @@
 async def _one_declines(size, seed):
     world = NoticeWorld(size, seed)
     await world.begin()
-    world.workers[0].declines = {"Retry-After": "3"}
-    await world.requests(2 * PAUSE)
+    world.workers[0].decline_headers = {"Retry-After": "3"}
+    await world.send_requests(2 * PAUSE)
     await world.end()
     return world
 
@@ -35,7 +35,7 @@
 def test_endpoint_that_asks_for_a_pause_gets_none_of_the_requests_sent_later(size):
     for seed in SEEDS:
         world = virtual_time.run(_one_declines(size, seed))
-        assert world.most_in_a_pause <= MOST_IN_PAUSE
+        assert world.max_in_a_pause <= MAX_IN_PAUSE
         assert world.late_sends == 0
         assert not world.unserved
 
@@ -43,10 +43,10 @@
 async def _all_decline(world, seconds, pause):
     """Have all endpoints decline everything for some time, and ask for a pause."""
     for worker in world.workers.values():
-        worker.declines = {"Retry-After": pause}
+        worker.decline_headers = {"Retry-After": pause}
     await asyncio.sleep(seconds)
     for worker in world.workers.values():
-        worker.declines = None
+        worker.decline_headers = None
 
 
 async def _asked_by_all(size):
@@ -60,9 +60,9 @@
         else daemon.selector.leaders("narrator", "m")
     ):
         await world.call(f"q{world.now()}", daemon)
-    begun = world.now()
+    started_at = world.now()
     refused = await world.call("later", daemon)
-    seconds = refused.answered_at - begun
+    seconds = refused.answered_at - started_at
     arrivals = sum(len(worker.arrivals) for worker in world.workers.values())
     await asyncio.sleep(refused.retry_after)
     served = await world.call("again", daemon)
@@ -90,8 +90,8 @@
     await world.begin()
     for number, worker in world.workers.items():
         if number % 2:
-            worker.declines = {"Retry-After": "3"}
-    await world.requests(4.0)
+            worker.decline_headers = {"Retry-After": "3"}
+    await world.send_requests(4.0)
     await world.end()
     return world
 
@@ -99,14 +99,14 @@
 def test_the_others_bear_the_load_of_those_that_pause():
     """No cascade: at the load of today's sites none of the others declines."""
     world = virtual_time.run(_half_of_them_decline())
-    assert world.in_time == 1.0
+    assert world.in_time_fraction == 1.0
     assert not any(world.workers[number].declined for number in range(0, GROUPS.endpoints, 2))
 
 
 async def _common_end_of_pauses():
     world = NoticeWorld(GROUPS, 3)
     await world.begin()
-    asked = world.spawn(world.requests(4.0))
+    asked = world.spawn(world.send_requests(4.0))
     await asyncio.sleep(1.0)
     await _all_decline(world, 0.5, "1")
     most = 0
@@ -128,7 +128,7 @@
 async def _starts_again_within_its_pause():
     world = NoticeWorld(Size(daemons=1, endpoints=1), 4)
     await world.begin()
-    world.workers[0].declines = {"Retry-After": "60"}
+    world.workers[0].decline_headers = {"Retry-After": "60"}
     first = await world.call("first")
     second = await world.call("second")
     world.start(0)
@@ -149,12 +149,12 @@
     world = NoticeWorld(Size(daemons=1, endpoints=2), 5)
     await world.begin()
     (daemon,) = world.daemons
-    world.workers[0].declines = {"Retry-After": str(wait)}
+    world.workers[0].decline_headers = {"Retry-After": str(wait)}
     while not world.workers[0].declined:
         world.spawn(world.call(f"q{world.now()}", daemon))
         await asyncio.sleep(0.01)
-    world.workers[0].declines = None
-    ((asked_at, _),) = world.workers[0].asked[daemon.peers.id]
+    world.workers[0].decline_headers = None
+    ((asked_at, _),) = world.workers[0].pauses[daemon.peers.id]
     running = world.spawn(world.call("stream", daemon))
     await asyncio.sleep(0.1)
     world.workers[1].cut.set()
@@ -164,11 +164,11 @@
     return outcome.status, [round(at - asked_at, 1) for at in later]
 
 
-def test_stream_that_has_begun_waits_for_the_end_of_a_pause():
+def test_stream_that_has_started_at_waits_for_the_end_of_a_pause():
     assert virtual_time.run(_stream_goes_on_elsewhere(1)) == (200, [1.0])
 
 
-def test_stream_that_has_begun_is_cut_if_the_pause_is_long():
+def test_stream_that_has_started_at_is_cut_if_the_pause_is_long():
     assert virtual_time.run(_stream_goes_on_elsewhere(5)) == (0, [])
 
 
@@ -177,7 +177,7 @@
     world = NoticeWorld(Size(daemons=1, endpoints=2, plain=True), 6)
     await world.begin()
     (daemon,) = world.daemons
-    world.workers[0].declines = {"Retry-After": "3"}
+    world.workers[0].decline_headers = {"Retry-After": "3"}
     choose = daemon.selector.choose_endpoint
 
     def choose_the_first_once(service, tried):
@@ -199,7 +199,7 @@
 async def _declined_in_anothers_name():
     world = NoticeWorld(Size(daemons=1, endpoints=1, plain=True), 7)
     await world.begin()
-    world.workers[0].declines = {"X-Thorncleat-Attempt-Id": "another", "Retry-After": "3"}
+    world.workers[0].decline_headers = {"X-Thorncleat-Attempt-Id": "another", "Retry-After": "3"}
     first = await world.call("first")
     left = world.daemons[0].selector.pause_left("narrator", None)
     await world.end()
