--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -1,8 +1,7 @@
-"""Endpoints that say in their answers that they drain, while the list still shows them as ready.
+"""Endpoints whose answers say that they drain, while the list still shows them as ready.
 
-The list lags, and shows nothing new at all while the store is away; an endpoint's own answers are
-what a daemon learns first. Nobody read them: each daemon went on sending to such an endpoint for as
-long as its list said ready.
+Guards against daemons that rely on the list alone, which lags, and is stale during an outage of the
+store.
 """
 
 import pytest
@@ -22,12 +21,12 @@
 from .test_gateway import site
 
 SEEDS = range(3)
-# of virtual time, after which a test gives up
-LONGEST_SECONDS = 40.0
+# Virtual time after which a test gives up.
+TIMEOUT_SECONDS = 40.0
 DRAINING = {"Server-Leaving": "1"}
 
 
-async def _one_drains(seed):
+async def _play_one_draining(seed):
     world = NoticeWorld(Size(), seed)
     await world.begin()
     world.workers[0].extra_headers = DRAINING
@@ -36,23 +35,23 @@
     return world
 
 
-def test_endpoint_that_says_that_it_drains_gets_no_new_requests():
+def test_draining_endpoint_gets_no_new_requests():
     for seed in SEEDS:
-        world = virtual_time.run(_one_drains(seed))
+        world = virtual_time.run(_play_one_draining(seed))
         assert world.workers[0].draining_since
         assert world.workers[0].late_to_draining == 0
         assert world.workers[0].sends_to_draining == 0
         assert not world.unserved
 
 
-# the real path, with sockets
+# The real request path, with sockets.
 
 
 def _group_of(made, worker):
     return {other.id for other in made.workers if other._members == worker._members}
 
 
-async def test_stream_that_says_so_is_passed_on_and_is_the_last_one(tmp_path):
+async def test_stream_of_a_draining_endpoint_is_passed_on_and_is_the_last_one(tmp_path):
     async with site(tmp_path) as made:
         leader = next(worker for worker in made.workers if worker.leads)
         other = next(worker for worker in made.workers if worker.leads and worker is not leader)
@@ -60,7 +59,7 @@
         while not leader.runs:
             status, headers, body = await made.chat(number="before")
             assert (status, body) == (200, events(1, 2, 3, 4, 5))
-            # the daemon itself does not leave
+            # The header is the endpoint's; the daemon itself isn't leaving.
             assert "Server-Leaving" not in headers
         for number in range(10):
             status, _, _ = await made.chat(number=f"after-{number}")
@@ -77,12 +76,12 @@
             desk.leaving = True
             desk.turns_away = turns_away
         statuses = [(await made.call("GET", "/status/x"))[0] for _ in range(3)]
-        # each of the two answers once, since none knew before
+        # Each of the two answers once, as the daemon learns of the draining from that answer.
         assert statuses == ([200, 200, 503] if turns_away is None else [503, 503, 503])
         assert sum(len(desk.runs) for desk in desks) == (2 if turns_away is None else 0)
 
 
-async def test_what_a_report_or_an_order_is_answered_with_counts(tmp_path):
+async def test_answer_to_a_report_or_order_marks_an_endpoint_as_draining(tmp_path):
     async with site(tmp_path) as made:
         worker = made.workers[0]
         endpoint = made.gateway.view.roster.endpoints[worker.id]
@@ -92,20 +91,21 @@
         worker.id = "another"
         with pytest.raises(EndpointGoneError):
             await engines.order(endpoint, Load("large"), None, 1.0)
-        # another worker has the address
+        # Another worker answers at the address.
         assert not made.gateway.view.roster.endpoints[endpoint.id].draining
         worker.id = endpoint.id
         await engines.order(endpoint, Load("large"), None, 1.0)
         assert made.gateway.view.roster.endpoints[endpoint.id].draining
 
 
-# the control of groups, in virtual time
+# The control of groups, in virtual time.
 
 
-async def _leader_says_so(refuses: float):
-    """Return the world, and how long it took until another group of its model stood.
+async def _play_draining_leader(refuses: float):
+    """Return the world, and the seconds until another group of the leader's model is open.
 
-    :param refuses: seconds for which it takes no connection and has not ended; 0 if it serves.
+    :param refuses: seconds for which the leader refuses connections while it still runs; 0 if it
+        serves.
     """
     world = await calm_world()
     leader = large_leader(world)
@@ -114,17 +114,17 @@
     if refuses:
         world.drain_and_work_on(leader, refuses, requests=0)
     started_at, former = world.now(), leader.group
-    while _standing_large(world) in (None, former) and world.now() < started_at + LONGEST_SECONDS:
+    while _open_large_group(world) in (None, former) and world.now() < started_at + TIMEOUT_SECONDS:
         await world.pass_time(0.1)
     seconds = world.now() - started_at
     await world.stop()
     return world, seconds
 
 
-def _standing_large(world):
+def _open_large_group(world):
     """Return the group of the large model whose leader answers; None without one."""
-    answering = (one for one in world.workers.values() if one.alive and one.leads)
-    groups = (one.group for one in answering if one.state is GroupState.OPEN)
+    answering = (worker for worker in world.workers.values() if worker.alive and worker.leads)
+    groups = (worker.group for worker in answering if worker.state is GroupState.OPEN)
     return next((group for group in groups if group and _model(world, group) == "large"), None)
 
 
@@ -133,13 +133,13 @@
 
 
 def test_group_is_replaced_before_the_list_shows_that_its_leader_drains():
-    world, seconds = virtual_time.run(_leader_says_so(0.0))
+    world, seconds = virtual_time.run(_play_draining_leader(0.0))
     assert world.broken == []
     assert seconds < 5.0
 
 
-def test_leader_that_said_so_and_refuses_connections_keeps_its_members_until_it_ends():
-    """The list shows it as ready, so that nothing else says that it may only have stopped."""
-    world, seconds = virtual_time.run(_leader_says_so(6.0))
+def test_draining_leader_that_refuses_connections_keeps_its_members_until_it_ends():
+    """The list shows the leader as ready, so only its own answer tells that it is draining."""
+    world, seconds = virtual_time.run(_play_draining_leader(6.0))
     assert world.broken == []
     assert seconds < 6.0 + UNLISTED_AFTER + 5.0
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -1,10 +1,7 @@
-"""Endpoints that name how many requests a second they take from all daemons together.
+"""Endpoints that name a rate limit for the requests of all daemons together.
 
-Two of 16 groups named a limit of 1 and 1.2 a second, and each went on getting its part of the load,
-some 3 a second: 12 and 14 requests in 4 s where 11 and 12 are allowed, from five of eight daemons,
-1 to 7 each. Nobody read the limit, and no daemon could have kept it alone: none sent two a second.
-In the lines of "request_sent" each was the first attempt of a new request; the first endpoint got
-10, 11, 12 and 12 requests in the spans of 4 s before and after it had named its limit at 8.0 s.
+Guards against daemons that each keep to a limit but exceed it together, as a limited endpoint's
+requests come from many daemons.
 """
 
 import asyncio
@@ -35,7 +32,7 @@
 SEEDS = range(3)
 
 
-async def _one_names_a_limit(size, seed, limit):
+async def _play_one_limit(size, seed, limit):
     world = NoticeWorld(size, seed)
     await world.begin()
     await world.send_requests(2.0)
@@ -48,15 +45,15 @@
 
 @pytest.mark.parametrize("limit", ["0.1", "1", "1.2"])
 @pytest.mark.parametrize("size", [GROUPS, PLAIN], ids=["groups", "plain"])
-def test_daemons_keep_together_to_what_an_endpoint_takes(size, limit):
+def test_daemons_keep_together_to_a_limit(size, limit):
     for seed in SEEDS:
-        world, most = virtual_time.run(_one_names_a_limit(size, seed, limit))
-        assert most <= limit_rule.allowed(float(limit))
+        world, max_requests = virtual_time.run(_play_one_limit(size, seed, limit))
+        assert max_requests <= limit_rule.allowed(float(limit))
         assert not world.unserved
 
 
-async def _all_name_a_limit(limit, seed):
-    """All endpoints take fewer requests than come, for some time."""
+async def _play_limits_of_all(limit, seed):
+    """All endpoints accept fewer requests than are sent, for some time."""
     world = NoticeWorld(GROUPS, seed)
     await world.begin()
     await world.send_requests(2.0)
@@ -80,17 +77,17 @@
     return world, spans, refused
 
 
-def test_while_all_take_few_the_rest_is_refused_at_once_and_all_is_served_when_it_is_over():
-    world, spans, refused = virtual_time.run(_all_name_a_limit("1", 1))
+def test_excess_requests_are_refused_at_once_while_all_endpoints_are_limited():
+    world, spans, refused = virtual_time.run(_play_limits_of_all("1", 1))
     assert max(spans) <= limit_rule.SPAN_SECONDS
     assert refused
-    # 12 a second fit in; a caller who comes back at once finds no more
-    assert all(0 < one.retry_after < 1.0 for one in refused)
-    assert any("paused" in one.cause for one in refused)
+    # A retry right away would be refused as well.
+    assert all(0 < outcome.retry_after < 1.0 for outcome in refused)
+    assert any("paused" in outcome.cause for outcome in refused)
     assert not world.unserved
 
 
-async def _one_is_reached_again(size, seed):
+async def _play_end_of_limit(size, seed):
     world = NoticeWorld(size, seed)
     await world.begin()
     worker = world.workers[0]
@@ -98,7 +95,7 @@
     await world.send_requests(8.0)
     worker.extra_headers = {}
     over_at = world.now()
-    asked = world.spawn(world.send_requests(10.0))
+    task = world.spawn(world.send_requests(10.0))
     for _ in range(1000):
         if not any(daemon.limits.is_limited(worker.endpoint) for daemon in world.daemons):
             break
@@ -107,22 +104,22 @@
     before = len(worker.arrivals)
     await asyncio.sleep(4.0)
     rate = (len(worker.arrivals) - before) / 4.0
-    await asked
+    await task
     await world.end()
     return seconds, rate
 
 
-def test_limit_that_is_over_is_known_to_all_within_seconds():
-    """One daemon alone sends to the endpoint and hears of it; it tells the others."""
+def test_all_daemons_learn_of_the_end_of_a_limit_within_seconds():
+    """The only daemon with a share learns of it first, and reports it to the others."""
     for seed in SEEDS:
-        seconds, rate = virtual_time.run(_one_is_reached_again(GROUPS, seed))
-        # the next request of the only daemon with a share, and its answer
+        seconds, rate = virtual_time.run(_play_end_of_limit(GROUPS, seed))
+        # The next request of the only daemon with a share, and its answer.
         assert seconds < 4.0
         assert rate > GROUPS.rate / GROUPS.endpoints / 2
 
 
-async def _answers_overtake():
-    """The answer to a request sent before the limit was named comes after the one that names it."""
+async def _play_reordered_answers():
+    """An answer to a request sent before the limit was named arrives after the limit."""
     world = NoticeWorld(Size(daemons=1, endpoints=1), 1)
     await world.begin()
     (daemon,), worker = world.daemons, world.workers[0]
@@ -142,11 +139,11 @@
 
 
 def test_limit_is_not_ended_by_the_answer_to_an_older_request():
-    assert virtual_time.run(_answers_overtake()) == (True, False)
+    assert virtual_time.run(_play_reordered_answers()) == (True, False)
 
 
-async def _connection_fails():
-    """A request to an endpoint with a limit finds nobody listening; another one follows."""
+async def _play_failed_connection():
+    """The connection for a request to a limited endpoint fails; another request follows."""
     world = NoticeWorld(Size(daemons=1, endpoints=1, plain=True), 1)
     await world.begin()
     (daemon,), worker = world.daemons, world.workers[0]
@@ -163,8 +160,8 @@
     return statuses
 
 
-def test_request_that_never_reached_its_endpoint_leaves_its_place_to_the_next():
-    assert virtual_time.run(_connection_fails()) == [200, 503, 200, 503]
+def test_request_that_never_reached_its_endpoint_cancels_its_reservation():
+    assert virtual_time.run(_play_failed_connection()) == [200, 503, 200, 503]
 
 
 SERVED = AnswerMeta("r", signed=True, not_run=False, encoded=False)
@@ -176,14 +173,14 @@
     """A fleet of one daemon."""
 
     own = Daemon("edge-0", "10.1.0.1", 1, "z0")
-    known = FleetKnowledge.RECENT
+    current_knowledge = FleetKnowledge.RECENT
     listed: t.ClassVar = {own.id: own}
 
     def daemons(self):
         return self.listed
 
     def knowledge(self):
-        return self.known
+        return self.current_knowledge
 
 
 class Scene:
@@ -191,10 +188,10 @@
         self.now = 100.0
         self.fleet = Alone()
         self.limits = EndpointLimits(self.fleet, lambda: self.now)
-        self.news = []
-        self.limits.on_change(lambda life, notice: self.news.append(notice.limit))
+        self.changes = []
+        self.limits.on_change(lambda life, notice: self.changes.append(notice.limit))
 
-    def hears(self, meta, endpoint=ENDPOINT, sent_ago=0.0):
+    def receive(self, meta, endpoint=ENDPOINT, sent_ago=0.0):
         self.limits.record_answer(endpoint, meta, self.now - sent_ago)
 
 
@@ -214,17 +211,17 @@
     ],
     ids=str,
 )
-def test_answer_that_is_not_surely_the_endpoints_own_ends_no_limit(scene, changes):
-    scene.hears(NAMED)
+def test_answer_that_may_not_be_the_endpoints_own_ends_no_limit(scene, changes):
+    scene.receive(NAMED)
     scene.now += 1
-    scene.hears(dataclasses.replace(SERVED, **changes))
+    scene.receive(dataclasses.replace(SERVED, **changes))
     assert scene.limits.is_limited(ENDPOINT)
-    scene.hears(SERVED)
+    scene.receive(SERVED)
     assert not scene.limits.is_limited(ENDPOINT)
-    assert scene.news == [2.0, None]
+    assert scene.changes == [2.0, None]
 
 
-def test_report_or_order_may_name_a_limit_and_ends_none(scene):
+def test_report_or_order_can_set_a_limit_but_not_end_it(scene):
     scene.limits.record_answer(ENDPOINT, NAMED, None)
     scene.now += 1
     scene.limits.record_answer(ENDPOINT, SERVED, None)
@@ -232,19 +229,19 @@
 
 
 def test_misdirected_answer_names_no_limit(scene):
-    scene.hears(dataclasses.replace(NAMED, misdirected=True))
+    scene.receive(dataclasses.replace(NAMED, misdirected=True))
     assert not scene.limits.is_limited(ENDPOINT)
 
 
 def test_decline_of_the_endpoint_counts_as_its_own_answer(scene):
-    scene.hears(NAMED)
+    scene.receive(NAMED)
     scene.now += 1
-    scene.hears(dataclasses.replace(SERVED, signed=False, not_run=True))
+    scene.receive(dataclasses.replace(SERVED, signed=False, not_run=True))
     assert not scene.limits.is_limited(ENDPOINT)
 
 
-def test_leave_is_not_saved_up_and_the_first_one_is_waited_for(scene):
-    scene.hears(NAMED)
+def test_reservations_do_not_accumulate_and_the_first_one_waits(scene):
+    scene.receive(NAMED)
     seconds = 1 / rate_shares.rate(2.0)
     assert scene.limits.wait_seconds(ENDPOINT) == pytest.approx(seconds)
     scene.now += 100
@@ -255,53 +252,53 @@
     assert scene.limits.available([ENDPOINT]) == [ENDPOINT]
 
 
-def test_leave_comes_back_if_no_connection_stood(scene):
-    scene.hears(NAMED)
+def test_reservation_is_cancelled_if_the_connection_fails(scene):
+    scene.receive(NAMED)
     scene.limits.wait_seconds(ENDPOINT)
     scene.now += 100
-    leave = scene.limits.reserve(ENDPOINT)
+    reservation = scene.limits.reserve(ENDPOINT)
     assert scene.limits.wait_seconds(ENDPOINT) > 0
-    scene.limits.cancel(leave)
+    scene.limits.cancel(reservation)
     assert scene.limits.wait_seconds(ENDPOINT) == 0
 
 
-def test_share_that_comes_back_is_waited_for_again(scene):
-    scene.hears(NAMED)
+def test_regained_share_waits_again(scene):
+    scene.receive(NAMED)
     scene.limits.wait_seconds(ENDPOINT)
     scene.now += 100
     assert scene.limits.wait_seconds(ENDPOINT) == 0
-    scene.fleet.known = FleetKnowledge.NONE
+    scene.fleet.current_knowledge = FleetKnowledge.NONE
     assert scene.limits.wait_seconds(ENDPOINT) == math.inf
-    scene.fleet.known = FleetKnowledge.RECENT
+    scene.fleet.current_knowledge = FleetKnowledge.RECENT
     assert scene.limits.wait_seconds(ENDPOINT) > 0
 
 
-def test_another_life_takes_requests_until_it_names_a_limit_itself(scene):
-    scene.hears(NAMED)
-    again = dataclasses.replace(ENDPOINT, born=6)
-    assert not scene.limits.is_limited(again)
+def test_next_incarnation_has_no_limit_until_it_names_one(scene):
+    scene.receive(NAMED)
+    restarted = dataclasses.replace(ENDPOINT, born=6)
+    assert not scene.limits.is_limited(restarted)
     scene.now += 1
-    scene.hears(NAMED, again)
-    assert scene.limits.is_limited(again)
-    # what is told of the life before doesn't take its place
+    scene.receive(NAMED, restarted)
+    assert scene.limits.is_limited(restarted)
+    # A report on the previous incarnation doesn't replace the limit.
     scene.limits.record_notice(ENDPOINT.life, RateNotice(1.0, 99.0, 99.5))
-    assert scene.limits.is_limited(again)
+    assert scene.limits.is_limited(restarted)
 
 
-def test_limit_that_was_heard_after_its_end_does_not_come_back(scene):
-    scene.hears(SERVED)
+def test_late_report_does_not_restore_a_limit_that_has_ended(scene):
+    scene.receive(SERVED)
     scene.limits.record_notice(ENDPOINT.life, RateNotice(2.0, 90.0, 91.0))
     assert not scene.limits.is_limited(ENDPOINT)
 
 
-def test_what_is_over_is_forgotten(scene):
-    scene.hears(NAMED)
+def test_old_notices_expire(scene):
+    scene.receive(NAMED)
     other = Endpoint("i-2", "narrator", "10.0.0.2:1", "z0", born=5)
-    scene.hears(SERVED, other)
+    scene.receive(SERVED, other)
     scene.now += NOTICE_TTL_SECONDS + 1
     scene.limits.expire({"i-1", "i-2"})
     assert scene.limits.is_limited(ENDPOINT)
-    # an endpoint that starts again and again under its id leaves nothing behind
+    # An endpoint that restarts again and again under its id leaves nothing behind.
     assert not scene.limits._unlimited
     scene.limits.expire(())
     assert not scene.limits.notices
@@ -310,18 +307,18 @@
 @pytest.mark.parametrize("trouble", limit_fleet.TROUBLES)
 @pytest.mark.parametrize("daemons", [8, 40])
 @pytest.mark.parametrize("limit", [0.1, 1.0, 10.0])
-def test_fleet_keeps_to_a_limit_whoever_is_cut_off(trouble, daemons, limit):
-    """By what the endpoint counts; the bound is the limit itself, and a request at its edges."""
+def test_fleet_keeps_to_a_limit_through_partitions(trouble, daemons, limit):
+    """The endpoint counts; the bound is the limit and one request at the edge of a span."""
     seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).play()
     assert seen.most <= limit_rule.SPAN_SECONDS * limit + 1
-    # most of it is used while nothing is wrong
+    # Most of the limit is used without faults.
     assert seen.used > (0.5 if trouble == "calm" else 0)
-    # the slowest holder's next request, and its answer
+    # The next request of the slowest holder, and its answer.
     assert seen.again_after < 1 / (rate_shares.rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
 
 
 @pytest.mark.parametrize(("way", "daemons", "limit"), [("own", 8, 1.0), ("fixed", 195, 10.0)])
-def test_other_ways_to_share_a_limit_break_it(way, daemons, limit):
-    """So the fleet's check tells a way that doesn't hold from one that does."""
+def test_check_detects_other_ways_to_share_that_exceed_the_limit(way, daemons, limit):
+    """The fleet's check fails for schemes that exceed the limit."""
     seen = limit_fleet.LimitFleet(way, daemons, limit, 3.0, "calm", 0).play()
     assert seen.most > limit_rule.allowed(limit)
--- a/tests/test_endpoint_pauses.py
+++ b/tests/test_endpoint_pauses.py
@@ -1,10 +1,7 @@
-"""Endpoints that turn a request away and name the time in which they want no other.
+"""Endpoints that decline requests and ask for a pause.
 
-An endpoint answered each request of eight daemons with 503 and asked for 3 s without requests.
-Nobody read that time: a decline added 1.2 requests to the endpoint's weight, and one that declines
-everything has none under way, so it stayed among the best of 16 groups. Lines of one daemon in
-these 3 s: "attempt_failed" with cause "declined with 503" at 6.261 s, then again at 6.384, 6.956,
-8.549 and 9.037 s, each for another request, which another group then served.
+Guards against daemons that ignore the pause: an endpoint that declines everything has no load, and
+so stays the preferred one.
 """
 
 import asyncio
@@ -22,7 +19,7 @@
 PLAIN = Size(endpoints=3, slots=6, rate=40.0, plain=True)
 
 
-async def _one_declines(size, seed):
+async def _play_one_declining(size, seed):
     world = NoticeWorld(size, seed)
     await world.begin()
     world.workers[0].decline_headers = {"Retry-After": "3"}
@@ -32,16 +29,16 @@
 
 
 @pytest.mark.parametrize("size", [GROUPS, PLAIN], ids=["groups", "plain"])
-def test_endpoint_that_asks_for_a_pause_gets_none_of_the_requests_sent_later(size):
+def test_pausing_endpoint_gets_no_requests(size):
     for seed in SEEDS:
-        world = virtual_time.run(_one_declines(size, seed))
+        world = virtual_time.run(_play_one_declining(size, seed))
         assert world.max_in_a_pause <= MAX_IN_PAUSE
         assert world.late_sends == 0
         assert not world.unserved
 
 
 async def _all_decline(world, seconds, pause):
-    """Have all endpoints decline everything for some time, and ask for a pause."""
+    """Let all endpoints decline everything for some time and ask for a pause."""
     for worker in world.workers.values():
         worker.decline_headers = {"Retry-After": pause}
     await asyncio.sleep(seconds)
@@ -49,7 +46,7 @@
         worker.decline_headers = None
 
 
-async def _asked_by_all(size):
+async def _play_pause_of_all(size):
     world = NoticeWorld(size, 1)
     await world.begin()
     (daemon,) = world.daemons
@@ -75,17 +72,17 @@
     [Size(daemons=1, endpoints=4), Size(daemons=1, endpoints=3, plain=True)],
     ids=["groups", "plain"],
 )
-def test_while_all_pause_a_request_is_refused_at_once_and_served_when_it_comes_back(size):
-    refused, seconds, later_arrivals, served = virtual_time.run(_asked_by_all(size))
+def test_request_is_refused_at_once_while_all_pause_and_its_retry_is_served(size):
+    refused, seconds, later_arrivals, served = virtual_time.run(_play_pause_of_all(size))
     assert refused.status == 503
     assert seconds < 0.01
     assert later_arrivals == 0
-    # within the pause that the first endpoint asked for, and the spread after it
+    # Within the first endpoint's pause and the random spread after it.
     assert 0.9 < refused.retry_after <= 1.4
     assert served.status == 200
 
 
-async def _half_of_them_decline():
+async def _play_half_declining():
     world = NoticeWorld(GROUPS, 2)
     await world.begin()
     for number, worker in world.workers.items():
@@ -96,36 +93,36 @@
     return world
 
 
-def test_the_others_bear_the_load_of_those_that_pause():
-    """No cascade: at the load of today's sites none of the others declines."""
-    world = virtual_time.run(_half_of_them_decline())
+def test_other_endpoints_take_the_load_of_pausing_ones():
+    """Guards against a cascade, in which the other endpoints decline as well."""
+    world = virtual_time.run(_play_half_declining())
     assert world.in_time_fraction == 1.0
     assert not any(world.workers[number].declined for number in range(0, GROUPS.endpoints, 2))
 
 
-async def _common_end_of_pauses():
+async def _play_simultaneous_end_of_pauses():
     world = NoticeWorld(GROUPS, 3)
     await world.begin()
-    asked = world.spawn(world.send_requests(4.0))
+    task = world.spawn(world.send_requests(4.0))
     await asyncio.sleep(1.0)
     await _all_decline(world, 0.5, "1")
-    most = 0
-    while not asked.done():
+    max_running = 0
+    while not task.done():
         await asyncio.sleep(0.01)
-        most = max(most, *(worker.running for worker in world.workers.values()))
+        max_running = max(max_running, *(worker.running for worker in world.workers.values()))
     await world.end()
-    return world, most
+    return world, max_running
 
 
-def test_load_that_comes_back_at_the_end_of_all_pauses_is_spread():
-    """All endpoints are back within half a second; none of them gets it all."""
-    world, most = virtual_time.run(_common_end_of_pauses())
+def test_load_after_the_end_of_all_pauses_is_spread():
+    """Guards against the first endpoint to resume getting all requests."""
+    world, max_running = virtual_time.run(_play_simultaneous_end_of_pauses())
     assert world.late_sends == 0
-    assert most < GROUPS.slots
+    assert max_running < GROUPS.slots
     assert not any(worker.waiting for worker in world.workers.values())
 
 
-async def _starts_again_within_its_pause():
+async def _play_restart_within_pause():
     world = NoticeWorld(Size(daemons=1, endpoints=1), 4)
     await world.begin()
     world.workers[0].decline_headers = {"Retry-After": "60"}
@@ -137,15 +134,15 @@
     return first.status, second.cause, third.status
 
 
-def test_endpoint_that_starts_again_gets_requests_at_once():
-    first, cause, third = virtual_time.run(_starts_again_within_its_pause())
+def test_restarted_endpoint_gets_requests_at_once():
+    first, cause, third = virtual_time.run(_play_restart_within_pause())
     assert first == 503
     assert cause == "no group for 'm': 1 open, 0 of them suspected, 1 paused"
     assert third == 200
 
 
-async def _stream_goes_on_elsewhere(wait):
-    """A stream breaks while the only other group wants no requests for a time."""
+async def _play_broken_stream(wait):
+    """A stream breaks while the only other group pauses."""
     world = NoticeWorld(Size(daemons=1, endpoints=2), 5)
     await world.begin()
     (daemon,) = world.daemons
@@ -165,15 +162,15 @@
 
 
 def test_stream_that_has_started_at_waits_for_the_end_of_a_pause():
-    assert virtual_time.run(_stream_goes_on_elsewhere(1)) == (200, [1.0])
+    assert virtual_time.run(_play_broken_stream(1)) == (200, [1.0])
 
 
 def test_stream_that_has_started_at_is_cut_if_the_pause_is_long():
-    assert virtual_time.run(_stream_goes_on_elsewhere(5)) == (0, [])
+    assert virtual_time.run(_play_broken_stream(5)) == (0, [])
 
 
-async def _choice_before_the_word():
-    """Two requests are chosen an endpoint for; one is sent after the other was turned away."""
+async def _play_choice_before_pause():
+    """An endpoint is chosen for two requests; one is sent after the other was declined."""
     world = NoticeWorld(Size(daemons=1, endpoints=2, plain=True), 6)
     await world.begin()
     (daemon,) = world.daemons
@@ -190,13 +187,13 @@
     return statuses, len(world.workers[0].arrivals)
 
 
-def test_choice_that_was_made_before_the_word_is_made_again():
-    statuses, arrivals = virtual_time.run(_choice_before_the_word())
+def test_choice_made_before_a_pause_is_repeated():
+    statuses, arrivals = virtual_time.run(_play_choice_before_pause())
     assert statuses == [200, 200]
     assert arrivals == 1
 
 
-async def _declined_in_anothers_name():
+async def _play_answer_to_another_request():
     world = NoticeWorld(Size(daemons=1, endpoints=1, plain=True), 7)
     await world.begin()
     world.workers[0].decline_headers = {"X-Thorncleat-Attempt-Id": "another", "Retry-After": "3"}
@@ -206,6 +203,6 @@
     return first.status, left
 
 
-def test_answer_to_another_request_says_nothing_of_this_one():
-    """It neither promises that this one has not run, nor asks for a pause."""
-    assert virtual_time.run(_declined_in_anothers_name()) == (502, 0.0)
+def test_answer_to_another_request_is_ignored():
+    """Such an answer doesn't promise that this request has not run, nor ask for a pause."""
+    assert virtual_time.run(_play_answer_to_another_request()) == (502, 0.0)
