--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Whether a daemon is ready, and whether a caller is let in: one line for each case."""
+"""Whether a daemon is ready, and whether a request is admitted: tables of cases."""
 
 import pytest
 
@@ -33,9 +33,9 @@
 GROWERS_IN = Admitted(CONFIGURATION, CLOSED, GROWERS)
 
 
-# configuration, path, key, closed, fresh
+# Configuration, path, key, is closed, is current.
 @pytest.mark.parametrize(
-    ("configuration", "path", "key", "closed", "fresh", "outcome"),
+    ("configuration", "path", "key", "is_closed", "is_current", "outcome"),
     [
         pytest.param(CONFIGURATION, "/closed/x", "key", False, True, GROWERS_IN, id="known key"),
         pytest.param(CONFIGURATION, "/closed/x", "no", False, True, UNKNOWN_KEY, id="unknown key"),
@@ -81,13 +81,15 @@
         pytest.param(None, "/closed/x", "key", True, False, STOPPING, id="stopping comes first"),
     ],
 )
-def test_caller_is_let_in(configuration, path, key, closed, fresh, outcome):
-    found = admission.admit(configuration, "shop", path, key, is_closed=closed, is_current=fresh)
+def test_admission_of_a_request(configuration, path, key, is_closed, is_current, outcome):
+    found = admission.admit(
+        configuration, "shop", path, key, is_closed=is_closed, is_current=is_current
+    )
     assert found == outcome
 
 
 @pytest.mark.parametrize(
-    ("age", "revoke_within", "fresh"),
+    ("age", "revoke_within", "is_current"),
     [
         pytest.param(0.0, 2.0, True, id="new"),
         pytest.param(1.79, 2.0, True, id="below 0.9 of the bound"),
@@ -95,12 +97,12 @@
         pytest.param(1e9, None, True, id="no bound: serve on"),
     ],
 )
-def test_configuration_is_fresh_enough_for_keys(age, revoke_within, fresh):
-    assert admission.is_current(age, revoke_within) is fresh
+def test_age_at_which_keys_are_trusted(age, revoke_within, is_current):
+    assert admission.is_current(age, revoke_within) is is_current
 
 
 @pytest.mark.parametrize(
-    ("stopping", "loaded", "fresh", "reason"),
+    ("is_stopping", "is_loaded", "is_current", "reason"),
     [
         pytest.param(False, True, True, None, id="ready"),
         pytest.param(False, True, False, NotReady.CONFIGURATION_TOO_OLD, id="too old"),
@@ -108,15 +110,16 @@
         pytest.param(True, False, False, NotReady.STOPPING, id="stopping comes first"),
     ],
 )
-def test_daemon_is_ready(stopping, loaded, fresh, reason):
+def test_readiness(is_stopping, is_loaded, is_current, reason):
     assert (
-        admission.why_not_ready(is_stopping=stopping, is_loaded=loaded, is_current=fresh) is reason
+        admission.why_not_ready(is_stopping=is_stopping, is_loaded=is_loaded, is_current=is_current)
+        is reason
     )
 
 
-def test_balancer_is_told_these_words():
-    told = {reason.name: reason.value for reason in NotReady}
-    assert told == {
+def test_reasons_for_the_load_balancer():
+    reasons = {reason.name: reason.value for reason in NotReady}
+    assert reasons == {
         "STOPPING": "stopping",
         "NO_CONFIGURATION": "no configuration yet",
         "CONFIGURATION_TOO_OLD": "configuration too old",
@@ -131,11 +134,11 @@
         pytest.param(1001, Refusal(413, "body over 1000 bytes", None), id="over the limit"),
     ],
 )
-def test_body_is_taken(size, refusal):
+def test_size_of_a_body(size, refusal):
     assert admission.body_refusal(size, 1000) == refusal
 
 
-def test_refusal_ends_the_request_with_what_it_says():
+def test_refusal_becomes_an_error_with_its_fields():
     error = TOO_OLD.error()
     assert type(error) is RefusalError
     assert (error.status, error.cause, error.retry_after) == (503, TOO_OLD.cause, 0.5)
--- a/tests/test_endpoint_client.py
+++ b/tests/test_endpoint_client.py
@@ -1,4 +1,4 @@
-"""One attempt at an endpoint, seen from the endpoint."""
+"""Attempts at an endpoint, as the endpoint sees them."""
 
 import asyncio
 import contextlib
@@ -8,7 +8,7 @@
 
 from thorncleat_gateway.requests import endpoint_client
 
-# more than both sockets hold, so that a part of it is still to be sent when the attempt ends
+# More than the buffers of both sockets hold, so that a part is unsent when the attempt ends.
 BODY = b"x" * 8_000_000
 
 
@@ -19,8 +19,8 @@
         yield listening
 
 
-async def test_attempt_that_is_given_up_is_not_delivered_later(endpoint):
-    """A request whose caller has left must not reach its endpoint once the link works again."""
+async def test_abandoned_attempt_is_not_delivered_later(endpoint):
+    """Guards against an abandoned request that reaches its endpoint once the link works again."""
     host, port = endpoint.getsockname()
     async with endpoint_client.create_session() as session:
         attempt = asyncio.create_task(session.post(f"http://{host}:{port}/", data=BODY))
@@ -36,7 +36,7 @@
                 await rest
 
 
-async def test_connection_of_a_whole_answer_ends_in_order(endpoint):
+async def test_connection_of_a_complete_answer_is_closed_cleanly(endpoint):
     host, port = endpoint.getsockname()
     async with endpoint_client.create_session() as session:
         attempt = asyncio.create_task(session.post(f"http://{host}:{port}/", data=b"x"))
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -66,7 +66,9 @@
         for worker in world.workers.values()
     ]
     refused = [
-        one for one in world.refusals if one.answered_at > started_at + limit_rule.KNOWN_SECONDS
+        outcome
+        for outcome in world.refusals
+        if outcome.answered_at > started_at + limit_rule.KNOWN_SECONDS
     ]
     for worker in world.workers.values():
         worker.extra_headers = {}
--- a/tests/test_endpoint_selector.py
+++ b/tests/test_endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request: a table of cases, one line each."""
+"""Which endpoint gets a request: tables of cases."""
 
 import dataclasses
 
@@ -24,9 +24,9 @@
 ENGINE = Engine(SLOTS, (EngineModel("m", 2), EngineModel("n", 1)))
 
 
-def member(name, epoch, rank=0, **more):
+def member(name, epoch, rank=0, **fields):
     place = Membership(GroupId(epoch, f"g{epoch}"), rank, GroupState.OPEN)
-    return Endpoint(name, "narrator", "", "a", models=("m",), membership=place, **more)
+    return Endpoint(name, "narrator", "", "a", models=("m",), membership=place, **fields)
 
 
 class StoreView:
@@ -55,34 +55,36 @@
 class Detector:
     all_suspects: tuple[str, ...] = ()
     own_suspects: tuple[str, ...] = ()
-    tried_again: tuple[str, ...] = ()
+    probation: tuple[str, ...] = ()
 
     def suspected(self, leader):
         return leader.id in self.all_suspects
 
     def on_trial(self, leader):
-        return leader.id in self.tried_again
+        return leader.id in self.probation
 
     def suspected_here(self, leader):
         return leader.id in self.own_suspects
 
 
 @pytest.fixture(autouse=True)
-def nothing_at_random(monkeypatch):
+def without_random_weights(monkeypatch):
     monkeypatch.setattr(endpoint_selector, "SPREAD", 0.0)
 
 
 GROUPS = [member("a0", 1), member("a1", 1, rank=1), member("b0", 2), member("b1", 2, rank=1)]
 
 
-def selector(endpoints=GROUPS, load=(), suspects=(), own_suspects=(), trials=(), own=(), ended=()):
+def selector(
+    endpoints=GROUPS, load=(), suspects=(), own_suspects=(), probations=(), own=(), ended=()
+):
     now = [100.0]
     view = StoreView(endpoints)
     notices = EndpointNotices(view, lambda: now[0])
     made = EndpointSelector(
         view,
         LoadTable(dict(load), own),
-        Detector(suspects, own_suspects, trials),
+        Detector(suspects, own_suspects, probations),
         [GroupId(epoch, f"g{epoch}") for epoch in ended],
         notices,
         EndpointLimits(None, lambda: now[0]),
@@ -106,31 +108,36 @@
     ("given", "tried", "expected"),
     [
         pytest.param({"load": {"a0": 1}}, (), "b0", id="least loaded"),
-        pytest.param({"load": {"a0": 1}}, ("b0",), "a0", id="not one that was tried"),
+        pytest.param({"load": {"a0": 1}}, ("b0",), "a0", id="no tried one"),
         pytest.param({}, ("a0", "b0"), None, id="all were tried"),
-        pytest.param({"load": {"b0": 1}, "suspects": ("a0",)}, (), "b0", id="not a suspected one"),
+        pytest.param({"load": {"b0": 1}, "suspects": ("a0",)}, (), "b0", id="no suspected one"),
         pytest.param({"suspects": ("a0", "b0")}, (), "a0", id="all suspected, but not by us"),
         pytest.param(
-            {"suspects": ("a0", "b0"), "own_suspects": ("a0",)}, (), "b0", id="one not by us"
+            {"suspects": ("a0", "b0"), "own_suspects": ("a0",)},
+            (),
+            "b0",
+            id="suspected by others only",
         ),
         pytest.param(
             {"suspects": ("a0", "b0"), "own_suspects": ("a0", "b0")}, (), None, id="all by us too"
         ),
-        pytest.param({"load": {"b0": 7}, "trials": ("a0",)}, (), "a0", id="one on trial gets one"),
         pytest.param(
-            {"load": {"b0": 7}, "trials": ("a0",), "own": ("a0",)},
+            {"load": {"b0": 7}, "probations": ("a0",)}, (), "a0", id="one request on probation"
+        ),
+        pytest.param(
+            {"load": {"b0": 7}, "probations": ("a0",), "own": ("a0",)},
             (),
             "b0",
-            id="one on trial that has its request",
+            id="no second one on probation",
         ),
-        pytest.param({"load": {"b0": 7}, "ended": (1,)}, (), "b0", id="not one being ended"),
+        pytest.param({"load": {"b0": 7}, "ended": (1,)}, (), "b0", id="none being ended"),
         pytest.param({"load": {"a0": 8, "b0": 7}}, (), "b0", id="below two for each slot"),
         pytest.param({"load": {"a0": 8, "b0": 8}}, (), None, id="all full"),
         pytest.param(
-            {"endpoints": draining("a0"), "load": {"b0": 5}}, (), "b0", id="leader leaves"
+            {"endpoints": draining("a0"), "load": {"b0": 5}}, (), "b0", id="leader drains"
         ),
         pytest.param(
-            {"endpoints": draining("a1"), "load": {"b0": 3}}, (), "b0", id="member leaves: weak"
+            {"endpoints": draining("a1"), "load": {"b0": 3}}, (), "b0", id="member drains: expiring"
         ),
         pytest.param(
             {"endpoints": draining("a1"), "load": {"b0": 5}}, (), "a0", id="weak counts as 4 more"
@@ -153,7 +160,7 @@
 @pytest.mark.parametrize(
     ("load", "expected"), [({"a0": 2}, "a0"), ({"a0": 3}, "b0")], ids=["alike", "near is busier"]
 )
-def test_group_in_the_own_failure_domain_comes_before_one_that_is_alike(load, expected):
+def test_group_in_the_own_failure_domain_is_preferred(load, expected):
     groups = [dataclasses.replace(member, failure_domain=member.id[0]) for member in GROUPS]
     assert selector(groups, load).choose_leader("narrator", ENGINE, "m", ()).id == expected
 
@@ -165,7 +172,7 @@
     ("endpoints", "load", "tried", "expected"),
     [
         pytest.param(DESKS, {"a": 1}, (), "b", id="least loaded"),
-        pytest.param(DESKS, {"a": 1}, ("b",), "a", id="not one that was tried"),
+        pytest.param(DESKS, {"a": 1}, ("b",), "a", id="no tried one"),
         pytest.param(DESKS, {}, ("a", "b"), None, id="all were tried"),
         pytest.param([], {}, (), None, id="nobody there"),
         pytest.param(
@@ -179,7 +186,7 @@
     assert (chosen.id if chosen else None) == expected
 
 
-def test_refusing_endpoint_is_avoided_for_a_while_if_there_is_another():
+def test_refusing_endpoint_is_avoided_while_there_is_another():
     made = selector(DESKS, {"b": 3})
     made.avoid(DESKS[0])
     assert made.choose_endpoint("desk", ()).id == "b"
@@ -188,12 +195,12 @@
     assert made.choose_endpoint("desk", ()).id == "a"
 
 
-def test_endpoint_that_fails_again_when_it_is_tried_is_avoided_for_longer():
+def test_endpoint_that_fails_a_retry_is_avoided_for_longer():
     made = selector(DESKS, {"b": 3})
     avoided = []
     for _ in range(5):
         made.avoid(DESKS[0])
-        # several requests that fail together are one failure
+        # Requests that fail together count as one failure.
         made.avoid(DESKS[0])
         begun = made.now[0]
         while made.choose_endpoint("desk", ()).id == "b":
@@ -216,7 +223,7 @@
         pytest.param([False] * 2, 2, "a", id="two failures weigh 2.28"),
     ],
 )
-def test_failures_weigh_and_are_forgotten(ends, load_of_other, expected):
+def test_weight_of_failures_decays(ends, load_of_other, expected):
     made = selector(DESKS, {"a": load_of_other})
     for succeeded in ends:
         made.record_result(DESKS[1], succeeded=succeeded)
@@ -224,45 +231,45 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "known", "others"),
+    ("given", "counts", "has_other"),
     [
         pytest.param({}, (2, 0, 0), True, id="both"),
         pytest.param({"suspects": ("b0",)}, (2, 1, 0), False, id="other suspected"),
-        pytest.param({"trials": ("b0",)}, (2, 0, 0), False, id="other on trial"),
+        pytest.param({"probations": ("b0",)}, (2, 0, 0), False, id="other on probation"),
         pytest.param({"ended": (2,)}, (1, 0, 0), False, id="other being ended"),
         pytest.param({"endpoints": draining("b0")}, (1, 0, 0), False, id="other draining"),
     ],
 )
-def test_groups_known_and_others_than_the_first(given, known, others):
+def test_group_counts_and_other_groups(given, counts, has_other):
     made = selector(**given)
-    assert made.count_groups("narrator", "m") == known
-    assert made.has_other_group("narrator", "m", ("a0",)) is others
+    assert made.count_groups("narrator", "m") == counts
+    assert made.has_other_group("narrator", "m", ("a0",)) is has_other
 
 
 THREE = [member("a0", 1), member("b0", 2), member("c0", 3)]
 
 
-def _drawn_apart(made):
+def _chosen_at_random(made):
     return {made.choose_leader("narrator", ENGINE, "m", (), randomize=True).id for _ in range(40)}
 
 
-def test_requests_that_a_crash_broke_go_to_any_group_with_room():
-    """By least load all of them would follow the cause of the crash into the same group."""
-    assert _drawn_apart(selector(THREE, load={"a0": 1, "b0": 3, "c0": SLOTS})) == {"a0", "b0"}
+def test_requests_that_a_crash_broke_go_to_random_groups_with_free_slots():
+    """Guards against all of them meeting the cause of the crash again in the least loaded group."""
+    assert _chosen_at_random(selector(THREE, load={"a0": 1, "b0": 3, "c0": SLOTS})) == {"a0", "b0"}
 
 
-def test_of_groups_without_room_the_one_with_the_least_load_gets_them():
+def test_least_loaded_group_gets_them_if_none_has_free_slots():
     load = {"a0": SLOTS + 1, "b0": SLOTS, "c0": SLOTS + 2}
-    assert _drawn_apart(selector(THREE, load=load)) == {"b0"}
+    assert _chosen_at_random(selector(THREE, load=load)) == {"b0"}
 
 
-def test_such_requests_avoid_groups_that_fail_or_are_suspected():
+def test_random_choice_excludes_avoided_and_suspected_groups():
     made = selector(THREE, suspects=("b0",))
     made.avoid(THREE[2])
-    assert _drawn_apart(made) == {"a0"}
+    assert _chosen_at_random(made) == {"a0"}
 
 
-# endpoints that want no requests for a time
+# Endpoints that pause.
 
 
 def _pause(made, *names, seconds=3.0):
@@ -272,19 +279,19 @@
             made.notices.record_answer(endpoint, meta)
 
 
-def test_paused_group_gets_no_request_though_it_has_the_least_load():
+def test_paused_group_gets_no_request():
     made = selector(load={"b0": 5})
     _pause(made, "a0")
     assert made.choose_leader("narrator", ENGINE, "m", ()).id == "b0"
-    assert _drawn_apart(made) == {"b0"}
+    assert _chosen_at_random(made) == {"b0"}
     assert made.count_groups("narrator", "m") == (2, 0, 1)
     assert [leader.id for leader in made.leaders("narrator", "m")] == ["b0"]
 
 
 @pytest.mark.parametrize(
     "given",
-    [{"suspects": ("b0",)}, {"trials": ("b0",), "own": ("b0",)}, {"ended": (2,)}],
-    ids=["other suspected", "other on trial", "other being ended"],
+    [{"suspects": ("b0",)}, {"probations": ("b0",), "own": ("b0",)}, {"ended": (2,)}],
+    ids=["other suspected", "other on probation", "other being ended"],
 )
 def test_paused_group_is_no_last_resort(given):
     made = selector(**given)
@@ -299,7 +306,7 @@
     assert not made.has_other_group("narrator", "m", ("a0",))
 
 
-def test_first_end_of_the_pauses_is_known():
+def test_pause_left_is_that_of_the_first_to_end():
     made = selector()
     assert made.pause_left("narrator", "m") == 0.0
     _pause(made, "a0", seconds=3.0)
@@ -310,9 +317,9 @@
     assert made.choose_leader("narrator", ENGINE, "m", ()).id == "b0"
 
 
-def test_plain_endpoints_that_pause_get_none_though_all_others_were_tried():
+def test_paused_plain_endpoint_gets_no_request_though_the_others_were_tried():
     made = selector(DESKS)
     _pause(made, "b")
     assert made.choose_endpoint("desk", ("a",)) is None
-    assert [one.id for one in made.endpoints("desk")] == ["a"]
+    assert [endpoint.id for endpoint in made.endpoints("desk")] == ["a"]
     assert made.pause_left("desk", None) == 3.0
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events, in their order, once each."""
+"""Splitting a stream into whole events, in order and without repeated ones."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
     STREAM = b"".join(b"id: %d\ndata: x\n\n" % number for number in range(1, 9))
 
     @given(st.lists(st.integers(1, 40), max_size=20))
-    def test_however_it_is_cut_the_events_are_the_same(self, sizes):
+    def test_events_do_not_depend_on_the_sizes_of_chunks(self, sizes):
         splitter, out, rest = EventSplitter(), b"", self.STREAM
         for size in [*sizes, len(self.STREAM)]:
             out += splitter.feed(rest[:size])
@@ -18,7 +18,7 @@
         assert out == self.STREAM
         assert not splitter.is_mid_event
 
-    def test_a_run_that_continues_repeats_nothing(self):
+    def test_resumed_stream_repeats_no_event(self):
         splitter = EventSplitter()
         out = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
         assert splitter.is_mid_event
--- a/tests/test_forms_refusals.py
+++ b/tests/test_forms_refusals.py
@@ -1,4 +1,4 @@
-"""What callers get, and what endpoints are sent, through the whole request path at b7c2758."""
+"""The answers that callers get and the requests that endpoints get, through the request path."""
 
 import contextlib
 
@@ -70,7 +70,7 @@
 
 
 async def call(daemon, path, body=b"body", method="POST", key=KEY, **headers):
-    """Return the answer, in plain form; ``whole`` tells whether its connection was cut."""
+    """Return the answer as a dictionary; ``whole`` is False if the connection was cut."""
     host, port = daemon.callers
     sent = {"Host": HOST, "X-Thorncleat-Attempt-Id": "r1", "X-Thorncleat-Model": "large", **headers}
     if key:
@@ -96,19 +96,19 @@
 
 @contextlib.asynccontextmanager
 async def site(changes, **settings):
-    """Yield a daemon that knows some changes."""
+    """Yield a daemon with some changes of the store."""
     async with wire_forms.daemon(FixedFeed(changes), **settings) as daemon:
         yield daemon
 
 
 @contextlib.asynccontextmanager
 async def endpoints(*answers, more=(), slots=4, **settings):
-    """Yield a daemon and one server that is both a plain endpoint and a group's leader."""
+    """Yield a daemon and a server that is both a plain endpoint and a group's leader."""
     async with recording.recorder() as server:
         server.answers = list(answers)
         served = configuration(slots=slots, **dict(more))
-        known = [served, desk(server.address), leader(server.address)]
-        async with site(known, **settings) as daemon:
+        changes = [served, desk(server.address), leader(server.address)]
+        async with site(changes, **settings) as daemon:
             yield daemon, server
 
 
@@ -250,7 +250,7 @@
         assert more == ([["Last-Event-ID", "1"]] if kind == "stream" else [])
 
     def _without_endpoint(self, sent):
-        # which of two equal endpoints comes first is left to chance
+        # The choice between equal endpoints is random.
         name = "X-Thorncleat-Expect-Instance"
         kept = [[key, "<endpoint>" if key == name else value] for key, value in sent["headers"]]
         return {**sent, "headers": kept}
--- a/tests/test_limit_reporter.py
+++ b/tests/test_limit_reporter.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of endpoints that take few requests."""
+"""Reports of rate limits between daemons."""
 
 import asyncio
 import types
@@ -29,17 +29,17 @@
 class Peers:
     def __init__(self):
         self.others = {f"edge-{number}" for number in range(8)}
-        self.told = []
+        self.sent = []
         self.handlers = []
 
     def on_message(self, handler):
         self.handlers.append(handler)
 
     def tell_all(self, message):
-        self.told.append(("all", message))
+        self.sent.append(("all", message))
 
     def tell(self, other, message):
-        self.told.append((other, message))
+        self.sent.append((other, message))
 
 
 class Scene:
@@ -50,12 +50,12 @@
         view = types.SimpleNamespace(roster=types.SimpleNamespace(endpoints={"i-1": ENDPOINT}))
         self.reporter = LimitReporter(self.limits, view, self.peers, lambda: self.now)
 
-    def hears(self, limit, endpoint=ENDPOINT):
+    def receive_answer(self, limit, endpoint=ENDPOINT):
         self.limits.record_answer(endpoint, named(limit), self.now - 0.25)
 
-    def is_told(self, *told):
+    def receive_report(self, *limits):
         for handler in self.peers.handlers:
-            handler("edge-1", LimitReport(told))
+            handler("edge-1", LimitReport(limits))
 
 
 @pytest.fixture
@@ -63,77 +63,81 @@
     return Scene()
 
 
-def test_what_an_answer_changes_is_told_to_all_at_once(scene):
-    scene.hears(2.0)
+def test_change_by_an_answer_is_broadcast(scene):
+    scene.receive_answer(2.0)
     scene.now += 1
-    scene.hears(2.0)
-    scene.hears(1.0)
+    scene.receive_answer(2.0)
+    scene.receive_answer(1.0)
     scene.now += 1
-    scene.hears(None)
-    told = [(to, message.limits[0].limit) for to, message in scene.peers.told]
-    assert told == [("all", 2.0), ("all", 1.0), ("all", None)]
-    first = scene.peers.told[0][1].limits[0]
+    scene.receive_answer(None)
+    sent = [(to, message.limits[0].limit) for to, message in scene.peers.sent]
+    assert sent == [("all", 2.0), ("all", 1.0), ("all", None)]
+    first = scene.peers.sent[0][1].limits[0]
     assert first == ReportedLimit("i-1", 5, 2.0, 0.25, 0.0)
 
 
-def test_what_others_tell_is_taken_in_and_not_told_on_at_once(scene):
-    scene.is_told(ReportedLimit("i-1", 5, 2.0, 1.0, 0.5))
+def test_report_is_recorded_and_not_forwarded_at_once(scene):
+    scene.receive_report(ReportedLimit("i-1", 5, 2.0, 1.0, 0.5))
     assert scene.limits.notices[Life("i-1", 5)] == (2.0, 99.0, 99.5)
-    assert scene.peers.told == []
+    assert scene.peers.sent == []
     scene.now += 1
-    scene.is_told(ReportedLimit("i-1", 5, None, 0.9, 0.1))
+    scene.receive_report(ReportedLimit("i-1", 5, None, 0.9, 0.1))
     assert not scene.limits.is_limited(ENDPOINT)
 
 
-def test_other_messages_and_old_words_say_nothing(scene):
+def test_other_messages_and_old_reports_are_ignored(scene):
     for handler in scene.peers.handlers:
         handler("edge-1", LoadReport({"i-1": 3}, ["i-1"]))
-    scene.is_told(ReportedLimit("i-1", 5, 2.0, 70.0, limit_reporter.MAX_REPORTED_AGE_SECONDS + 1))
+    scene.receive_report(
+        ReportedLimit("i-1", 5, 2.0, 70.0, limit_reporter.MAX_REPORTED_AGE_SECONDS + 1)
+    )
     assert not scene.limits.is_limited(ENDPOINT)
 
 
-def test_an_end_is_remembered_for_longer_than_a_limit_is_told():
-    """Else a daemon that was cut off would bring back what the others know to be over."""
+def test_end_of_a_limit_is_remembered_for_longer_than_a_limit_is_reported():
+    """Guards against a partitioned daemon that restores a limit which has ended."""
     assert NOTICE_TTL_SECONDS > limit_reporter.MAX_REPORTED_AGE_SECONDS
 
 
-def test_what_was_heard_lately_is_repeated_to_a_few(scene):
+def test_recent_notices_are_repeated_to_a_few_daemons(scene):
     scene.reporter.repeat()
-    assert scene.peers.told == []
-    scene.is_told(ReportedLimit("i-1", 5, 2.0, 1.0, 0.5))
+    assert scene.peers.sent == []
+    scene.receive_report(ReportedLimit("i-1", 5, 2.0, 1.0, 0.5))
     scene.reporter.repeat()
-    receivers = {to for to, _ in scene.peers.told}
+    receivers = {to for to, _ in scene.peers.sent}
     assert len(receivers) == limit_reporter.REPEAT_FANOUT
     assert receivers <= scene.peers.others
-    scene.peers.told.clear()
+    scene.peers.sent.clear()
     scene.now += limit_reporter.MAX_REPORTED_AGE_SECONDS + 1
     scene.reporter.repeat()
-    assert scene.peers.told == []
+    assert scene.peers.sent == []
 
 
 def test_report_of_many_endpoints_fits_into_a_datagram(scene):
     for number in range(200):
-        scene.hears(0.1 + number / 7, Endpoint(f"i-{number:010x}", "s", "a:1", "z", born=10**12))
-    scene.peers.told.clear()
+        scene.receive_answer(
+            0.1 + number / 7, Endpoint(f"i-{number:010x}", "s", "a:1", "z", born=10**12)
+        )
+    scene.peers.sent.clear()
     scene.reporter.repeat()
-    _, report = scene.peers.told[0]
+    _, report = scene.peers.sent[0]
     assert len(report.limits) == limit_reporter.MAX_REPORT_ENTRIES
     assert len(datagrams.encode("edge-riga-a-1", report)) < 1400
 
 
-def test_repetition_goes_on_by_itself_and_forgets_what_is_over(scene):
+def test_repetition_runs_by_itself_and_expires_old_notices(scene):
     async def play():
         await scene.reporter.start()
-        scene.hears(2.0)
-        scene.hears(3.0, Endpoint("i-2", "narrator", "10.0.0.2:1", "z0", born=5))
-        scene.peers.told.clear()
+        scene.receive_answer(2.0)
+        scene.receive_answer(3.0, Endpoint("i-2", "narrator", "10.0.0.2:1", "z0", born=5))
+        scene.peers.sent.clear()
         await asyncio.sleep(limit_reporter.REPEAT_INTERVAL_SECONDS + 0.1)
-        repeated = len(scene.peers.told)
+        repeated = len(scene.peers.sent)
         scene.now += NOTICE_TTL_SECONDS + 1
         await asyncio.sleep(limit_reporter.REPEAT_INTERVAL_SECONDS)
         await scene.reporter.stop()
         return repeated
 
     assert virtual_time.run(play()) == limit_reporter.REPEAT_FANOUT
-    # of an endpoint that nobody lists
+    # The limit of the unlisted endpoint has expired.
     assert set(scene.limits.notices) == {ENDPOINT.life}
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,7 +1,6 @@
-"""Choosing by old reports: hundreds of daemons replay a calm second of a large site.
+"""Choosing by delayed load reports, on a large site with half of its capacity in use.
 
-The load pattern: the groups of one model in five failure domains carry half of what they could; all
-daemons learn of each other's requests by reports and sums only.
+Guards against hundreds of daemons that choose the same group until the next reports.
 """
 
 import collections
@@ -32,10 +31,10 @@
 DOMAINS = "abcdefghijklm"
 SLOTS = 11
 ENGINE = Engine(SLOTS, (EngineModel("m", 1),))
-# seconds that a request takes
+# Run time of a request.
 SERVICE_SECONDS = 0.75
 SECONDS = 6.0
-# in which requests of different daemons can't know of each other
+# Time within which daemons can't know of each other's requests.
 BLIND_SECONDS = 0.3
 
 
@@ -48,7 +47,7 @@
 
 
 class Fleet:
-    """Daemons that choose groups for requests, and tell each other what they have under way."""
+    """Daemons that choose groups for requests, and report their running requests."""
 
     def __init__(self, daemons: int, groups: int, per_second: float, domains: int = 5) -> None:
         random.seed(7)
@@ -73,48 +72,48 @@
         ]
         self.running: collections.Counter[str] = collections.Counter()
         self.sent: dict[str, list[float]] = collections.defaultdict(list)
-        # requests that found a place at once, and those that had to wait
-        self.found: collections.Counter[bool] = collections.Counter()
+        # Requests by whether they got a slot at once.
+        self.got_slot: collections.Counter[bool] = collections.Counter()
         self.numbers = itertools.count()
         self.events = []
         for number in range(daemons):
             self.at(random.random() * interval, self.report, number, interval)
         for number in range(domains):
-            self.at(random.random() * 0.5, self.tell_sum, number, domain_loads.SUM_SECONDS / 2)
+            self.at(random.random() * 0.5, self.report_sum, number, domain_loads.SUM_SECONDS / 2)
         self.at(0.0, self.request)
 
     def at(self, when, action, *arguments):
         heapq.heappush(self.events, (when, next(self.numbers), action, arguments))
 
-    def near(self, number):
+    def domain_peers(self, number):
         return range(number % self.domains, len(self.tables), self.domains)
 
     def report(self, number, interval):
-        for other in self.near(number):
+        for other in self.domain_peers(number):
             if other != number:
                 self.tables[other].report(str(number), dict(self.tables[number].own))
         self.at(self.now + interval, self.report, number, interval)
 
-    def tell_sum(self, number, interval):
-        total = self.tables[number].sum_with({str(other) for other in self.near(number)})
+    def report_sum(self, number, interval):
+        total = self.tables[number].sum_with({str(other) for other in self.domain_peers(number)})
         for other, table in enumerate(self.tables):
             if other % self.domains != number:
                 table.report_domain(DOMAINS[number], total)
-        self.at(self.now + interval, self.tell_sum, number, interval)
+        self.at(self.now + interval, self.report_sum, number, interval)
 
     def request(self):
         self.at(self.now + random.expovariate(self.per_second), self.request)
         number = random.randrange(len(self.tables))
         chosen = self.selectors[number].choose_leader("narrator", ENGINE, "m", ())
         if chosen is None:
-            self.found[False] += 1
+            self.got_slot[False] += 1
             return
         name = chosen.id
         self.sent[name].append(self.now)
-        self.found[self.running[name] < SLOTS] += 1
+        self.got_slot[self.running[name] < SLOTS] += 1
         self.running[name] += 1
         self.tables[number].own[name] += 1
-        # the more a group has, the slower it is
+        # An overloaded group runs its requests more slowly.
         seconds = SERVICE_SECONDS * max(1.0, self.running[name] / SLOTS)
         self.at(self.now + seconds, self.done, number, name)
 
@@ -131,38 +130,38 @@
         return self
 
     @property
-    def most_sent_blindly(self) -> int:
-        """The most requests that one group was sent before any of them could be known."""
+    def max_blind_sends(self) -> int:
+        """The most requests to one group within the time that no daemon knew of them."""
         return max(
-            sum(moment <= other < moment + BLIND_SECONDS for other in times)
+            sum(sent_at <= other < sent_at + BLIND_SECONDS for other in times)
             for times in self.sent.values()
-            for moment in times
+            for sent_at in times
         )
 
     @property
-    def waiting(self) -> float:
-        """The part of the requests that found no place at once."""
-        return self.found[False] / self.found.total()
+    def waiting_fraction(self) -> float:
+        """The fraction of the requests that got no slot at once."""
+        return self.got_slot[False] / self.got_slot.total()
 
 
-def test_daemons_that_choose_among_all_go_to_the_same_group(monkeypatch):
+def test_daemons_without_samples_choose_the_same_group(monkeypatch):
     monkeypatch.setattr(placement, "draw", lambda endpoints, *_: endpoints)
     fleet = Fleet(195, 50, 309.0).play()
-    assert fleet.most_sent_blindly > 15
-    assert fleet.waiting > 0.05
+    assert fleet.max_blind_sends > 15
+    assert fleet.waiting_fraction > 0.05
 
 
 @pytest.mark.parametrize(
     ("size", "waiting"),
     [
-        pytest.param((195, 50, 309.0), 0.01, id="a large site at half of its room"),
+        pytest.param((195, 50, 309.0), 0.01, id="a large site at half of its capacity"),
         pytest.param((195, 50, 430.0), 0.05, id="the same with 1.4 times the requests"),
         pytest.param((68, 16, 100.0, 3), 0.01, id="a smaller site"),
         pytest.param((980, 250, 1500.0, 13), 0.02, id="the planned size"),
     ],
 )
-def test_daemons_that_draw_spread_their_requests(size, waiting):
-    assert Fleet(*size).play().waiting < waiting
+def test_daemons_with_samples_spread_their_requests(size, waiting):
+    assert Fleet(*size).play().waiting_fraction < waiting
 
 
 NEAR, FAR = list(leaders(20))[0::5], list(leaders(20))[1::5]
@@ -172,10 +171,10 @@
     ("endpoints", "busy", "near", "far"),
     [
         pytest.param(NEAR + FAR, (), 2, 0, id="own failure domain only"),
-        pytest.param(NEAR[:1] + FAR, (), 1, 1, id="one of its own is no choice"),
+        pytest.param(NEAR[:1] + FAR, (), 1, 1, id="one in the own domain"),
         pytest.param(FAR, (), 0, 2, id="none of its own"),
         pytest.param(NEAR + FAR, NEAR, 2, 2, id="its own have no room"),
-        pytest.param(NEAR[:2] + FAR, NEAR[:1], 2, 1, id="one of them has none"),
+        pytest.param(NEAR[:2] + FAR, NEAR[:1], 2, 1, id="one of them is busy"),
         pytest.param(NEAR, NEAR, 2, 0, id="there are no others"),
         pytest.param([], (), 0, 0, id="there are none"),
     ],
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -1,6 +1,6 @@
-"""How an endpoint's limit is divided among daemons, and who may use a share: tables of cases.
+"""How an endpoint's rate limit is divided among the daemons, and which daemons may use a share.
 
-The sum is looked at for all daemons at once, each with a list of its own, since no daemon sees it.
+The shares of all daemons are summed, since no daemon sees the sum.
 """
 
 import hypothesis
@@ -28,58 +28,60 @@
     }
 
 
-def share(limit, name, daemons, known=FleetKnowledge.RECENT):
-    return rate_shares.share(limit, ENDPOINT, daemons[name], daemons, known)
+def share(limit, name, daemons, knowledge=FleetKnowledge.RECENT):
+    return rate_shares.share(limit, ENDPOINT, daemons[name], daemons, knowledge)
 
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("limit", LIMITS)
-def test_shares_add_up_to_what_is_given_out(size, limit):
+def test_shares_add_up_to_the_allocated_rate(size, limit):
     daemons = fleet(size)
     shares = [share(limit, name, daemons) for name in daemons]
     assert sum(shares) == pytest.approx(rate_shares.rate(limit))
-    # what may reach the endpoint in 4 s: one request at once of each holder, and the rate
-    holders = sum(one > 0 for one in shares)
+    # Bound for a span of 4 s: one request at once from each holder, and the rate.
+    holders = sum(rate > 0 for rate in shares)
     if limit >= 1:
         assert holders + 4 * sum(shares) <= 4 * limit + 1
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_daemons_near_the_endpoint_come_first(size):
+def test_daemons_in_the_endpoints_domain_are_preferred(size):
     daemons = fleet(size)
-    near = sum(one.failure_domain == "z1" for one in daemons.values())
+    local = sum(daemon.failure_domain == "z1" for daemon in daemons.values())
     holders = [name for name in daemons if share(5.0, name, daemons)]
     assert len(holders) == min(5, size)
-    assert sum(daemons[name].failure_domain == "z1" for name in holders) == min(near, len(holders))
+    assert sum(daemons[name].failure_domain == "z1" for name in holders) == min(local, len(holders))
 
 
-def test_another_life_of_the_endpoint_has_other_holders():
+def test_incarnations_of_an_endpoint_have_different_holders():
     daemons = fleet(24)
-    lives = [Endpoint("i-1", "narrator", "10.0.0.1:1", "z1", born=born) for born in range(40)]
-    firsts = {
+    incarnations = [
+        Endpoint("i-1", "narrator", "10.0.0.1:1", "z1", born=born) for born in range(40)
+    ]
+    holders = {
         name
-        for life in lives
+        for incarnation in incarnations
         for name, own in daemons.items()
-        if rate_shares.share(1.0, life, own, daemons, FleetKnowledge.RECENT)
+        if rate_shares.share(1.0, incarnation, own, daemons, FleetKnowledge.RECENT)
     }
-    assert len(firsts) > 4
+    assert len(holders) > 4
 
 
 @hypothesis.settings(max_examples=400)
 @hypothesis.given(st.integers(2, 24), st.sampled_from(LIMITS), st.data())
-def test_lists_that_hold_all_who_use_a_share_never_add_up_to_more(size, limit, data):
-    """Each daemon's list lacks some who use none, and names some who have gone."""
+def test_shares_do_not_exceed_the_rate_if_each_list_has_all_users(size, limit, data):
+    """The lists differ in daemons that use no share."""
     daemons = fleet(size)
     users = data.draw(st.sets(st.sampled_from(sorted(daemons)), min_size=1))
     total = 0.0
     for name in sorted(users):
         others = data.draw(st.sets(st.sampled_from(sorted(daemons))))
-        listed = {one: daemons[one] for one in users | others}
+        listed = {member: daemons[member] for member in users | others}
         total += share(limit, name, listed)
     assert total <= rate_shares.rate(limit) * (1 + 1e-9)
 
 
-def test_daemon_whose_list_is_old_uses_a_part_and_an_unlisted_one_nothing():
+def test_daemon_with_an_old_list_uses_a_fraction_and_an_unlisted_one_nothing():
     daemons = fleet(8)
     (holder,) = [name for name in daemons if share(1.0, name, daemons)]
     whole = share(1.0, holder, daemons)
@@ -87,7 +89,7 @@
         share(1.0, holder, daemons, FleetKnowledge.OLD) == whole * rate_shares.STALE_LIST_FRACTION
     )
     assert share(1.0, holder, daemons, FleetKnowledge.NONE) == 0
-    without = {name: one for name, one in daemons.items() if name != holder}
+    without = {name: daemon for name, daemon in daemons.items() if name != holder}
     alone = rate_shares.share(1.0, ENDPOINT, daemons[holder], without, FleetKnowledge.RECENT)
     assert alone == 0
 
@@ -105,7 +107,7 @@
         (60.0, -30.0, 60.0, FleetKnowledge.OLD),
     ],
 )
-def test_what_a_list_is_good_for(registered_for, lease_left, list_age, knowledge):
+def test_knowledge_of_the_fleet(registered_for, lease_left, list_age, knowledge):
     assert fleet_knowledge(registered_for, lease_left, list_age) is knowledge
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -78,13 +78,13 @@
 def test_failures_of_the_life_before_do_not_count():
     made = selector([entry(1), Endpoint("b", "desk", "b:1", "zone")], {"b": 2})
     for _ in range(2):
-        made.answered(entry(1), well=False)
+        made.record_result(entry(1), succeeded=False)
     made.avoid(entry(1))
-    assert made.plain("desk", ()).id == "b"
+    assert made.choose_endpoint("desk", ()).id == "b"
     made = selector([entry(2), Endpoint("b", "desk", "b:1", "zone")], {"b": 2})
-    made.answered(entry(1), well=False)
+    made.record_result(entry(1), succeeded=False)
     made.avoid(entry(1))
-    assert made.plain("desk", ()).id == "a"
+    assert made.choose_endpoint("desk", ()).id == "a"
 
 
 # the list shows the life before
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""How many retries a daemon may send, and all daemons together."""
+"""The retry budget of each daemon, and of all daemons together."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,55 +14,56 @@
         extra=st.integers(0, 200),
         steps=st.lists(st.tuples(st.integers(0, 19), st.booleans(), st.integers(0, 3))),
     )
-    def test_all_daemons_together_keep_within_the_budget(self, daemons, extra, steps):
-        terms = RetryBudgetSettings(0.2, extra, 10)
-        parts = [RetryBudget(terms) for _ in range(daemons)]
-        now, sent, asked = 0.0, [], []
-        for who, repeat, pause in steps * 3:
+    def test_all_daemons_together_stay_within_the_budget(self, daemons, extra, steps):
+        settings = RetryBudgetSettings(0.2, extra, 10)
+        budgets = [RetryBudget(settings) for _ in range(daemons)]
+        now, sent, requested = 0.0, [], []
+        for number, repeat, pause in steps * 3:
             now += pause
-            one = parts[who % daemons]
-            if repeat and one.take(now, daemons):
+            budget = budgets[number % daemons]
+            if repeat and budget.take(now, daemons):
                 sent.append(now)
             elif not repeat:
-                one.request(now)
-                asked.append(now)
+                budget.request(now)
+                requested.append(now)
             window = [at for at in sent if at > now - 10]
-            requests = [at for at in asked if at >= now - 20]
+            requests = [at for at in requested if at >= now - 20]
             assert len(window) <= 0.2 * len(requests) + extra
 
-    def test_requests_of_long_ago_give_nothing(self):
-        one = RetryBudget(RetryBudgetSettings(1.0, 0, 10))
+    def test_requests_outside_the_window_do_not_count(self):
+        budget = RetryBudget(RetryBudgetSettings(1.0, 0, 10))
         for _ in range(10):
-            one.request(0.0)
-        assert one.left(5.0, 1) == 8
-        assert one.left(11.0, 1) == 0
+            budget.request(0.0)
+        assert budget.left(5.0, 1) == 8
+        assert budget.left(11.0, 1) == 0
 
 
-class TestSharers:
-    """A list that has grown short makes nobody's part larger at once.
+class TestDaemonCount:
+    """Guards against daemons whose share of the budget grows at once when the list gets shorter.
 
-    The records of all eight daemons ran out while the store was away. The first ones that were back
-    in the list saw one or two daemons, and took the whole fixed allowance, or half of it, each: 107
-    and 53 retries beside the 13 of those that could not reach the store yet.
+    After an outage of the store the first daemons to be listed again see few others.
     """
 
-    terms = RetryBudgetSettings(0.2, 134, 10)
+    settings = RetryBudgetSettings(0.2, 134, 10)
 
     def _budgets(self, listed, now):
-        return [RetryBudgets(self.terms, lambda: now[0], lambda one=one: one[0]) for one in listed]
+        return [
+            RetryBudgets(self.settings, lambda: now[0], lambda count=count: count[0])
+            for count in listed
+        ]
 
-    def test_records_of_all_run_out_and_come_back_one_by_one(self):
+    def test_records_of_all_daemons_expire_and_return_one_by_one(self):
         now, listed = [0.0], [[8] for _ in range(8)]
         budgets = self._budgets(listed, now)
         for budget in budgets:
             budget.request("narrator")
         now[0] = 20.0
-        for number, one in enumerate(listed):
-            one[0] = 1 + number
+        for number, count in enumerate(listed):
+            count[0] = 1 + number
         sent = sum(budget.take("narrator") for budget in budgets for _ in range(200))
         assert sent <= 134
 
-    def test_part_grows_once_the_others_are_long_gone(self):
+    def test_share_grows_some_time_after_the_others_left(self):
         now, listed = [0.0], [[8]]
         (budget,) = self._budgets(listed, now)
         budget.request("narrator")
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""What happens to a request after a failed attempt: a table for each rule, one line a case."""
+"""What follows a failed attempt: a table of cases for each rule."""
 
 import pytest
 
@@ -32,7 +32,7 @@
 RESUMABLE, STREAM = (route(RouteKind.STREAMING, resumable=value) for value in (True, False))
 
 
-def used(sends=1, unsent=0, ran=False, late=False):
+def attempts(sends=1, unsent=0, ran=False, late=False):
     return AttemptsUsed(sends, unsent, ran, late)
 
 
@@ -41,27 +41,27 @@
 
     def __init__(self, tokens):
         self.tokens = tokens
-        self.asked = 0
+        self.calls = 0
 
     def take(self):
-        self.asked += 1
+        self.calls += 1
         self.tokens -= 1
         return self.tokens >= 0
 
 
-AGAIN = NextStep.RETRY
-KEPT = NextStep.RETURN_FAILED_ANSWER
+RETRY = NextStep.RETRY
+FAILED_ANSWER = NextStep.RETURN_FAILED_ANSWER
 
-# failure, used, route, begun, tokens; decision, whether the budget was asked
+# Failure, attempts used, route, begun, tokens; decision, whether the budget was consulted.
 STREAMS = [
-    ("not run, has attempts", DECLINED, used(), STREAM, False, 1, AGAIN, True),
-    ("not sent, has attempts", NO, used(0, 1), STREAM, False, 1, AGAIN, True),
-    ("may have run, resumable", MAYBE, used(ran=True), RESUMABLE, False, 1, AGAIN, True),
-    ("begun, resumable", MAYBE, used(ran=True), RESUMABLE, True, 1, AGAIN, True),
+    ("not run, has attempts", DECLINED, attempts(), STREAM, False, 1, RETRY, True),
+    ("not sent, has attempts", NO, attempts(0, 1), STREAM, False, 1, RETRY, True),
+    ("may have run, resumable", MAYBE, attempts(ran=True), RESUMABLE, False, 1, RETRY, True),
+    ("begun, resumable", MAYBE, attempts(ran=True), RESUMABLE, True, 1, RETRY, True),
     (
         "may have run, not resumable",
         MAYBE,
-        used(ran=True),
+        attempts(ran=True),
         STREAM,
         False,
         1,
@@ -71,7 +71,7 @@
     (
         "begun, not resumable",
         MAYBE,
-        used(ran=True),
+        attempts(ran=True),
         STREAM,
         True,
         1,
@@ -81,7 +81,7 @@
     (
         "not run, no attempts left",
         DECLINED,
-        used(2),
+        attempts(2),
         STREAM,
         False,
         1,
@@ -91,7 +91,7 @@
     (
         "not sent, too often",
         NO,
-        used(0, MAX_UNSENT_ATTEMPTS),
+        attempts(0, MAX_UNSENT_ATTEMPTS),
         STREAM,
         False,
         1,
@@ -101,7 +101,7 @@
     (
         "not run, budget spent",
         DECLINED,
-        used(),
+        attempts(),
         STREAM,
         False,
         0,
@@ -111,7 +111,7 @@
     (
         "not run now but perhaps before, budget spent",
         DECLINED,
-        used(ran=True),
+        attempts(ran=True),
         RESUMABLE,
         False,
         0,
@@ -121,7 +121,7 @@
     (
         "begun, budget spent",
         MAYBE,
-        used(ran=True),
+        attempts(ran=True),
         RESUMABLE,
         True,
         0,
@@ -131,7 +131,7 @@
     (
         "late, not run",
         DECLINED,
-        used(late=True),
+        attempts(late=True),
         STREAM,
         False,
         1,
@@ -141,7 +141,7 @@
     (
         "late, may have run",
         MAYBE,
-        used(ran=True, late=True),
+        attempts(ran=True, late=True),
         RESUMABLE,
         False,
         1,
@@ -151,7 +151,7 @@
     (
         "late, begun",
         MAYBE,
-        used(ran=True, late=True),
+        attempts(ran=True, late=True),
         RESUMABLE,
         True,
         1,
@@ -162,26 +162,29 @@
 
 
 @pytest.mark.parametrize(
-    ("failure", "spent", "on", "begun", "tokens", "expected", "asked"),
+    ("failure", "spent", "on", "begun", "tokens", "expected", "is_consulted"),
     [pytest.param(*row, id=name) for name, *row in STREAMS],
 )
-def test_streamed_request_after_a_failure(failure, spent, on, begun, tokens, expected, asked):
+def test_streamed_request_after_a_failure(
+    failure, spent, on, begun, tokens, expected, is_consulted
+):
     budget = Budget(tokens)
     decision = retry_policy.after_stream_failure(failure, spent, on, budget.take, begun=begun)
     assert decision == expected
-    assert budget.asked == asked
+    assert budget.calls == is_consulted
 
 
-# failure, used, route, has kept answer, tokens; decision, whether the budget was asked
+# Failure, attempts used, route, has failed answer, tokens; decision, whether the budget was
+# consulted.
 PLAIN = [
-    ("not sent", NO, used(0, 1), ONCE, False, 1, AGAIN, True),
-    ("declined", DECLINED, used(), ONCE, False, 1, AGAIN, True),
-    ("may have run, repeatable", MAYBE, used(ran=True), REPEATABLE, False, 1, AGAIN, True),
-    ("failure status, repeatable", MAYBE, used(ran=True), REPEATABLE, True, 1, AGAIN, True),
+    ("not sent", NO, attempts(0, 1), ONCE, False, 1, RETRY, True),
+    ("declined", DECLINED, attempts(), ONCE, False, 1, RETRY, True),
+    ("may have run, repeatable", MAYBE, attempts(ran=True), REPEATABLE, False, 1, RETRY, True),
+    ("failure status, repeatable", MAYBE, attempts(ran=True), REPEATABLE, True, 1, RETRY, True),
     (
         "may have run, once",
         MAYBE,
-        used(ran=True),
+        attempts(ran=True),
         ONCE,
         False,
         1,
@@ -191,7 +194,7 @@
     (
         "not run, no attempts left",
         DECLINED,
-        used(2),
+        attempts(2),
         ONCE,
         False,
         1,
@@ -201,7 +204,7 @@
     (
         "not sent, too often",
         NO,
-        used(0, MAX_UNSENT_ATTEMPTS),
+        attempts(0, MAX_UNSENT_ATTEMPTS),
         ONCE,
         False,
         1,
@@ -211,7 +214,7 @@
     (
         "not run, budget spent",
         DECLINED,
-        used(),
+        attempts(),
         ONCE,
         False,
         0,
@@ -221,19 +224,37 @@
     (
         "may have run, repeatable, budget spent",
         MAYBE,
-        used(ran=True),
+        attempts(ran=True),
         REPEATABLE,
         False,
         0,
         Refusal(502, "answer cut: X", None),
         True,
     ),
-    ("kept answer, budget spent", MAYBE, used(ran=True), REPEATABLE, True, 0, KEPT, True),
-    ("kept answer, no attempts left", MAYBE, used(2, ran=True), REPEATABLE, True, 1, KEPT, False),
+    (
+        "failed answer, budget spent",
+        MAYBE,
+        attempts(ran=True),
+        REPEATABLE,
+        True,
+        0,
+        FAILED_ANSWER,
+        True,
+    ),
+    (
+        "failed answer, no attempts left",
+        MAYBE,
+        attempts(2, ran=True),
+        REPEATABLE,
+        True,
+        1,
+        FAILED_ANSWER,
+        False,
+    ),
     (
         "late, not run",
         DECLINED,
-        used(late=True),
+        attempts(late=True),
         ONCE,
         False,
         1,
@@ -243,7 +264,7 @@
     (
         "late, may have run",
         MAYBE,
-        used(ran=True, late=True),
+        attempts(ran=True, late=True),
         ONCE,
         False,
         1,
@@ -251,31 +272,31 @@
         False,
     ),
     (
-        "late, kept answer",
+        "late, failed answer",
         MAYBE,
-        used(ran=True, late=True),
+        attempts(ran=True, late=True),
         REPEATABLE,
         True,
         1,
-        KEPT,
+        FAILED_ANSWER,
         False,
     ),
 ]
 
 
 @pytest.mark.parametrize(
-    ("failure", "spent", "on", "has_failed_answer", "tokens", "expected", "asked"),
+    ("failure", "spent", "on", "has_failed_answer", "tokens", "expected", "is_consulted"),
     [pytest.param(*row, id=name) for name, *row in PLAIN],
 )
 def test_plain_request_after_a_failure(
-    failure, spent, on, has_failed_answer, tokens, expected, asked
+    failure, spent, on, has_failed_answer, tokens, expected, is_consulted
 ):
     budget = Budget(tokens)
     decision = retry_policy.after_plain_failure(
         failure, spent, on, budget.take, has_failed_answer=has_failed_answer
     )
     assert decision == expected
-    assert budget.asked == asked
+    assert budget.calls == is_consulted
 
 
 @pytest.mark.parametrize(
@@ -283,10 +304,10 @@
     [
         pytest.param(False, False, Refusal(503, "no endpoint", 0.3), id="nothing has run"),
         pytest.param(True, False, Refusal(502, "no endpoint", None), id="may have run"),
-        pytest.param(True, True, KEPT, id="an endpoint has answered"),
+        pytest.param(True, True, FAILED_ANSWER, id="an endpoint has answered"),
     ],
 )
-def test_no_endpoint_is_left(may_have_run, has_failed_answer, expected):
+def test_request_without_an_endpoint(may_have_run, has_failed_answer, expected):
     found = retry_policy.without_endpoint(
         may_have_run=may_have_run, has_failed_answer=has_failed_answer
     )
@@ -302,7 +323,7 @@
         pytest.param(True, True, True, CutAnswer("no group to go on in"), id="waited in vain"),
     ],
 )
-def test_no_group_can_take_it(may_have_run, begun, waited, expected):
+def test_request_without_a_group(may_have_run, begun, waited, expected):
     found = retry_policy.without_group("c", may_have_run=may_have_run, begun=begun, waited=waited)
     assert found == expected
 
@@ -318,7 +339,7 @@
         pytest.param(MAYBE, False, False, id="silent since before: did not begin"),
     ],
 )
-def test_failed_attempt_counts_towards_the_routes(failure, heard, counts):
+def test_attempts_that_count_towards_the_route(failure, heard, counts):
     assert retry_policy.counts_as_sent(failure, heard_since_sent=heard) is counts
 
 
@@ -331,7 +352,7 @@
         pytest.param(REPEATABLE, 0, True, False, id="late"),
     ],
 )
-def test_plain_request_could_go_elsewhere(on, sends, late, expected):
+def test_plain_request_can_try_elsewhere(on, sends, late, expected):
     assert retry_policy.can_try_elsewhere(on, sends, is_late=late) is expected
 
 
@@ -343,7 +364,7 @@
         pytest.param(3.0, False, 3.0, id="no other endpoint"),
     ],
 )
-def test_plain_attempt_gets_seconds(left, elsewhere, seconds):
+def test_timeout_of_a_plain_attempt(left, elsewhere, seconds):
     assert retry_policy.attempt_seconds(REPEATABLE, left, elsewhere=elsewhere) == seconds
 
 
@@ -355,11 +376,11 @@
         pytest.param(STREAM, 0, False, id="not resumable"),
     ],
 )
-def test_stream_may_leave_a_silent_group(on, sends, expected):
+def test_stream_can_leave_a_silent_group(on, sends, expected):
     assert retry_policy.can_leave_group(on, sends) is expected
 
 
-def test_decisions_end_the_request_with_what_they_say():
+def test_decisions_become_errors_with_their_fields():
     error = Refusal(503, "c", 0.4).error()
     assert type(error) is RefusalError
     assert (error.status, error.cause, error.retry_after) == (503, "c", 0.4)
@@ -369,22 +390,22 @@
 
 
 def test_stream_that_has_begun_is_not_cut_for_a_decline():
-    """The group that it left has run it; the full one that declined has not."""
+    """Only the group that the stream left counts; the full group that declined does not."""
     counted = [
         retry_policy.counts_as_sent(failure, heard_since_sent=True) for failure in (MAYBE, DECLINED)
     ]
-    spent = used(counted.count(True), counted.count(False), ran=True)
+    spent = attempts(counted.count(True), counted.count(False), ran=True)
     decision = retry_policy.after_stream_failure(
         DECLINED, spent, RESUMABLE, Budget(1).take, begun=True
     )
-    assert decision is AGAIN
+    assert decision is RETRY
 
 
-# while endpoints want no requests
+# Pausing endpoints.
 
 
 @pytest.mark.parametrize(
-    ("pause_left", "least", "most"),
+    ("pause_left", "lowest", "highest"),
     [
         pytest.param(0.0, 0.3, 0.3, id="no pause: the usual time"),
         pytest.param(0.1, 0.1, 0.4, id="after the first pause, spread over the usual time"),
@@ -392,15 +413,15 @@
         pytest.param(3600.0, 2.7, 3.0, id="no longer than callers wait"),
     ],
 )
-def test_time_to_come_back_in_a_pause(pause_left, least, most):
+def test_time_to_retry_during_a_pause(pause_left, lowest, highest):
     found = [retry_after.during_pause(0.3, pause_left) for _ in range(50)]
-    assert least <= min(found) <= max(found) <= most
-    assert least == most or max(found) - min(found) > 0.2
+    assert lowest <= min(found) <= max(found) <= highest
+    assert lowest == highest or max(found) - min(found) > 0.2
 
 
 @pytest.mark.parametrize("plain", [True, False])
 def test_refusal_while_all_pause(plain):
-    """Nothing has run, so the caller is told at once when one can be asked again."""
+    """Nothing has run, so the caller learns at once when to retry."""
     if plain:
         end = retry_policy.without_endpoint(
             may_have_run=False, has_failed_answer=False, pause_left=1.5
--- a/tests/test_route_split.py
+++ b/tests/test_route_split.py
@@ -19,7 +19,7 @@
     return Route("r", "h", "/", RouteKind.ONCE, 1.0, 0.5, 0.3, 1, splits)
 
 
-# for the requests numbered 1 to 24, as chosen at a42ee9f
+# The choices for the requests numbered 1 to 24.
 @pytest.mark.parametrize(
     ("weights", "chosen"),
     [
@@ -44,7 +44,7 @@
     assert counts == {"a": 500, "b": 300, "c": 200}
 
 
-def test_service_that_nobody_has_described_is_plain():
+def test_service_without_a_description_is_plain():
     described = Service("a", "/", Engine(4, ()))
     configuration = ServingConfiguration(1, services={"a": described})
     assert service_for(configuration, route(1, 0), 1) is described
