--- a/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
@@ -23,7 +23,7 @@
         self._response: web.StreamResponse | None = None
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether the caller has got the head."""
         return self._response is not None
 
--- a/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
@@ -45,17 +45,17 @@
         """Count a caller's request towards the retry budget of its service."""
         self._retry_budgets.request(request.service.name)
 
-    def _check_quarantine(self, request: Request, *, begun: bool) -> None:
+    def _check_quarantine(self, request: Request, *, has_begun: bool) -> None:
         """Check before an attempt that the request isn't quarantined.
 
-        :param begun: whether the caller has got the head of an answer.
+        :param has_begun: whether the caller has got the head of an answer.
         :raises RefusalError: if it is.
         :raises CutError: in place of that if the caller has got the head.
         """
         seconds = self._crash_watch.quarantine_seconds_left(request)
         if seconds:
             decision = retry_policy.refuse_quarantined(
-                seconds, may_have_run=request.may_have_run, begun=begun
+                seconds, may_have_run=request.may_have_run, has_begun=has_begun
             )
             raise decision.error()
 
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -88,7 +88,9 @@
         except RefusalError as error:
             return self._refusal_response(meta, error, received_at)
         except (asyncio.CancelledError, ConnectionError):
-            request_log.caller_left(meta.id, self._clock() - received_at, begun=caller.begun)
+            request_log.caller_left(
+                meta.id, self._clock() - received_at, has_begun=caller.has_begun
+            )
             raise
         finally:
             self.running -= 1
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -36,7 +36,7 @@
             if answer is not None and self._crash_watch.quarantine_seconds_left(request):
                 # An endpoint's failed answer tells the caller more than a refusal does.
                 return answer
-            self._check_quarantine(request, begun=False)
+            self._check_quarantine(request, has_begun=False)
             endpoint = self._choose_endpoint(request)
             if endpoint is None:
                 return self._resolve(self._without_endpoint(request, answer), answer)
--- a/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
@@ -17,7 +17,7 @@
 
 # What a crash counts against a request that ran on the endpoint.
 RAN_POINTS = 2
-# What a crash counts against a request that was still queued or had just begun to run.
+# What a crash counts against a request that may only have been queued.
 MAY_HAVE_WAITED_POINTS = 1
 # Crashes at different times after which a request is quarantined.
 QUARANTINE_CRASHES = 3
@@ -116,7 +116,7 @@
 
     @property
     def has_quarantined(self) -> bool:
-        """Whether any request may be quarantined."""
+        """Whether any request is quarantined, or was until shortly before."""
         return bool(self._quarantined_until)
 
     @property
--- a/packages/gateway/src/thorncleat_gateway/requests/request_log.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request_log.py
@@ -104,10 +104,10 @@
     events.REQUEST_CUT.log(request=request_id, cause=cause)
 
 
-def caller_left(request_id: str, after: float, *, begun: bool) -> None:
+def caller_left(request_id: str, after: float, *, has_begun: bool) -> None:
     """Log that a caller has disconnected.
 
     :param after: seconds since the request came.
-    :param begun: whether the caller had got the head of the answer.
+    :param has_begun: whether the caller had got the head of the answer.
     """
-    events.REQUEST_LEFT.log(request=request_id, after=round(after, 3), begun=begun)
+    events.REQUEST_LEFT.log(request=request_id, after=round(after, 3), begun=has_begun)
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -92,21 +92,21 @@
     route: Route,
     take_token: t.Callable[[], bool],
     *,
-    begun: bool,
+    has_begun: bool,
 ) -> StreamDecision:
     """Decide how a streamed request proceeds after a failed attempt.
 
     On a resumable route an attempt that may have run can resume on another group.
 
     :param take_token: takes a token of the retry budget; returns whether there was one.
-    :param begun: whether the caller has got the head of the answer.
+    :param has_begun: whether the caller has got the head of the answer.
     """
     can_migrate = failure.ran is Ran.NO or route.resumable
     allowed = not used.is_late and can_migrate and has_attempts_left(route, used.sends, used.unsent)
     if allowed and take_token():
         return NextStep.RETRY
     cause = OUT_OF_TIME if used.is_late else failure.cause
-    if begun:
+    if has_begun:
         return CutAnswer(cause)
     return give_up(cause, retry_after.STREAM_SECONDS, may_have_run=used.may_have_run)
 
@@ -157,32 +157,34 @@
 
 
 def without_group(
-    cause: str, *, may_have_run: bool, begun: bool, waited: bool, pause_left: float = 0.0
+    cause: str, *, may_have_run: bool, has_begun: bool, waited: bool, pause_left: float = 0.0
 ) -> t.Literal[NextStep.WAIT_FOR_GROUP] | Refusal | CutAnswer:
     """Decide how a streamed request proceeds while no group can take it.
 
     :param cause: the cause of a refusal.
     :param pause_left: seconds until a pausing endpoint accepts requests; 0 if none pauses.
-    :param begun: whether the caller has got the head of the answer. Before that the request is
+    :param has_begun: whether the caller has got the head of the answer. Before that the request is
         refused without a wait, since the caller can retry at another daemon.
     :param waited: whether the time to wait for a group is over.
     """
-    if not begun:
+    if not has_begun:
         seconds = retry_after.during_pause(retry_after.STREAM_SECONDS, pause_left)
         return give_up(cause, seconds, may_have_run=may_have_run)
     return CutAnswer(NO_GROUP_LEFT) if waited else NextStep.WAIT_FOR_GROUP
 
 
-def refuse_quarantined(seconds: float, *, may_have_run: bool, begun: bool) -> Refusal | CutAnswer:
+def refuse_quarantined(
+    seconds: float, *, may_have_run: bool, has_begun: bool
+) -> Refusal | CutAnswer:
     """Decide how a quarantined request ends.
 
     Status 429 distinguishes the quarantine from a lack of capacity and promises that the request
     has not run, so that callers may retry after its release.
 
     :param seconds: until the release.
-    :param begun: whether the caller has got the head of an answer.
+    :param has_begun: whether the caller has got the head of an answer.
     """
-    if begun:
+    if has_begun:
         return CutAnswer(ENDS_ENDPOINTS)
     if may_have_run:
         return Refusal(502, ENDS_ENDPOINTS)
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -36,7 +36,7 @@
     """The caller's side of a streamed answer."""
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether the caller has got the head."""
         ...
 
@@ -67,7 +67,7 @@
         try:
             await self._serve(request, engine, caller, failed_answers)
         except RefusalError:
-            if not failed_answers or caller.begun:
+            if not failed_answers or caller.has_begun:
                 raise
             # An endpoint's failed answer tells the caller more than a refusal does.
             await _pass_on(failed_answers[-1], caller)
@@ -127,7 +127,7 @@
             request.attempts_used(self._clock()),
             request.route,
             self._token_source(request),
-            begun=caller.begun,
+            has_begun=caller.has_begun,
         )
 
     async def _choose_leader(
@@ -143,7 +143,7 @@
         # Requests that a crash broke go to random groups, so that they don't meet its cause again.
         randomize = self._crash_watch.is_suspect(request)
         while True:
-            self._check_quarantine(request, begun=caller.begun)
+            self._check_quarantine(request, has_begun=caller.has_begun)
             is_denied = self._crash_watch.is_denied_last_endpoint(
                 request, lambda: self._selector.leaders(service, model)
             )
@@ -158,7 +158,7 @@
             decision = retry_policy.without_group(
                 no_group,
                 may_have_run=request.may_have_run,
-                begun=caller.begun,
+                has_begun=caller.has_begun,
                 waited=self._clock() >= until,
                 pause_left=self._selector.pause_left(service, model),
             )
@@ -242,7 +242,7 @@
             if not events:
                 continue
             request.record_event(now)
-            if not caller.begun:
+            if not caller.has_begun:
                 await caller.begin(exchange.status, exchange.headers)
             attempt.held_by_caller = True
             await caller.write(events)
@@ -259,7 +259,7 @@
 
         :raises AttemptError: if the caller has got the head of another answer.
         """
-        if caller.begun:
+        if caller.has_begun:
             raise AttemptError(f"status {exchange.status}", Ran.MAYBE)
         answer = await exchange.read()
         if answer.is_failure:
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -244,12 +244,12 @@
     """The caller's side of one stream."""
 
     def __init__(self) -> None:
-        self.begun = False
+        self.has_begun = False
         self.whole = False
         self.status = 0
 
     async def begin(self, status, headers) -> None:
-        self.begun, self.status = True, status
+        self.has_begun, self.status = True, status
 
     async def write(self, data) -> None:
         pass
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -85,14 +85,14 @@
 
     def __init__(self, world: "NoticeWorld") -> None:
         self._world = world
-        self.begun = False
+        self.has_begun = False
         self.whole = False
         self.status = 0
         self.first_at = 0.0
         self.headers = ()
 
     async def begin(self, status, headers) -> None:
-        self.begun, self.status, self.headers = True, status, headers
+        self.has_begun, self.status, self.headers = True, status, headers
         self.first_at = self._world.now()
 
     async def write(self, data) -> None:
--- a/tests/test_endpoint_selector.py
+++ b/tests/test_endpoint_selector.py
@@ -202,10 +202,10 @@
         made.avoid(DESKS[0])
         # Requests that fail together count as one failure.
         made.avoid(DESKS[0])
-        begun = made.now[0]
+        started_at = made.now[0]
         while made.choose_endpoint("desk", ()).id == "b":
             made.now[0] += 0.25
-        avoided.append(made.now[0] - begun)
+        avoided.append(made.now[0] - started_at)
     assert avoided == [1.0, 2.0, 4.0, 8.0, 8.0]
     made.record_result(DESKS[0], succeeded=True)
     made.avoid(DESKS[0])
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -162,14 +162,16 @@
 
 
 @pytest.mark.parametrize(
-    ("failure", "spent", "on", "begun", "tokens", "expected", "is_consulted"),
+    ("failure", "spent", "on", "has_begun", "tokens", "expected", "is_consulted"),
     [pytest.param(*row, id=name) for name, *row in STREAMS],
 )
 def test_streamed_request_after_a_failure(
-    failure, spent, on, begun, tokens, expected, is_consulted
+    failure, spent, on, has_begun, tokens, expected, is_consulted
 ):
     budget = Budget(tokens)
-    decision = retry_policy.after_stream_failure(failure, spent, on, budget.take, begun=begun)
+    decision = retry_policy.after_stream_failure(
+        failure, spent, on, budget.take, has_begun=has_begun
+    )
     assert decision == expected
     assert budget.calls == is_consulted
 
@@ -315,7 +317,7 @@
 
 
 @pytest.mark.parametrize(
-    ("may_have_run", "begun", "waited", "expected"),
+    ("may_have_run", "has_begun", "waited", "expected"),
     [
         pytest.param(False, False, False, Refusal(503, "c", 0.4), id="nothing has run"),
         pytest.param(True, False, False, Refusal(502, "c", None), id="may have run"),
@@ -323,8 +325,10 @@
         pytest.param(True, True, True, CutAnswer("no group to go on in"), id="waited in vain"),
     ],
 )
-def test_request_without_a_group(may_have_run, begun, waited, expected):
-    found = retry_policy.without_group("c", may_have_run=may_have_run, begun=begun, waited=waited)
+def test_request_without_a_group(may_have_run, has_begun, waited, expected):
+    found = retry_policy.without_group(
+        "c", may_have_run=may_have_run, has_begun=has_begun, waited=waited
+    )
     assert found == expected
 
 
@@ -396,7 +400,7 @@
     ]
     spent = attempts(counted.count(True), counted.count(False), ran=True)
     decision = retry_policy.after_stream_failure(
-        DECLINED, spent, RESUMABLE, Budget(1).take, begun=True
+        DECLINED, spent, RESUMABLE, Budget(1).take, has_begun=True
     )
     assert decision is RETRY
 
@@ -428,7 +432,7 @@
         )
     else:
         end = retry_policy.without_group(
-            "c", may_have_run=False, begun=False, waited=False, pause_left=1.5
+            "c", may_have_run=False, has_begun=False, waited=False, pause_left=1.5
         )
     assert end.status == 503
     assert 1.5 <= end.retry_after <= 1.9
