--- a/packages/gateway/src/thorncleat_gateway/http_session.py
+++ b/packages/gateway/src/thorncleat_gateway/http_session.py
@@ -1,7 +1,7 @@
 """HTTP sessions for calls to the store, relays and engines.
 
 Not for requests of callers, which aiohttp must not retry by itself; these use
-:func:`thorncleat_gateway.requests.endpoint_client.session`.
+:func:`thorncleat_gateway.requests.endpoint_client.create_session`.
 
 Owns: the session and its connections.
 Relies on: aiohttp, which retries an idempotent call if a pooled connection turns out to be closed.
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -65,8 +65,8 @@
     monkeypatch.setattr(distributions, "Distribution", Counted)
     distribution_set = distributions.Distributions()
     for _ in range(3):
-        distribution_set.of("seconds", "chat").record(0.1)
-    assert distribution_set.of("seconds", "chat").count == 3
+        distribution_set.get_or_create("seconds", "chat").record(0.1)
+    assert distribution_set.get_or_create("seconds", "chat").count == 3
     assert len(created) == 1
 
 
