--- a/packages/gateway/src/thorncleat_gateway/groups/call_window.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/call_window.py
@@ -1,8 +1,7 @@
 """Limits how many calls to endpoints are under way, and decides which go first.
 
-Calls of a controller that forms many groups at once would wait longer for its processor than for
-the endpoints and run into their timeouts. So a call, and its timeout, begins only when it gets a
-slot, and the number of slots follows the lateness of this daemon's event loop.
+A call and its timeout begin only when it gets a slot, so that a controller that forms many groups
+doesn't run into timeouts because its own processor is busy.
 
 Owns: the limit, the number of calls under way, and the waiting calls.
 Relies on: :class:`.OwnLateness`, and each call's own timeout, which bounds how long it holds its
@@ -32,11 +31,11 @@
     """Priority of a waiting call; the smallest goes first.
 
     :param rank: rank of the call's kind.
-    :param order: order among calls of the same kind.
+    :param sequence: position among calls of the same kind.
     """
 
     rank: int
-    order: int = 0
+    sequence: int = 0
 
 
 # Calls for groups that serve or must end.
@@ -62,7 +61,10 @@
 
 
 class CallWindow:
-    """Limits the calls under way and orders the waiting ones by urgency."""
+    """Limits the calls under way and orders the waiting ones by urgency.
+
+    The limit follows the lateness of this daemon's event loop.
+    """
 
     def __init__(self, lateness: OwnLateness, clock: t.Callable[[], float]) -> None:
         self._lateness = lateness
--- a/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/domain_sizes.py
@@ -1,7 +1,4 @@
-"""The size of each fabric domain, held for some time after a loss of endpoints.
-
-A layout that followed each loss would change with every endpoint, so a domain keeps its recent
-size for a while.
+"""The recent size of each fabric domain, so that the layout doesn't change with each lost endpoint.
 
 Owns: the largest recent size of each fabric domain.
 Relies on: frequent calls with the list on each daemon, so that a new controller has the sizes.
--- a/packages/gateway/src/thorncleat_gateway/groups/election.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/election.py
@@ -1,8 +1,7 @@
 """Election of the daemon that controls the groups, by a record under a lease in the store.
 
-The controller's term is the store's position at which its record was created, so it rises with
-each controller. A term ends with the store's era in which it began, because a restored store may
-have lost this daemon's record.
+The controller's term is the store position at which its record was created, so each controller's
+term is higher than its predecessor's.
 
 Owns: this daemon's lease, and until when it may act as controller.
 Relies on: the store's leases, and a steady clock whose rate differs from the store's by at most
@@ -59,8 +58,8 @@
     """Return a daemon's rank among the candidates; 0 tries first.
 
     Daemons with much capacity come first, since a small instance may not form the groups of
-    hundreds of endpoints within its calls' timeouts. Otherwise the order changes with the version
-    of the list, so that different daemons try first.
+    hundreds of endpoints within its calls' timeouts. Otherwise the order changes with the view's
+    version, so that different daemons try first.
 
     :param capacities: capacity by daemon, including the candidate.
     :param version: version of the view.
@@ -102,15 +101,18 @@
         self._clock = clock
         self._capacities = capacities
         self._deadline = float("-inf")
-        # None while there is a controller.
+        # When the controller's record was first found missing; None while there is a controller.
         self._absent_since: float | None = None
         self.term: Position | None = None
-        # Set when this daemon stops, to hand over control.
+        # Set when this daemon stops, so that it hands over control.
         self.stopping = False
 
     @property
     def is_controller(self) -> bool:
-        """Whether this daemon is the controller now."""
+        """Whether this daemon is the controller now.
+
+        A term ends with the store's era, since a restored store may have lost the record.
+        """
         if self.term is None or self._view.era.is_over(self.term.era):
             return False
         return self._clock() < self._deadline
@@ -119,8 +121,8 @@
     def is_caught_up(self) -> bool:
         """Whether the view shows this term's record, and so all earlier records.
 
-        Another controller may have come and gone before this daemon got the lease; until the view
-        has caught up it lacks the groups which that controller recorded.
+        Another controller may have had a whole term before this daemon got the lease; until the
+        view has caught up, it lacks the groups that this controller recorded.
         """
         record = self._view.records.get(CONTROLLER_KEY)
         return record is not None and self._view.position_of(record) == self.term
--- a/packages/gateway/src/thorncleat_gateway/groups/ending.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ending.py
@@ -1,8 +1,7 @@
 """Ends groups: ensures that a group no longer answers before its members are released.
 
-Only leaders are ordered to leave. A group has ended when its leader has left, its leader's process
-has ended, or its leader is dead (:mod:`.leader_liveness`). :mod:`.group_health` decides which
-groups are ended and why.
+Only leaders are ordered to leave; a group has ended once its leader has left or is dead.
+:mod:`.group_health` decides which groups are ended and why.
 
 Owns: which groups are being ended.
 Relies on: the group's record for its leader, and on endpoints to refuse an order to leave a group
--- a/packages/gateway/src/thorncleat_gateway/groups/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -1,7 +1,7 @@
 """Rules for which endpoints of a fabric domain form which groups, and which models spares load.
 
-A load from the weight store takes far longer than forming a group from hosts that hold the model,
-so the rules prefer such hosts.
+The rules prefer hosts that hold the model, since a load from the weight store takes far longer than
+forming a group.
 
 Owns: no state.
 Relies on: :mod:`.planner` for the views of the domains.
--- a/packages/gateway/src/thorncleat_gateway/groups/forming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming.py
@@ -1,11 +1,7 @@
 """Forms groups.
 
-- Each epoch is used once, and a later controller's epochs are higher.
-- A group is recorded in the store before its first order.
-- An order to join names the number of orders that the engine had started_at when it was seen free.
-- A group is opened only after each member was seen ready under the group's name and epoch.
-
-A group that could not be formed is ended like any other, since its leader may still open later.
+A group is recorded in the store before its first order, and opened only after each member was seen
+ready under the group's name and epoch.
 
 Owns: no state; :mod:`.forming_state` holds the groups that are being formed.
 Relies on: :mod:`.formation` for which group to form, :mod:`.group_steps` for the steps.
@@ -59,7 +55,10 @@
         self._start = start
 
     def form(self, plan: GroupPlan) -> None:
-        """Start forming a group."""
+        """Start forming a group.
+
+        A group that could not be formed is ended like any other, since its leader may still open.
+        """
         group = self._state.begin(plan)
         events.GROUP_FORMING.log(
             group=group.name,
--- a/packages/gateway/src/thorncleat_gateway/groups/group_health.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_health.py
@@ -11,8 +11,8 @@
 
 from ..store.roster import GroupState
 
-# How long a group must be known before a missing member counts; a list that is still being read
-# may lack some members.
+# How long ago a group must have been seen first for a missing member to count; a list that is still
+# being read may lack some members.
 MISSING_MEMBER_GRACE_SECONDS = 0.25
 # How long a group from an earlier term may take to open or to be listed.
 LEFT_OVER_TIMEOUT_SECONDS = 2.5
@@ -47,12 +47,13 @@
 class GroupHealth:
     """State of a group that the controller isn't forming.
 
-    :param age: seconds for which the controller has known the group in this term.
-    :param leader_state: None if the leader isn't listed.
+    :param age: seconds since the controller first saw the group in this term.
+    :param leader_state: state that the leader reports; None if the leader isn't listed.
     :param leader_draining: whether the leader is draining.
     :param member_lost: whether a member did not answer the controller.
     :param member_missing: whether a member is neither listed nor responding.
-    :param list_settled: whether an unlisted endpoint has ended (:attr:`.StoreView.is_settled`).
+    :param list_settled: whether an endpoint missing from the list has certainly ended
+        (:attr:`.StoreView.is_settled`).
     """
 
     age: float
@@ -74,7 +75,7 @@
 def end_reason_unlisted(age: float) -> EndReason | None:
     """Return why a group without a listed member must end; None if it may still be listed.
 
-    :param age: seconds for which the controller has known the group in this term.
+    :param age: seconds since the controller first saw the group in this term.
     """
     return EndReason.NO_MEMBER_LISTED if age > LEFT_OVER_TIMEOUT_SECONDS else None
 
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -106,7 +106,7 @@
         )
 
     def _age_seconds(self, group: GroupId) -> float:
-        """Return for how many seconds this term has known a group that it isn't forming."""
+        """Return the seconds since this term first saw a group that it isn't forming."""
         now = self._clock()
         return now - self._first_seen_at.setdefault(group, now)
 
@@ -123,7 +123,7 @@
                 self._term.ending.end(group, reason, [])
 
     def examine(self, group_id: GroupId) -> None:
-        """Probe the members of a suspected group, at most once per interval."""
+        """Probe the members of a suspected group, once per :data:`EXAMINE_INTERVAL_SECONDS`."""
         now = self._clock()
         group = self._view.roster.groups.get(group_id)
         if group is None or now - self._examined_at.get(group_id, 0.0) < EXAMINE_INTERVAL_SECONDS:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -40,7 +40,7 @@
 MAX_OPEN_ATTEMPTS = 5
 # Interval between two rounds of probes to members that aren't ready.
 MEMBER_POLL_INTERVAL_SECONDS = 2 * PROBE_INTERVAL_SECONDS
-# Interval between two such rounds while members load from the weight store, as a share of the
+# Interval between two rounds of probes while members load from the weight store, as a share of the
 # load's duration.
 COLD_POLL_LOAD_SHARE = 0.125
 # Longest wait for a change of the list.
@@ -58,7 +58,7 @@
 def ready_timeout(plan: GroupPlan, form_timeout: float) -> float:
     """Return how many seconds the members of a group may take to get ready.
 
-    :param form_timeout: seconds in addition to loading the model.
+    :param form_timeout: seconds allowed in addition to those for loading the model.
     """
     timeout = form_timeout + WARM_TIMEOUT_FACTOR * plan.model.warm
     return timeout + COLD_TIMEOUT_FACTOR * plan.model.load if plan.cold_members else timeout
@@ -126,12 +126,12 @@
     async def _newer_report(
         self, endpoint: Endpoint, group: GroupId, refused: EngineReport | None
     ) -> EngineReport | None:
-        """Return a report that is newer than the one whose order was refused.
+        """Return a report whose order count differs from that of the refused order.
 
         Reports lag behind the engine's state, so the order count in a report may already be
         outdated when the order arrives.
 
-        :param refused: the report whose order was refused; None to take any report.
+        :param refused: the report that the refused order was based on; None to take any report.
         :returns: None if no newer report appears within :data:`MAX_REPORT_LAG_SECONDS`; then the
             order was refused for another reason.
         """
--- a/packages/gateway/src/thorncleat_gateway/groups/join_rules.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/join_rules.py
@@ -1,9 +1,7 @@
 """Rules for ordering an endpoint into a group: whether it is free, and whether it has joined.
 
-An order to join names the number of orders that the engine had begun at the report that showed it
-as free, so an engine whose state has changed since refuses the order. A report names no endpoint,
-whereas an order is answered only by the endpoint it is meant for; so only the answer to an order
-shows that an endpoint has joined. An order without an answer is sent again; joining is idempotent.
+An order to join names the order count of the report that showed the engine as free, so an engine
+whose state has changed since then refuses the order.
 
 Owns: no state.
 Relies on: :meth:`.GroupRecords.is_over` for whether the endpoint's former group is over.
@@ -48,7 +46,11 @@
 
 
 def join_result(outcome: Outcome) -> JoinResult:
-    """Return the result of an order to join from the endpoint's answer."""
+    """Return the result of an order to join from the endpoint's answer.
+
+    Only this answer shows that an endpoint has joined: a report may come from another endpoint at
+    the same address.
+    """
     if outcome in ACCEPTED:
         return JoinResult.JOINED
     return JoinResult.STATE_CHANGED if outcome is Outcome.CONFLICT else JoinResult.REFUSED
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -1,12 +1,7 @@
 """Determines whether the leader of a group that is being ended is dead.
 
-A leader that the controller can't reach may still answer other daemons. It counts as dead only
-once it is not listed, does not answer the controller, and has no contact with any daemon.
-
-A leader that refuses connections may have ended, may be leaving while it finishes its requests, or
-may be unreachable from this daemon only. If a recent list shows it as not leaving, it has ended
-once every daemon has since reported no requests there and none gets an answer. Otherwise it must
-also be unlisted.
+A leader that doesn't answer the controller may still answer other daemons, so they are asked to
+probe it and to report.
 
 Owns: no state.
 Relies on: the other daemons to report at once when they get a :class:`.Probe`, and again when the
@@ -47,11 +42,11 @@
 
 
 def is_dead(*, listed: bool, has_contact: bool) -> bool:
-    """Return whether an endpoint that is silent here and was probed by all daemons is dead.
+    """Return whether an endpoint that doesn't answer the controller's probes is dead.
 
     :param listed: whether it is listed.
-    :param has_contact: whether it answered any daemon after, or up to
-        :data:`CONTACT_LOOKBACK_SECONDS` before, it was probed.
+    :param has_contact: whether it answered any daemon since :data:`CONTACT_LOOKBACK_SECONDS`
+        before the daemons were asked to probe it.
     """
     return not (listed or has_contact)
 
@@ -59,7 +54,7 @@
 def is_idle(*, requests: int, silent_daemons: t.Collection[str]) -> bool:
     """Return whether an endpoint has no requests from any daemon.
 
-    :param requests: number of its requests by the latest reports.
+    :param requests: number of its requests according to the latest reports.
     :param silent_daemons: daemons that have not reported since the probe; they may have requests
         there.
     """
@@ -69,7 +64,7 @@
 def is_possibly_leaving(listed: Endpoint | None, list_age: float) -> bool:
     """Return whether an endpoint may have stopped listening without having ended.
 
-    :param listed: its entry; None if it isn't listed, as may be while it leaves.
+    :param listed: its entry; None if it isn't listed, which may be so while it leaves.
     :param list_age: seconds for which the list may be out of date.
     """
     return listed is None or listed.draining or list_age >= MAX_LIST_AGE_SECONDS
@@ -114,8 +109,9 @@
     async def has_ended(self, leader: Endpoint) -> bool:
         """Return whether a leader that refuses connections has ended.
 
-        It has not while a daemon reports requests there. If it may be leaving, or a daemon does
-        not report, it has ended only once it is unlisted and silent to all daemons.
+        It may also be finishing its requests, or be unreachable from this daemon only. It has
+        ended once all daemons report no requests there and none gets an answer. If it may be
+        leaving, or a daemon does not report, it must also be unlisted.
         """
         asked_at = self._request_probes(leader)
         await asyncio.sleep(REPORT_ROUND_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/list_growth.py
@@ -1,7 +1,7 @@
 """Whether the list of endpoints is complete before the system's first request.
 
-When a whole system starts, its endpoints are listed one after the other, and a layout for only
-some of them would have to be replaced at the cost of loads.
+A layout for only some of a starting system's endpoints would soon be replaced, at the cost of
+loads.
 
 Owns: the largest number of endpoints seen, and when it was reached.
 Relies on: a call at each plan until the first request.
--- a/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/load_rate.py
@@ -1,7 +1,6 @@
 """The rate at which hosts may begin to load models from the weight store: a token bucket.
 
-The weight store limits the loads that begin within any window of a given length. So the bucket
-fills at less than the store's rate, and a full bucket plus one window of filling equals the limit.
+The weight store limits the loads that begin within any window of a given length.
 
 Owns: the number of loads that may begin now.
 Relies on: :class:`.Engine` and :class:`.ControlSettings` for the weight store's limits, which don't
@@ -23,7 +22,10 @@
 
 
 def bucket_capacity(engine: Engine, settings: ControlSettings) -> float:
-    """Return how many loads may begin at the same time after a pause."""
+    """Return how many loads may begin at the same time after a pause.
+
+    A full bucket and the refill of one window together reach the weight store's limit.
+    """
     allowed = engine.loads_per_second * settings.load_overage
     return BURST_LOADS + settings.load_window * (allowed - refill_rate(engine, settings))
 
--- a/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/model_loader.py
@@ -37,7 +37,7 @@
 class _Loading:
     """A load under way.
 
-    :param life: incarnation of the endpoint, with which the load ends.
+    :param incarnation: incarnation of the endpoint; the load ends with it.
     :param until: when the load counts as failed.
     """
 
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -1,10 +1,6 @@
-"""Sends orders to endpoints and keeps their latest reports.
+"""Sends orders to endpoints and holds their latest reports.
 
-An order is safe to send only while no other daemon can be the controller. Three conditions ensure
-this: this daemon's lease is still valid, checked right before each order; a join names the number
-of orders that the engine had begun when it was seen free (:mod:`.join_rules`); and a group is
-recorded before its first order, on the condition that the controller's record is unchanged
-(:mod:`.records`).
+An order is sent only while this daemon's lease is valid, so that no two controllers give orders.
 
 Owns: the latest report of each endpoint that was probed in this term.
 Relies on: the lease (:class:`.Election`), which expires here before it expires in the store, and
@@ -124,7 +120,8 @@
     async def send(self, endpoint: Endpoint, order: Order, expected: int | None = None) -> Outcome:
         """Send an order once.
 
-        :param expected: number of orders that the engine must have begun before; None for any.
+        :param expected: order count that the engine must have, or it refuses the order; None to
+            accept any.
         :raises LeaseError: if this daemon may no longer be the controller.
         :raises EndpointError: if there is no answer; the order may still be carried out.
         """
--- a/packages/gateway/src/thorncleat_gateway/groups/planner.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/planner.py
@@ -1,7 +1,7 @@
 """Compares the present groups with the layout and starts the next steps.
 
-A plan keeps nothing from earlier ones: its inputs are the list, where members name their groups,
-the sizes of the domains, and the work under way in the term.
+Each plan is made from the list, where members name their groups, the sizes of the domains, and the
+work under way in the term.
 
 Owns: which groups are being ended because of slow members.
 Relies on: :mod:`.formation` for layout, groups and loads; :mod:`.group_inspector` for the groups
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -1,22 +1,12 @@
 """Records in the store of the groups that were begun and may still answer.
 
-A record is written before any member is ordered to join, on the condition that the writer is still
-the controller, and is removed only once the group's leader no longer answers. So each controller
-knows the leaders of all groups, listed or not, and that members of a group without a record are
-free.
-
-The view lags behind the store, so a record missing from the view proves nothing by itself. A term
-begins once the view shows the term's own record (:attr:`.Election.is_caught_up`), and with it all
-earlier ones; from then on only this controller writes records.
-
-A leader that was taken for dead may return after its group's record was removed
-(:meth:`GroupRecords.has_returned`). A store restored from a copy may lack records: a controller
-that knows such a group writes its record again; otherwise the members' reports decide, once the
-list is settled.
+A record exists from before the first order to join until the group's leader no longer answers. So
+each controller finds the leaders of all groups, listed or not, and the members of a group without
+a record are free.
 
 Owns: the groups that were begun or found in this term, and those that have ended in it.
-Relies on: the store's conditional writes, and the view for the records of earlier controllers and
-for the leaders' entries.
+Relies on: the store's conditional writes, :attr:`.Election.is_caught_up` for a view that shows all
+records of earlier controllers, and the view for the leaders' entries.
 """
 
 import asyncio
@@ -101,10 +91,10 @@
         self._records = records
         self._view = view
         self._election = election
-        # Groups begun in this term and lost records found at its start, shown by the view or not.
+        # Leaders of the groups begun in this term and of those whose record the store had lost.
         self._leaders: dict[GroupId, _LeaderRecord] = {}
         self._ended: dict[GroupId, Detached] = {}
-        # Groups whose records the store lost.
+        # Groups whose lost record has not been written again yet.
         self._unwritten: set[GroupId] = set()
 
     def begin_term(self) -> None:
@@ -195,6 +185,8 @@
     async def begin(self, group: GroupId, plan: GroupPlan) -> bool:
         """Write a group's record and remove records of groups that have ended.
 
+        The store writes only if the controller's record is still that of this term.
+
         :returns: False if this daemon is no longer the controller.
         :raises StoreError: if the outcome of the write is unknown.
         """
@@ -215,14 +207,14 @@
     def has_returned(self, group: Group) -> bool:
         """Return whether a group without a record is listed with its leader.
 
-        Only a leader that was taken for dead can return: one that left reports so in its next
-        entry, and one whose process ended writes no more entries.
+        Of the groups that ended in this term, only one whose leader was taken for dead can return:
+        a leader that left says so in its next entry, and an ended process writes no more entries.
         """
         may_be_alive = self._ended.get(group.id) in (None, Detached.DEAD)
         return may_be_alive and group.leader is not None and not self.can_answer(group.id)
 
     def restore(self, group: Group) -> None:
-        """Mark a returned group as one that may answer, until it is ended again."""
+        """Mark a group that has returned as one that may answer, until it is ended again."""
         assert group.leader is not None
         self._ended.pop(group.id, None)
         self._leaders[group.id] = _LeaderRecord.of(group.leader)
--- a/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
@@ -1,9 +1,7 @@
 """Endpoints that report that they are slow, and the groups that are replaced because of them.
 
-A group computes at the pace of its slowest member. Slow groups of a domain are ended if their
-other members and the spares that hold the model are enough for a new group; otherwise a slow group
-is better than none. Slow endpoints join a group only after those that aren't slow, but before
-those that don't hold the model.
+A group computes at the pace of its slowest member, so a slow group is replaced if there are enough
+other endpoints that hold the model.
 
 Owns: the incarnations of the endpoints whose latest report says that they are slow.
 Relies on: :mod:`.member_examination`, which probes the members of suspected groups; a slow group's
@@ -104,7 +102,10 @@
         events.ENDPOINT_NORMAL.log(endpoint=endpoint.id, pace=pace)
 
     async def _pace(self, endpoint: Endpoint) -> float | None:
-        """Return an endpoint's reported pace; None if it is silent or its incarnation has ended."""
+        """Return an endpoint's pace, as a multiple of a step's usual duration.
+
+        :returns: None if it is silent or its incarnation has ended.
+        """
         listed = self._view.roster.endpoints.get(endpoint.id)
         if listed is None or listed.incarnation != endpoint.incarnation:
             return None
--- a/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
@@ -1,8 +1,7 @@
 """Loads models from the host into the engines of spare endpoints before they are needed.
 
-An engine that already holds the model joins a group much faster than one whose host holds it. So
-spares join a group of their own, which is never opened, and leave it as soon as they are ready.
-Such a group has no record, so its endpoint counts as free all the time.
+A spare joins a group of its own, which is never opened, and leaves it as soon as it is ready. Such
+a group has no record, so its endpoint counts as free all the time.
 
 Owns: the groups of the endpoints that are being warmed, and which endpoints were warmed recently.
 Relies on: engines that keep a model when they leave its group, and don't open groups by
@@ -73,7 +72,7 @@
         self._state = state
         self._clock = clock
         self._start = start
-        # By group, the time until which the list may not show it yet.
+        # By group, when its attempt expires unless the list shows the group.
         self._groups: dict[GroupId, float] = {}
         self._retry_at: dict[Incarnation, float] = {}
 
@@ -115,7 +114,7 @@
             pass
 
     async def _join(self, endpoint: Endpoint, group: GroupId, model: EngineModel) -> bool:
-        """Order a free endpoint into its own group; return whether it accepted the order."""
+        """Order a free endpoint into a group of its own; return whether it accepted the order."""
         report = await self._orders.fetch_report(endpoint, BACKGROUND)
         availability = join_rules.availability(report.membership, group, self._records.is_over)
         if availability is not Availability.FREE:
--- a/packages/gateway/src/thorncleat_gateway/groups/term.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -118,8 +118,8 @@
     def _term_number(self, position: Position) -> int:
         """Return the number of a new term."""
         roster = self._view.roster
-        gone = (removed.endpoint for removed in roster.removed.values())
-        memberships = (endpoint.membership for endpoint in (*roster.endpoints.values(), *gone))
+        former = (removed.endpoint for removed in roster.removed.values())
+        memberships = (endpoint.membership for endpoint in (*roster.endpoints.values(), *former))
         epochs = [member.group.epoch for member in memberships if member is not None]
         epochs += [group.epoch for group in self._records.groups]
         return term_number(position.revision, epochs, self._view.former_eras.revisions)
--- a/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/unlisted_endpoints.py
@@ -1,10 +1,7 @@
-"""Endpoints that are no longer listed and still answer.
+"""Endpoints that are no longer listed but still answer: they leave, or are cut off from the store.
 
-They may be leaving, or only be cut off from the store. A group with such a member goes on serving;
-such an endpoint may also join a new group, but never leads it.
-
-A term begins by polling all removed endpoints that the roster holds, since a new controller doesn't
-know which of them respond.
+A group with such a member goes on serving. Such an endpoint may also join a new group, but never
+leads it.
 
 Owns: the unlisted endpoints that are polled, their latest reports, and which of them respond.
 Relies on: the roster's record of endpoints that were removed recently.
@@ -68,7 +65,7 @@
         ]
 
     def has_member(self, group: GroupId, rank: int) -> bool:
-        """Return whether an unlisted endpoint may still have a rank in a group.
+        """Return whether an unlisted endpoint may still be a group's member of a rank.
 
         A former member that is listed again has restarted if its entry doesn't name the group.
         """
@@ -85,7 +82,11 @@
         )
 
     def watch_removed(self) -> None:
-        """Start to poll the recently removed endpoints, and all removed ones on the first call."""
+        """Start to poll the recently removed endpoints.
+
+        The first call includes all removed endpoints that the roster still holds, since a new
+        controller doesn't know which of them respond.
+        """
         since = self._clock() - UNLISTED_GRACE_SECONDS if self._has_begun else float("-inf")
         self._has_begun = True
         for endpoint_id, removed in self._view.roster.removed.items():
