--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -89,7 +89,7 @@
         return Membership(self.group, self.members.index(self.id), self.state)
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether it is the leader of its group, in any state."""
         return bool(self.members) and self.members[0] == self.id
 
@@ -205,7 +205,7 @@
 
     def detect_missing_members(self) -> None:
         """Mark the group as broken if this is its leader and a member is missing for too long."""
-        if not self.alive or self.state is not GroupState.OPEN or not self.leads:
+        if not self.alive or self.state is not GroupState.OPEN or not self.is_leader:
             self.broken_since = None
             return
         members = [self.world.workers.get(name) for name in self.members]
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -329,8 +329,8 @@
         self.publish(worker)
         self.later(4.0, lambda: self.kill(worker, unreachable=False))
 
-    def drain_and_work_on(self, worker: Worker, seconds: float, requests: int) -> None:
-        """Make a worker stop listening with some requests of a daemon left, and end later."""
+    def stop_listening_and_end(self, worker: Worker, seconds: float, requests: int) -> None:
+        """Make a worker refuse connections while it finishes a daemon's requests, and end later."""
         worker.refuses = True
         node = next(node for node in self.nodes if not node.election.is_controller)
         if requests:
@@ -422,7 +422,7 @@
 def large_leader(world: World) -> Worker:
     """Return the leader of the group of the large model."""
     return next(
-        worker for worker in world.workers.values() if worker.model == "large" and worker.leads
+        worker for worker in world.workers.values() if worker.model == "large" and worker.is_leader
     )
 
 
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -112,7 +112,7 @@
     for node in world.nodes:
         node.view.mark_draining(leader.entry().incarnation)
     if refuses:
-        world.drain_and_work_on(leader, refuses, requests=0)
+        world.stop_listening_and_end(leader, refuses, requests=0)
     begun, former = world.now(), leader.group
     while _standing_large(world) in (None, former) and world.now() < begun + LONGEST_SECONDS:
         await world.pass_time(0.1)
@@ -123,7 +123,7 @@
 
 def _standing_large(world):
     """Return the group of the large model whose leader answers; None without one."""
-    answering = (one for one in world.workers.values() if one.alive and one.leads)
+    answering = (one for one in world.workers.values() if one.alive and one.is_leader)
     groups = (one.group for one in answering if one.state is GroupState.OPEN)
     return next((group for group in groups if group and _model(world, group) == "large"), None)
 
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -143,7 +143,7 @@
     world.stalled_workers.add(leader.id)
     world.cut_from_store(leader, 60.0)
     stops_listening = UNLISTED_AFTER_SECONDS - 0.1
-    world.later(stops_listening, lambda: world.drain_and_work_on(leader, 8.0, requests=1))
+    world.later(stops_listening, lambda: world.stop_listening_and_end(leader, 8.0, requests=1))
     await world.pass_time(UNLISTED_AFTER_SECONDS + 8.0 + 6.0)
     running = world.running_groups()
     await world.stop()
@@ -249,7 +249,7 @@
     rng = world.random
     seconds = rng.uniform(0.5, 6.0)
     node = rng.choice([*world.nodes, *_controllers(world)])
-    leaders = [worker for worker in world.workers.values() if worker.alive and worker.leads]
+    leaders = [worker for worker in world.workers.values() if worker.alive and worker.is_leader]
     match rng.randrange(7):
         case 0:
             _set_for(world, node, "reads_refused", seconds)
--- a/tests/test_group_repair.py
+++ b/tests/test_group_repair.py
@@ -67,7 +67,7 @@
     leader = large_leader(world)
     leader.draining = True
     world.publish(leader)
-    world.drain_and_work_on(leader, seconds, requests)
+    world.stop_listening_and_end(leader, seconds, requests)
     replaced = await _seconds_until(
         world, lambda: not leader.alive and world.running_groups()["large"] == 1
     )
--- a/tests/test_slow_endpoints.py
+++ b/tests/test_slow_endpoints.py
@@ -170,7 +170,9 @@
     unaffected = []
     for _ in range(18):
         for leader in list(world.workers.values()):
-            if leader.leads and any(world.workers[member].pace > 1 for member in leader.members):
+            if leader.is_leader and any(
+                world.workers[member].pace > 1 for member in leader.members
+            ):
                 world.suspect(leader)
         await world.pass_time(0.5)
         unaffected.append(_unaffected_groups(world))
@@ -180,7 +182,7 @@
 
 def _unaffected_groups(world: World) -> int:
     return sum(
-        leader.leads
+        leader.is_leader
         and leader.state is not None
         and leader.state.value == "open"
         and all(world.workers[member].pace == 1 for member in leader.members)
