--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -44,14 +44,14 @@
         view: StoreView,
         election: Election,
         detector: FailureDetector,
-        terms: TermFactory,
+        term_factory: TermFactory,
         clock: t.Callable[[], float],
         before_requests: t.Callable[[], bool],
     ) -> None:
         super().__init__()
         self._view = view
         self._election = election
-        self._terms = terms
+        self._term_factory = term_factory
         self._clock = clock
         self._before_requests = before_requests
         self._wake = asyncio.Event()
@@ -104,7 +104,7 @@
         assert position is not None
         if planner is None or planner.term.position != position:
             self._cancel()
-            term = self._terms.begin(position, self._wake.set)
+            term = self._term_factory.begin(position, self._wake.set)
             inspector = GroupInspector(self._view, term, self._clock)
             planner = Planner(self._view, self._sizes, term, inspector, self._before_requests)
             self._planner = planner
--- a/packages/gateway/src/thorncleat_gateway/groups/ended.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/ended.py
@@ -64,11 +64,11 @@
         until = self._clock() + ENDED_TTL_SECONDS
         entry = self._groups.get(group)
         if entry is None:
-            self._forget_expired()
+            self._discard_expired()
             entry = self._groups[group] = _EndedGroup(until)
         entry.until = until
         return entry
 
-    def _forget_expired(self) -> None:
+    def _discard_expired(self) -> None:
         now = self._clock()
         self._groups = {group: entry for group, entry in self._groups.items() if entry.until > now}
--- a/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/forming_state.py
@@ -21,11 +21,11 @@
 class FormingState:
     """The groups that are being formed in one term, and the pauses after failures.
 
-    :param term: number of this controller's term, from which its epochs are made.
+    :param term_number: number of this controller's term, from which its epochs are made.
     """
 
-    def __init__(self, term: int, clock: t.Callable[[], float]) -> None:
-        self._term = term
+    def __init__(self, term_number: int, clock: t.Callable[[], float]) -> None:
+        self._term_number = term_number
         self._clock = clock
         self._last_number = 0
         self._busy: set[str] = set()
@@ -56,7 +56,7 @@
     def next_group(self) -> GroupId:
         """Return the id of a new group."""
         self._last_number += 1
-        epoch = self._term * EPOCHS_PER_TERM + self._last_number
+        epoch = self._term_number * EPOCHS_PER_TERM + self._last_number
         return GroupId(epoch, f"g{epoch}")
 
     def skip_epochs(self) -> None:
@@ -64,7 +64,7 @@
 
         This happens after the store was restored from a copy and has lost changes.
         """
-        self._term += SKIPPED_TERMS
+        self._term_number += SKIPPED_TERMS
 
     def begin(self, plan: GroupPlan) -> GroupId:
         """Return the id of a new group and mark its members as busy."""
--- a/packages/gateway/src/thorncleat_gateway/groups/group_health.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_health.py
@@ -49,25 +49,25 @@
 
     :param age: seconds since the controller first saw the group in this term.
     :param leader_state: state that the leader reports; None if the leader isn't listed.
-    :param leader_draining: whether the leader is draining.
-    :param member_lost: whether a member did not answer the controller.
-    :param member_missing: whether a member is neither listed nor responding.
-    :param list_settled: whether an endpoint missing from the list has certainly ended
+    :param is_leader_draining: whether the leader is draining.
+    :param has_lost_member: whether a member did not answer the controller.
+    :param has_missing_member: whether a member is neither listed nor responding.
+    :param is_list_settled: whether an endpoint missing from the list has certainly ended
         (:attr:`.StoreView.is_settled`).
     """
 
     age: float
     leader_state: GroupState | None
-    leader_draining: bool = False
-    member_lost: bool = False
-    member_missing: bool = False
-    list_settled: bool = True
+    is_leader_draining: bool = False
+    has_lost_member: bool = False
+    has_missing_member: bool = False
+    is_list_settled: bool = True
 
 
 def end_reason(health: GroupHealth) -> EndReason | None:
     """Return why a group with listed members must end; None if it is healthy."""
     reason = _failure_reason(health)
-    if reason is None and health.leader_draining:
+    if reason is None and health.is_leader_draining:
         return EndReason.LEADER_DRAINING
     return reason
 
@@ -82,14 +82,14 @@
 
 def _failure_reason(health: GroupHealth) -> EndReason | None:
     """Return why a group can't serve; None if it can, or may soon."""
-    if health.member_lost:
+    if health.has_lost_member:
         return EndReason.MEMBER_UNREACHABLE
-    if health.member_missing:
-        confirmed = health.age > MISSING_MEMBER_GRACE_SECONDS and health.list_settled
-        return EndReason.MEMBER_NOT_LISTED if confirmed else None
+    if health.has_missing_member:
+        is_confirmed = health.age > MISSING_MEMBER_GRACE_SECONDS and health.is_list_settled
+        return EndReason.MEMBER_NOT_LISTED if is_confirmed else None
     match health.leader_state:
         case None:
-            return EndReason.LEADER_NOT_LISTED if health.list_settled else None
+            return EndReason.LEADER_NOT_LISTED if health.is_list_settled else None
         case GroupState.BROKEN:
             return EndReason.LEADER_BROKEN
         case GroupState.CLOSING:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -28,12 +28,12 @@
 class RunningGroup:
     """A group that serves or may soon serve.
 
-    :param slow: set if the group has slow members.
+    :param slow_group: set if the group has slow members.
     """
 
     domain: str
     model: str
-    slow: SlowGroup | None = None
+    slow_group: SlowGroup | None = None
 
 
 class GroupInspector:
@@ -64,15 +64,15 @@
                 continue
             model = engine.model(group.model)
             if model is not None and self._check_health(group, model):
-                slow = self._slow_group(group, model)
-                running.append(RunningGroup(first.fabric_domain, model.name, slow))
+                slow_group = self._slow_group(group, model)
+                running.append(RunningGroup(first.fabric_domain, model.name, slow_group))
         self._end_unlisted(service)
         return running
 
     def _slow_group(self, group: Group, model: EngineModel) -> SlowGroup | None:
         members = tuple(group.members.values())
-        slow = sum(member in self._term.slow for member in members)
-        return SlowGroup(group.id, model.name, slow, members) if slow else None
+        slow_count = sum(member in self._term.slow for member in members)
+        return SlowGroup(group.id, model.name, slow_count, members) if slow_count else None
 
     def _can_be_evaluated(self, group: GroupId) -> bool:
         """Return whether a group may answer and is neither being formed nor being ended."""
@@ -97,12 +97,12 @@
         return GroupHealth(
             age=self._age_seconds(group.id),
             leader_state=group.state,
-            leader_draining=leader is not None and leader.draining,
-            member_lost=any(member in self._term.lost for member in members.values()),
-            member_missing=any(
+            is_leader_draining=leader is not None and leader.draining,
+            has_lost_member=any(member in self._term.lost for member in members.values()),
+            has_missing_member=any(
                 not self._term.unlisted.has_member(group.id, rank) for rank in missing
             ),
-            list_settled=self._view.is_settled,
+            is_list_settled=self._view.is_settled,
         )
 
     def _age_seconds(self, group: GroupId) -> float:
--- a/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/leader_liveness.py
@@ -96,11 +96,11 @@
         """
         while True:
             if is_unlisted(self._is_listed(leader), self._view.age()):
-                asked_at = self._request_probes(leader)
+                requested_at = self._request_probes(leader)
                 if await self._orders.is_responding(leader):
                     return False
                 await asyncio.sleep(PROBE_ROUND_SECONDS)
-                if self._is_dead(leader, asked_at):
+                if self._is_dead(leader, requested_at):
                     return True
             elif await self._orders.is_responding(leader):
                 return False
@@ -113,9 +113,9 @@
         ended once all daemons report no requests there and none gets an answer. If it may be
         leaving, or a daemon does not report, it must also be unlisted.
         """
-        asked_at = self._request_probes(leader)
+        requested_at = self._request_probes(leader)
         await asyncio.sleep(REPORT_ROUND_SECONDS)
-        silent_daemons = self._peers.other_daemons - self._load_table.reporters_since(asked_at)
+        silent_daemons = self._peers.other_daemons - self._load_table.reporters_since(requested_at)
         requests = self._load_table.request_count(leader.id)
         listed = self._view.roster.endpoints.get(leader.id)
         is_leader_idle = is_idle(requests=requests, silent_daemons=silent_daemons)
@@ -124,7 +124,7 @@
         if requests or not is_unlisted(listed is not None, self._view.age()):
             return False
         await asyncio.sleep(PROBE_ROUND_SECONDS)
-        return self._is_dead(leader, asked_at)
+        return self._is_dead(leader, requested_at)
 
     async def _is_responding_to_others(self, leader: Endpoint) -> bool:
         """Return whether a leader that refuses this daemon's connections answers another daemon.
@@ -135,22 +135,22 @@
         await asyncio.sleep(
             min(contact_ttl_seconds(self._peers.report_interval_seconds()), MAX_CONTACT_TTL_SECONDS)
         )
-        asked_at = self._request_probes(leader)
+        requested_at = self._request_probes(leader)
         await asyncio.sleep(PROBE_ROUND_SECONDS)
-        return self._detector.has_contact_since(leader.id, asked_at)
+        return self._detector.has_contact_since(leader.id, requested_at)
 
     def _request_probes(self, leader: Endpoint) -> float:
         """Ask the other daemons to probe a leader; return the time of the request."""
         self._peers.broadcast(Probe(leader.id))
         return self._clock()
 
-    def _is_dead(self, leader: Endpoint, asked_at: float) -> bool:
+    def _is_dead(self, leader: Endpoint, requested_at: float) -> bool:
         """Return whether a leader that does not answer this daemon is dead.
 
-        :param asked_at: when the other daemons were asked to probe it.
+        :param requested_at: when the other daemons were asked to probe it.
         """
         has_contact = self._detector.has_contact_since(
-            leader.id, asked_at - CONTACT_LOOKBACK_SECONDS
+            leader.id, requested_at - CONTACT_LOOKBACK_SECONDS
         )
         return is_dead(listed=self._is_listed(leader), has_contact=has_contact)
 
--- a/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/lost_endpoints.py
@@ -52,7 +52,7 @@
         incarnation = self._incarnations.get(endpoint.id)
         return incarnation is not None and not incarnation.is_superseded_by(endpoint.incarnation)
 
-    def forget_unlisted(self) -> None:
+    def discard_unlisted(self) -> None:
         """Discard lost endpoints that are no longer listed."""
         listed = self._view.roster.endpoints
         self._incarnations = {
--- a/packages/gateway/src/thorncleat_gateway/groups/orders.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/orders.py
@@ -87,8 +87,8 @@
         self._clock = clock
         self._reports: dict[str, EngineReport] = {}
 
-    def forget(self) -> None:
-        """Discard all reports, since the list is newer."""
+    def discard_reports(self) -> None:
+        """Discard all reports, which are from an earlier term."""
         self._reports.clear()
 
     def listed_membership(self, endpoint: Endpoint) -> Membership | None:
--- a/packages/gateway/src/thorncleat_gateway/groups/planner.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/planner.py
@@ -62,7 +62,7 @@
             if service.engine is not None:
                 can_migrate = _can_migrate(configuration, service.name)
                 self._plan_service(service.name, service.engine, can_migrate=can_migrate)
-        self.term.lost.forget_unlisted()
+        self.term.lost.discard_unlisted()
 
     def _plan_service(self, service: str, engine: Engine, *, can_migrate: bool) -> None:
         """Plan for one service.
@@ -71,7 +71,7 @@
         """
         endpoints = self._view.roster.of_service(service)
         views = self._domain_views(service, endpoints)
-        slow = self._collect_active_groups(service, engine, views)
+        slow_groups = self._collect_active_groups(service, engine, views)
         self._add_available(service, endpoints, views)
         layout = formation.compute_layout(list(views.values()), engine.models)
         scarcity = _scarcity(views, layout)
@@ -80,7 +80,7 @@
                 continue
             spares = self._plan_domain(view, layout[view.name], engine, scarcity)
             if can_migrate:
-                self._replace_slow(view, slow[view.name], spares, engine)
+                self._replace_slow(view, slow_groups[view.name], spares, engine)
 
     def _domain_views(self, service: str, endpoints: t.Sequence[Endpoint]) -> Views:
         """Return a view of each domain, with the models that its hosts hold."""
@@ -103,15 +103,15 @@
 
         :returns: the groups with slow members, by domain.
         """
-        slow: dict[str, list[SlowGroup]] = collections.defaultdict(list)
+        slow_groups: dict[str, list[SlowGroup]] = collections.defaultdict(list)
         for group_id, plan in self.term.forming_state.under_way.items():
             if group_id not in self.term.ending and plan.domain in views:
                 views[plan.domain].active_groups[plan.model.name] += 1
         for group in self.inspector.inspect(service, engine):
             views[group.domain].active_groups[group.model] += 1
-            if group.slow is not None:
-                slow[group.domain].append(group.slow)
-        return slow
+            if group.slow_group is not None:
+                slow_groups[group.domain].append(group.slow_group)
+        return slow_groups
 
     def _add_available(self, service: str, endpoints: t.Sequence[Endpoint], views: Views) -> None:
         """Add the endpoints that may join a group to the views of their domains."""
--- a/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/slow_endpoints.py
@@ -33,13 +33,13 @@
 class SlowGroup:
     """A running group with slow members.
 
-    :param slow: number of slow members.
+    :param slow_count: number of slow members.
     :param members: the listed members.
     """
 
     id: GroupId
     model: str
-    slow: int
+    slow_count: int
     members: tuple[Endpoint, ...]
 
 
@@ -56,9 +56,9 @@
     """
     usable = sum(model.name in spare.staged for spare in spares)
     chosen: list[SlowGroup] = []
-    for group in sorted(groups, key=lambda group: (group.slow, group.id)):
+    for group in sorted(groups, key=lambda group: (group.slow_count, group.id)):
         chosen.append(group)
-        usable += len(group.members) - group.slow
+        usable += len(group.members) - group.slow_count
         if usable >= model.size:
             return chosen
     return []
--- a/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/spare_warming.py
@@ -84,14 +84,14 @@
         now = self._clock()
         if self._retry_at.get(endpoint.incarnation, now) > now:
             return
-        self._forget(now)
+        self._discard_expired(now)
         self._retry_at[endpoint.incarnation] = now + RETRY_INTERVAL_SECONDS
         group = self._state.next_group()
         self._groups[group] = now + RETRY_INTERVAL_SECONDS
         events.SPARE_WARMED.log(endpoint=endpoint.id, group=group.name, model=model.name)
         self._start(self._run(endpoint, group, model))
 
-    def _forget(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         """Discard expired attempts and groups that the list no longer shows."""
         self._retry_at = {
             incarnation: retry_at
--- a/packages/gateway/src/thorncleat_gateway/groups/term.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/term.py
@@ -87,7 +87,7 @@
         :param wake: makes the controller plan again.
         """
         view, orders, records, clock = self._view, self._orders, self._records, self._clock
-        orders.forget()
+        orders.discard_reports()
         records.begin_term()
         jobs = Jobs(wake)
         lost = LostEndpoints(view, orders, jobs.start, wake)
--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -96,8 +96,8 @@
     @property
     def reported_count(self) -> int:
         """The number of orders begun as reported, which lags behind."""
-        behind = self.world.now() - self.counted_at < REPORT_LAG_SECONDS
-        return self.former_count if behind else self.order_count
+        is_lagging = self.world.now() - self.counted_at < REPORT_LAG_SECONDS
+        return self.former_count if is_lagging else self.order_count
 
     def entry(self) -> Endpoint:
         return Endpoint(
@@ -114,8 +114,8 @@
         )
 
     def receive_order(self, order, expected) -> Outcome:
-        again = isinstance(order, Join) and order.group == self.group
-        if expected is not None and expected != self.order_count and not again:
+        is_repeated = isinstance(order, Join) and order.group == self.group
+        if expected is not None and expected != self.order_count and not is_repeated:
             return Outcome.CONFLICT
         outcome = self._carry_out(order)
         if outcome is Outcome.BEGUN or (isinstance(order, Leave) and outcome is Outcome.DONE):
@@ -156,9 +156,9 @@
         self.world.check_exclusive(self, order)
         self.world.check_distinct(order)
         self.seen_epoch = order.group.epoch
-        same, cold = self.model == order.model, order.model not in self.staged
-        seconds = 0.2 if same else self._load_seconds(order.model)
-        if cold:
+        has_model, is_cold = self.model == order.model, order.model not in self.staged
+        seconds = 0.2 if has_model else self._load_seconds(order.model)
+        if is_cold:
             self.staged = (order.model,)
         self.group, self.members, self.model = order.group, order.members, order.model
         self.former, self.state = order.group, GroupState.JOINING
@@ -166,8 +166,8 @@
         return Outcome.BEGUN
 
     def _load_seconds(self, model: str) -> float:
-        terms = self.world.engine.model(model)
-        return terms.warm if model in self.staged else terms.load / 10
+        engine_model = self.world.engine.model(model)
+        return engine_model.warm if model in self.staged else engine_model.load / 10
 
     def _stage(self, model: str) -> None:
         self.staged = (model,)
@@ -209,8 +209,10 @@
             self.broken_since = None
             return
         members = [self.world.workers.get(name) for name in self.members]
-        whole = all(member and member.alive and member.group == self.group for member in members)
-        if whole:
+        is_complete = all(
+            member and member.alive and member.group == self.group for member in members
+        )
+        if is_complete:
             self.broken_since = None
         elif self.broken_since is None:
             self.broken_since = self.world.now()
@@ -270,14 +272,14 @@
         if not processor.call_seconds:
             return await call()
 
-        async def whole():
+        async def call_with_processing():
             await processor.work()
             answer = await call()
             await processor.work()
             return answer
 
         try:
-            return await asyncio.wait_for(whole(), timeout)
+            return await asyncio.wait_for(call_with_processing(), timeout)
         except TimeoutError:
             raise EndpointTimeoutError("silent") from None
 
--- a/tests/group_store.py
+++ b/tests/group_store.py
@@ -49,7 +49,7 @@
         self.leases: dict[int, tuple[float, float]] = {}
         self.owners: dict[str, int] = {}
         self.changed = asyncio.Event()
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.down = False
         # Rises each time the store is restored from a copy.
         self.era = 1
@@ -144,7 +144,10 @@
             except TimeoutError:
                 break
         await self._read()
-        if store.era != since.era or not store.forgotten <= since.revision <= store.revision:
+        if (
+            store.era != since.era
+            or not store.compacted_revision <= since.revision <= store.revision
+        ):
             raise HistoryCompactedError("another era, forgotten, or never written")
         found = [change for rev, _, change in store.history if rev > since.revision]
         return Changes(store.position, found)
--- a/tests/group_world.py
+++ b/tests/group_world.py
@@ -165,8 +165,8 @@
             self.load_table.report(sender.name, message.counts)
         if isinstance(message, Probe):
             counts = self.world.requests_of(self)
-            heard = [name for name in counts if name not in self.world.stalled_workers]
-            self.peers.send(sender, LoadReport(counts, heard))
+            responding = [name for name in counts if name not in self.world.stalled_workers]
+            self.peers.send(sender, LoadReport(counts, responding))
             removed = self.view.roster.removed.get(message.endpoint_id)
             listed = self.view.roster.endpoints.get(message.endpoint_id)
             if listed or removed:
@@ -213,7 +213,7 @@
         self._requests: dict[str, dict[str, int]] = collections.defaultdict(dict)
         # Ids of workers whose requests get no events.
         self.stalled_workers: set[str] = set()
-        # Workers at the address of one that has ended, by the id of that one.
+        # By the id of a worker that has ended, the worker that has taken its address.
         self.successors: dict[str, Worker] = {}
         self.broken: list[str] = []
         # Number of orders whose epoch was below one that their worker had seen.
@@ -354,9 +354,9 @@
         if former is None or former == order.group:
             return
         for other in self.workers.values():
-            answers = other.state in (GroupState.OPEN, GroupState.CLOSING)
-            leads = other.group == former and other.members and other.members[0] == other.id
-            if other.alive and leads and answers:
+            can_answer = other.state in (GroupState.OPEN, GroupState.CLOSING)
+            is_leader = other.group == former and other.members and other.members[0] == other.id
+            if other.alive and is_leader and can_answer:
                 text = f"TWO: {worker.id} joins {order.group} while {other.id} leads {former}"
                 self.broken.append(text)
 
@@ -398,7 +398,7 @@
                 worker.detect_missing_members()
                 listed = self.store.items.get(worker.id)
                 if listed is None or listed.endpoint != worker.entry():
-                    # As its next heartbeat would.
+                    # Its next heartbeat would write the entry too.
                     self.publish(worker)
 
     async def start(self) -> None:
--- a/tests/leaving_figures.py
+++ b/tests/leaving_figures.py
@@ -15,7 +15,7 @@
 from .fleet_world import FleetWorld
 
 LEAVING = "w000"
-# How long the oracle watches.
+# How long the daemons are observed.
 WATCHED_SECONDS = 8.0
 # Seconds between the fault and the leaving.
 PAUSES = (0.0, 0.3, 0.7, 1.1, 1.6, 2.2, 3.0)
@@ -93,7 +93,7 @@
 
 
 async def seconds_in_use(daemons: int, name: str, pause: float) -> list[float]:
-    """Return for how many seconds each daemon that reaches the store uses a left endpoint."""
+    """Return how long each daemon that reaches the store uses an endpoint after it has left."""
     world = FleetWorld(daemons)
     await world.start()
     await SITUATIONS[name](world)
--- a/tests/test_ended_groups.py
+++ b/tests/test_ended_groups.py
@@ -32,8 +32,8 @@
 
 
 def leader(name, epoch):
-    place = Membership(GroupId(epoch, f"g{epoch}"), 0, GroupState.OPEN)
-    return Endpoint(name, "narrator", "", "a", models=("m",), membership=place)
+    membership = Membership(GroupId(epoch, f"g{epoch}"), 0, GroupState.OPEN)
+    return Endpoint(name, "narrator", "", "a", models=("m",), membership=membership)
 
 
 FIRST, SECOND = leader("w0", 1), leader("w1", 2)
@@ -86,7 +86,7 @@
     assert daemon.chosen() == {"w0", "w1"}
     daemon.peers.receive("controller", GroupEnded(FIRST.membership.group))
     assert daemon.chosen() == {"w1"}
-    # Longer than any suspicion lasts.
+    # By now, any suspicion has expired.
     daemon.now += 2.0
     assert daemon.chosen() == {"w1"}
 
@@ -132,12 +132,12 @@
     group = lost.group
     world.kill(lost, unreachable=True)
     others = [node for node in world.nodes if not node.election.is_controller]
-    known = 0
+    excluding_polls = 0
     for _ in range(30):
         await world.pass_time(0.1)
-        known += all(group in node.ended for node in others)
+        excluding_polls += all(group in node.ended for node in others)
     await world.stop()
-    return known
+    return excluding_polls
 
 
 def test_every_daemon_excludes_a_group_that_is_being_ended():
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -1,7 +1,4 @@
-"""How misleading signs that an endpoint or a group has ended are handled, in virtual time.
-
-docs/PLATFORM.md lists the signs; each test here makes one of them misleading.
-"""
+"""Misleading signs that an endpoint or a group has ended, in virtual time."""
 
 import pytest
 
@@ -83,7 +80,7 @@
     return world, running
 
 
-def test_controller_does_not_act_on_what_was_known_before_its_term():
+def test_controller_does_not_act_on_a_view_from_before_its_term():
     world, running = virtual_time.run(_controller_begins_behind_its_term())
     assert world.broken == []
     assert running["large"] == 2
@@ -236,7 +233,7 @@
     return term, created
 
 
-def test_record_of_a_former_process_is_not_taken_for_the_own():
+def test_record_of_a_former_process_does_not_make_a_daemon_controller():
     term, created = virtual_time.run(_create_finds_the_record_of_a_former_process())
     assert term != created
 
--- a/tests/test_group_health.py
+++ b/tests/test_group_health.py
@@ -23,23 +23,23 @@
     ("group", "reason"),
     [
         pytest.param(health(), None, id="open with all members"),
-        pytest.param(health(member_lost=True), EndReason.MEMBER_UNREACHABLE, id="member lost"),
+        pytest.param(health(has_lost_member=True), EndReason.MEMBER_UNREACHABLE, id="member lost"),
         pytest.param(
-            health(member_missing=True, age=OLDER),
+            health(has_missing_member=True, age=OLDER),
             EndReason.MEMBER_NOT_LISTED,
             id="member missing",
         ),
         pytest.param(
-            health(member_missing=True, age=YOUNG), None, id="member missing, group just seen"
+            health(has_missing_member=True, age=YOUNG), None, id="member missing, group just seen"
         ),
         pytest.param(
-            health(member_missing=True, list_settled=False),
+            health(has_missing_member=True, is_list_settled=False),
             None,
             id="member missing, may be listed again after an outage",
         ),
         pytest.param(health(state=None), EndReason.LEADER_NOT_LISTED, id="leader not listed"),
         pytest.param(
-            health(state=None, list_settled=False),
+            health(state=None, is_list_settled=False),
             None,
             id="leader not listed, may be again after an outage",
         ),
@@ -60,7 +60,9 @@
             None,
             id="may yet be opened",
         ),
-        pytest.param(health(leader_draining=True), EndReason.LEADER_DRAINING, id="leader draining"),
+        pytest.param(
+            health(is_leader_draining=True), EndReason.LEADER_DRAINING, id="leader draining"
+        ),
     ],
 )
 def test_reason(group, reason):
@@ -71,27 +73,27 @@
     ("group", "reason"),
     [
         pytest.param(
-            health(member_lost=True, member_missing=True, state=None),
+            health(has_lost_member=True, has_missing_member=True, state=None),
             EndReason.MEMBER_UNREACHABLE,
             id="lost before missing",
         ),
         pytest.param(
-            health(member_missing=True, state=GroupState.BROKEN),
+            health(has_missing_member=True, state=GroupState.BROKEN),
             EndReason.MEMBER_NOT_LISTED,
             id="missing before broken",
         ),
         pytest.param(
-            health(member_missing=True, age=YOUNG, state=GroupState.BROKEN),
+            health(has_missing_member=True, age=YOUNG, state=GroupState.BROKEN),
             None,
             id="a broken leader waits for the list",
         ),
         pytest.param(
-            health(member_missing=True, age=YOUNG, leader_draining=True),
+            health(has_missing_member=True, age=YOUNG, is_leader_draining=True),
             EndReason.LEADER_DRAINING,
             id="a draining leader does not",
         ),
         pytest.param(
-            health(state=GroupState.BROKEN, leader_draining=True),
+            health(state=GroupState.BROKEN, is_leader_draining=True),
             EndReason.LEADER_BROKEN,
             id="broken before draining",
         ),
--- a/tests/test_large_control.py
+++ b/tests/test_large_control.py
@@ -1,8 +1,4 @@
-"""The first start of a large site: one small controller and hundreds of endpoints.
-
-Guards against calls that wait for the controller's processor until they time out, which would make
-endpoints count as silent.
-"""
+"""First start of a large site: calls of a small, busy controller don't time out."""
 
 import pytest
 
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -6,8 +6,8 @@
 from .fleet_world import FleetWorld
 
 # How long any daemon may still use an endpoint after the store has recorded its leaving.
-KNOWN_EVERYWHERE_SECONDS = 1.0
-# How long the oracle watches.
+MAX_SECONDS_IN_USE = 1.0
+# How long the daemons are observed.
 WATCHED_SECONDS = 8.0
 FLEETS = [8, 24]
 
@@ -28,9 +28,8 @@
 
 
 @pytest.mark.parametrize("daemons", FLEETS)
-def test_endpoint_that_left_is_not_kept_by_each_daemon_that_starts_after_it(daemons):
+def test_endpoint_that_left_is_not_used_by_daemons_that_start_after_it(daemons):
     """A start is not an outage, so the missing entry has not merely expired."""
     assert (
-        virtual_time.run(_seconds_in_use_after_a_restart_of_all(daemons, 1.0))
-        <= KNOWN_EVERYWHERE_SECONDS
+        virtual_time.run(_seconds_in_use_after_a_restart_of_all(daemons, 1.0)) <= MAX_SECONDS_IN_USE
     )
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,8 +1,4 @@
-"""Endpoints that restart under their id and have lost the state of their earlier incarnation.
-
-In virtual time: the list or a report may show the restart late, and a late write may list an entry
-of the earlier incarnation afterwards.
-"""
+"""Endpoints that restart under their id, while the list or a report shows the restart late."""
 
 import dataclasses
 
@@ -27,7 +23,7 @@
 from .group_world import large_leader
 from .test_endpoint_selector import selector
 
-PLACE = Membership(GroupId(5, "g5"), 0, GroupState.OPEN)
+MEMBERSHIP = Membership(GroupId(5, "g5"), 0, GroupState.OPEN)
 
 
 def entry(born=None, **more):
@@ -47,10 +43,10 @@
     def test_latest_entry_wins(self):
         """Each entry replaces the one before, whichever incarnation it is from."""
         roster = Roster()
-        roster.put(entry(1, membership=PLACE))
+        roster.put(entry(1, membership=MEMBERSHIP))
         assert roster.put(entry(2))
         assert roster.groups == {}
-        assert roster.put(entry(1, membership=PLACE))
+        assert roster.put(entry(1, membership=MEMBERSHIP))
         assert roster.put(entry(2))
         assert roster.endpoints["a"].born == 2
 
--- a/tests/test_spare_warming.py
+++ b/tests/test_spare_warming.py
@@ -29,7 +29,7 @@
         pytest.param(spare(("other",)), None, id="of no use in this domain"),
     ],
 )
-def test_spare_is_warmed_with_what_its_host_holds(endpoint, model):
+def test_spare_is_warmed_with_the_model_that_its_host_holds(endpoint, model):
     assert [found.name for _, found in spares_to_warm([endpoint], [LARGE, SMALL])] == [
         model
     ] * bool(model)
--- a/tests/test_taken_addresses.py
+++ b/tests/test_taken_addresses.py
@@ -1,8 +1,4 @@
-"""Endpoints that have ended and whose address another endpoint of the service has taken.
-
-Guards against opening a group with a member that never joined: any process at an address answers
-for reports, which name no endpoint; only orders are checked.
-"""
+"""No group opens with a member whose address another endpoint has taken."""
 
 from thorncleat_gateway.groups.group_steps import GroupSteps
 from thorncleat_gateway.ports import Join
