--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -92,9 +92,9 @@
 
     async def on_stop(self) -> None:
         """Cancel the jobs of the latest term."""
-        self._cancel()
+        self._cancel_jobs()
 
-    def _cancel(self) -> None:
+    def _cancel_jobs(self) -> None:
         if self.term is not None:
             self.term.jobs.cancel()
 
@@ -103,7 +103,7 @@
         planner, position = self._planner, self._election.term
         assert position is not None
         if planner is None or planner.term.position != position:
-            self._cancel()
+            self._cancel_jobs()
             term = self._term_factory.begin(position, self._wake.set)
             inspector = GroupInspector(self._view, term, self._clock)
             planner = Planner(self._view, self._sizes, term, inspector, self._before_requests)
--- a/packages/gateway/src/thorncleat_gateway/groups/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -97,8 +97,8 @@
     """
     useful = [model for model in models if model.share > 0]
     # The largest domain decides, so that a loss in one domain doesn't change all the others.
-    largest = max((view.size for view in views), default=0)
-    all_models_fit = all(model.size <= largest for model in useful)
+    largest_size = max((view.size for view in views), default=0)
+    all_models_fit = all(model.size <= largest_size for model in useful)
     if useful and all_models_fit and len(views) >= MIN_DOMAINS_PER_MODEL * len(useful):
         return {
             view.name: collections.Counter({model.name: view.size // model.size})
@@ -115,10 +115,10 @@
     A domain keeps the model that most of its hosts hold. The remaining domains of a model are
     spread over the failure domains.
     """
-    total = sum(view.size for view in views)
-    shares = sum(model.share for model in models)
+    total_size = sum(view.size for view in views)
+    total_share = sum(model.share for model in models)
     # Number of endpoints that each model still needs to reach its share.
-    shortfall = {model.name: total * model.share / shares for model in models}
+    shortfall = {model.name: total_size * model.share / total_share for model in models}
     domain_counts: collections.Counter[tuple[str, str]] = collections.Counter()
     assigned: list[tuple[DomainView, EngineModel]] = []
     unassigned = sorted(
@@ -190,11 +190,11 @@
     endpoints join only a group led by a free one that holds the model.
     """
     name = model.name
-    free = sorted(view.free, key=lambda free: (_cost(free, name, view.staging), free.id))
+    free = sorted(view.free, key=lambda spare: (_cost(spare, name, view.staging), spare.id))
     warm = [endpoint for endpoint in free if name in endpoint.staged]
     cold = [endpoint for endpoint in free if name not in endpoint.staged]
     expiring = [endpoint for endpoint in view.expiring if name in endpoint.staged] if warm else []
-    slow = sorted(view.slow, key=lambda slow: (_cost(slow, name, view.staging), slow.id))
+    slow = sorted(view.slow, key=lambda spare: (_cost(spare, name, view.staging), spare.id))
     slow_warm = [endpoint for endpoint in slow if name in endpoint.staged]
     slow_cold = [endpoint for endpoint in slow if name not in endpoint.staged]
     return [*warm, *expiring, *slow_warm, *cold, *slow_cold][: model.size]
@@ -273,8 +273,8 @@
 
     result: list[LoadPlan] = []
     for endpoint in spares:
-        held = names.intersection(endpoint.staged)
-        if held or endpoint.id in view.staging or not carried:
+        held_models = names.intersection(endpoint.staged)
+        if held_models or endpoint.id in view.staging or not carried:
             continue
         model = min(carried, key=spare_coverage)
         spares_by_model[model.name] += 1
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -53,8 +53,8 @@
         """
         running = []
         for group in self._view.roster.groups.values():
-            first = next(iter(group.members.values()))
-            if first.service != service:
+            any_member = next(iter(group.members.values()))
+            if any_member.service != service:
                 continue
             if group.id in self._term.warming:
                 continue
@@ -65,7 +65,7 @@
             model = engine.model(group.model)
             if model is not None and self._check_health(group, model):
                 slow_group = self._slow_group(group, model)
-                running.append(RunningGroup(first.fabric_domain, model.name, slow_group))
+                running.append(RunningGroup(any_member.fabric_domain, model.name, slow_group))
         self._end_unlisted(service)
         return running
 
@@ -86,12 +86,14 @@
         self._term.ending.end(group.id, EndReason.LEADER_IS_BACK, list(group.members.values()))
 
     def _check_health(self, group: Group, model: EngineModel) -> bool:
+        """Return whether a group is healthy; begin to end it if not."""
         reason = group_health.end_reason(self._health(group, model))
         if reason is not None:
             self._term.ending.end(group.id, reason, list(group.members.values()))
         return reason is None
 
     def _health(self, group: Group, model: EngineModel) -> GroupHealth:
+        """Return a group's state; an unlisted member that still answers isn't missing."""
         leader, members = group.leader, group.members
         missing = (rank for rank in range(model.size) if rank not in members)
         return GroupHealth(
@@ -123,7 +125,10 @@
                 self._term.ending.end(group, reason, [])
 
     def examine(self, group_id: GroupId) -> None:
-        """Probe the members of a suspected group, once per :data:`EXAMINE_INTERVAL_SECONDS`."""
+        """Probe the members of a suspected group.
+
+        Does nothing if they were probed within :data:`EXAMINE_INTERVAL_SECONDS`.
+        """
         now = self._clock()
         group = self._view.roster.groups.get(group_id)
         if group is None or now - self._examined_at.get(group_id, 0.0) < EXAMINE_INTERVAL_SECONDS:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -58,6 +58,9 @@
 def ready_timeout(plan: GroupPlan, form_timeout: float) -> float:
     """Return how many seconds the members of a group may take to get ready.
 
+    The model's usual loading time from the host, and from the weight store if a host must load it
+    from there, is multiplied by a safety factor.
+
     :param form_timeout: seconds allowed in addition to those for loading the model.
     """
     timeout = form_timeout + WARM_TIMEOUT_FACTOR * plan.model.warm
--- a/packages/gateway/src/thorncleat_gateway/groups/records.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/records.py
@@ -1,8 +1,7 @@
-"""Records in the store of the groups that were begun and may still answer.
+"""Records in the store of groups that may answer; a new controller finds their leaders there.
 
-A record exists from before the first order to join until the group's leader no longer answers. So
-each controller finds the leaders of all groups, listed or not, and the members of a group without
-a record are free.
+A record exists from before the first order to join until the leader no longer answers, so members
+of a group without a record are free.
 
 Owns: the groups that were begun or found in this term, and those that have ended in it.
 Relies on: the store's conditional writes, :attr:`.Election.is_caught_up` for a view that shows all
--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -51,6 +51,7 @@
     unreachable: bool = False
     cut_from_store: bool = False
     draining: bool = False
+    # Whether it accepts no connections.
     refuses: bool = False
     order_count: int = 0
     # Order count before the latest order, and the time of that order.
@@ -62,8 +63,10 @@
     members: tuple[str, ...] = ()
     state: GroupState | None = None
     seen_epoch: int = 0
+    # Group of the latest order to join, also after leaving it.
     former: GroupId | None = None
     broken_since: float | None = None
+    # No heartbeat is sent before this time.
     silent_until: float = 0.0
     born: int = FIRST_BORN
     pace: float = 1.0
@@ -250,6 +253,7 @@
         self._node = node
 
     async def _reach(self, endpoint: Endpoint, timeout: float) -> Worker:
+        """Return an endpoint's worker, or raise the error of a call that doesn't reach it."""
         await self._node.thawed()
         await asyncio.sleep(0.002)
         worker = self._world.workers[endpoint.id]
--- a/tests/group_store.py
+++ b/tests/group_store.py
@@ -46,9 +46,12 @@
         self.revision = 10
         self.history: list[tuple[int, str, object]] = []
         self.items: dict[str, object] = {}
+        # Time of expiry and TTL, by lease id.
         self.leases: dict[int, tuple[float, float]] = {}
+        # Id of the lease of each record that has one.
         self.owners: dict[str, int] = {}
         self.changed = asyncio.Event()
+        # The history no longer holds changes up to this revision.
         self.compacted_revision = 0
         self.down = False
         # Rises each time the store is restored from a copy.
@@ -152,18 +155,18 @@
         found = [change for rev, _, change in store.history if rev > since.revision]
         return Changes(store.position, found)
 
-    def _check(self, lease: Lease) -> None:
+    def _check_lease(self, lease: Lease) -> None:
         if self.era.is_over(lease.era):
             raise LeaseExpiredError("of an era that is over")
 
-    def _written(self, era: int) -> None:
+    def _confirm_write(self, era: int) -> None:
         if era != self._store.era:
             raise StoreOutcomeUnknownError("answered in another era")
         if self._world.chance("lost write"):
             raise StoreOutcomeUnknownError("answer lost")
 
     async def create(self, key: str, value: bytes, lease: Lease) -> Position | None:
-        self._check(lease)
+        self._check_lease(lease)
         await self._call()
         store = self._store
         if key in store.items:
@@ -173,11 +176,11 @@
         created = store.revision + 1
         store.put(key, RecordChanged(key, value, created, created))
         store.owners[key] = lease.id
-        self._written(lease.era)
+        self._confirm_write(lease.era)
         return Position(store.era, created)
 
     async def put(self, key: str, value: bytes, lease: Lease) -> None:
-        self._check(lease)
+        self._check_lease(lease)
         await self._call()
         store = self._store
         if lease.id not in store.leases:
@@ -200,7 +203,7 @@
             store.put(key, RecordChanged(key, value, store.revision + 1, store.revision + 1))
         for key in removals:
             store.delete(key, RecordChanged(key, None, store.revision + 1))
-        self._written(era)
+        self._confirm_write(era)
         return True
 
     async def list_records(self, prefix: str) -> list[RecordChanged]:
@@ -221,9 +224,9 @@
         return Lease(self._store.era, lease)
 
     async def renew(self, lease: Lease) -> None:
-        self._check(lease)
+        self._check_lease(lease)
         await self._call()
-        self._check(lease)
+        self._check_lease(lease)
         if lease.id not in self._store.leases:
             raise LeaseExpiredError("over")
         _, ttl = self._store.leases[lease.id]
--- a/tests/leaving_figures.py
+++ b/tests/leaving_figures.py
@@ -26,9 +26,9 @@
 
 
 def situation(name: str) -> t.Callable[[Situation], Situation]:
-    def register(made: Situation) -> Situation:
-        SITUATIONS[name] = made
-        return made
+    def register(function: Situation) -> Situation:
+        SITUATIONS[name] = function
+        return function
 
     return register
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -30,7 +30,7 @@
         pytest.param(2 * CANDIDATE_DELAY_SECONDS, 2, True, id="for two delays"),
     ],
 )
-def test_turns(absent_seconds, rank, may):
+def test_candidates_take_turns(absent_seconds, rank, may):
     assert election.can_campaign(absent_seconds, rank) is may
 
 
--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -139,28 +139,28 @@
         assert total(found) == {"large": 8, "small": 8}
 
     def test_a_model_is_spread_over_failure_domains(self):
-        made = views(8, 8, 8, 8, 8, 8)
-        found = formation.compute_layout(made, [LARGE, SMALL])
-        failure_domains = {view.failure_domain for view in made if "small" in found[view.name]}
+        domains = views(8, 8, 8, 8, 8, 8)
+        found = formation.compute_layout(domains, [LARGE, SMALL])
+        failure_domains = {view.failure_domain for view in domains if "small" in found[view.name]}
         assert len(failure_domains) == 2
 
     def test_domains_keep_the_model_that_their_hosts_hold(self):
-        made = views(8, 8, 8, 8, 8, 8)
-        for view in made[:2]:
+        domains = views(8, 8, 8, 8, 8, 8)
+        for view in domains[:2]:
             view.hosts_by_model["small"] = 8
-        for view in made[2:]:
+        for view in domains[2:]:
             view.hosts_by_model["large"] = 7
-        found = formation.compute_layout(made, [LARGE, SMALL])
+        found = formation.compute_layout(domains, [LARGE, SMALL])
         assert [name for name in found if "small" in found[name]] == ["d0", "d1"]
 
     def test_domain_that_lost_most_endpoints_does_not_change_the_others(self):
-        made = views(1, 8, 8, 8, 8, 8)
-        for view in made[1:4]:
+        domains = views(1, 8, 8, 8, 8, 8)
+        for view in domains[1:4]:
             view.hosts_by_model["large"] = 8
-        for view in made[4:]:
+        for view in domains[4:]:
             view.hosts_by_model["small"] = 8
-        found = formation.compute_layout(made, [LARGE, SMALL])
-        assert [set(found[view.name]) for view in made[1:]] == [{"large"}] * 3 + [{"small"}] * 2
+        found = formation.compute_layout(domains, [LARGE, SMALL])
+        assert [set(found[view.name]) for view in domains[1:]] == [{"large"}] * 3 + [{"small"}] * 2
 
     def test_few_domains_carry_several_models_and_keep_spares(self):
         found = formation.compute_layout(views(8, 8), [LARGE, SMALL])
@@ -205,25 +205,25 @@
         free = [endpoint(f"w{n}", staged=("large", "small")) for n in range(4)]
         view = DomainView("d0", 8, free=free)
         target = collections.Counter(large=1, small=2)
-        made = formation.groups_to_form(view, target, [LARGE, SMALL], lambda model: model.size)
-        assert [plan.model.name for plan in made] == ["large"]
+        plans = formation.groups_to_form(view, target, [LARGE, SMALL], lambda model: model.size)
+        assert [plan.model.name for plan in plans] == ["large"]
 
     def test_no_endpoint_is_used_twice(self):
         free = [endpoint(f"w{n}") for n in range(9)]
         view = DomainView("d0", 9, free=free)
         target = collections.Counter(large=1, small=5)
-        made = formation.groups_to_form(view, target, [LARGE, SMALL], lambda _: 0)
-        used = [member.id for plan in made for member in plan.members]
+        plans = formation.groups_to_form(view, target, [LARGE, SMALL], lambda _: 0)
+        used = [member.id for plan in plans for member in plan.members]
         assert len(used) == len(set(used))
 
 
 class TestModelsToLoad:
     def test_empty_spares_load_what_the_domain_carries(self):
         spares = [endpoint("a"), endpoint("b", staged=("large",)), endpoint("c", ("small",))]
-        made = formation.models_to_load(
+        plans = formation.models_to_load(
             DomainView("d0", 8), collections.Counter(large=2), [LARGE, SMALL], spares
         )
-        assert [(plan.endpoint.id, plan.model.name) for plan in made] == [
+        assert [(plan.endpoint.id, plan.model.name) for plan in plans] == [
             ("a", "large"),
             ("c", "large"),
         ]
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -184,12 +184,12 @@
     node = controller_node(world)
     node.end_unanswered = True
     node.election.stopping = True
-    both = 0
+    polls_with_two = 0
     for _ in range(200):
         await world.pass_time(0.01)
-        both += sum(other.election.is_controller for other in world.nodes) > 1
+        polls_with_two += sum(other.election.is_controller for other in world.nodes) > 1
     await world.stop()
-    return both
+    return polls_with_two
 
 
 def test_controller_that_hands_over_stops_acting_first():
