--- a/packages/gateway/src/thorncleat_gateway/groups/controller.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/controller.py
@@ -28,7 +28,7 @@
 
 # Interval between two plans while the list doesn't change.
 PLAN_INTERVAL_SECONDS = 0.25
-# Pause after a plan, as a multiple of its duration, which leaves a small instance time for orders.
+# Pause after a plan, as a multiple of its duration; leaves a small instance time for orders.
 PLAN_PAUSE_FACTOR = 3.0
 
 
@@ -44,14 +44,14 @@
         view: StoreView,
         election: Election,
         detector: FailureDetector,
-        terms: TermFactory,
+        term_factory: TermFactory,
         clock: t.Callable[[], float],
         before_requests: t.Callable[[], bool],
     ) -> None:
         super().__init__()
         self._view = view
         self._election = election
-        self._terms = terms
+        self._term_factory = term_factory
         self._clock = clock
         self._before_requests = before_requests
         self._wake = asyncio.Event()
@@ -92,9 +92,9 @@
 
     async def on_stop(self) -> None:
         """Cancel the jobs of the latest term."""
-        self._cancel()
+        self._cancel_jobs()
 
-    def _cancel(self) -> None:
+    def _cancel_jobs(self) -> None:
         if self.term is not None:
             self.term.jobs.cancel()
 
@@ -103,8 +103,8 @@
         planner, position = self._planner, self._election.term
         assert position is not None
         if planner is None or planner.term.position != position:
-            self._cancel()
-            term = self._terms.begin(position, self._wake.set)
+            self._cancel_jobs()
+            term = self._term_factory.begin(position, self._wake.set)
             inspector = GroupInspector(self._view, term, self._clock)
             planner = Planner(self._view, self._sizes, term, inspector, self._before_requests)
             self._planner = planner
--- a/packages/gateway/src/thorncleat_gateway/groups/group_health.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_health.py
@@ -11,8 +11,8 @@
 
 from ..store.roster import GroupState
 
-# How long a group must be known before a missing member counts; a list that is still being read
-# may lack some members.
+# How long ago a group must have been seen first for a missing member to count; a list that is still
+# being read may lack some members.
 MISSING_MEMBER_GRACE_SECONDS = 0.25
 # How long a group from an earlier term may take to open or to be listed.
 LEFT_OVER_TIMEOUT_SECONDS = 2.5
@@ -47,26 +47,27 @@
 class GroupHealth:
     """State of a group that the controller isn't forming.
 
-    :param age: seconds for which the controller has known the group in this term.
-    :param leader_state: None if the leader isn't listed.
-    :param leader_draining: whether the leader is draining.
-    :param member_lost: whether a member did not answer the controller.
-    :param member_missing: whether a member is neither listed nor responding.
-    :param list_settled: whether an unlisted endpoint has ended (:attr:`.StoreView.is_settled`).
+    :param age: seconds since the controller first saw the group in this term.
+    :param leader_state: state that the leader reports; None if the leader isn't listed.
+    :param is_leader_draining: whether the leader is draining.
+    :param has_lost_member: whether a member did not answer the controller.
+    :param has_missing_member: whether a member is neither listed nor responding.
+    :param is_list_settled: whether an endpoint missing from the list has certainly ended
+        (:attr:`.StoreView.is_settled`).
     """
 
     age: float
     leader_state: GroupState | None
-    leader_draining: bool = False
-    member_lost: bool = False
-    member_missing: bool = False
-    list_settled: bool = True
+    is_leader_draining: bool = False
+    has_lost_member: bool = False
+    has_missing_member: bool = False
+    is_list_settled: bool = True
 
 
 def end_reason(health: GroupHealth) -> EndReason | None:
     """Return why a group with listed members must end; None if it is healthy."""
     reason = _failure_reason(health)
-    if reason is None and health.leader_draining:
+    if reason is None and health.is_leader_draining:
         return EndReason.LEADER_DRAINING
     return reason
 
@@ -74,21 +75,21 @@
 def end_reason_unlisted(age: float) -> EndReason | None:
     """Return why a group without a listed member must end; None if it may still be listed.
 
-    :param age: seconds for which the controller has known the group in this term.
+    :param age: seconds since the controller first saw the group in this term.
     """
     return EndReason.NO_MEMBER_LISTED if age > LEFT_OVER_TIMEOUT_SECONDS else None
 
 
 def _failure_reason(health: GroupHealth) -> EndReason | None:
     """Return why a group can't serve; None if it can, or may soon."""
-    if health.member_lost:
+    if health.has_lost_member:
         return EndReason.MEMBER_UNREACHABLE
-    if health.member_missing:
-        confirmed = health.age > MISSING_MEMBER_GRACE_SECONDS and health.list_settled
-        return EndReason.MEMBER_NOT_LISTED if confirmed else None
+    if health.has_missing_member:
+        is_confirmed = health.age > MISSING_MEMBER_GRACE_SECONDS and health.is_list_settled
+        return EndReason.MEMBER_NOT_LISTED if is_confirmed else None
     match health.leader_state:
         case None:
-            return EndReason.LEADER_NOT_LISTED if health.list_settled else None
+            return EndReason.LEADER_NOT_LISTED if health.is_list_settled else None
         case GroupState.BROKEN:
             return EndReason.LEADER_BROKEN
         case GroupState.CLOSING:
--- a/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_inspector.py
@@ -28,12 +28,12 @@
 class RunningGroup:
     """A group that serves or may soon serve.
 
-    :param slow: set if the group has slow members.
+    :param slow_group: set if the group has slow members.
     """
 
     domain: str
     model: str
-    slow: SlowGroup | None = None
+    slow_group: SlowGroup | None = None
 
 
 class GroupInspector:
@@ -53,8 +53,8 @@
         """
         running = []
         for group in self._view.roster.groups.values():
-            first = next(iter(group.members.values()))
-            if first.service != service:
+            any_member = next(iter(group.members.values()))
+            if any_member.service != service:
                 continue
             if group.id in self._term.warming:
                 continue
@@ -64,15 +64,15 @@
                 continue
             model = engine.model(group.model)
             if model is not None and self._check_health(group, model):
-                slow = self._slow_group(group, model)
-                running.append(RunningGroup(first.fabric_domain, model.name, slow))
+                slow_group = self._slow_group(group, model)
+                running.append(RunningGroup(any_member.fabric_domain, model.name, slow_group))
         self._end_unlisted(service)
         return running
 
     def _slow_group(self, group: Group, model: EngineModel) -> SlowGroup | None:
         members = tuple(group.members.values())
-        slow = sum(member in self._term.slow for member in members)
-        return SlowGroup(group.id, model.name, slow, members) if slow else None
+        slow_count = sum(member in self._term.slow for member in members)
+        return SlowGroup(group.id, model.name, slow_count, members) if slow_count else None
 
     def _can_be_evaluated(self, group: GroupId) -> bool:
         """Return whether a group may answer and is neither being formed nor being ended."""
@@ -86,27 +86,29 @@
         self._term.ending.end(group.id, EndReason.LEADER_IS_BACK, list(group.members.values()))
 
     def _check_health(self, group: Group, model: EngineModel) -> bool:
+        """Return whether a group is healthy; begin to end it if not."""
         reason = group_health.end_reason(self._health(group, model))
         if reason is not None:
             self._term.ending.end(group.id, reason, list(group.members.values()))
         return reason is None
 
     def _health(self, group: Group, model: EngineModel) -> GroupHealth:
+        """Return a group's state; an unlisted member that still answers isn't missing."""
         leader, members = group.leader, group.members
         missing = (rank for rank in range(model.size) if rank not in members)
         return GroupHealth(
             age=self._age_seconds(group.id),
             leader_state=group.state,
-            leader_draining=leader is not None and leader.draining,
-            member_lost=any(member in self._term.lost for member in members.values()),
-            member_missing=any(
+            is_leader_draining=leader is not None and leader.draining,
+            has_lost_member=any(member in self._term.lost for member in members.values()),
+            has_missing_member=any(
                 not self._term.unlisted.has_member(group.id, rank) for rank in missing
             ),
-            list_settled=self._view.is_settled,
+            is_list_settled=self._view.is_settled,
         )
 
     def _age_seconds(self, group: GroupId) -> float:
-        """Return for how many seconds this term has known a group that it isn't forming."""
+        """Return the seconds since this term first saw a group that it isn't forming."""
         now = self._clock()
         return now - self._first_seen_at.setdefault(group, now)
 
@@ -123,7 +125,10 @@
                 self._term.ending.end(group, reason, [])
 
     def examine(self, group_id: GroupId) -> None:
-        """Probe the members of a suspected group, at most once per interval."""
+        """Probe the members of a suspected group.
+
+        Does nothing if they were probed within :data:`EXAMINE_INTERVAL_SECONDS`.
+        """
         now = self._clock()
         group = self._view.roster.groups.get(group_id)
         if group is None or now - self._examined_at.get(group_id, 0.0) < EXAMINE_INTERVAL_SECONDS:
--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -36,7 +36,7 @@
 ENGINE = Engine(13, MODELS, loads_per_second=4.0, loads_at_once=6)
 STALL_SECONDS = 5.0
 FORM_SECONDS = 0.3
-REPORT_LAG_SECONDS = 0.2
+MAX_REPORT_LAG_SECONDS = 0.2
 FIRST_BORN = 1_800_000_000_000
 
 
@@ -51,6 +51,7 @@
     unreachable: bool = False
     cut_from_store: bool = False
     draining: bool = False
+    # Whether it accepts no connections.
     refuses: bool = False
     order_count: int = 0
     # Order count before the latest order, and the time of that order.
@@ -62,8 +63,10 @@
     members: tuple[str, ...] = ()
     state: GroupState | None = None
     seen_epoch: int = 0
+    # Group of the latest order to join, also after leaving it.
     former: GroupId | None = None
     broken_since: float | None = None
+    # No heartbeat is sent before this time.
     silent_until: float = 0.0
     born: int = FIRST_BORN
     pace: float = 1.0
@@ -89,15 +92,15 @@
         return Membership(self.group, self.members.index(self.id), self.state)
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether it is the leader of its group, in any state."""
         return bool(self.members) and self.members[0] == self.id
 
     @property
     def reported_count(self) -> int:
         """The number of orders begun as reported, which lags behind."""
-        behind = self.world.now() - self.counted_at < REPORT_LAG_SECONDS
-        return self.former_count if behind else self.order_count
+        is_lagging = self.world.now() - self.counted_at < MAX_REPORT_LAG_SECONDS
+        return self.former_count if is_lagging else self.order_count
 
     def entry(self) -> Endpoint:
         return Endpoint(
@@ -114,8 +117,8 @@
         )
 
     def receive_order(self, order, expected) -> Outcome:
-        again = isinstance(order, Join) and order.group == self.group
-        if expected is not None and expected != self.order_count and not again:
+        is_repeated = isinstance(order, Join) and order.group == self.group
+        if expected is not None and expected != self.order_count and not is_repeated:
             return Outcome.CONFLICT
         outcome = self._carry_out(order)
         if outcome is Outcome.BEGUN or (isinstance(order, Leave) and outcome is Outcome.DONE):
@@ -156,9 +159,9 @@
         self.world.check_exclusive(self, order)
         self.world.check_distinct(order)
         self.seen_epoch = order.group.epoch
-        same, cold = self.model == order.model, order.model not in self.staged
-        seconds = 0.2 if same else self._load_seconds(order.model)
-        if cold:
+        has_model, is_cold = self.model == order.model, order.model not in self.staged
+        seconds = 0.2 if has_model else self._load_seconds(order.model)
+        if is_cold:
             self.staged = (order.model,)
         self.group, self.members, self.model = order.group, order.members, order.model
         self.former, self.state = order.group, GroupState.JOINING
@@ -166,8 +169,8 @@
         return Outcome.BEGUN
 
     def _load_seconds(self, model: str) -> float:
-        terms = self.world.engine.model(model)
-        return terms.warm if model in self.staged else terms.load / 10
+        engine_model = self.world.engine.model(model)
+        return engine_model.warm if model in self.staged else engine_model.load / 10
 
     def _stage(self, model: str) -> None:
         self.staged = (model,)
@@ -205,12 +208,14 @@
 
     def detect_missing_members(self) -> None:
         """Mark the group as broken if this is its leader and a member is missing for too long."""
-        if not self.alive or self.state is not GroupState.OPEN or not self.leads:
+        if not self.alive or self.state is not GroupState.OPEN or not self.is_leader:
             self.broken_since = None
             return
         members = [self.world.workers.get(name) for name in self.members]
-        whole = all(member and member.alive and member.group == self.group for member in members)
-        if whole:
+        is_complete = all(
+            member and member.alive and member.group == self.group for member in members
+        )
+        if is_complete:
             self.broken_since = None
         elif self.broken_since is None:
             self.broken_since = self.world.now()
@@ -248,6 +253,7 @@
         self._node = node
 
     async def _reach(self, endpoint: Endpoint, timeout: float) -> Worker:
+        """Return an endpoint's worker, or raise the error of a call that doesn't reach it."""
         await self._node.thawed()
         await asyncio.sleep(0.002)
         worker = self._world.workers[endpoint.id]
@@ -270,14 +276,14 @@
         if not processor.call_seconds:
             return await call()
 
-        async def whole():
+        async def call_with_processing():
             await processor.work()
             answer = await call()
             await processor.work()
             return answer
 
         try:
-            return await asyncio.wait_for(whole(), timeout)
+            return await asyncio.wait_for(call_with_processing(), timeout)
         except TimeoutError:
             raise EndpointTimeoutError("silent") from None
 
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -112,7 +112,7 @@
     for node in world.nodes:
         node.view.mark_draining(leader.entry().incarnation)
     if refuses:
-        world.drain_and_work_on(leader, refuses, requests=0)
+        world.stop_listening_and_end(leader, refuses, requests=0)
     started_at, former = world.now(), leader.group
     while _open_large_group(world) in (None, former) and world.now() < started_at + TIMEOUT_SECONDS:
         await world.pass_time(0.1)
@@ -123,7 +123,7 @@
 
 def _open_large_group(world):
     """Return the group of the large model whose leader answers; None without one."""
-    answering = (worker for worker in world.workers.values() if worker.alive and worker.leads)
+    answering = (worker for worker in world.workers.values() if worker.alive and worker.is_leader)
     groups = (worker.group for worker in answering if worker.state is GroupState.OPEN)
     return next((group for group in groups if group and _model(world, group) == "large"), None)
 
--- a/tests/test_group_ends.py
+++ b/tests/test_group_ends.py
@@ -1,7 +1,4 @@
-"""How misleading signs that an endpoint or a group has ended are handled, in virtual time.
-
-docs/PLATFORM.md lists the signs; each test here makes one of them misleading.
-"""
+"""Misleading signs that an endpoint or a group has ended, in virtual time."""
 
 import pytest
 
@@ -83,7 +80,7 @@
     return world, running
 
 
-def test_controller_does_not_act_on_what_was_known_before_its_term():
+def test_controller_does_not_act_on_a_view_from_before_its_term():
     world, running = virtual_time.run(_controller_begins_behind_its_term())
     assert world.broken == []
     assert running["large"] == 2
@@ -143,7 +140,7 @@
     world.stalled_workers.add(leader.id)
     world.cut_from_store(leader, 60.0)
     stops_listening = UNLISTED_AFTER_SECONDS - 0.1
-    world.later(stops_listening, lambda: world.drain_and_work_on(leader, 8.0, requests=1))
+    world.later(stops_listening, lambda: world.stop_listening_and_end(leader, 8.0, requests=1))
     await world.pass_time(UNLISTED_AFTER_SECONDS + 8.0 + 6.0)
     running = world.running_groups()
     await world.stop()
@@ -187,12 +184,12 @@
     node = controller_node(world)
     node.end_unanswered = True
     node.election.stopping = True
-    both = 0
+    polls_with_two = 0
     for _ in range(200):
         await world.pass_time(0.01)
-        both += sum(other.election.is_controller for other in world.nodes) > 1
+        polls_with_two += sum(other.election.is_controller for other in world.nodes) > 1
     await world.stop()
-    return both
+    return polls_with_two
 
 
 def test_controller_that_hands_over_stops_acting_first():
@@ -236,7 +233,7 @@
     return term, created
 
 
-def test_record_of_a_former_process_is_not_taken_for_the_own():
+def test_record_of_a_former_process_does_not_make_a_daemon_controller():
     term, created = virtual_time.run(_create_finds_the_record_of_a_former_process())
     assert term != created
 
@@ -249,7 +246,7 @@
     rng = world.random
     seconds = rng.uniform(0.5, 6.0)
     node = rng.choice([*world.nodes, *_controllers(world)])
-    leaders = [worker for worker in world.workers.values() if worker.alive and worker.leads]
+    leaders = [worker for worker in world.workers.values() if worker.alive and worker.is_leader]
     match rng.randrange(7):
         case 0:
             _set_for(world, node, "reads_refused", seconds)
