--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -170,7 +170,7 @@
         add("loop_late_seconds", "At most, of the last second", self._recent_lateness)
         add("datagrams_rejected", "From unknown senders", lambda: self._peers.rejected_count)
         add("requests_quarantined", "Held back", lambda: len(self._quarantine.held))
-        add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered)
+        add("relayed_answers", "Given to other daemons", lambda: self._relay_server.answered_count)
 
     def _recent_lateness(self) -> float:
         return self._detector.lateness.max_lateness_since(self._clock() - LATENESS_WINDOW_SECONDS)
--- a/packages/gateway/src/thorncleat_gateway/store/relay_server.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_server.py
@@ -28,7 +28,7 @@
     """Answers daemons that request a snapshot, or the changes since a position.
 
     :param daemons: returns the registered daemons; other hosts get no answer.
-    :ivar answered: how many requests were answered.
+    :ivar answered_count: how many requests were answered with changes or a snapshot.
     """
 
     def __init__(self, view: StoreView, daemons: t.Callable[[], t.Iterable[Daemon]]) -> None:
@@ -42,15 +42,15 @@
         # The last encoded snapshot, and its position.
         self._snapshot_body = b""
         self._snapshot_position: Position | None = None
-        self.answered = 0
+        self.answered_count = 0
         view.on_batch(self._record_batch)
 
-    def _record_batch(self, after: Position | None, batch: Changes) -> None:
-        if after is None:
+    def _record_batch(self, since: Position | None, batch: Changes) -> None:
+        if since is None:
             self._log.restart_at(batch.position)
         else:
             self._log.add(batch.position, batch.changes)
-        if batch.position > self._position or after is None:
+        if batch.position > self._position or since is None:
             self._position = batch.position
             self._encoded.clear()
             self._changed.set()
@@ -61,7 +61,7 @@
         if request.path not in relay_answer.PATHS:
             return web.Response(status=404)
         if request.path in relay_answer.SNAPSHOT_PATHS and not self._view.is_loaded:
-            # Before the first read no registered daemon is known.
+            # The registered daemons are unknown before the first read.
             await self._wait(READ_WAIT_SECONDS)
         if not self._is_registered(request.remote):
             return web.Response(status=404)
@@ -82,7 +82,7 @@
         if since is not None:
             self._view.era.observe(since.era)
         if not await self._wait_for_newest_era():
-            return web.Response(status=relay_answer.BEHIND)
+            return web.Response(status=relay_answer.STATUS_BEHIND)
         if since is None:
             return self._response(self._encode_snapshot())
         return self._response(await self._changes_since(since, _read_wait(request.query)))
@@ -106,8 +106,8 @@
         :param earlier: whether the answer goes to a daemon of an earlier build.
         """
         if body is None:
-            return web.Response(status=relay_answer.HISTORY_GONE)
-        self.answered += 1
+            return web.Response(status=relay_answer.STATUS_HISTORY_COMPACTED)
+        self.answered_count += 1
         age = self._view.age()
         if earlier:
             return web.Response(body=relay_answer.write_earlier(age, body))
@@ -116,7 +116,7 @@
         return web.Response(body=relay_answer.write(age, era, settling_times, version, body))
 
     async def _wait_for_newest_era(self) -> bool:
-        """Wait shortly for the newest era, and return whether the store was read in it."""
+        """Wait briefly for the newest era, and return whether the store was read in it."""
         if self._view.era.is_over(self._position.era):
             await self._wait(READ_WAIT_SECONDS)
         return not self._view.era.is_over(self._position.era)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -387,7 +387,7 @@
             made.registered = [Daemon("another", "127.0.0.9", 1)]
             await made.feed.changes(FIRST, STORE_WAIT)
             assert made.own_store.calls == 1
-            assert made.server.answered == 0
+            assert made.server.answered_count == 0
 
     async def test_snapshot_comes_from_a_relay_that_the_records_name(self):
         async with site() as made:
