--- a/packages/gateway/src/thorncleat_gateway/ports/engines.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/engines.py
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Close:
-    """Let a group's leader refuse new requests and finish its running ones."""
+    """Make a group's leader refuse new requests and finish its running ones."""
 
     group: GroupId
 
@@ -99,12 +99,12 @@
 class Engines(t.Protocol):
     """Reports from engines and orders to them.
 
-    Every call raises :class:`EndpointTimeoutError`, :class:`EndpointReplacedError` and
+    Every call may raise :class:`EndpointTimeoutError`, :class:`EndpointReplacedError` or
     :class:`EndpointRefusedError`.
     """
 
     def on_answer(self, listener: t.Callable[[Endpoint, AnswerMeta], None]) -> None:
-        """Call a function with the endpoint and the headers' meaning of each answer."""
+        """Call a function with each answer's endpoint and the meaning of its headers."""
         ...
 
     async def report(self, endpoint: Endpoint, timeout: float) -> EngineReport:
--- a/packages/gateway/src/thorncleat_gateway/ports/headers.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/headers.py
@@ -45,19 +45,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnswerMeta:
-    """The meaning of an endpoint's headers.
+    """The meaning of the headers of an endpoint's answer.
 
     :param request_id: id of the answered request, or None if not reported.
     :param signed: whether the answer carries the endpoint's signature.
     :param not_run: whether the endpoint reports that it did not run the request.
     :param encoded: whether the body is compressed or has another encoding.
     :param retry_after: seconds for which the endpoint accepts no requests of this daemon, or None.
-    :param draining: whether the endpoint reports that it is about to end.
-    :param speaks_for: id of the endpoint that the answer blames, or None.
+    :param draining: whether the endpoint reports that it drains.
+    :param speaks_for: id of the endpoint that caused the failure, or None if not reported.
     :param rate_limit: requests a second that the endpoint accepts from all daemons together, or
         None if the answer names no valid limit.
     :param names_rate_limit: whether the answer names a limit, valid or not.
-    :param misdirected: whether another endpoint answers at the address.
+    :param misdirected: whether another endpoint than the addressed one answered.
     """
 
     request_id: str | None
@@ -73,7 +73,7 @@
 
 
 class HeaderCodec(t.Protocol):
-    """The names that callers and endpoints use in their headers."""
+    """Translates between the platform's headers and their meaning."""
 
     def read_request(self, headers: t.Mapping[str, str]) -> RequestMeta:
         """Return the meaning of a caller's headers."""
@@ -84,7 +84,7 @@
         ...
 
     def read_answer(self, status: int, headers: t.Mapping[str, str]) -> AnswerMeta:
-        """Return the meaning of an endpoint's headers."""
+        """Return the meaning of the headers of an endpoint's answer."""
         ...
 
     def for_caller(self, status: int, headers: Headers) -> Headers:
--- a/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_changes.py
@@ -19,7 +19,7 @@
 
 
 def proven_wait_seconds(wait: float, took: float, *, changed: bool) -> float:
-    """Return the seconds after a call was sent for which its answer rules out further changes.
+    """Return the seconds after a call was sent up to which its answer rules out further changes.
 
     An answer that came before the end of the wait, or that has changes, proves nothing beyond the
     time at which the call was sent.
@@ -76,8 +76,9 @@
 class SettlingTimes:
     """The seconds left until missing endpoints count as removed.
 
-    :param settled_in: until any endpoint that isn't listed counts as removed.
-    :param rewritten_in: until entries that expired in an outage of the store are written again.
+    :param settled_in: seconds until any endpoint that isn't listed counts as removed.
+    :param rewritten_in: seconds until entries that expired in an outage of the store are written
+        again.
     """
 
     settled_in: float
@@ -88,13 +89,13 @@
 class Changes:
     """Changes in the store's order.
 
-    :param position: where to continue.
+    :param position: the store's position with these changes, from which to continue.
     :param proven_seconds: seconds after the call was sent up to which there was no other change;
         negative for a time before the call.
-    :param settling_times: of the daemon that answered; None if the store did.
+    :param settling_times: those of the daemon that answered; None if the store answered.
     :param configuration: version of the configuration in force at the daemon that answered; 0 if
-        the store did. After a restore of the store it is later than the stored one until the
-        operator writes that again.
+        the store answered. After a restore of the store it may be higher than the stored version,
+        until the operator writes the lost configuration again.
     """
 
     position: Position
@@ -107,8 +108,8 @@
 class ChangeFeed(t.Protocol):
     """Changes of the configuration, the endpoints and the gateway's records in the store.
 
-    Every method raises :class:`StoreUnavailableError` without an answer, or with one of an era that
-    is over.
+    Every method raises :class:`StoreUnavailableError` if the store doesn't answer, or answers in an
+    era that is over.
     """
 
     @property
--- a/packages/gateway/src/thorncleat_gateway/ports/store_position.py
+++ b/packages/gateway/src/thorncleat_gateway/ports/store_position.py
@@ -1,4 +1,4 @@
-"""Positions in the store's order of changes, and leases; both are valid in one era only.
+"""Positions in the store's order of changes, and leases; both are valid in a single era.
 
 When the store is restored from an older copy, it begins a new era and reuses revisions and lease
 ids, so these can only be compared together with their era.
--- a/packages/gateway/src/thorncleat_gateway/store/__init__.py
+++ b/packages/gateway/src/thorncleat_gateway/store/__init__.py
@@ -1,5 +1,5 @@
-"""What this daemon knows of the platform's store, and how the knowledge is shared.
+"""This daemon's copy of the platform's store, and the exchange of changes between daemons.
 
 :mod:`.view` follows the store through a feed. :mod:`.relay_feed` is a feed that asks another
-daemon while one answers, and :mod:`.relay_server` answers such daemons.
+daemon, or the store if no daemon answers. :mod:`.relay_server` answers other daemons.
 """
--- a/packages/gateway/src/thorncleat_gateway/store/change_log.py
+++ b/packages/gateway/src/thorncleat_gateway/store/change_log.py
@@ -1,4 +1,4 @@
-"""The changes that a daemon has learnt lately, in order, for daemons that ask it for changes.
+"""The latest changes that a daemon has read, in order, for daemons that ask it for changes.
 
 Owns: the newest batches of changes.
 Relies on: nothing.
--- a/packages/gateway/src/thorncleat_gateway/store/fleet_knowledge.py
+++ b/packages/gateway/src/thorncleat_gateway/store/fleet_knowledge.py
@@ -1,8 +1,7 @@
 """How far a daemon may rely on its list of daemons when it divides a fixed limit among them.
 
-Each daemon computes its own share from its list without asking the others. The shares add up to
-the limit only if every two daemons that use one are in each other's lists. So a daemon uses its
-share only while its list is recent and it has been registered for longer than a recent list's age.
+The shares add up to the limit only if all daemons that use their shares list each other. So a
+share is used only with a recent list, and once every other recent list holds this daemon.
 
 Owns: nothing.
 Relies on: :mod:`.registration` for the lease, and :mod:`.freshness` for the age of the list.
--- a/packages/gateway/src/thorncleat_gateway/store/former_eras.py
+++ b/packages/gateway/src/thorncleat_gateway/store/former_eras.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of the store's former eras and the store itself has lost.
+"""The revisions and records of former eras of the store, which a restore may have lost.
 
 Owns: the last revision that was read in each former era, and the records that are still lost.
 Relies on: :class:`.view.StoreView` for the ends of eras and for the records that are written.
@@ -10,7 +10,7 @@
 
 
 class FormerEras:
-    """Remembers the revisions and records that were known when an era ended.
+    """Remembers the revision and the records that this daemon had read when an era ended.
 
     :ivar revisions: the last revision that was read in each former era.
     :ivar lost_records: the records of former eras that the store doesn't hold yet, by key.
@@ -21,7 +21,7 @@
         self.lost_records: dict[str, RecordChanged] = {}
 
     def record_end(self, revision: int, records: t.Mapping[str, RecordChanged]) -> None:
-        """Record what was known at the end of an era."""
+        """Record the last revision and the records that were read in an era that has ended."""
         self.revisions.append(revision)
         self.lost_records |= records
 
--- a/packages/gateway/src/thorncleat_gateway/store/freshness.py
+++ b/packages/gateway/src/thorncleat_gateway/store/freshness.py
@@ -1,8 +1,7 @@
 """How old this daemon's copy of the store may be, and whether an unlisted endpoint is removed.
 
 During an outage of the store the entries of running endpoints may expire, so missing endpoints
-stay listed until shortly after the store's return. Daemons pass on the time left, since a daemon
-that counted from its own first answer would start that time again.
+stay listed until shortly after the store's return.
 
 Owns: nothing; each call or failure leads to another :class:`Freshness`.
 Relies on: times of this daemon's own clock, and on
@@ -21,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Freshness:
-    """What the calls to the store so far have shown; times on this daemon's clock.
+    """The freshness of a copy after the calls so far; times on this daemon's clock.
 
     :param current_as_of: time up to which every change is known.
     :param settled_at: time until which a missing endpoint may still be listed again.
@@ -51,7 +50,10 @@
         return None if now >= self.rewritten_at else self.rewritten_at
 
     def settling_times(self, now: float) -> SettlingTimes:
-        """Return the time left until both times, for a daemon that asks this one."""
+        """Return the time left until both times, for a daemon that asks this one.
+
+        A daemon that counted from its own first answer would start that time again.
+        """
         return SettlingTimes(max(0.0, self.settled_at - now), max(0.0, self.rewritten_at - now))
 
     def after_failure(self, now: float) -> "Freshness":
@@ -71,7 +73,7 @@
         """Return the freshness after an answered call.
 
         :param proven_at: time up to which the answer holds every change.
-        :param reported: times of the daemon that answered; None if the store did.
+        :param reported: settling times of the daemon that answered; None if the store answered.
         :param restored: whether the store was restored from a copy since the last answer.
         """
         settled_at, rewritten_at = self.settled_at, self.rewritten_at
--- a/packages/gateway/src/thorncleat_gateway/store/registration.py
+++ b/packages/gateway/src/thorncleat_gateway/store/registration.py
@@ -1,6 +1,6 @@
 """The registration of daemons: each keeps a record of its address under a lease in the store.
 
-A relay keeps a second record, by which a starting daemon finds the relays with one call.
+A relay keeps a second record, so that a starting daemon finds the relays with one call.
 
 Owns: this daemon's records and their lease, and the records of all daemons as last read.
 Relies on: :class:`RecordStore` for the lease, and on :class:`.view.StoreView` for the records.
@@ -84,13 +84,13 @@
         """Read the daemons from the view's records."""
         self._daemons = _read_daemons(self._view.records.values(), DAEMONS)
         self._addresses = {
-            name: (daemon.host, daemon.port) for name, daemon in self._daemons.items()
+            daemon_id: (daemon.host, daemon.port) for daemon_id, daemon in self._daemons.items()
         }
         own_domain = self._settings.failure_domain
         self._domain_peers = frozenset(
-            name
-            for name, daemon in self._daemons.items()
-            if daemon.failure_domain == own_domain and name != self._settings.id
+            daemon_id
+            for daemon_id, daemon in self._daemons.items()
+            if daemon.failure_domain == own_domain and daemon_id != self._settings.id
         )
         self._sources = None
 
@@ -116,7 +116,7 @@
 
     def capacities(self) -> dict[str, float]:
         """Return the capacity of each registered daemon and of this daemon, by id."""
-        capacities = {name: daemon.capacity for name, daemon in self.daemons().items()}
+        capacities = {daemon_id: daemon.capacity for daemon_id, daemon in self.daemons().items()}
         return capacities | {self._settings.id: self._settings.capacity}
 
     def sources(self, *, is_controller: bool) -> tuple[Daemon, ...]:
@@ -145,7 +145,7 @@
         return order_by_proximity(relays.values(), self.own)
 
     @mode.Service.task
-    async def _keep_task(self) -> None:
+    async def _registration_task(self) -> None:
         while not self.should_stop:
             try:
                 await self._hold_lease()
@@ -204,8 +204,9 @@
     async def _wait_while_registered(self, seconds: float, key: str, lease: Lease) -> bool:
         """Wait for some seconds, or until the view shows that the record is lost.
 
-        Relays answer registered daemons only, so a lost record has to be written at once. The end
-        of its era loses a record too, since its lease may belong to another daemon in the next.
+        Relays answer registered daemons only, so a lost record has to be written at once. A record
+        is also lost at the end of its era, since in the next era its lease may belong to another
+        daemon.
 
         :returns: whether the record wasn't lost.
         """
@@ -238,14 +239,14 @@
     for record in records:
         if not record.key.startswith(prefix) or not record.value:
             continue
-        name = record.key.removeprefix(prefix)
-        daemon = _decode_daemon(name, record.value)
+        daemon_id = record.key.removeprefix(prefix)
+        daemon = _decode_daemon(daemon_id, record.value)
         if daemon is not None:
-            found[name] = daemon
+            found[daemon_id] = daemon
     return found
 
 
-def _decode_daemon(name: str, value: bytes) -> Daemon | None:
+def _decode_daemon(daemon_id: str, value: bytes) -> Daemon | None:
     """Return the daemon that a record describes; None if the record can't be decoded.
 
     A failure isn't logged, since the record is decoded again at each change of any record.
@@ -256,5 +257,5 @@
         return None
     match parts:
         case [str(host), int(port), str(failure_domain), float() | int() as capacity]:
-            return Daemon(name, host, port, failure_domain, capacity)
+            return Daemon(daemon_id, host, port, failure_domain, capacity)
     return None
--- a/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_answer.py
@@ -1,7 +1,7 @@
 """The form of a relay's answer: a head with its age, era, settling times and version, then changes.
 
-Daemons of earlier builds don't know eras. They use other paths and get an earlier form, but they
-aren't asked for changes, since their answers may be of any era.
+Daemons of earlier builds don't know eras. They request other paths and get an earlier form, but
+they aren't asked for changes, since their answers don't name an era.
 
 Owns: nothing.
 Relies on: :mod:`.change_codec` for the changes, and on :mod:`thorncleat_core.codec` within it.
@@ -29,11 +29,12 @@
 EARLIER_PATHS = (EARLIER_CHANGES_PATH, EARLIER_SNAPSHOT_PATH)
 SNAPSHOT_PATHS = (SNAPSHOT_PATH, EARLIER_SNAPSHOT_PATH)
 PATHS = (CHANGES_PATH, SNAPSHOT_PATH, *EARLIER_PATHS)
-STATUS_OK = 200  # HTTP status
-# The requesting daemon has to read a snapshot: its position is too old, or its era is over.
-HISTORY_GONE = 410  # HTTP status
-# The relay hasn't read the era of the requesting daemon yet.
-BEHIND = 409  # HTTP status
+STATUS_OK = 200
+# Status if the requesting daemon has to read a snapshot, since its position is too old or its era
+# is over.
+STATUS_HISTORY_COMPACTED = 410
+# Status if the relay hasn't read the era of the requesting daemon yet.
+STATUS_BEHIND = 409
 # Age in seconds, era, both settling times in seconds, and version of the configuration.
 _HEAD = struct.Struct("!dqddq")
 # Answers with longer settling times are rejected.
@@ -47,7 +48,7 @@
     """A relay's changes since a position.
 
     :param age: seconds for which a change may be unknown to the relay.
-    :param position: where to continue.
+    :param position: the store's position with these changes, from which to continue.
     :param settling_times: the relay's settling times.
     :param configuration: version of the configuration in force at the relay.
     """
@@ -87,7 +88,7 @@
     :raises RelayError: if the answer can't be used, and another source has to be asked.
     :raises HistoryCompactedError: if the relay no longer holds all changes that were asked for.
     """
-    if status == HISTORY_GONE:
+    if status == STATUS_HISTORY_COMPACTED:
         raise HistoryCompactedError(f"relay {relay_id} does not remember so far back")
     if status != STATUS_OK or len(body) < _HEAD.size:
         raise RelayError(f"relay {relay_id} answered {status}")
--- a/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relay_feed.py
@@ -23,14 +23,14 @@
 from .store_era import StoreEra
 
 STORE = "store"
-# How many relays are asked for a snapshot before the store, where it takes a call for each page.
+# How many relays are asked for a snapshot before the store, which takes a call for each page.
 MAX_SNAPSHOT_RELAYS = 2
 # The timeout is short, since after a power failure a relay may not have started yet.
 SNAPSHOT_CONNECT_TIMEOUT_SECONDS = 0.15
 
 
 class RelayFeed:
-    """Reads changes from a relay while it answers and is up to date, and else from the store.
+    """Reads changes from a relay, or from the store if no relay gives a current answer.
 
     :param sources: returns the relays to ask, the preferred one first; none to ask the store.
     :param listed_sources: returns the relays to ask before the first snapshot, as the store lists
@@ -53,6 +53,7 @@
         self._session = LazySession(keep_connections=True)
         # Times until which failed relays aren't asked, by their ids.
         self._avoided_until: dict[str, float] = {}
+        # The id of the relay that answered last, or STORE; empty before the first answer.
         self._current_source = ""
 
     @property
@@ -96,10 +97,10 @@
                 self._record_source(relay.id, "answers")
                 return found
             if self._clock() - started_at > self._settings.patience:
-                # The relay timed out, and the next one may do so too.
+                # The relay timed out, and the next one may time out too.
                 break
         self._record_source(STORE, str(failure) if failure else "no relay to ask")
-        # The failed relays have already taken the time to wait.
+        # The failed relays have already used up the wait.
         return await self._store.changes(since, 0.0 if failure else wait)
 
     def _available_relays(self) -> list[Daemon]:
@@ -110,7 +111,7 @@
     def _avoid(self, relay: Daemon) -> None:
         now = self._clock()
         self._avoided_until = {
-            name: until for name, until in self._avoided_until.items() if until > now
+            relay_id: until for relay_id, until in self._avoided_until.items() if until > now
         }
         self._avoided_until[relay.id] = now + self._settings.avoid
 
--- a/packages/gateway/src/thorncleat_gateway/store/relays.py
+++ b/packages/gateway/src/thorncleat_gateway/store/relays.py
@@ -31,7 +31,7 @@
 class Daemon:
     """A registered daemon as its record describes it.
 
-    :param capacity: relative to that of other daemons.
+    :param capacity: weight relative to the other daemons.
     """
 
     id: str
--- a/packages/gateway/src/thorncleat_gateway/store/roster.py
+++ b/packages/gateway/src/thorncleat_gateway/store/roster.py
@@ -1,8 +1,6 @@
 """The endpoints as the platform lists them, and the groups that their entries name.
 
-Groups aren't stored: they are built from the entries of their members. A draining endpoint stays
-draining for the rest of its incarnation, whatever older entry the store shows. After a restore of
-the store an entry of a removed endpoint counts only once it is written again or outlasts its TTL.
+Groups aren't stored: they are built from the entries of their members.
 
 Owns: the listed endpoints, those that reported that they drain, and recently removed ones.
 Relies on: :mod:`.view` for each change of the list and for when a missing endpoint is removed.
@@ -57,8 +55,8 @@
 
     An endpoint may restart under its id. Its new incarnation is in no group and has begun no order.
 
-    :param born: Unix milliseconds of its start; None if the endpoint doesn't report it, and each
-        start then has an id of its own.
+    :param born: Unix milliseconds of its start; None if the endpoint doesn't report it, and then
+        has a new id after each start.
     """
 
     endpoint_id: str
@@ -77,15 +75,14 @@
 class Endpoint:
     """An endpoint as it describes itself in the list.
 
-    :param id: of the endpoint, which may keep it across restarts.
-    :param order_count: of the entry, where it rises with heartbeats too; only the count of an
-        :class:`EngineReport` can be the condition of an order. Unused, kept for
-        :mod:`.change_codec`.
+    :param id: id of the endpoint, which may keep it across restarts.
+    :param order_count: unused, kept for :mod:`.change_codec`. It rises with heartbeats too, unlike
+        the count of an :class:`EngineReport`, which can be the condition of an order.
     :param fabric_domain: the domain whose instances one group may span.
-    :param models: the loaded ones.
+    :param models: the loaded models.
     :param staged: models that are stored on its host.
-    :param slots: requests that it runs at once; unused, since a group's count applies, and kept
-        for :mod:`.change_codec`.
+    :param slots: how many requests it runs at once; unused, since the slots of the service's engine
+        apply, and kept for :mod:`.change_codec`.
     :param born: Unix milliseconds of its start; None if not reported.
     """
 
@@ -109,9 +106,9 @@
 
     @property
     def is_serving_leader(self) -> bool:
-        """Whether it answers requests for its group now."""
-        member = self.membership
-        return member is not None and member.rank == 0 and member.state is GroupState.OPEN
+        """Whether the endpoint is the leader of an open group."""
+        place = self.membership
+        return place is not None and place.rank == 0 and place.state is GroupState.OPEN
 
 
 @dataclasses.dataclass
@@ -145,7 +142,9 @@
 class _UnconfirmedEntry:
     """An entry of a removed endpoint that reappeared when the store was restored.
 
-    :param confirmed_at: time at which the entry counts, unless it has expired by then.
+    The endpoint is listed only once its entry is written again or outlasts its TTL.
+
+    :param confirmed_at: time at which the TTL has passed.
     """
 
     endpoint: Endpoint
@@ -164,7 +163,7 @@
 
 
 class Roster:
-    """The known endpoints by id.
+    """The listed endpoints, and those that are missing or were removed recently.
 
     :ivar removed: the endpoints that were removed recently.
     """
@@ -174,7 +173,7 @@
         self._groups: dict[GroupId, Group] | None = None
         # Removal times of endpoints that aren't listed at present.
         self._missing: dict[str, float] = {}
-        # Entries, as the store holds them, of endpoints that reported that they drain.
+        # The stored entries of endpoints that reported in an answer that they drain.
         self._reported_draining: dict[str, Endpoint] = {}
         self._unconfirmed: dict[str, _UnconfirmedEntry] = {}
         self.removed: dict[str, RemovedEndpoint] = {}
@@ -186,7 +185,7 @@
 
     @property
     def stored_entries(self) -> t.Iterable[Endpoint]:
-        """The entries as the store holds them, without reported draining.
+        """The entries as they are stored, without draining that was only reported in answers.
 
         Unconfirmed entries are included: a reader of the snapshot gets no change when they are
         confirmed.
@@ -211,7 +210,7 @@
     def groups(self) -> t.Mapping[GroupId, Group]:
         """The groups that listed endpoints name."""
         if self._groups is None:
-            self._groups = _group_members(self._endpoints.values())
+            self._groups = _build_groups(self._endpoints.values())
         return self._groups
 
     def put(self, endpoint: Endpoint) -> bool:
@@ -220,10 +219,10 @@
         An entry of an earlier incarnation is stored too, since the store may carry out a write
         late. The endpoint's next heartbeat corrects it, whereas a skipped entry would not return.
 
-        :returns: whether it is of another incarnation than the entry before.
+        :returns: whether it describes another incarnation than the entry before.
         """
-        known = self._endpoints.get(endpoint.id)
-        restarted = known is not None and known.incarnation.is_superseded_by(endpoint.incarnation)
+        before = self._endpoints.get(endpoint.id)
+        restarted = before is not None and before.incarnation.is_superseded_by(endpoint.incarnation)
         self._endpoints[endpoint.id] = self._apply_reported_draining(
             self._carry_over_draining(endpoint)
         )
@@ -234,7 +233,10 @@
         return restarted
 
     def _carry_over_draining(self, listed: Endpoint) -> Endpoint:
-        """Return an entry with the draining of an earlier entry of the same incarnation."""
+        """Return an entry with the draining of an earlier entry of the same incarnation.
+
+        The store may show an older entry again, but draining lasts until the incarnation ends.
+        """
         removed = self.removed.get(listed.id)
         before = self._endpoints.get(listed.id, removed.endpoint if removed is not None else None)
         before = self._reported_draining.get(listed.id, before)
@@ -260,9 +262,9 @@
     def mark_draining(self, incarnation: Incarnation) -> bool:
         """Record that an incarnation reported that it drains.
 
-        A report of a superseded incarnation is ignored.
+        A report of another incarnation than the listed one is ignored.
 
-        :returns: whether the endpoint wasn't known to drain before.
+        :returns: whether this changes the listed endpoint.
         """
         endpoint = self._endpoints.get(incarnation.endpoint_id)
         if (
@@ -344,7 +346,9 @@
         return unconfirmed is not None and unconfirmed.endpoint == listed
 
     def expire(self, now: float) -> bool:
-        """Remove endpoints that stayed missing, and confirm entries that outlasted their TTL.
+        """Remove endpoints whose removal time has come, and list confirmed ones.
+
+        An unconfirmed entry that outlasts its TTL in the store is confirmed.
 
         :returns: whether anything changed.
         """
@@ -363,11 +367,11 @@
         return [endpoint for endpoint in self._endpoints.values() if endpoint.service == service]
 
 
-def _group_members(endpoints: t.Iterable[Endpoint]) -> dict[GroupId, Group]:
+def _build_groups(endpoints: t.Iterable[Endpoint]) -> dict[GroupId, Group]:
     groups: dict[GroupId, Group] = {}
     for endpoint in endpoints:
-        member = endpoint.membership
-        if member is not None:
-            group = groups.setdefault(member.group, Group(member.group))
-            group.members[member.rank] = endpoint
+        place = endpoint.membership
+        if place is not None:
+            group = groups.setdefault(place.group, Group(place.group))
+            group.members[place.rank] = endpoint
     return groups
--- a/packages/gateway/src/thorncleat_gateway/store/serving.py
+++ b/packages/gateway/src/thorncleat_gateway/store/serving.py
@@ -1,7 +1,7 @@
 """The serving configuration: routes, services, engines and the keys of workspaces.
 
 The platform's adapter translates the operators' documents into these data classes. A
-configuration is only replaced by one of a higher version.
+configuration is replaced only by one with a higher version.
 
 Owns: the lookup tables of each configuration.
 Relies on: nothing.
@@ -26,7 +26,7 @@
 class Split:
     """A service's share of a route's traffic.
 
-    :param weight: relative to the other splits of the route.
+    :param weight: weight relative to the other splits of the route.
     """
 
     service: str
@@ -99,13 +99,13 @@
     loads_at_once: int = 1
 
     def model(self, name: str) -> EngineModel | None:
-        """Return the model of a name, or None."""
+        """Return the model with a name, or None."""
         return next((model for model in self.models if model.name == name), None)
 
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """A service that routes send requests to; with an engine its endpoints form groups.
+    """A service that routes send requests to; its endpoints form groups if it has an engine.
 
     :param health_path: path of the health check; unused, kept for :mod:`.change_codec`.
     """
@@ -119,7 +119,7 @@
 class Limits:
     """The limits on callers' requests; sizes in bytes, times in seconds.
 
-    Only ``body_bytes`` is enforced (docs/FINDINGS.md, Open).
+    Only ``body_bytes`` is enforced; the other limits are decoded, but have no effect.
 
     :param header_bytes: greatest size of a request's headers.
     :param body_bytes: greatest size of a request's body.
@@ -156,8 +156,8 @@
     limits: Limits = Limits()
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of a path, or None."""
-        prefixes = self._routes.get(host.lower())
+        """Return the host's route with the longest matching prefix of a path, or None."""
+        prefixes = self._routes_by_host.get(host.lower())
         if prefixes is None:
             return None
         end = len(path)
@@ -181,7 +181,8 @@
         return workspace if hmac.compare_digest(stored_key.encode(), key.encode()) else None
 
     @functools.cached_property
-    def _routes(self) -> dict[str, dict[str, Route]]:
+    def _routes_by_host(self) -> dict[str, dict[str, Route]]:
+        """The routes by host in lower case, then by prefix."""
         table: dict[str, dict[str, Route]] = {}
         for route in self.routes:
             table.setdefault(route.host.lower(), {})[route.prefix] = route
--- a/packages/gateway/src/thorncleat_gateway/store/store_era.py
+++ b/packages/gateway/src/thorncleat_gateway/store/store_era.py
@@ -1,7 +1,7 @@
 """The newest era of the store that this daemon has observed.
 
-A later era invalidates positions, leases and the controller's term of the eras before. Every era
-in an answer of the store, of a relay or in a request of another daemon is observed here.
+A later era invalidates positions, leases and the controller's term of earlier eras. Every era
+that an answer or another daemon's request names is observed here.
 
 Owns: the newest era.
 Relies on: eras rising by one each time the store is restored from a copy.
--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -31,7 +31,7 @@
 from .roster import Roster
 from .serving import ServingConfiguration
 
-# The pause after a failed call doubles with each further one.
+# Bounds of the pause after a failed call, which doubles with each further failure.
 MIN_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 0.4
 MAX_EXPIRY_POLL_SECONDS = 0.25
@@ -40,9 +40,9 @@
 
 
 class StoreView(mode.Service):
-    """Follows the store.
+    """Keeps a copy of the store up to date by following its changes.
 
-    :param wait: seconds that a call for changes waits for one.
+    :param wait: how long a call for changes waits for one, in seconds.
     :param coalesce: returns the seconds for which changes are coalesced before the next call.
     :ivar version: rises with each batch of changes.
     :ivar records_version: rises with each change of a record.
@@ -60,7 +60,7 @@
         self._clock = clock
         self._wait = wait
         self._coalesce = coalesce
-        # None while everything has to be read again.
+        # None if the next read must be a snapshot.
         self._position: Position | None = None
         self.era = feed.era
         self.former_eras = FormerEras()
@@ -84,12 +84,12 @@
 
     @property
     def _revision(self) -> int | None:
-        """The store's revision of this copy; None while everything has to be read again."""
+        """The store's revision of this copy; None if the next read must be a snapshot."""
         return None if self._position is None else self._position.revision
 
     @property
     def is_loaded(self) -> bool:
-        """Whether a configuration is known."""
+        """Whether a configuration has been read."""
         return self.configuration is not None
 
     @property
@@ -114,7 +114,7 @@
         return self._freshness.is_settled(self._clock())
 
     async def wait_loaded(self) -> None:
-        """Wait until a configuration is known."""
+        """Wait until a configuration has been read."""
         await self._configured.wait()
 
     async def wait_change(self, seconds: float) -> bool:
@@ -147,13 +147,13 @@
         )
 
     def configuration_version(self) -> float:
-        """Return the version of the configuration, or 0 if none is known."""
+        """Return the version of the configuration, or 0 before the first."""
         return self.configuration.version if self.configuration else 0
 
     def age(self) -> float:
         """Return the seconds for which a newer configuration may have been in force.
 
-        Infinite while this daemon knows only the configuration of a restored store, which may
+        Infinite while this daemon has only the configuration of a restored store, which may
         still hold keys that were revoked in the lost changes.
         """
         now = self._clock()
@@ -168,9 +168,9 @@
         self._listeners.append(listener)
 
     def on_batch(self, listener: t.Callable[[Position | None, Changes], None]) -> None:
-        """Call a function with each answer and the position that it continues.
+        """Call a function with each answer and the position since which it has the changes.
 
-        The position is None for an answer that replaces the whole copy.
+        The position is None for a snapshot, which replaces the whole copy.
         """
         self._batch_listeners.append(listener)
 
@@ -210,7 +210,7 @@
         return min(MAX_EXPIRY_POLL_SECONDS, max(0.0, due_in))
 
     async def _fetch_changes(self) -> bool:
-        """Ask for changes once, and return whether there were any."""
+        """Read the next changes or a snapshot, and return whether there were any changes."""
         sent_at = self._clock()
         if self._position is None:
             answer = await self._feed.snapshot()
@@ -221,14 +221,14 @@
             self._record_answer(sent_at, answer)
             for change in answer.changes:
                 self._apply(change)
-        after, self._position = self._position, answer.position
+        since, self._position = self._position, answer.position
         for listener in self._batch_listeners:
-            listener(after, answer)
+            listener(since, answer)
         if answer.changes:
             self._notify_listeners()
         if answer.configuration > self.configuration_version():
             # This daemon started from a restored store. The relay has a newer configuration, in
-            # which keys may have been revoked.
+            # which keys may have been revoked, so a snapshot is read next.
             self._position = None
         return bool(answer.changes)
 
@@ -240,6 +240,7 @@
         """
         before, self._answered_position = self._answered_position, answer.position
         if before is None and self.era.has_ended and answer.settling_times is None:
+            # The first answer comes from the store itself, which was restored since the start.
             self._possibly_outdated_until = self._clock() + ENTRY_REWRITE_SECONDS
         restored = before is not None and before.era != answer.position.era
         if before is not None and restored:
@@ -302,12 +303,12 @@
         return None if endpoint_id in self._rewritten_ids else self._freshness.removal_time(now)
 
     def _accept_configuration(self, configuration: ServingConfiguration) -> None:
-        """Put a configuration in force unless a newer one is, as after a new snapshot."""
-        known = self.configuration.version if self.configuration else -1
-        if configuration.version <= known:
+        """Put a configuration in force unless the present one is as new or newer."""
+        previous_version = self.configuration.version if self.configuration else -1
+        if configuration.version <= previous_version:
             return
         if self.configuration is not None:
             self._possibly_outdated_until = float("-inf")
         self.configuration = configuration
         self._configured.set()
-        events.CONFIG_IN_FORCE.log(version=configuration.version, before=known)
+        events.CONFIG_IN_FORCE.log(version=configuration.version, before=previous_version)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("steps", "now", "gone", "removed_at"),
+    ("steps", "now", "is_settled", "removed_at"),
     [
         ([], 5.0, MAY_RETURN, None),
         ([(10.0, 10.0)], 10.0, MAY_RETURN, None),
@@ -106,9 +106,11 @@
         "some time after an outage",
     ],
 )
-def test_unlisted_endpoint_is_removed_unless_it_may_be_rewritten(steps, now, gone, removed_at):
+def test_unlisted_endpoint_is_removed_unless_it_may_be_rewritten(
+    steps, now, is_settled, removed_at
+):
     freshness = _after(*steps)
-    assert freshness.is_settled(now) is gone
+    assert freshness.is_settled(now) is is_settled
     assert freshness.removal_time(now) == removed_at
 
 
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -155,14 +155,14 @@
 
 
 @pytest.mark.parametrize(
-    ("own", "count", "told"),
+    ("own", "count", "is_written"),
     [
         pytest.param("e0", 40, True, id="a relay of many daemons"),
         pytest.param("e7", 40, False, id="no relay"),
         pytest.param("e0", 16, False, id="a relay of few daemons, who read the store in a page"),
     ],
 )
-def test_relay_of_a_large_fleet_writes_a_relay_record(own, count, told):
+def test_relay_of_a_large_fleet_writes_a_relay_record(own, count, is_written):
     async def registered():
         view = View()
         for key in list(FLEET)[:count]:
@@ -179,7 +179,7 @@
         await service.stop()
         return registration.RELAYS + own in view.records
 
-    assert virtual_time.run(registered()) is told
+    assert virtual_time.run(registered()) is is_written
 
 
 @pytest.mark.parametrize(
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -61,7 +61,9 @@
         roster.replace([endpoint("a", born=5)], 2.0)
         assert roster.endpoints["a"].draining
 
-    @pytest.mark.parametrize("late", [False, True], ids=["another life", "said in a life before"])
+    @pytest.mark.parametrize(
+        "late", [False, True], ids=["another incarnation", "reported by an earlier one"]
+    )
     def test_another_incarnation_does_not_drain(self, late):
         roster = Roster()
         roster.put(endpoint("a", born=6 if late else 5))
