--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -128,7 +128,7 @@
         clock = self.world.now
         self.client = self.world.client(self)
         self.feed = RelayFeed(
-            settings.relay, self.client, lambda: self.sources, self._listed, clock
+            settings.relay, self.client, lambda: self.sources, self._listed_relays, clock
         )
         self.feed._session = _Connections(self.world, self)
         self.view = StoreView(self.feed, clock, settings.watch, self._coalesce)
@@ -150,7 +150,7 @@
         """The daemons that it asks for changes; none if it is a relay."""
         return self.registration.sources(is_controller=False)
 
-    async def _listed(self):
+    async def _listed_relays(self):
         return self.registration.listed_relays(await self.client.list_records(RELAYS))
 
     def _coalesce(self) -> float:
@@ -213,7 +213,7 @@
         if not self.store.down:
             self.store.put(endpoint.id, EndpointListed(endpoint))
 
-    def say_draining(self, endpoint_id: str) -> None:
+    def drain_endpoint(self, endpoint_id: str) -> None:
         self.publish(dataclasses.replace(self.endpoints[endpoint_id], draining=True))
 
     def leave(self, endpoint_id: str) -> None:
@@ -225,7 +225,7 @@
         """Let the entry of a running endpoint expire."""
         self.store.delete(endpoint_id, EndpointRemoved(endpoint_id))
 
-    def write_again(self) -> None:
+    def rewrite_entries(self) -> None:
         """Write what the store lacks of the operator's and the endpoints' data."""
         if self.store.items.get("config") != self.configuration:
             self.store.put("config", self.configuration)
@@ -252,7 +252,7 @@
         self.store.down = False
         self.store.restore(copy)
         await self.pass_time(REWRITE_SECONDS)
-        self.write_again()
+        self.rewrite_entries()
 
     # Progress of time.
 
--- a/tests/leaving_figures.py
+++ b/tests/leaving_figures.py
@@ -51,7 +51,7 @@
     for endpoint_id in world.endpoints:
         world.expire_entry(endpoint_id)
     await world.pass_time(REWRITE_SECONDS)
-    world.write_again()
+    world.rewrite_entries()
 
 
 @situation("store restored at once")
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -26,7 +26,7 @@
 async def _seconds_until_unused(daemons: int) -> float:
     world = await _restored(daemons, 0.1)
     await world.pass_time(0.5)
-    world.say_draining("w000")
+    world.drain_endpoint("w000")
     used = await world.seconds_in_use("w000", WATCH_SECONDS)
     await world.stop()
     return used[-1]
@@ -97,7 +97,7 @@
         world.store.down = False
         world.store.restore(copy)
         await world.pass_time(draw.uniform(0.0, 1.0))
-        world.write_again()
+        world.rewrite_entries()
         await world.pass_time(draw.uniform(0.0, 3.0))
         if draw.random() < 0.5:
             await asyncio.gather(*await world.restart_all(longest=1.5))
@@ -116,7 +116,7 @@
         case 2 if len(world.endpoints) > 2:
             world.leave(draw.choice(sorted(world.endpoints)))
         case _:
-            world.say_draining(draw.choice(sorted(world.endpoints)))
+            world.drain_endpoint(draw.choice(sorted(world.endpoints)))
 
 
 def _differences(world: FleetWorld) -> list[str]:
