--- a/tests/test_forms_relay.py
+++ b/tests/test_forms_relay.py
@@ -102,11 +102,11 @@
 HERE = Daemon("edge-2", "127.0.0.1", 0)
 
 
-def of_size(bytes_wanted):
+def change_of_size(size):
     """Return a change whose packed answer has a certain length."""
     # A value of this length has a head of three bytes.
     bare = len(change_codec.encode(9, [RecordChanged("k", bytes(300), 3, 2)])) - 1 - 300
-    return [RecordChanged("k", bytes(bytes_wanted - bare), 3, 2)]
+    return [RecordChanged("k", bytes(size - bare), 3, 2)]
 
 
 class TestCodec:
@@ -134,7 +134,7 @@
 
     @pytest.mark.parametrize(("size", "mark"), [(1999, b"\0"), (2000, b"\1")])
     def test_compressed_from_a_size(self, size, mark):
-        found = change_codec.encode(9, of_size(size))
+        found = change_codec.encode(9, change_of_size(size))
         unpacked = found[1:] if found[:1] == b"\0" else zlib.decompress(found[1:])
         assert (len(unpacked), found[:1]) == (size, mark)
 
@@ -165,15 +165,15 @@
     return struct.pack("!dqddq", age, 0, settled_in, 0.0, 7)
 
 
-async def asked(path, changes, daemons=(HERE,), proven_seconds=-0.25):
+async def request_relay(path, changes, daemons=(HERE,), proven_seconds=-0.25):
     """Return the answer of a relay that read a snapshot at revision 9 and then some changes."""
     feed = FixedFeed([], proven_seconds=proven_seconds)
-    mirror = wire_forms.make_view(feed, lambda: 100.0)
-    server = RelayServer(mirror, lambda: daemons)
-    await wire_forms.read_first_batch(mirror)
+    view = wire_forms.make_view(feed, lambda: 100.0)
+    server = RelayServer(view, lambda: daemons)
+    await wire_forms.read_first_batch(view)
     if changes:
         batches = []
-        mirror.on_batch(lambda after, found: batches.append(after))
+        view.on_batch(lambda since, found: batches.append(since))
         feed.next.put_nowait(Changes(Position(0, 12), changes, proven_seconds))
         await wire_forms.wait_until(lambda: batches)
     try:
@@ -185,30 +185,32 @@
             headers = recording.headers_form(response.headers.items())
             return response.status, headers, await response.read()
     finally:
-        await mirror.stop()
+        await view.stop()
 
 
 class TestServer:
     """Answers to daemons of earlier builds."""
 
     async def test_answer(self, snapshot):
-        status, headers, body = await asked("/changes?since=9&wait=0.01", [*CHANGES.values()])
+        status, headers, body = await request_relay(
+            "/changes?since=9&wait=0.01", [*CHANGES.values()]
+        )
         assert (status, headers) == snapshot
         assert body[:8] == struct.pack("!d", 0.25)
         assert body[8:] == change_codec.encode(12, [*CHANGES.values()])
 
     async def test_plain_answer(self, snapshot):
         changes = [CHANGES["loner"], CHANGES["gone"]]
-        status, headers, body = await asked("/changes?since=9&wait=0.01", changes)
+        status, headers, body = await request_relay("/changes?since=9&wait=0.01", changes)
         assert (status, headers, body.hex()) == snapshot
 
     async def test_nothing_new(self, snapshot):
-        status, headers, body = await asked("/changes?since=9&wait=0.01", [])
+        status, headers, body = await request_relay("/changes?since=9&wait=0.01", [])
         assert (status, headers, body.hex()) == snapshot
 
     async def test_daemon_that_is_ahead_reads_a_snapshot(self):
         """The request names no era, so its revision may belong to an earlier one."""
-        status, _, body = await asked("/changes?since=50&wait=0.01", [CHANGES["gone"]])
+        status, _, body = await request_relay("/changes?since=50&wait=0.01", [CHANGES["gone"]])
         assert (status, body) == (410, b"")
 
     @pytest.mark.parametrize(
@@ -225,30 +227,32 @@
         ],
     )
     async def test_refusal(self, path, snapshot):
-        status, headers, body = await asked(path, [CHANGES["gone"]])
+        status, headers, body = await request_relay(path, [CHANGES["gone"]])
         assert (status, headers, body.hex()) == snapshot
 
     async def test_stranger(self, snapshot):
         unregistered = (Daemon("edge-2", "10.0.0.9", 0),)
-        status, headers, body = await asked("/changes?since=9&wait=0", [], unregistered)
+        status, headers, body = await request_relay("/changes?since=9&wait=0", [], unregistered)
         assert (status, headers, body.hex()) == snapshot
 
 
 class TestServerOfEras:
     async def test_answer(self):
         path = "/2/changes?era=0&since=9&wait=0.01"
-        status, _, body = await asked(path, [*CHANGES.values()])
+        status, _, body = await request_relay(path, [*CHANGES.values()])
         assert status == 200
         assert body[:40] == _head(0.25, 2.0)
         assert body[40:] == change_codec.encode(12, [*CHANGES.values()])
 
     async def test_daemon_that_is_ahead_gets_no_changes(self):
-        status, _, body = await asked("/2/changes?era=0&since=50&wait=0.01", [CHANGES["gone"]])
+        status, _, body = await request_relay(
+            "/2/changes?era=0&since=50&wait=0.01", [CHANGES["gone"]]
+        )
         assert (status, body[40:]) == (200, change_codec.encode(50, []))
 
     async def test_snapshot(self):
         changes = [CHANGES["configuration"], CHANGES["loner"]]
-        status, _, body = await asked("/2/snapshot", changes)
+        status, _, body = await request_relay("/2/snapshot", changes)
         assert status == 200
         assert body == _head(0.25, 2.0) + change_codec.encode(12, changes)
 
@@ -264,7 +268,7 @@
         ids=["asker's era is over", "too far back", "relay is behind", "no era", "no number"],
     )
     async def test_refusal(self, query, status):
-        found, _, _ = await asked(f"/2/changes?{query}&wait=0", [CHANGES["gone"]])
+        found, _, _ = await request_relay(f"/2/changes?{query}&wait=0", [CHANGES["gone"]])
         assert found == status
 
 
--- a/tests/test_forms_store.py
+++ b/tests/test_forms_store.py
@@ -259,8 +259,8 @@
 
     async def test_own_daemon(self, snapshot):
         records = RecordedRecords()
-        async with wire_forms.running_view(FixedFeed([]), lambda: 0.0) as mirror:
-            registration = Registration(OWN_SETTINGS, records, mirror, time.monotonic)
+        async with wire_forms.running_view(FixedFeed([]), lambda: 0.0) as view:
+            registration = Registration(OWN_SETTINGS, records, view, time.monotonic)
             await registration.start()
             await wire_forms.wait_until(lambda: len(records.calls) >= 2)
             await registration.stop()
@@ -272,17 +272,17 @@
             RecordChanged("thorncleat/daemons/edge-1", OWN_DAEMON, 3, 3),
             RecordChanged("thorncleat/daemons/edge-2", OTHER_DAEMON, 4, 4),
         ]
-        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as mirror:
-            registration = Registration(OWN_SETTINGS, RecordedRecords(), mirror, time.monotonic)
+        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as view:
+            registration = Registration(OWN_SETTINGS, RecordedRecords(), view, time.monotonic)
             assert registration.daemons() == {"edge-1": registration.own, "edge-2": PEER_DAEMON}
             assert registration.own.capacity == 2.5
 
     async def test_controller(self, snapshot):
         records = RecordedRecords()
         feed = FixedFeed([CHANGES["configuration"]])
-        async with wire_forms.running_view(feed, lambda: 0.0) as mirror:
+        async with wire_forms.running_view(feed, lambda: 0.0) as view:
             election = Election(
-                OWN_SETTINGS, records, mirror, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
+                OWN_SETTINGS, records, view, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
             )
             await election.start()
             await wire_forms.wait_until(lambda: election.is_controller)
@@ -295,12 +295,12 @@
     async def test_groups(self, snapshot):
         records, old = RecordedRecords(), GroupId(40, "narrator-1")
         written = [RecordChanged("thorncleat/groups/40/narrator-1", GROUP_RECORD, 5, 5)]
-        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as mirror:
+        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as view:
             election = Election(
-                OWN_SETTINGS, records, mirror, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
+                OWN_SETTINGS, records, view, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
             )
             election.term = Position(0, 40)
-            group_records = GroupRecords(records, mirror, election)
+            group_records = GroupRecords(records, view, election)
             group_records.end(old, Detached.LEFT)
             assert await group_records.begin(
                 GROUP, GroupPlan("d1", EngineModel("large", 2), (GROUP_MEMBER, PLAIN_ENDPOINT))
@@ -310,11 +310,11 @@
 
     async def test_group_records_of_an_earlier_build_are_decoded(self):
         written = [RecordChanged("thorncleat/groups/40/narrator-1", GROUP_RECORD, 5, 5)]
-        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as mirror:
+        async with wire_forms.running_view(FixedFeed(written), lambda: 0.0) as view:
             election = Election(
-                OWN_SETTINGS, RecordedRecords(), mirror, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
+                OWN_SETTINGS, RecordedRecords(), view, lambda: 0.0, lambda: {OWN_SETTINGS.id: 1.0}
             )
-            group_records = GroupRecords(RecordedRecords(), mirror, election)
+            group_records = GroupRecords(RecordedRecords(), view, election)
             group = GroupId(40, "narrator-1")
             assert group_records.groups == [group]
             assert group_records.can_answer(group)
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -91,8 +91,8 @@
         while True:
             await asyncio.sleep(0.1)
             now = asyncio.get_running_loop().time()
-            for lease in [name for name, end in self.leases.items() if end <= now]:
-                del self.leases[lease]
+            for lease_id in [lease_id for lease_id, end in self.leases.items() if end <= now]:
+                del self.leases[lease_id]
                 self.view.set(KEY, None)
 
 
@@ -225,21 +225,21 @@
         started_at, seen = clock(), {}
         expiring = asyncio.ensure_future(store.expire())
 
-        async def at(seconds):
+        async def record_at(seconds):
             await asyncio.sleep(started_at + seconds - clock())
             seen[seconds] = service.fleet_knowledge()
 
         before = service.fleet_knowledge()
         await service.start()
-        await at(1.0)
-        await at(4.0)
+        await record_at(1.0)
+        await record_at(4.0)
         store.down, view.current_as_of = True, clock()
-        await at(6.0)
-        await at(7.0)
-        await at(20.0)
+        await record_at(6.0)
+        await record_at(7.0)
+        await record_at(20.0)
         store.down, view.current_as_of = False, float("inf")
-        await at(22.0)
-        await at(25.5)
+        await record_at(22.0)
+        await record_at(25.5)
         await service.stop()
         expiring.cancel()
         return before, seen
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -167,7 +167,7 @@
             "settles too late",
             "settles at no time",
             "without an age",
-            "not known there",
+            "not registered there",
             "is behind",
         ],
     )
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -23,7 +23,7 @@
     )
 
     @pytest.mark.parametrize(
-        ("host", "path", "wanted"),
+        ("host", "path", "expected"),
         [
             ("shop.example", "/a/x", "short"),
             ("shop.example", "/a/b/x", "long"),
@@ -35,9 +35,9 @@
             ("nobody.example", "/a/x", None),
         ],
     )
-    def test_longest_prefix_of_the_host_wins(self, host, path, wanted):
+    def test_longest_prefix_of_the_host_wins(self, host, path, expected):
         found = self.CONFIGURATION.route_for(host, path)
-        assert (found.name if found else None) == wanted
+        assert (found.name if found else None) == expected
 
     def test_workspace_is_found_by_its_key(self):
         assert self.CONFIGURATION.workspace_for("k2").name == "growers"
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -21,66 +21,66 @@
     return Answer(status, document, headers={"Store-Era": str(era)})
 
 
-class _Asked:
+class _PreparedStore:
     """A store with prepared answers, and the adapter's client of it."""
 
     def __init__(self, server) -> None:
         self.server = server
         self.store = KeyValueStore(server.address)
 
-    async def after(self, *answers):
-        """Have the client observe an era, and set the next answers."""
+    async def set_answers(self, *answers):
+        """Let the client observe era 3, and set the answers to its next calls."""
         self.server.answers = [answer(3, PAGE), *answers]
         await self.store.snapshot()
         self.server.calls.clear()
 
 
 @pytest.fixture
-async def asked():
+async def prepared():
     async with recording.recorder() as server:
-        made = _Asked(server)
+        made = _PreparedStore(server)
         yield made
         await made.store.close()
 
 
-async def test_position_has_the_era_of_its_answer(asked):
-    asked.server.answers = [answer(3, PAGE), answer(3, WATCHED)]
-    assert (await asked.store.snapshot()).position == Position(3, 9)
-    assert (await asked.store.changes(Position(3, 9), 0.0)).position == Position(3, 43)
+async def test_position_has_the_era_of_its_answer(prepared):
+    prepared.server.answers = [answer(3, PAGE), answer(3, WATCHED)]
+    assert (await prepared.store.snapshot()).position == Position(3, 9)
+    assert (await prepared.store.changes(Position(3, 9), 0.0)).position == Position(3, 43)
 
 
-async def test_store_without_a_named_era_keeps_one_era(asked):
-    asked.server.answers = [Answer(document=PAGE), Answer(document=WATCHED)]
-    first = (await asked.store.snapshot()).position
-    assert (await asked.store.changes(first, 0.0)).position == Position(first.era, 43)
+async def test_store_without_a_named_era_keeps_one_era(prepared):
+    prepared.server.answers = [Answer(document=PAGE), Answer(document=WATCHED)]
+    first = (await prepared.store.snapshot()).position
+    assert (await prepared.store.changes(first, 0.0)).position == Position(first.era, 43)
 
 
-async def test_changes_of_a_later_era_do_not_continue_an_earlier_one(asked):
-    await asked.after(answer(4, WATCHED))
+async def test_changes_of_a_later_era_do_not_continue_an_earlier_one(prepared):
+    await prepared.set_answers(answer(4, WATCHED))
     with pytest.raises(HistoryCompactedError, match="era 4"):
-        await asked.store.changes(Position(3, 9), 0.0)
+        await prepared.store.changes(Position(3, 9), 0.0)
 
 
-async def test_position_of_an_earlier_era_is_not_sent(asked):
-    await asked.after(answer(4, {"lease_id": 7}))
-    await asked.store.grant(2.0)
-    asked.server.calls.clear()
+async def test_position_of_an_earlier_era_is_not_sent(prepared):
+    await prepared.set_answers(answer(4, {"lease_id": 7}))
+    await prepared.store.grant(2.0)
+    prepared.server.calls.clear()
     with pytest.raises(HistoryCompactedError):
-        await asked.store.changes(Position(3, 9), 0.0)
-    assert asked.server.calls == []
+        await prepared.store.changes(Position(3, 9), 0.0)
+    assert prepared.server.calls == []
 
 
-async def test_late_answer_of_an_earlier_era_is_rejected(asked):
-    await asked.after(answer(2, PAGE))
+async def test_late_answer_of_an_earlier_era_is_rejected(prepared):
+    await prepared.set_answers(answer(2, PAGE))
     with pytest.raises(StoreUnavailableError, match="era 2"):
-        await asked.store.snapshot()
+        await prepared.store.snapshot()
 
 
-async def test_pages_of_two_eras_are_rejected(asked):
+async def test_pages_of_two_eras_are_rejected(prepared):
     more = {"timestamp": 9, "entries": [_entry("other/x")], "has_more": True}
-    asked.server.answers = [answer(3, more), answer(4, PAGE)]
+    prepared.server.answers = [answer(3, more), answer(4, PAGE)]
     with pytest.raises(StoreUnavailableError, match="era"):
-        await asked.store.snapshot()
+        await prepared.store.snapshot()
 
 
 def _entry(key):
@@ -88,55 +88,55 @@
 
 
 @pytest.mark.parametrize("era", ["x", "-1", "", "1.5"])
-async def test_answer_with_an_invalid_era_is_rejected(asked, era):
-    asked.server.answers = [Answer(document=PAGE, headers={"Store-Era": era})]
+async def test_answer_with_an_invalid_era_is_rejected(prepared, era):
+    prepared.server.answers = [Answer(document=PAGE, headers={"Store-Era": era})]
     with pytest.raises(StoreUnavailableError, match="Store-Era"):
-        await asked.store.snapshot()
+        await prepared.store.snapshot()
 
 
 class TestLeases:
-    async def test_lease_has_the_era_of_its_grant(self, asked):
-        asked.server.answers = [answer(3, {"lease_id": 7})]
-        assert await asked.store.grant(2.0) == Lease(3, 7)
+    async def test_lease_has_the_era_of_its_grant(self, prepared):
+        prepared.server.answers = [answer(3, {"lease_id": 7})]
+        assert await prepared.store.grant(2.0) == Lease(3, 7)
 
-    async def test_renewal_answered_in_another_era_fails(self, asked):
+    async def test_renewal_answered_in_another_era_fails(self, prepared):
         """In another era the id may belong to another daemon's lease."""
-        await asked.after(answer(4, {"ttl_ms": 1}))
+        await prepared.set_answers(answer(4, {"ttl_ms": 1}))
         with pytest.raises(LeaseExpiredError, match="era"):
-            await asked.store.renew(Lease(3, 7))
+            await prepared.store.renew(Lease(3, 7))
 
     @pytest.mark.parametrize("call", ["renew", "put", "create"])
-    async def test_lease_of_an_earlier_era_is_not_used(self, asked, call):
-        await asked.after(answer(4, PAGE))
-        await asked.store.snapshot()
-        asked.server.calls.clear()
+    async def test_lease_of_an_earlier_era_is_not_used(self, prepared, call):
+        await prepared.set_answers(answer(4, PAGE))
+        await prepared.store.snapshot()
+        prepared.server.calls.clear()
         send = {
-            "renew": lambda: asked.store.renew(Lease(3, 7)),
-            "put": lambda: asked.store.put("thorncleat/a", b"", Lease(3, 7)),
-            "create": lambda: asked.store.create("thorncleat/a", b"", Lease(3, 7)),
+            "renew": lambda: prepared.store.renew(Lease(3, 7)),
+            "put": lambda: prepared.store.put("thorncleat/a", b"", Lease(3, 7)),
+            "create": lambda: prepared.store.create("thorncleat/a", b"", Lease(3, 7)),
         }[call]
         with pytest.raises(LeaseExpiredError):
             await send()
-        assert asked.server.calls == []
+        assert prepared.server.calls == []
 
-    async def test_lease_of_an_earlier_era_is_not_revoked(self, asked):
-        await asked.after(answer(4, PAGE))
-        await asked.store.snapshot()
-        asked.server.calls.clear()
-        await asked.store.end(Lease(3, 7))
-        assert asked.server.calls == []
+    async def test_lease_of_an_earlier_era_is_not_revoked(self, prepared):
+        await prepared.set_answers(answer(4, PAGE))
+        await prepared.store.snapshot()
+        prepared.server.calls.clear()
+        await prepared.store.end(Lease(3, 7))
+        assert prepared.server.calls == []
 
 
 class TestConditions:
-    async def test_revision_of_an_earlier_era_never_matches(self, asked):
+    async def test_revision_of_an_earlier_era_never_matches(self, prepared):
         """In another era the revision may belong to another item."""
-        await asked.after(answer(4, PAGE))
-        await asked.store.snapshot()
-        asked.server.calls.clear()
-        assert not await asked.store.commit({"a": b""}, [], {"b": Position(3, 5)})
-        assert asked.server.calls == []
-
-    async def test_outcome_of_a_write_answered_in_another_era_is_unknown(self, asked):
-        await asked.after(answer(4, {"revision": 40}))
+        await prepared.set_answers(answer(4, PAGE))
+        await prepared.store.snapshot()
+        prepared.server.calls.clear()
+        assert not await prepared.store.commit({"a": b""}, [], {"b": Position(3, 5)})
+        assert prepared.server.calls == []
+
+    async def test_outcome_of_a_write_answered_in_another_era_is_unknown(self, prepared):
+        await prepared.set_answers(answer(4, {"revision": 40}))
         with pytest.raises(StoreOutcomeUnknownError, match="era"):
-            await asked.store.commit({"a": b""}, [], {"b": Position(3, 5)})
+            await prepared.store.commit({"a": b""}, [], {"b": Position(3, 5)})
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -143,12 +143,14 @@
 
 
 @pytest.mark.parametrize(
-    ("back", "moment", "listed"),
+    ("is_rewritten", "seconds", "is_listed"),
     [(False, 1.2, True), (False, 3.0, False), (True, 3.0, True)],
     ids=["may come back", "has not come back", "has come back"],
 )
-def test_entries_that_expired_in_an_outage_may_be_rewritten_for_a_while(back, moment, listed):
-    assert virtual_time.run(_is_listed_after_an_outage(back, moment)) is listed
+def test_entries_that_expired_in_an_outage_may_be_rewritten_for_a_while(
+    is_rewritten, seconds, is_listed
+):
+    assert virtual_time.run(_is_listed_after_an_outage(is_rewritten, seconds)) is is_listed
 
 
 async def _is_listed_without_an_outage():
