--- a/packages/gateway/src/thorncleat_gateway/store/view.py
+++ b/packages/gateway/src/thorncleat_gateway/store/view.py
@@ -168,7 +168,7 @@
         self._listeners.append(listener)
 
     def on_batch(self, listener: t.Callable[[Position | None, Changes], None]) -> None:
-        """Call a function with each answer and the position since which it has the changes.
+        """Call a function with each answer, and with the position that its changes follow.
 
         The position is None for a snapshot, which replaces the whole copy.
         """
