--- a/packages/client/src/thorncleat_client/api.py
+++ b/packages/client/src/thorncleat_client/api.py
@@ -1,7 +1,7 @@
-"""Calls to the operators' side of a daemon.
+"""HTTP client of a daemon's operator API.
 
 Owns: nothing.
-Relies on: the daemon's operators' side answering in JSON; each status has an error of its own.
+Relies on: the operator API, which answers in JSON with one status for each kind of error.
 """
 
 import asyncio
@@ -18,12 +18,11 @@
 from .exceptions import UnusableDocumentError
 
 PREFIX = "/operators/v1"
-# for a whole call
-TIMEOUT_SECONDS = 20.0
+CALL_TIMEOUT_SECONDS = 20.0
 Json = dict[str, t.Any]
 
 
-def _unusable(body: Json) -> ClientError:
+def _unusable_document_error(body: Json) -> ClientError:
     lines = [str(body.get("detail", ""))]
     for problem in body.get("problems", []):
         line = f"  line {problem['line']}: " if problem.get("line") else "  "
@@ -31,26 +30,26 @@
     return UnusableDocumentError("\n".join(lines))
 
 
-def _conflict(body: Json) -> ClientError:
+def _plan_conflict_error(body: Json) -> ClientError:
     return PlanConflictError(str(body.get("detail")), body.get("fresh"))
 
 
-_ERRORS: dict[int, t.Callable[[Json], ClientError]] = {
-    400: _unusable,
+_ERRORS_BY_STATUS: dict[int, t.Callable[[Json], ClientError]] = {
+    400: _unusable_document_error,
     401: lambda body: DeniedError(str(body.get("detail"))),
     403: lambda body: DeniedError(str(body.get("detail"))),
     404: lambda body: NotFoundError(str(body.get("detail"))),
-    409: _conflict,
-    422: _unusable,
+    409: _plan_conflict_error,
+    422: _unusable_document_error,
     503: lambda body: UnavailableError(str(body.get("detail"))),
     504: lambda body: OutcomeUnknownError(str(body.get("detail"))),
 }
 
 
 class Api:
-    """Talks to one daemon, or to the balancer before all.
+    """Client of one daemon, or of a load balancer in front of several.
 
-    :param url: such as ``https://operators.example:8443``.
+    :param url: base URL, such as ``https://operators.example:8443``.
     :param key: the operator's key.
     """
 
@@ -59,21 +58,21 @@
         self._key = key
 
     def get(self, path: str) -> Json:
-        """Fetch.
+        """Return the answer to a GET request.
 
-        :raises ClientError: one of its kinds for each thing that can go wrong.
+        :raises ClientError: if the call fails; the subclass names the kind of failure.
         """
         return asyncio.run(self._call("GET", path, None))
 
     def post(self, path: str, body: Json) -> Json:
-        """Send.
+        """Return the answer to a POST request.
 
-        :raises ClientError: one of its kinds for each thing that can go wrong.
+        :raises ClientError: if the call fails; the subclass names the kind of failure.
         """
         return asyncio.run(self._call("POST", path, body))
 
     async def _call(self, method: str, path: str, body: Json | None) -> Json:
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS)
         headers = {"Authorization": f"Bearer {self._key}"}
         url = f"{self._url}{PREFIX}{path}"
         try:
@@ -82,7 +81,7 @@
                 session.request(method, url, json=body) as response,
             ):
                 answer = await response.json(content_type=None)
-                return self._checked(response.status, answer)
+                return self._check_response(response.status, answer)
         except (aiohttp.ClientConnectorError, aiohttp.InvalidURL) as error:
             raise UnavailableError(f"no daemon at {self._url!r}: {error}") from error
         except (aiohttp.ClientError, TimeoutError) as error:
@@ -93,12 +92,12 @@
         except ValueError as error:
             raise ClientError(f"{self._url!r} does not answer as a daemon: {error}") from error
 
-    def _checked(self, status: int, answer: t.Any) -> Json:
+    def _check_response(self, status: int, answer: t.Any) -> Json:
         if not isinstance(answer, dict):
             raise ClientError(f"{self._url!r} does not answer as a daemon")
         if status == 200:
             return answer
-        found = _ERRORS.get(status)
-        if found is None:
+        make_error = _ERRORS_BY_STATUS.get(status)
+        if make_error is None:
             raise ClientError(f"{self._url!r} answered {status!r}: {answer.get('detail')}")
-        raise found(answer)
+        raise make_error(answer)
--- a/packages/client/src/thorncleat_client/logs.py
+++ b/packages/client/src/thorncleat_client/logs.py
@@ -1,7 +1,7 @@
-"""The story of a request or of a group, read out of the daemons' log lines.
+"""Selects the log lines about a request or a group.
 
 Owns: nothing.
-Relies on: the names of log events' fields, which docs/LOGS.md lists.
+Relies on: the field names of log events, which docs/LOGS.md lists.
 """
 
 import json
@@ -12,26 +12,27 @@
 from .exceptions import UnusableDocumentError
 
 Line = dict[str, t.Any]
-# what every line has, and the story need not repeat
-COMMON = frozenset({"time", "level", "message", "daemon", "event", "name"})
-MEMBER_FIELDS = ("leader", "endpoint", "members")
+# Fields that table rows leave out or show in a column of their own.
+COMMON_FIELDS = frozenset({"time", "level", "message", "daemon", "event", "name"})
+ENDPOINT_FIELDS = ("leader", "endpoint", "members")
 
 
 def read(paths: t.Sequence[str]) -> list[Line]:
-    """Return all log lines of some files, by time; standard input if none is named.
+    """Return the log lines of some files in order of time.
 
-    What stands before a line's JSON, as a collector's own time, is passed over, and so is
-    what is no log line.
+    Skips text before a line's JSON, such as a log collector's timestamp, and lines that are not
+    log events.
 
+    :param paths: files; standard input if there are none.
     :raises UnusableDocumentError: if a file can't be read.
     """
     lines: list[Line] = []
     for path in paths or ["-"]:
-        lines += _parsed(_text(path))
+        lines += _parse_lines(_read_text(path))
     return sorted(lines, key=lambda line: float(line["time"]))
 
 
-def _text(path: str) -> str:
+def _read_text(path: str) -> str:
     if path == "-":
         return sys.stdin.read()
     try:
@@ -40,77 +41,79 @@
         raise UnusableDocumentError(f"{path}: {error.strerror}") from error
 
 
-def _parsed(text: str) -> t.Iterator[Line]:
+def _parse_lines(text: str) -> t.Iterator[Line]:
     for line in text.splitlines():
-        begin = line.find("{")
-        if begin < 0:
+        json_start = line.find("{")
+        if json_start < 0:
             continue
         try:
-            parsed = json.loads(line[begin:])
+            parsed = json.loads(line[json_start:])
         except ValueError:
-            # not a line of ours: collectors mix in others
+            # Log collectors add lines of other programs.
             continue
         if isinstance(parsed, dict) and "event" in parsed and "time" in parsed:
             yield parsed
 
 
-def of_request(lines: t.Sequence[Line], request: str) -> list[Line]:
-    """Return a request's lines, and what was believed of the endpoints it was sent to.
+def lines_of_request(lines: t.Sequence[Line], request: str) -> list[Line]:
+    """Return a request's lines, and those about its endpoints while it ran.
 
-    Of an endpoint's group the lines count that fall into the request's time.
+    Lines about other requests are left out.
     """
-    own = [line for line in lines if line.get("request") == request]
-    if not own:
+    matching = [line for line in lines if line.get("request") == request]
+    if not matching:
         return []
-    begin, end = float(own[0]["time"]), float(own[-1]["time"])
-    used = {str(line["endpoint"]) for line in own if line.get("endpoint")}
-    around = [
+    first_at, last_at = float(matching[0]["time"]), float(matching[-1]["time"])
+    endpoints = {str(line["endpoint"]) for line in matching if line.get("endpoint")}
+    related = [
         line
         for line in lines
-        if begin <= float(line["time"]) <= end and "request" not in line and used & _endpoints(line)
+        if first_at <= float(line["time"]) <= last_at
+        and "request" not in line
+        and endpoints & _endpoints(line)
     ]
-    return sorted(own + around, key=lambda line: float(line["time"]))
+    return sorted(matching + related, key=lambda line: float(line["time"]))
 
 
-def of_group(lines: t.Sequence[Line], group: str) -> list[Line]:
-    """Return the lines about a group, and those about its members while it was there."""
-    own = [line for line in lines if line.get("group") == group]
-    if not own:
+def lines_of_group(lines: t.Sequence[Line], group: str) -> list[Line]:
+    """Return a group's lines, and those about its members between its first and last line."""
+    matching = [line for line in lines if line.get("group") == group]
+    if not matching:
         return []
-    begin, end = float(own[0]["time"]), float(own[-1]["time"])
+    first_at, last_at = float(matching[0]["time"]), float(matching[-1]["time"])
     members: set[str] = set()
-    for line in own:
+    for line in matching:
         members |= _endpoints(line)
-    around = [
+    related = [
         line
         for line in lines
-        if begin <= float(line["time"]) <= end
+        if first_at <= float(line["time"]) <= last_at
         and "request" not in line
         and "group" not in line
         and members & _endpoints(line)
     ]
-    return sorted(own + around, key=lambda line: float(line["time"]))
+    return sorted(matching + related, key=lambda line: float(line["time"]))
 
 
 def _endpoints(line: Line) -> set[str]:
-    found: set[str] = set()
-    for field in MEMBER_FIELDS:
+    endpoints: set[str] = set()
+    for field in ENDPOINT_FIELDS:
         value = line.get(field)
-        found.update(value if isinstance(value, list) else [value] if value else [])
-    return found
+        endpoints.update(value if isinstance(value, list) else [value] if value else [])
+    return endpoints
 
 
 def rows(lines: t.Sequence[Line]) -> list[tuple[str, str, str, str]]:
-    """Return table rows: seconds since the first line, daemon, event, and its fields."""
+    """Return a table row for each line: seconds since the first, daemon, event, other fields."""
     if not lines:
         return []
-    begin = float(lines[0]["time"])
+    first_at = float(lines[0]["time"])
     return [
         (
-            f"{float(line['time']) - begin:.3f}",
+            f"{float(line['time']) - first_at:.3f}",
             str(line["daemon"]),
             str(line["name"]),
-            " ".join(f"{key}={value}" for key, value in line.items() if key not in COMMON),
+            " ".join(f"{key}={value}" for key, value in line.items() if key not in COMMON_FIELDS),
         )
         for line in lines
     ]
--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -1,7 +1,7 @@
-"""The program ``thorncleat``.
+"""The operators' command line, ``thorncleat``.
 
 Owns: nothing.
-Relies on: a daemon's operators' side for all but keys, checks and stories, which need none.
+Relies on: a daemon's operator API; making keys, checking files and reading logs need no daemon.
 """
 
 import json
@@ -32,18 +32,17 @@
 
 URL_VARIABLE = "THORNCLEAT_URL"
 KEY_VARIABLE = "THORNCLEAT_KEY"
-# of randomness in a new key
 KEY_BYTES = 24
 Json = dict[str, t.Any]
 
 
 class Config:
-    """Checks of files, without a daemon."""
+    """Check files without a daemon."""
 
     def check(self, path: str) -> None:
-        """Check a settings file or an intent file and list everything that is wrong.
+        """Check a settings file or an intent file and list every problem.
 
-        :param path: the file; one with a ``listen`` key is taken for settings.
+        :param path: the file; it is checked as settings if it has a ``listen`` key.
         """
         document = jsonc.read(pathlib.Path(path))
         if isinstance(document.value, dict) and "listen" in document.value:
@@ -55,15 +54,15 @@
 
 
 class Report:
-    """Reports over all daemons."""
+    """Show reports that cover all daemons."""
 
     def __init__(self, commands: "Commands") -> None:
         self._commands = commands
 
     def burn(self, html: str = "") -> None:
-        """Show how fast each workspace uses up its error budget, and by what.
+        """Show how fast each workspace burns its error budget, and the causes.
 
-        :param html: also write a self-contained page to this file.
+        :param html: file for an additional copy as a self-contained HTML page.
         """
         answer = self._commands.api.get("/burn")
         if html:
@@ -74,10 +73,10 @@
 class Commands:
     """Operate a thorncleat system.
 
-    :param url: of the operators' side; default from THORNCLEAT_URL.
+    :param url: base URL of the operator API; the default is THORNCLEAT_URL.
     :param json: print JSON instead of tables.
 
-    The operator's key is read from THORNCLEAT_KEY, so that it shows in no list of processes.
+    The operator's key is read from THORNCLEAT_KEY, which keeps it out of process listings.
     """
 
     def __init__(self, url: str = "", json: bool = False) -> None:
@@ -88,12 +87,15 @@
 
     @property
     def api(self) -> Api:
-        """The daemon's operators' side."""
+        """A client of the daemon's operator API.
+
+        :raises ClientError: if the URL or the operator's key is not set.
+        """
         key = os.environ.get(KEY_VARIABLE, "")
         if not self._url:
-            raise UnusableDocumentError(f"--url or {URL_VARIABLE} is wanted")
+            raise UnusableDocumentError(f"--url or {URL_VARIABLE} is required")
         if not key:
-            raise DeniedError(f"{KEY_VARIABLE} is wanted")
+            raise DeniedError(f"{KEY_VARIABLE} is required")
         return Api(self._url, key)
 
     def show(self, answer: Json, table: t.Callable[[Json], None]) -> None:
@@ -104,52 +106,55 @@
             table(answer)
 
     def trace(self, request: str, *logs: str) -> None:
-        """Tell what happened to a request, from the daemons' log lines.
+        """Show what happened to a request, from the daemons' log lines.
 
-        :param request: its id.
-        :param logs: files of log lines; standard input if none is named.
+        :param request: the request's id.
+        :param logs: log files; standard input if there are none.
         """
-        self._story(log_lines.of_request(log_lines.read(logs), str(request)), str(request))
+        self._show_lines(
+            log_lines.lines_of_request(log_lines.read(logs), str(request)), str(request)
+        )
 
     def why_down(self, group: str, *logs: str) -> None:
-        """Tell how a group came and went, from the daemons' log lines.
+        """Show how a group was formed and ended, from the daemons' log lines.
 
-        :param group: its name, as in ``g1200003``.
-        :param logs: files of log lines; standard input if none is named.
+        :param group: the group's name, such as ``g1200003``.
+        :param logs: log files; standard input if there are none.
         """
-        self._story(log_lines.of_group(log_lines.read(logs), str(group)), str(group))
+        self._show_lines(log_lines.lines_of_group(log_lines.read(logs), str(group)), str(group))
 
-    def _story(self, lines: list[Json], wanted: str) -> None:
+    def _show_lines(self, lines: list[Json], subject: str) -> None:
         if not lines:
-            raise UnusableDocumentError(f"no log line names {wanted!r}")
+            raise UnusableDocumentError(f"no log line names {subject!r}")
         if self._json:
             print(json.dumps(lines, indent=2))
         else:
             tables.show(("seconds", "daemon", "event", "what"), log_lines.rows(lines))
 
     def plan(self, path: str, out: str = "") -> None:
-        """Show what a file's intents would change, and write the plan to confirm.
+        """Show what a file's intents would change, and write a plan to confirm.
 
         :param path: intent file, JSON with comments.
-        :param out: where to write the plan; default ``plan-DIGEST.json``.
+        :param out: file for the plan; the default is ``plan-DIGEST.json``.
         """
         document = jsonc.read(pathlib.Path(path))
         jsonc.validate(document, Change)
         text = pathlib.Path(path).read_text(encoding="utf-8")
-        self._planned({"document": text, "name": path}, out)
+        self._request_plan({"document": text, "name": path}, out)
 
     def drain(self, instance: str, out: str = "", undo: bool = False) -> None:
-        """Show what emptying an instance of work would change, and write the plan.
+        """Show what draining an instance would change, and write a plan to confirm.
 
         :param instance: the instance's id.
-        :param undo: let a drained instance be used again.
+        :param out: file for the plan; the default is ``plan-DIGEST.json``.
+        :param undo: return a drained instance to service instead.
         """
         change: Json = {"draining": [str(instance)]}
         if undo:
             change = {"remove": {"draining": [str(instance)]}}
-        self._planned({"document": json.dumps(change), "name": "drain"}, out)
+        self._request_plan({"document": json.dumps(change), "name": "drain"}, out)
 
-    def _planned(self, body: Json, out: str) -> None:
+    def _request_plan(self, body: Json, out: str) -> None:
         answer = self.api.post("/plans", body)
         target = pathlib.Path(out or f"plan-{answer['digest'][:12]}.json")
         target.write_text(json.dumps(answer, indent=1), encoding="utf-8")
@@ -158,51 +163,51 @@
             print(f"to carry it out: thorncleat confirm {target}")
 
     def confirm(self, plan: str) -> None:
-        """Carry a plan out, if it is still what would be planned now.
+        """Carry out a plan, unless planning now gives another result.
 
-        :param plan: the file that ``plan`` or ``drain`` wrote.
+        :param plan: file that ``plan`` or ``drain`` wrote.
         """
         answer = _read_plan(pathlib.Path(plan))
         try:
-            done = self.api.post("/confirm", {"plan": answer["plan"]})
+            result = self.api.post("/confirm", {"plan": answer["plan"]})
         except PlanConflictError as error:
-            if error.fresh and not self._json:
+            if error.current_plan and not self._json:
                 print(f"{error}\nnow it would be:")
-                tables.plan(error.fresh)
+                tables.plan(error.current_plan)
             raise
-        self.show(done, lambda accepted: print(f"accepted as revision {accepted['revision']}"))
+        self.show(result, lambda accepted: print(f"accepted as revision {accepted['revision']}"))
 
     def status(self) -> None:
-        """Show what a daemon knows of the system."""
+        """Show the state of the system as the daemon sees it."""
         self.show(self.api.get("/status"), tables.fields)
 
     def groups(self) -> None:
-        """Show all serving groups."""
+        """List all serving groups."""
         self.show(self.api.get("/groups"), tables.groups)
 
     def explain(self, name: str) -> None:
-        """Show what is known of a group or of a recent request.
+        """Show the details of a group or of a recent request.
 
         :param name: a group's name or a request's id.
         """
         self.show(self.api.get(f"/explain/{name}"), tables.fields)
 
     def key(self) -> None:
-        """Make a new key for a workspace or an operator, and its digest for the file."""
-        made = secrets.token_urlsafe(KEY_BYTES)
-        answer = {"key": made, "digest": keys.digest(made)}
+        """Generate a key for a workspace or an operator, and its digest for the intent file."""
+        new_key = secrets.token_urlsafe(KEY_BYTES)
+        answer = {"key": new_key, "digest": keys.digest(new_key)}
         self.show(answer, tables.fields)
 
     def peer_key(self) -> None:
-        """Make a new pair of keys for the daemons among themselves."""
-        public, secret = (half.decode() for half in zmq.curve_keypair())
+        """Generate a key pair for the connections between daemons."""
+        public, secret = (key_part.decode() for key_part in zmq.curve_keypair())
         self.show({"public": public, "secret": secret}, tables.fields)
 
 
 def _read_plan(path: pathlib.Path) -> Json:
     answer = jsonc.read(path).value
     if not isinstance(answer, dict) or "plan" not in answer:
-        raise UnusableDocumentError(f"{str(path)!r} holds no plan")
+        raise UnusableDocumentError(f"{str(path)!r} is not a plan file")
     return answer
 
 
@@ -213,7 +218,7 @@
 
 
 def main() -> None:
-    """Run the program; its exit codes are listed in docs/OPERATORS.md."""
+    """Run the program; docs/OPERATORS.md lists its exit codes."""
     try:
         fire.Fire(Commands, name="thorncleat")
     except ThorncleatError as error:
--- a/packages/client/src/thorncleat_client/page.py
+++ b/packages/client/src/thorncleat_client/page.py
@@ -1,19 +1,17 @@
-"""The report on service-level burn as one self-contained page.
+"""The error budget report as a self-contained HTML page.
 
 Owns: nothing.
-Relies on: the rows that the operators' side gives for ``/burn``.
+Relies on: the form of the operator API's answer for ``/burn``.
 """
 
 import html
 import typing as t
 
 Json = dict[str, t.Any]
-# pixels
-BAR_WIDTH = 300
-# pixels
-BAR_HEIGHT = 14
-# burn rate that fills a bar: that of the alert ``page`` (core's burn.ALERTS)
-FULL_BURN = 14.4
+BAR_WIDTH_PIXELS = 300
+BAR_HEIGHT_PIXELS = 14
+# Burn rate shown as a full bar: the threshold of the ``page`` alert.
+FULL_RATE = 14.4
 _STYLE = """
 body { font: 14px sans-serif; margin: 2em; color: #222 }
 table { border-collapse: collapse } td, th { padding: 4px 10px; text-align: left }
@@ -22,12 +20,12 @@
 
 
 def _bar(rate: float) -> str:
-    """Return a bar; its full width is the rate that pages."""
-    width = min(BAR_WIDTH, rate / FULL_BURN * BAR_WIDTH)
-    kind = "burns" if rate > 1 else "ok"
+    """Return a bar as SVG, full at the rate that raises a ``page`` alert."""
+    width = min(BAR_WIDTH_PIXELS, rate / FULL_RATE * BAR_WIDTH_PIXELS)
+    css_class = "burns" if rate > 1 else "ok"
     return (
-        f'<svg width="{BAR_WIDTH}" height="{BAR_HEIGHT}">'
-        f'<rect class="{kind}" width="{width:.1f}" height="{BAR_HEIGHT}"/></svg>'
+        f'<svg width="{BAR_WIDTH_PIXELS}" height="{BAR_HEIGHT_PIXELS}">'
+        f'<rect class="{css_class}" width="{width:.1f}" height="{BAR_HEIGHT_PIXELS}"/></svg>'
     )
 
 
@@ -51,28 +49,28 @@
 def render(answer: Json) -> str:
     """Return the page as HTML.
 
-    :param answer: what the daemons answered.
+    :param answer: the operator API's answer for ``/burn``.
     """
     rows = "\n".join(_row(row) for row in answer["rows"])
-    down = "\n".join(
+    downtime_items = "\n".join(
         f"<li>{html.escape(group)}: {seconds:.0f} s</li>"
         for group, seconds in sorted(answer["down_seconds"].items())
     )
-    stranded = answer["stranded_accelerator_seconds"] / 3600
+    stranded_hours = answer["stranded_accelerator_seconds"] / 3600
     silent = html.escape(" ".join(answer["silent"]) or "none")
     return f"""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
 <style>{_STYLE}</style></head><body>
 <h1>Service-level burn</h1>
-<p>A burn of 1 uses the error budget up exactly; the bars show the hour, full at {FULL_BURN}.</p>
+<p>A burn of 1 uses the error budget up exactly; the bars show the hour, full at {FULL_RATE}.</p>
 <table><tr><th>workspace</th><th>target</th><th>requests</th><th>5m</th><th>1h</th><th>6h</th>
 <th>burn in the hour</th><th>alert</th><th>causes</th></tr>
 {rows}
 </table>
 <h2>Group downtime</h2>
-<ul>{down}</ul>
+<ul>{downtime_items}</ul>
 <h2>Stranded accelerators</h2>
-<p>{stranded:.2f} accelerator hours</p>
+<p>{stranded_hours:.2f} accelerator hours</p>
 <p>Daemons without figures: {silent}</p>
 </body></html>
 """
--- a/packages/client/src/thorncleat_client/tables.py
+++ b/packages/client/src/thorncleat_client/tables.py
@@ -1,7 +1,7 @@
-"""Tables for people.
+"""Prints the operator API's answers as tables.
 
 Owns: nothing.
-Relies on: the answers of the operators' side; nothing is fetched here.
+Relies on: the form of the operator API's answers.
 """
 
 import typing as t
@@ -10,16 +10,15 @@
 from rich.table import Table
 
 Json = dict[str, t.Any]
-# characters
-WIDTH = 120
+WIDTH_CHARACTERS = 120
 
 
 def _console() -> Console:
-    return Console(width=WIDTH, highlight=False)
+    return Console(width=WIDTH_CHARACTERS, highlight=False)
 
 
-def _seconds(value: float) -> str:
-    # minutes from ten minutes on
+def _duration(value: float) -> str:
+    # Durations of ten minutes and more are shown in minutes.
     return f"{value:.0f} s" if value < 600 else f"{value / 60:.0f} min"
 
 
@@ -45,17 +44,17 @@
                 step["group"],
                 step["domain"],
                 " ".join(step["members"]),
-                _seconds(step["seconds"]),
-                _seconds(step["downtime_seconds"]),
+                _duration(step["seconds"]),
+                _duration(step["downtime_seconds"]),
                 f"{step['idle_accelerator_seconds'] / 3600:.1f} h",
             )
             for step in steps
         ]
         columns = ("action", "group", "domain", "instances", "takes", "downtime", "idle acc.")
         show(columns, rows)
-    down = _seconds(answer["downtime_seconds"])
-    idle = answer["idle_accelerator_seconds"] / 3600
-    console.print(f"costs {down} of group downtime and {idle:.1f} accelerator hours idle")
+    downtime = _duration(answer["downtime_seconds"])
+    idle_hours = answer["idle_accelerator_seconds"] / 3600
+    console.print(f"costs {downtime} of group downtime and {idle_hours:.1f} accelerator hours idle")
 
 
 def groups(answer: Json) -> None:
@@ -75,21 +74,21 @@
 
 
 def fields(answer: Json) -> None:
-    """Print an object's fields, a line each."""
-    rows = [(name, _cell(value)) for name, value in answer.items()]
+    """Print an object's fields, one a row."""
+    rows = [(name, _cell_text(value)) for name, value in answer.items()]
     show(("what", "value"), rows)
 
 
-def _cell(value: t.Any) -> str:
+def _cell_text(value: t.Any) -> str:
     if isinstance(value, list):
-        return "\n".join(_cell(item) for item in value) if value else "none"
+        return "\n".join(_cell_text(item) for item in value) if value else "none"
     if isinstance(value, dict):
-        return ", ".join(f"{name} {inner}" for name, inner in value.items()) or "none"
+        return ", ".join(f"{name} {item}" for name, item in value.items()) or "none"
     return str(value)
 
 
 def burn(answer: Json) -> None:
-    """Print the report on service-level burn."""
+    """Print the error budget report."""
     rows = [
         (
             row["subject"]["workspace"],
@@ -97,16 +96,16 @@
             row["total"],
             *(f"{row['rates'][window]:.1f}" for window in ("5m", "1h", "6h")),
             row["alert"] or "-",
-            _cell(row["causes"]),
+            _cell_text(row["causes"]),
         )
         for row in answer["rows"]
     ]
     columns = ("workspace", "target", "requests", "5m", "1h", "6h", "alert", "causes")
     show(columns, rows)
-    down = {group: f"{seconds:.0f} s" for group, seconds in answer["down_seconds"].items()}
+    downtime = {group: f"{seconds:.0f} s" for group, seconds in answer["down_seconds"].items()}
     console = _console()
-    console.print(f"group downtime: {_cell(down)}")
-    stranded = answer["stranded_accelerator_seconds"] / 3600
-    console.print(f"stranded accelerators: {stranded:.2f} accelerator hours")
+    console.print(f"group downtime: {_cell_text(downtime)}")
+    stranded_hours = answer["stranded_accelerator_seconds"] / 3600
+    console.print(f"stranded accelerators: {stranded_hours:.2f} accelerator hours")
     if answer["silent"]:
         console.print(f"no figures from: {' '.join(answer['silent'])}")
