--- a/packages/client/src/thorncleat_client/logs.py
+++ b/packages/client/src/thorncleat_client/logs.py
@@ -55,7 +55,7 @@
             yield parsed
 
 
-def lines_of_request(lines: t.Sequence[Line], request: str) -> list[Line]:
+def for_request(lines: t.Sequence[Line], request: str) -> list[Line]:
     """Return a request's lines, and those about its endpoints while it ran.
 
     Lines about other requests are left out.
@@ -75,7 +75,7 @@
     return sorted(matching + related, key=lambda line: float(line["time"]))
 
 
-def lines_of_group(lines: t.Sequence[Line], group: str) -> list[Line]:
+def for_group(lines: t.Sequence[Line], group: str) -> list[Line]:
     """Return a group's lines, and those about its members between its first and last line."""
     matching = [line for line in lines if line.get("group") == group]
     if not matching:
--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -112,7 +112,7 @@
         :param logs: log files; standard input if there are none.
         """
         self._show_lines(
-            log_lines.lines_of_request(log_lines.read(logs), str(request)), str(request)
+            log_lines.for_request(log_lines.read(logs), str(request)), str(request)
         )
 
     def why_down(self, group: str, *logs: str) -> None:
@@ -121,7 +121,7 @@
         :param group: the group's name, such as ``g1200003``.
         :param logs: log files; standard input if there are none.
         """
-        self._show_lines(log_lines.lines_of_group(log_lines.read(logs), str(group)), str(group))
+        self._show_lines(log_lines.for_group(log_lines.read(logs), str(group)), str(group))
 
     def _show_lines(self, lines: list[Json], subject: str) -> None:
         if not lines:
