--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: ``bin/bench NAME``. Each ends with a line for each of its targets."""
+"""Benchmarks, run with ``bin/bench NAME``; each prints a closing line for every target."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
-"""Slopes behind docs/CAPACITY.md: cost against size, each at three sizes, with a fit.
+"""Measures how costs grow with size, for docs/CAPACITY.md.
 
-``--record`` writes them to ``bench/slopes.json``, from which the page is computed.
+``--record`` writes the fitted slopes to ``bench/slopes.json``, from which the page is computed.
 
-Owns: which costs are measured at which sizes.
-Relies on: an otherwise quiet machine.
+Owns: the choice of costs and of the sizes at which they are measured.
+Relies on: a machine that is otherwise idle.
 """
 
 import asyncio
@@ -13,66 +13,81 @@
 
 from thorncleat_standins.cluster import Site
 
-from .capacity_inside import INSIDE
+from .capacity_inside import IN_PROCESS_COSTS
 from .capacity_inside import Sample
-from .idle_daemons import Idle
-from .idle_daemons import idle
-from .planned_costs import BUDGET_CPU
+from .idle_daemons import IdleCost
+from .idle_daemons import measure_idle
+from .planned_costs import CPU_BUDGET_CORES
 from .planned_costs import Plan
-from .report import target
+from .report import print_target
 from .slopes import Slope
-from .slopes import fit
-from .slopes import keep
+from .slopes import fit_line
+from .slopes import record_slopes
 
 COMMAND = "bin/bench capacity --runs=3 --record"
-# of a daemon's directory of groups
-DIRECTORY_MB = 4.0
+# Target for the memory that a daemon's directory of groups takes.
+DIRECTORY_LIMIT_MB = 4.0
 
 
-def slope(name: str, unit: str, sizes: list[int], sample: Sample, runs: int) -> Slope:
-    """Measure a cost at some sizes, several times, and fit it."""
-    fits = [fit(sizes, [sample(size) for size in sizes]) for _ in range(runs)]
-    return Slope.of(name, unit, sizes, fits, COMMAND)
+def measure_slope(name: str, unit: str, sizes: list[int], sample: Sample, runs: int) -> Slope:
+    """Return the fitted slope of a cost.
+
+    :param sizes: sizes at which the cost is measured.
+    :param sample: returns the cost at a size.
+    :param runs: number of measurements at each size.
+    """
+    fits = [fit_line(sizes, [sample(size) for size in sizes]) for _ in range(runs)]
+    return Slope.from_fits(name, unit, sizes, fits, COMMAND)
 
 
-def _probe_cpu(instances: int, seconds: float) -> float:
-    """Return the processor time a second that a holder spends on its instances."""
+def _probe_cpu_share(instances: int, seconds: float) -> float:
+    """Return the share of a core that a daemon spends on probing its instances."""
     site = Site(daemons=1, domains=1, instances=instances)
-    return asyncio.run(idle(site, instances // 4, seconds)).cpu
+    return asyncio.run(measure_idle(site, instances // 4, seconds)).cpu_cores
 
 
-def _measure(runs: int, seconds: float, quick: bool) -> list[Slope]:
-    slopes = [slope(cost.name, cost.unit, cost.sizes, cost.sample, runs) for cost in INSIDE]
+def _measure_slopes(runs: int, seconds: float, quick: bool) -> list[Slope]:
+    slopes = [
+        measure_slope(cost.name, cost.unit, cost.sizes, cost.sample, runs)
+        for cost in IN_PROCESS_COSTS
+    ]
     if quick:
         return slopes
-    probes = slope(
+    probes = measure_slope(
         "probe_cpu",
         "part of a core for each instance probed twice a second",
         [8, 24, 48],
-        lambda count: _probe_cpu(count, seconds),
+        lambda count: _probe_cpu_share(count, seconds),
         runs,
     )
-    return [*slopes, probes, *_against_daemons(runs, seconds)]
+    return [*slopes, probes, *_measure_daemon_slopes(runs, seconds)]
 
 
-def _against_daemons(runs: int, seconds: float) -> list[Slope]:
+def _measure_daemon_slopes(runs: int, seconds: float) -> list[Slope]:
     sizes = [3, 10, 30]
-    found: dict[int, list[Idle]] = {size: [] for size in sizes}
+    costs: dict[int, list[IdleCost]] = {size: [] for size in sizes}
     for _ in range(runs):
         for size in sizes:
             site = Site(daemons=size, domains=1, instances=4)
-            found[size].append(asyncio.run(idle(site, 1, seconds)))
+            costs[size].append(asyncio.run(measure_idle(site, 1, seconds)))
 
-    def of(name: str, unit: str, value: t.Callable[[Idle, int], float]) -> Slope:
+    def slope_of(name: str, unit: str, value: t.Callable[[IdleCost, int], float]) -> Slope:
         fits = [
-            fit(sizes, [value(found[size][run], size) for size in sizes]) for run in range(runs)
+            fit_line(sizes, [value(costs[size][run], size) for size in sizes])
+            for run in range(runs)
         ]
-        return Slope.of(name, unit, sizes, fits, COMMAND)
+        return Slope.from_fits(name, unit, sizes, fits, COMMAND)
 
     return [
-        of("idle_cpu", "part of a core a daemon, for each daemon", lambda i, n: i.cpu / n),
-        of("idle_sent", "bytes/s a daemon sends, for each daemon", lambda i, n: i.sent),
-        of("private_bytes", "bytes a daemon, for each daemon", lambda i, n: i.private),
+        slope_of(
+            "idle_cpu", "part of a core a daemon, for each daemon", lambda i, n: i.cpu_cores / n
+        ),
+        slope_of(
+            "idle_sent",
+            "bytes/s a daemon sends, for each daemon",
+            lambda i, n: i.sent_bytes_per_second,
+        ),
+        slope_of("private_bytes", "bytes a daemon, for each daemon", lambda i, n: i.private_bytes),
     ]
 
 
@@ -81,25 +96,25 @@
 ) -> None:
     """Measure all slopes.
 
-    :param runs: how often; the spread is over these.
-    :param seconds: for each measurement of processes.
-    :param quick: leave the processes out.
-    :param record: keep the slopes for docs/CAPACITY.md.
+    :param runs: number of measurements at each size.
+    :param seconds: duration of each measurement of daemon processes.
+    :param quick: skip the measurements of daemon processes.
+    :param record: write the slopes to ``bench/slopes.json``.
     """
-    slopes = _measure(runs, seconds, quick)
+    slopes = _measure_slopes(runs, seconds, quick)
     print(f"{'slope':20}{'base':>12}{'each':>12}{'spread':>10}  unit")
-    for found in slopes:
-        numbers = f"{found.base:12.4g}{found.each:12.4g}{found.spread:10.2g}"
-        print(f"{found.name:20}{numbers}  {found.unit}")
+    for slope in slopes:
+        numbers = f"{slope.base:12.4g}{slope.each:12.4g}{slope.spread:10.2g}"
+        print(f"{slope.name:20}{numbers}  {slope.unit}")
     if record:
-        keep(slopes)
-    by_name = {found.name: found for found in slopes}
+        record_slopes(slopes)
+    by_name = {slope.name: slope for slope in slopes}
     plan = Plan()
     if not quick:
         growth = by_name["idle_cpu"].each * plan.daemons
-        target("capacity-idle-cpu-growth", growth, BUDGET_CPU)
+        print_target("capacity-idle-cpu-growth", growth, CPU_BUDGET_CORES)
     megabytes = by_name["directory_bytes"].each * plan.groups / 1e6
-    target("capacity-directory-625-groups-mb", megabytes, DIRECTORY_MB)
+    print_target("capacity-directory-625-groups-mb", megabytes, DIRECTORY_LIMIT_MB)
 
 
 if __name__ == "__main__":
--- a/bench/capacity_inside.py
+++ b/bench/capacity_inside.py
@@ -1,8 +1,7 @@
-"""Costs that are measured inside one process: state by its size, messages by what they carry.
+"""Measures costs within this process: state by its size, messages by their content.
 
-Owns: nothing; each measurement builds what it measures and drops it.
-Relies on: the processor clock of this process, and the loopback's byte counter being used by
-nothing else meanwhile.
+Owns: nothing; each measurement builds and drops its own objects.
+Relies on: this process's CPU clock, and no other traffic over the loopback interface.
 """
 
 import asyncio
@@ -35,39 +34,43 @@
 Sample = t.Callable[[int], float]
 
 
-def _workspaces(count: int) -> State:
+def _state_with_workspaces(count: int) -> State:
     rows = [{"name": f"w{n}", "key_digests": [keys.digest(str(n))]} for n in range(count)]
-    first = Entry(1, "", "p", "o", Change.model_validate({"workspaces": rows}))
-    return State().after(first)
+    entry = Entry(1, "", "p", "o", Change.model_validate({"workspaces": rows}))
+    return State().after(entry)
 
 
-def _entry_after(state: State) -> Entry:
+def _next_entry(state: State) -> Entry:
     change = {"workspaces": [{"name": "w0", "key_digests": [keys.digest("new")]}]}
     head = state.head
     return Entry(head.revision + 1, head.digest, "p", "o", Change.model_validate(change))
 
 
-def _apply_us(count: int) -> float:
-    state = _workspaces(count)
-    entry = _entry_after(state)
+def _journal_apply_microseconds(count: int) -> float:
+    state = _state_with_workspaces(count)
+    entry = _next_entry(state)
     rounds = 20
-    began = time.process_time()
+    started_at = time.process_time()
     for _ in range(rounds):
         state.after(entry)
-    return (time.process_time() - began) / rounds * 1e6
+    return (time.process_time() - started_at) / rounds * 1e6
 
 
-def _bytes_of(make: t.Callable[[], t.Any]) -> float:
+def _memory_bytes(make: t.Callable[[], t.Any]) -> float:
+    """Return the memory that an object takes.
+
+    :param make: returns the object.
+    """
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    held_object = make()
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del held_object
     return float(used)
 
 
-def _directory(count: int) -> Directory:
+def _directory_of_groups(count: int) -> Directory:
     directory = Directory(limit=count)
     for number in range(count):
         body = codec.unpack(
@@ -88,17 +91,17 @@
     return directory
 
 
-def _claims(count: int) -> ClaimBook:
-    book = ClaimBook()
+def _claim_book(count: int) -> ClaimBook:
+    claims = ClaimBook()
     for number in range(count):
-        _, claim = book.ask(f"w{number % 10}", f"key-{number}", f"{number:032x}", 0.0, 0)
+        _, claim = claims.ask(f"w{number % 10}", f"key-{number}", f"{number:032x}", 0.0, 0)
         if claim:
-            book.written(claim)
-            book.finish(claim.workspace, claim.key, Outcome(201, "text/plain", b"ok"), "yes")
-    return book
+            claims.written(claim)
+            claims.finish(claim.workspace, claim.key, Outcome(201, "text/plain", b"ok"), "yes")
+    return claims
 
 
-def _burn(count: int) -> BurnCounts:
+def _burn_counts(count: int) -> BurnCounts:
     counts = BurnCounts()
     for number in range(count):
         for minute in range(360):
@@ -106,33 +109,34 @@
     return counts
 
 
-def _claim_us(count: int) -> float:
-    began = time.process_time()
-    _claims(count)
-    return (time.process_time() - began) * 1e6
+def _claim_microseconds(count: int) -> float:
+    started_at = time.process_time()
+    _claim_book(count)
+    return (time.process_time() - started_at) * 1e6
 
 
-def _packed(record: Record) -> float:
+def _record_bytes(record: Record) -> float:
     message = {"c": "cluster", "f": "entry-123", "k": "records", "n": 0, "b": [record]}
     return float(len(codec.pack(message)))
 
 
-def _head(count: int) -> float:
-    return count * _packed(Record("config", (33_000,), {"digest": keys.digest("x")}))
+def _head_record_bytes(count: int) -> float:
+    return count * _record_bytes(Record("config", (33_000,), {"digest": keys.digest("x")}))
 
 
-def _group(count: int) -> float:
-    (record,) = _directory(1).under("")
-    return count * _packed(record)
+def _group_record_bytes(count: int) -> float:
+    (record,) = _directory_of_groups(1).under("")
+    return count * _record_bytes(record)
 
 
-def _pair() -> tuple[ZmqPeers, ZmqPeers, dict[str, str]]:
+def _make_peers() -> tuple[ZmqPeers, ZmqPeers, dict[str, str]]:
+    """Return a client and a server with the same keys, and the addresses that both look up."""
     public, secret = (key.decode() for key in zmq.curve_keypair())
-    made = PeerKeys.model_validate({"public": public, "secret": secret, "accepted": [public]})
+    peer_keys = PeerKeys.model_validate({"public": public, "secret": secret, "accepted": [public]})
     addresses: dict[str, str] = {}
-    asker = ZmqPeers("bench", "one", made, lambda: addresses)
-    giver = ZmqPeers("bench", "two", made, lambda: addresses)
-    return asker, giver, addresses
+    client = ZmqPeers("bench", "one", peer_keys, lambda: addresses)
+    server = ZmqPeers("bench", "two", peer_keys, lambda: addresses)
+    return client, server, addresses
 
 
 def _loopback_bytes() -> int:
@@ -142,9 +146,12 @@
     return 0
 
 
-async def _ask(groups: int, rounds: int = 400) -> tuple[float, float]:
-    """Return processor microseconds and bytes on the wire of one exchange, both sides."""
-    asker, giver, addresses = _pair()
+async def _measure_permit_exchange(groups: int, rounds: int = 400) -> tuple[float, float]:
+    """Return processor microseconds and bytes on the wire of one exchange, of both sides.
+
+    :param groups: number of groups for which the exchange renews a permit.
+    """
+    client, server, addresses = _make_peers()
     requests = [PermitRequest(f"intent-{n}", 3, {"a": 500}) for n in range(groups)]
     permits = [
         Permit(f"intent-{n}", 3, 7, 1.9, False, "10.0.0.1:8000", {"a": 500}, 100)
@@ -154,24 +161,25 @@
     async def answer(sender: str, body: t.Any) -> t.Any:
         return permits
 
-    giver.handle("permit", answer)
-    addresses["two"] = await giver.start("127.0.0.1:0")
-    addresses["one"] = await asker.start("127.0.0.1:0")
-    await asker.ask("two", "permit", requests, 5.0)
-    wire, began = _loopback_bytes(), time.process_time()
+    server.handle("permit", answer)
+    addresses["two"] = await server.start("127.0.0.1:0")
+    addresses["one"] = await client.start("127.0.0.1:0")
+    await client.ask("two", "permit", requests, 5.0)
+    bytes_before, started_at = _loopback_bytes(), time.process_time()
     for _ in range(rounds):
-        await asker.ask("two", "permit", requests, 5.0)
-    used = (time.process_time() - began) / rounds * 1e6
-    sent = (_loopback_bytes() - wire) / rounds
-    await asker.stop()
-    await giver.stop()
-    return used, sent
+        await client.ask("two", "permit", requests, 5.0)
+    cpu_microseconds = (time.process_time() - started_at) / rounds * 1e6
+    wire_bytes = (_loopback_bytes() - bytes_before) / rounds
+    await client.stop()
+    await server.stop()
+    return cpu_microseconds, wire_bytes
 
 
 @dataclasses.dataclass(frozen=True)
-class Measured:
-    """A cost that is measured inside this process.
+class InProcessCost:
+    """A cost that is measured within this process.
 
+    :param sizes: sizes at which the cost is measured.
     :param sample: returns the cost at a size.
     """
 
@@ -181,51 +189,57 @@
     sample: Sample
 
 
-INSIDE = [
-    Measured("journal_apply_us", "us for each workspace", [100, 400, 1600], _apply_us),
-    Measured(
+IN_PROCESS_COSTS = [
+    InProcessCost(
+        "journal_apply_us", "us for each workspace", [100, 400, 1600], _journal_apply_microseconds
+    ),
+    InProcessCost(
         "journal_bytes",
         "bytes for each workspace",
         [100, 400, 1600],
-        lambda count: _bytes_of(lambda: _workspaces(count)),
+        lambda count: _memory_bytes(lambda: _state_with_workspaces(count)),
     ),
-    Measured(
+    InProcessCost(
         "directory_bytes",
         "bytes for each group of 16",
         [150, 600, 2400],
-        lambda count: _bytes_of(lambda: _directory(count)),
+        lambda count: _memory_bytes(lambda: _directory_of_groups(count)),
     ),
-    Measured(
+    InProcessCost(
         "claim_bytes",
         "bytes for each claim",
         [1000, 4000, 16_000],
-        lambda count: _bytes_of(lambda: _claims(count)),
+        lambda count: _memory_bytes(lambda: _claim_book(count)),
+    ),
+    InProcessCost(
+        "config_record_bytes", "bytes of a record of the head", [1, 2, 3], _head_record_bytes
+    ),
+    InProcessCost(
+        "group_record_bytes", "bytes of a record of a group of 16", [1, 2, 3], _group_record_bytes
     ),
-    Measured("config_record_bytes", "bytes of a record of the head", [1, 2, 3], _head),
-    Measured("group_record_bytes", "bytes of a record of a group of 16", [1, 2, 3], _group),
-    Measured("claim_us", "us for each claim", [1000, 4000, 16_000], _claim_us),
-    Measured(
+    InProcessCost("claim_us", "us for each claim", [1000, 4000, 16_000], _claim_microseconds),
+    InProcessCost(
         "burn_report_bytes",
         "bytes of a daemon's figures for each workspace and target, six hours",
         [10, 40, 160],
-        lambda count: float(len(codec.pack(_burn(count).export()))),
+        lambda count: float(len(codec.pack(_burn_counts(count).export()))),
     ),
-    Measured(
+    InProcessCost(
         "burn_bytes",
         "bytes kept for each workspace and target, six hours",
         [10, 40, 160],
-        lambda count: _bytes_of(lambda: _burn(count)),
+        lambda count: _memory_bytes(lambda: _burn_counts(count)),
     ),
-    Measured(
+    InProcessCost(
         "permit_us",
         "us for each group in an exchange, both sides",
         [1, 4, 16],
-        lambda groups: asyncio.run(_ask(groups))[0],
+        lambda groups: asyncio.run(_measure_permit_exchange(groups))[0],
     ),
-    Measured(
+    InProcessCost(
         "permit_bytes",
         "bytes for each group in an exchange, both ways, with headers",
         [1, 4, 16],
-        lambda groups: asyncio.run(_ask(groups))[1],
+        lambda groups: asyncio.run(_measure_permit_exchange(groups))[1],
     ),
 ]
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -32,8 +32,8 @@
 from thorncleat_daemon.dispatch import Slot
 from thorncleat_daemon.permits import NUDGE_SECONDS
 
+from .report import print_target
 from .report import quantile
-from .report import target
 
 # the load and the fleet that serves it
 DAEMONS = 4
@@ -297,8 +297,8 @@
         ratio = quantile(ours_rush.others(), 0.95) / quantile(ours_calm.others(), 0.95)
         worst_ratio = max(worst_ratio, ratio)
         worst_use = min(worst_use, ours_rush.served_tokens / first.served_tokens)
-    target("fairness-others-p95-ratio", worst_ratio, WANTED_RATIO)
-    target("fairness-utilisation", worst_use, WANTED_USE, at_least=True)
+    print_target("fairness-others-p95-ratio", worst_ratio, WANTED_RATIO)
+    print_target("fairness-utilisation", worst_use, WANTED_USE, at_least=True)
 
 
 if __name__ == "__main__":
--- a/bench/idle_daemons.py
+++ b/bench/idle_daemons.py
@@ -1,7 +1,7 @@
-"""Costs of daemons as processes, without requests; and the intent that benchmarks use.
+"""Measures daemon processes that get no requests, and defines the intent of the benchmarks.
 
 Owns: the cluster of each measurement.
-Relies on: ``/proc`` for processor time and memory, and the daemons' own counter of bytes sent.
+Relies on: ``/proc`` for processor time and memory, and the daemons' metric of bytes sent to peers.
 """
 
 import asyncio
@@ -22,15 +22,20 @@
 
 
 @dataclasses.dataclass
-class Idle:
-    """What one daemon costs without requests."""
+class IdleCost:
+    """What idle daemons cost.
 
-    cpu: float
-    sent: float
-    private: float
+    :param cpu_cores: processor time of all daemons together, in cores.
+    :param sent_bytes_per_second: mean of the daemons.
+    :param private_bytes: memory, mean of the daemons.
+    """
+
+    cpu_cores: float
+    sent_bytes_per_second: float
+    private_bytes: float
 
 
-async def _figure(cluster: Cluster, daemon: str, name: str) -> float:
+async def _metric_value(cluster: Cluster, daemon: str, name: str) -> float:
     url = f"{cluster.callers(daemon)}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as response:
         for line in (await response.text()).splitlines():
@@ -39,10 +44,11 @@
     return 0.0
 
 
-async def idle(site: Site, groups: int, seconds: float) -> Idle:
-    """Return what daemons cost that hold some groups and get no requests.
+async def measure_idle(site: Site, groups: int, seconds: float) -> IdleCost:
+    """Return the cost of idle daemons that control some groups.
 
-    :param seconds: that are measured.
+    :param groups: number of groups.
+    :param seconds: duration of the measurement.
     """
     with tempfile.TemporaryDirectory(prefix="thorncleat-bench-") as directory:
         cluster = Cluster(pathlib.Path(directory), site, control={"shards": 4})
@@ -52,15 +58,23 @@
             await cluster.apply(group_intent(groups))
             await cluster.wait_for_open_groups(groups)
             pids = [cluster.processes[name].pid for name in cluster.daemons]
-            sent = [await _figure(cluster, name, "peer_sent_bytes") for name in cluster.daemons]
-            before = [cpu_seconds(pid) for pid in pids]
+            sent_before = [
+                await _metric_value(cluster, name, "peer_sent_bytes") for name in cluster.daemons
+            ]
+            cpu_before = [cpu_seconds(pid) for pid in pids]
             await asyncio.sleep(seconds)
-            used = [cpu_seconds(pid) - old for pid, old in zip(pids, before, strict=True)]
-            now = [await _figure(cluster, name, "peer_sent_bytes") for name in cluster.daemons]
-            bytes_sent = [new - old for new, old in zip(now, sent, strict=True)]
-            return Idle(
-                sum(used) / seconds,
-                statistics.fmean(bytes_sent) / seconds,
+            cpu_used = [
+                cpu_seconds(pid) - earlier for pid, earlier in zip(pids, cpu_before, strict=True)
+            ]
+            sent_after = [
+                await _metric_value(cluster, name, "peer_sent_bytes") for name in cluster.daemons
+            ]
+            sent_bytes = [
+                later - earlier for later, earlier in zip(sent_after, sent_before, strict=True)
+            ]
+            return IdleCost(
+                sum(cpu_used) / seconds,
+                statistics.fmean(sent_bytes) / seconds,
                 statistics.fmean(private_bytes(pid) for pid in pids),
             )
         finally:
@@ -68,7 +82,10 @@
 
 
 def group_intent(groups: int) -> dict[str, t.Any]:
-    """Return a change that wants some groups of four."""
+    """Return a configuration change with an intent for groups of four instances.
+
+    :param groups: number of groups.
+    """
     intent = {
         "name": "narrator",
         "model": "m",
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -21,11 +21,11 @@
 
 from .idle_daemons import group_intent
 from .report import cpu_seconds
-from .report import target
+from .report import print_target
 from .slopes import Fit
 from .slopes import Slope
-from .slopes import fit
-from .slopes import keep
+from .slopes import fit_line
+from .slopes import record_slopes
 
 COMMAND = "bin/bench relay --record"
 KEY = "caller-key"
@@ -170,7 +170,8 @@
         "request_us": ("us for each request of one token", CONCURRENT),
     }
     return [
-        Slope.of(name, unit, sizes, fits[name], COMMAND) for name, (unit, sizes) in units.items()
+        Slope.from_fits(name, unit, sizes, fits[name], COMMAND)
+        for name, (unit, sizes) in units.items()
     ]
 
 
@@ -178,7 +179,7 @@
     """Fit processor microseconds a second against what was counted a second."""
     rates = [count / seconds for count in counted]
     costs = [load.cpu / seconds * 1e6 for load in loads]
-    return fit(rates, costs)
+    return fit_line(rates, costs)
 
 
 def _show(runs: list[Run]) -> None:
@@ -208,7 +209,7 @@
     if record:
         with tempfile.TemporaryDirectory(prefix="thorncleat-bench-") as name:
             slopes = asyncio.run(_slopes(pathlib.Path(name), 3, seconds))
-        keep(slopes)
+        record_slopes(slopes)
         for slope in slopes:
             print(
                 f"{slope.name}: {slope.each:.1f}, spread {slope.spread:.1f}, base {slope.base:.0f}"
@@ -220,9 +221,9 @@
     by_name = {run.server: run for run in runs}
     ours, floor, direct = by_name["thorncleat"], by_name["bare"], by_name["direct"]
     print(f"planned for each daemon: {PLANNED_TOKENS} tokens/s")
-    target("relay-token-cost-of-floor", ours.per_token / floor.per_token, FLOOR_FACTOR)
+    print_target("relay-token-cost-of-floor", ours.per_token / floor.per_token, FLOOR_FACTOR)
     added = ours.streams.p95_ms - direct.streams.p95_ms
-    target("relay-added-delay-p95-ms", added, ADDED_MS)
+    print_target("relay-added-delay-p95-ms", added, ADDED_MS)
 
 
 if __name__ == "__main__":
--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -111,9 +111,7 @@
         :param request: the request's id.
         :param logs: log files; standard input if there are none.
         """
-        self._show_lines(
-            log_lines.for_request(log_lines.read(logs), str(request)), str(request)
-        )
+        self._show_lines(log_lines.for_request(log_lines.read(logs), str(request)), str(request))
 
     def why_down(self, group: str, *logs: str) -> None:
         """Show how a group was formed and ended, from the daemons' log lines.
