--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -350,15 +350,16 @@
         daemon.limits.answered(ENDPOINT, meta, sent_at)
 
     def _seen(self) -> Seen:
-        since = NAMED_AT + limit_rule.KNOWN_SECONDS
+        since = NAMED_AT + limit_rule.FIRST_NOTICE_GRACE_SECONDS
         counted = [
             at
             for at, name in self._arrivals
-            if since <= at < OVER_AT and at >= self._told.get(name, END) + limit_rule.TOLD_SECONDS
+            if since <= at < OVER_AT
+            and at >= self._told.get(name, END) + limit_rule.NOTICE_GRACE_SECONDS
         ]
         arrived = sum(since <= at < OVER_AT for at, _ in self._arrivals)
         used = arrived / ((OVER_AT - since) * max(self._limit, 1e-9))
-        return Seen(limit_rule.most_in_a_span(counted), used, self._known_over_at - OVER_AT)
+        return Seen(limit_rule.max_requests_in_window(counted), used, self._known_over_at - OVER_AT)
 
 
 def limits(
@@ -384,7 +385,7 @@
         most = max(one.most for one in seen)
         used = sum(one.used for one in seen) / seeds
         again = max(one.again_after for one in seen)
-        allowed = limit_rule.allowed(limit)
+        allowed = limit_rule.max_allowed_in_window(limit)
         mark = " OVER" if most > allowed else ""
         print(
             f"{way} {size} {figure} {trouble} | {most} ({allowed:g}){mark}"
--- a/bench/limit_rule.py
+++ b/bench/limit_rule.py
@@ -1,41 +1,40 @@
-"""What an endpoint that names a limit may get from all daemons together: the users' rule.
+"""The rule on how many requests an endpoint with a rate limit may get from all daemons together.
 
 Owns: nothing.
-Relies on: the moments at which requests reached the endpoint, in order.
+Relies on: the times at which requests reached the endpoint, in ascending order.
 """
 
 import collections
 import typing as t
 
-# a span in which the endpoint counts
-SPAN_SECONDS = 4.0
-# times the limit that it may get in a span, and requests beside
-SLACK = 1.5
-EXTRA = 5
-# after its first word, from which on requests count
-KNOWN_SECONDS = 3.0
-# after its word to a daemon, from which on that daemon's requests count
-TOLD_SECONDS = 0.5
+WINDOW_SECONDS = 4.0
+# A window may hold the limit multiplied by this factor, and some requests more.
+LIMIT_FACTOR = 1.5
+EXTRA_REQUESTS = 5
+# How long after the endpoint's first notice of a limit requests don't count.
+FIRST_NOTICE_GRACE_SECONDS = 3.0
+# How long after the endpoint's notice to a daemon that daemon's requests don't count.
+NOTICE_GRACE_SECONDS = 0.5
 
 
-def allowed(limit: float) -> float:
-    """Return how many requests an endpoint may get in a span.
+def max_allowed_in_window(limit: float) -> float:
+    """Return how many requests an endpoint may get in a window.
 
     :param limit: requests a second.
     """
-    return SLACK * SPAN_SECONDS * limit + EXTRA
+    return LIMIT_FACTOR * WINDOW_SECONDS * limit + EXTRA_REQUESTS
 
 
-def most_in_a_span(arrivals: t.Iterable[float]) -> int:
-    """Return how many requests reached an endpoint in some span.
+def max_requests_in_window(arrivals: t.Iterable[float]) -> int:
+    """Return the largest number of requests that reached an endpoint in any window.
 
-    :param arrivals: of the requests that count, in seconds.
+    :param arrivals: times of the requests that count, in seconds, ascending.
     """
     window: collections.deque[float] = collections.deque()
-    most = 0
+    highest = 0
     for at in arrivals:
         window.append(at)
-        while window[0] <= at - SPAN_SECONDS:
+        while window[0] <= at - WINDOW_SECONDS:
             window.popleft()
-        most = max(most, len(window))
-    return most
+        highest = max(highest, len(window))
+    return highest
--- a/bench/soaks/gateway_limits.py
+++ b/bench/soaks/gateway_limits.py
@@ -64,7 +64,7 @@
             return
         now = asyncio.get_running_loop().time()
         told_at = limit.told_at.get(daemon.name, float("inf"))
-        if now > told_at + limit_rule.TOLD_SECONDS and daemon.interrupted_at < told_at:
+        if now > told_at + limit_rule.NOTICE_GRACE_SECONDS and daemon.interrupted_at < told_at:
             self._count(worker, limit, request, now)
         if is_heard(worker):
             limit.named_at = min(limit.named_at, now)
@@ -72,15 +72,15 @@
                 limit.told_at[daemon.name] = now
 
     def _count(self, worker: "SoakWorker", limit: _Limit, request: str, now: float) -> None:
-        if now < limit.named_at + limit_rule.KNOWN_SECONDS:
+        if now < limit.named_at + limit_rule.FIRST_NOTICE_GRACE_SECONDS:
             return
         self._counts["requests at a limit"] += 1
         limit.arrivals.append(now)
-        got = sum(at > now - limit_rule.SPAN_SECONDS for at in limit.arrivals)
-        if got > limit_rule.allowed(limit.figure):
+        got = sum(at > now - limit_rule.WINDOW_SECONDS for at in limit.arrivals)
+        if got > limit_rule.max_allowed_in_window(limit.figure):
             self._faults.append(
                 f"LIMIT {request} reached {worker.id}, which takes {limit.figure} a second, as "
-                f"number {got} in {limit_rule.SPAN_SECONDS} s"
+                f"number {got} in {limit_rule.WINDOW_SECONDS} s"
             )
 
 
--- a/tests/notice_endpoints.py
+++ b/tests/notice_endpoints.py
@@ -138,9 +138,9 @@
             at
             for at, daemon in zip(self.arrivals, self.senders, strict=True)
             if begin <= at <= end
-            and at >= self.told_limit.get(daemon, at) + limit_rule.TOLD_SECONDS
+            and at >= self.told_limit.get(daemon, at) + limit_rule.NOTICE_GRACE_SECONDS
         ]
-        return limit_rule.most_in_a_span(counted)
+        return limit_rule.max_requests_in_window(counted)
 
     async def slot(self) -> bool:
         """Wait for a place; return whether there is one, or room to wait."""
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -43,7 +43,7 @@
     begun = world.now()
     await world.requests(16.0)
     await world.end()
-    return world, world.workers[0].most_in_a_span(begun + limit_rule.KNOWN_SECONDS)
+    return world, world.workers[0].most_in_a_span(begun + limit_rule.FIRST_NOTICE_GRACE_SECONDS)
 
 
 @pytest.mark.parametrize("limit", ["0.1", "1", "1.2"])
@@ -51,7 +51,7 @@
 def test_daemons_keep_together_to_what_an_endpoint_takes(size, limit):
     for seed in SEEDS:
         world, most = virtual_time.run(_one_names_a_limit(size, seed, limit))
-        assert most <= limit_rule.allowed(float(limit))
+        assert most <= limit_rule.max_allowed_in_window(float(limit))
         assert not world.unserved
 
 
@@ -65,9 +65,14 @@
     begun = world.now()
     await world.requests(12.0)
     spans = [
-        worker.most_in_a_span(begun + limit_rule.KNOWN_SECONDS) for worker in world.workers.values()
+        worker.most_in_a_span(begun + limit_rule.FIRST_NOTICE_GRACE_SECONDS)
+        for worker in world.workers.values()
+    ]
+    refused = [
+        one
+        for one in world.refusals
+        if one.answered_at > begun + limit_rule.FIRST_NOTICE_GRACE_SECONDS
     ]
-    refused = [one for one in world.refusals if one.answered_at > begun + limit_rule.KNOWN_SECONDS]
     for worker in world.workers.values():
         worker.says = {}
     await world.requests(4.0)
@@ -79,7 +84,7 @@
 
 def test_while_all_take_few_the_rest_is_refused_at_once_and_all_is_served_when_it_is_over():
     world, spans, refused = virtual_time.run(_all_name_a_limit("1", 1))
-    assert max(spans) <= limit_rule.SPAN_SECONDS
+    assert max(spans) <= limit_rule.WINDOW_SECONDS
     assert refused
     # 12 a second fit in; a caller who comes back at once finds no more
     assert all(0 < one.retry_after < 1.0 for one in refused)
@@ -312,7 +317,7 @@
 def test_fleet_keeps_to_a_limit_whoever_is_cut_off(trouble, daemons, limit):
     """By what the endpoint counts; the bound is the limit itself, and a request at its edges."""
     seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).play()
-    assert seen.most <= limit_rule.SPAN_SECONDS * limit + 1
+    assert seen.most <= limit_rule.WINDOW_SECONDS * limit + 1
     # most of it is used while nothing is wrong
     assert seen.used > (0.5 if trouble == "calm" else 0)
     # the slowest holder's next request, and its answer
@@ -323,4 +328,4 @@
 def test_other_ways_to_share_a_limit_break_it(way, daemons, limit):
     """So the fleet's check tells a way that doesn't hold from one that does."""
     seen = limit_fleet.LimitFleet(way, daemons, limit, 3.0, "calm", 0).play()
-    assert seen.most > limit_rule.allowed(limit)
+    assert seen.most > limit_rule.max_allowed_in_window(limit)
