--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -47,7 +47,7 @@
 NAMED_AT, TROUBLE_AT, TROUBLE_OVER_AT, OVER_AT, END = 2.0, 15.0, 45.0, 70.0, 100.0
 # between two restarts where daemons come and go
 CHURN_SECONDS = 2.0
-TROUBLES = ("calm", "partition", "store away", "half without store", "come and go")
+SCENARIOS = ("calm", "partition", "store away", "half without store", "come and go")
 
 
 class _SimFleet:
@@ -168,9 +168,9 @@
     :param again_after: seconds after the limit's end until nine of ten daemons know.
     """
 
-    most: int
-    used: float
-    again_after: float
+    max_in_window: int
+    used_share: float
+    recovery_seconds: float
 
 
 class LimitFleet:
@@ -237,7 +237,7 @@
             for handler in daemon.peers.handlers:
                 handler(sender, message)
 
-    def play(self) -> Seen:
+    def run(self) -> Seen:
         """Play from start to end."""
         for daemon in self.daemons.values():
             daemon.fleet.listed = self.registered
@@ -374,17 +374,17 @@
     :param rate: requests a second at each daemon.
     """
     print("way daemons limit trouble | most in 4 s (allowed) | used | known to be over after, s")
-    plays = itertools.product(_listed(ways), _listed(sizes), _listed(figures), TROUBLES)
+    plays = itertools.product(_listed(ways), _listed(sizes), _listed(figures), SCENARIOS)
     for way, size, figure, trouble in plays:
         limit = float(figure)
         # the gateway draws whom it tells; so each run of a comparison sees the same
         random.seed(0)
         seen = [
-            LimitFleet(way, int(size), limit, rate, trouble, seed).play() for seed in range(seeds)
+            LimitFleet(way, int(size), limit, rate, trouble, seed).run() for seed in range(seeds)
         ]
-        most = max(one.most for one in seen)
-        used = sum(one.used for one in seen) / seeds
-        again = max(one.again_after for one in seen)
+        most = max(one.max_in_window for one in seen)
+        used = sum(one.used_share for one in seen) / seeds
+        again = max(one.recovery_seconds for one in seen)
         allowed = limit_rule.max_allowed_in_window(limit)
         mark = " OVER" if most > allowed else ""
         print(
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -311,21 +311,21 @@
     assert not scene.limits.notices
 
 
-@pytest.mark.parametrize("trouble", limit_fleet.TROUBLES)
+@pytest.mark.parametrize("trouble", limit_fleet.SCENARIOS)
 @pytest.mark.parametrize("daemons", [8, 40])
 @pytest.mark.parametrize("limit", [0.1, 1.0, 10.0])
 def test_fleet_keeps_to_a_limit_whoever_is_cut_off(trouble, daemons, limit):
     """By what the endpoint counts; the bound is the limit itself, and a request at its edges."""
-    seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).play()
-    assert seen.most <= limit_rule.WINDOW_SECONDS * limit + 1
+    seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).run()
+    assert seen.max_in_window <= limit_rule.WINDOW_SECONDS * limit + 1
     # most of it is used while nothing is wrong
-    assert seen.used > (0.5 if trouble == "calm" else 0)
+    assert seen.used_share > (0.5 if trouble == "calm" else 0)
     # the slowest holder's next request, and its answer
-    assert seen.again_after < 1 / (rate_shares.rate(limit) * rate_shares.PART_IF_OLD) + 1
+    assert seen.recovery_seconds < 1 / (rate_shares.rate(limit) * rate_shares.PART_IF_OLD) + 1
 
 
 @pytest.mark.parametrize(("way", "daemons", "limit"), [("own", 8, 1.0), ("fixed", 195, 10.0)])
 def test_other_ways_to_share_a_limit_break_it(way, daemons, limit):
     """So the fleet's check tells a way that doesn't hold from one that does."""
-    seen = limit_fleet.LimitFleet(way, daemons, limit, 3.0, "calm", 0).play()
-    assert seen.most > limit_rule.max_allowed_in_window(limit)
+    seen = limit_fleet.LimitFleet(way, daemons, limit, 3.0, "calm", 0).run()
+    assert seen.max_in_window > limit_rule.max_allowed_in_window(limit)
