--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -1,12 +1,7 @@
-"""How ways to share an endpoint's limit compare: ``bin/bench limit_fleet``.
+"""Compares ways to share an endpoint's rate limit among daemons, in virtual time.
 
-A fleet of daemons before one endpoint that takes few requests from all of them together, in
-virtual time. The endpoint counts what reaches it; daemons know of each other only what the real
-classes keep and tell. Beside the way that the gateway takes there are those that were weighed
-against it.
-
-Owns: the fleet of one play.
-Relies on: the gateway's classes for notices, shares and what daemons know of their list.
+Owns: a simulated fleet of daemons before one endpoint that limits its rate.
+Relies on: the gateway's classes for notices, shares and the knowledge of the fleet.
 """
 
 import dataclasses
@@ -34,24 +29,28 @@
 from . import limit_rule
 
 ENDPOINT = Endpoint("i-1", "narrator", "10.0.0.1:1", "z1", born=5)
-# one way between any two processes, and how long the endpoint takes for the head of an answer
-WAY_SECONDS = 0.002
-ANSWER_SECONDS = (0.01, 0.4)
-# part of the datagrams that get lost
-LOST = 0.03
-# of its requests that a daemon sends to the endpoint while it knows no limit: one of 16 groups
-PART_UNLIMITED = 1 / 16
-# how old a daemon's list is while it reaches the store
-LIST_AGE_SECONDS = (0.1, 1.4)
-# when the endpoint begins to name its limit, when trouble begins and ends, when the limit is over
-NAMED_AT, TROUBLE_AT, TROUBLE_OVER_AT, OVER_AT, END = 2.0, 15.0, 45.0, 70.0, 100.0
-# between two restarts where daemons come and go
-CHURN_SECONDS = 2.0
+# Network delay between any two processes.
+ONE_WAY_SECONDS = 0.002
+ANSWER_DELAY_RANGE_SECONDS = (0.01, 0.4)
+# Share of datagrams that are lost.
+LOSS_SHARE = 0.03
+# Share of its requests that a daemon sends to the endpoint while it knows of no limit.
+UNLIMITED_REQUEST_SHARE = 1 / 16
+LIST_READ_INTERVAL_RANGE_SECONDS = (0.1, 1.4)
+# Seconds since the start of a run.
+LIMIT_STARTS_AT, FAULT_STARTS_AT, FAULT_ENDS_AT, LIMIT_ENDS_AT, END_AT = (
+    2.0,
+    15.0,
+    45.0,
+    70.0,
+    100.0,
+)
+CHURN_INTERVAL_SECONDS = 2.0
 SCENARIOS = ("calm", "partition", "store away", "half without store", "come and go")
 
 
 class _SimFleet:
-    """What one daemon knows of the others."""
+    """One daemon's knowledge of the fleet; stands in for the gateway's list of daemons."""
 
     def __init__(self, sim: "LimitFleet", own: Daemon) -> None:
         self._sim = sim
@@ -76,8 +75,8 @@
         return fleet_knowledge(now - self.registered_at, lease_left, now - self.listed_at)
 
 
-class _Peers:
-    """Datagrams of one daemon."""
+class _SimPeers:
+    """One daemon's datagrams; stands in for the gateway's channel to its peers."""
 
     def __init__(self, sim: "LimitFleet", id: str) -> None:
         self._sim = sim
@@ -97,20 +96,20 @@
 
     def send(self, other: str, message: Message) -> None:
         sim = self._sim
-        if sim.random.random() < LOST or sim.is_cut(self.id, other):
+        if sim.random.random() < LOSS_SHARE or sim.is_cut_off(self.id, other):
             return
-        sim.after(WAY_SECONDS, lambda: sim.deliver(self.id, other, message))
+        sim.schedule(ONE_WAY_SECONDS, lambda: sim.deliver(self.id, other, message))
 
 
-# what all daemons know of the endpoints
+# Store view that all daemons share.
 VIEW = types.SimpleNamespace(roster=types.SimpleNamespace(endpoints={ENDPOINT.id: ENDPOINT}))
 
 
 class _SimDaemon:
     def __init__(self, sim: "LimitFleet", own: Daemon) -> None:
         self.fleet = _SimFleet(sim, own)
-        self.peers = _Peers(sim, own.id)
-        self.limits = sim.way(self.fleet, lambda: sim.now)
+        self.peers = _SimPeers(sim, own.id)
+        self.limits = sim.limits_class(self.fleet, lambda: sim.now)
         self.reporter = LimitReporter(
             self.limits,
             t.cast(t.Any, VIEW),
@@ -119,53 +118,53 @@
         )
 
 
-class Fixed(EndpointLimits):
-    """The same part for every daemon."""
+class EqualShares(EndpointLimits):
+    """Gives every daemon an equal share of the limit."""
 
     def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
         daemons = self._fleet.daemons()
-        known = fleet_knowledge is not FleetKnowledge.NONE
-        return rate_shares.rate(limit) / len(daemons) if known else 0.0
+        has_list = fleet_knowledge is not FleetKnowledge.NONE
+        return rate_shares.rate(limit) / len(daemons) if has_list else 0.0
 
 
-class Own(EndpointLimits):
-    """Each keeps the whole limit by itself."""
+class WholeLimit(EndpointLimits):
+    """Gives every daemon the whole limit."""
 
     def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
         return rate_shares.rate(limit)
 
 
-class Turns(EndpointLimits):
-    """Each in its turn, by the time of day: one request in a slot of its own."""
+class TimeSlots(EndpointLimits):
+    """Gives daemons time slots in turn, each for one request."""
 
     def wait(self, endpoint: Endpoint) -> float:
-        """Return the seconds until the next slot if this one is another's, or is used."""
-        limited = self._of(endpoint)
-        if limited is None or limited.notice.limit is None:
+        """Return 0 if this daemon may send in the current slot, else the length of a slot."""
+        state = self._of(endpoint)
+        if state is None or state.notice.limit is None:
             return 0.0
-        slot = 1 / rate_shares.rate(limited.notice.limit)
+        slot_seconds = 1 / rate_shares.rate(state.notice.limit)
         names = sorted(self._fleet.daemons())
-        number = int(self._clock() / slot)
-        is_own = names and names[number % len(names)] == self._fleet.own.id
-        has_sent = int(limited.since / slot) == number
-        return 0.0 if is_own and not has_sent else slot
+        slot_number = int(self._clock() / slot_seconds)
+        is_own = names and names[slot_number % len(names)] == self._fleet.own.id
+        has_sent = int(state.since / slot_seconds) == slot_number
+        return 0.0 if is_own and not has_sent else slot_seconds
 
 
-WAYS: dict[str, type[EndpointLimits]] = {
+STRATEGIES: dict[str, type[EndpointLimits]] = {
     "holders": EndpointLimits,
-    "fixed": Fixed,
-    "own": Own,
-    "turns": Turns,
+    "fixed": EqualShares,
+    "own": WholeLimit,
+    "turns": TimeSlots,
 }
 
 
 @dataclasses.dataclass
-class Seen:
-    """What the endpoint saw.
+class FleetResult:
+    """What a run showed.
 
-    :param most: requests in a span, from daemons that it had told.
-    :param used: part of the limit that was used, from the first word's bound on.
-    :param again_after: seconds after the limit's end until nine of ten daemons know.
+    :param max_in_window: most requests in any window, from daemons with notice of the limit.
+    :param used_share: share of the limit that was used once requests counted.
+    :param recovery_seconds: time from the limit's end until nine of ten daemons know of it.
     """
 
     max_in_window: int
@@ -174,192 +173,203 @@
 
 
 class LimitFleet:
-    """One play.
+    """A simulated fleet before one endpoint; for a single run.
 
+    :param strategy: a name in ``STRATEGIES``.
+    :param daemons: number of daemons.
+    :param limit: requests a second that the endpoint takes from all daemons together.
     :param rate: requests a second at each daemon that the endpoint could serve.
+    :param scenario: one of ``SCENARIOS``.
     """
 
     def __init__(
-        self, way: str, daemons: int, limit: float, rate: float, trouble: str, seed: int
+        self, strategy: str, daemons: int, limit: float, rate: float, scenario: str, seed: int
     ) -> None:
-        self.way = WAYS[way]
+        self.limits_class = STRATEGIES[strategy]
         self.now = 0.0
-        self.random = random.Random(f"{daemons} {limit} {trouble} {seed}")
+        self.random = random.Random(f"{daemons} {limit} {scenario} {seed}")
         self._limit = limit
         self._rate = rate
-        self._trouble = trouble
+        self._scenario = scenario
         self._queue: list[tuple[float, int, t.Callable[[], None]]] = []
         self._order = itertools.count()
-        self._numbers = itertools.count(daemons)
+        self._new_numbers = itertools.count(daemons)
         self._arrivals: list[tuple[float, str]] = []
-        self._told: dict[str, float] = {}
-        self._known_over_at = float("inf")
-        # when each daemon was ended last
-        self._gone: dict[str, float] = {}
+        self._notified_at: dict[str, float] = {}
+        self._recovered_at = float("inf")
+        self._stopped_at: dict[str, float] = {}
         self.daemons: dict[str, _SimDaemon] = {}
-        records = [self._record(number) for number in range(daemons)]
-        self.registered: t.Mapping[str, Daemon] = {own.id: own for own in records}
-        for own in records:
-            self.daemons[own.id] = _SimDaemon(self, own)
+        daemons_at_start = [self._make_daemon(number) for number in range(daemons)]
+        self.registered: t.Mapping[str, Daemon] = {daemon.id: daemon for daemon in daemons_at_start}
+        for daemon in daemons_at_start:
+            self.daemons[daemon.id] = _SimDaemon(self, daemon)
 
     @staticmethod
-    def _record(number: int) -> Daemon:
+    def _make_daemon(number: int) -> Daemon:
         return Daemon(f"edge-{number}", "10.1.0.1", number, f"z{number % 3}")
 
-    def after(self, seconds: float, action: t.Callable[[], None]) -> None:
-        """Do something later."""
+    def schedule(self, seconds: float, action: t.Callable[[], None]) -> None:
+        """Call an action after some seconds."""
         heapq.heappush(self._queue, (self.now + seconds, next(self._order), action))
 
-    def _each(self, seconds: float, action: t.Callable[[], None]) -> None:
-        def again() -> None:
+    def _schedule_every(self, seconds: float, action: t.Callable[[], None]) -> None:
+        def repeat_action() -> None:
             action()
-            self.after(seconds, again)
+            self.schedule(seconds, repeat_action)
 
-        self.after(seconds, again)
+        self.schedule(seconds, repeat_action)
 
     @property
-    def _in_trouble(self) -> bool:
-        return TROUBLE_AT <= self.now < TROUBLE_OVER_AT
+    def _is_fault_active(self) -> bool:
+        return FAULT_STARTS_AT <= self.now < FAULT_ENDS_AT
 
-    def is_cut(self, one: str, other: str) -> bool:
-        """Return whether a datagram between two daemons is lost."""
-        halves = {self._half(one), self._half(other)}
-        return self._trouble == "partition" and self._in_trouble and len(halves) == 2
+    def is_cut_off(self, sender: str, receiver: str) -> bool:
+        """Return whether a partition separates two daemons now."""
+        halves = {self._is_even_numbered(sender), self._is_even_numbered(receiver)}
+        return self._scenario == "partition" and self._is_fault_active and len(halves) == 2
 
     @staticmethod
-    def _half(name: str) -> bool:
+    def _is_even_numbered(name: str) -> bool:
         return int(name.removeprefix("edge-")) % 2 == 0
 
-    def deliver(self, sender: str, other: str, message: Message) -> None:
-        """Hand a message to a daemon that knows its sender."""
-        daemon = self.daemons.get(other)
+    def deliver(self, sender: str, receiver: str, message: Message) -> None:
+        """Pass a message to a daemon if the daemon has its sender on its list."""
+        daemon = self.daemons.get(receiver)
         if daemon is not None and sender in daemon.fleet.listed:
             for handler in daemon.peers.handlers:
                 handler(sender, message)
 
-    def run(self) -> Seen:
-        """Play from start to end."""
+    def run(self) -> FleetResult:
+        """Simulate from start to end."""
         for daemon in self.daemons.values():
             daemon.fleet.listed = self.registered
-            self._follow(daemon)
-        self._each(limit_reporter.REPEAT_SECONDS, self._repeat)
-        self._each(0.1, self._look)
-        self._each(1.0, self._lapse)
-        if self._trouble == "come and go":
-            self._each(CHURN_SECONDS, self._churn)
+            self._read_list(daemon)
+        self._schedule_every(limit_reporter.REPEAT_SECONDS, self._repeat_notices)
+        self._schedule_every(0.1, self._check_recovery)
+        self._schedule_every(1.0, self._expire_registrations)
+        if self._scenario == "come and go":
+            self._schedule_every(CHURN_INTERVAL_SECONDS, self._churn)
         for name in list(self.daemons):
-            self._next_request(name, self.daemons[name])
-        while self._queue[0][0] < END:
+            self._schedule_next_request(name, self.daemons[name])
+        while self._queue[0][0] < END_AT:
             self.now, _, action = heapq.heappop(self._queue)
             action()
-        return self._seen()
+        return self._result()
 
-    def _follow(self, daemon: _SimDaemon) -> None:
-        """Let a daemon read the list while it lives."""
+    def _read_list(self, daemon: _SimDaemon) -> None:
+        """Let a daemon read the list of daemons, again and again until it stops."""
         fleet = daemon.fleet
         if self.daemons.get(fleet.own.id) is not daemon:
             return
-        if self._reaches_store(fleet.own.id):
+        if self._can_reach_store(fleet.own.id):
             fleet.listed, fleet.listed_at = self.registered, self.now
             fleet.renewed_at = self.now
             if fleet.own.id not in self.registered:
                 self.registered = {**self.registered, fleet.own.id: fleet.own}
                 fleet.registered_at = self.now
-        self.after(self.random.uniform(*LIST_AGE_SECONDS), lambda: self._follow(daemon))
+        self.schedule(
+            self.random.uniform(*LIST_READ_INTERVAL_RANGE_SECONDS), lambda: self._read_list(daemon)
+        )
 
-    def _reaches_store(self, name: str) -> bool:
-        if not self._in_trouble:
+    def _can_reach_store(self, name: str) -> bool:
+        if not self._is_fault_active:
             return True
         return not (
-            self._trouble == "store away"
-            or (self._trouble == "half without store" and self._half(name))
+            self._scenario == "store away"
+            or (self._scenario == "half without store" and self._is_even_numbered(name))
         )
 
-    def _lapse(self) -> None:
-        """Let the records run out of daemons that have gone or can't renew them."""
-        if self._trouble == "store away" and self._in_trouble:
+    def _expire_registrations(self) -> None:
+        """Remove the registrations of daemons that stopped or can't renew them."""
+        if self._scenario == "store away" and self._is_fault_active:
             return
-        lasting = {}
+        unexpired = {}
         for name, record in self.registered.items():
             daemon = self.daemons.get(name)
-            renewed_at = daemon.fleet.renewed_at if daemon else self._gone.get(name, 0.0)
+            renewed_at = daemon.fleet.renewed_at if daemon else self._stopped_at.get(name, 0.0)
             if self.now - renewed_at < DAEMON_LEASE_SECONDS:
-                lasting[name] = record
-        if len(lasting) < len(self.registered):
-            self.registered = lasting
+                unexpired[name] = record
+        if len(unexpired) < len(self.registered):
+            self.registered = unexpired
 
     def _churn(self) -> None:
-        """Restart one daemon, or replace it by another one."""
-        if not self._in_trouble:
+        """Restart one daemon, or replace it by a new one."""
+        if not self._is_fault_active:
             return
         name = self.random.choice(sorted(self.daemons))
-        self._gone[name] = self.now
+        self._stopped_at[name] = self.now
         own = self.daemons.pop(name).fleet.own
         if self.random.random() < 0.5:
-            own = self._record(next(self._numbers))
+            own = self._make_daemon(next(self._new_numbers))
         daemon = self.daemons[own.id] = _SimDaemon(self, own)
         daemon.fleet.registered_at = self.now
-        self._follow(daemon)
-        self._next_request(own.id, daemon)
+        self._read_list(daemon)
+        self._schedule_next_request(own.id, daemon)
 
-    def _repeat(self) -> None:
+    def _repeat_notices(self) -> None:
         for daemon in self.daemons.values():
             daemon.reporter.repeat()
 
-    def _look(self) -> None:
-        """Note when nine of ten daemons know that the limit is over."""
-        if self.now < OVER_AT or self._known_over_at < END:
+    def _check_recovery(self) -> None:
+        """Record when nine of ten daemons know that the limit has ended."""
+        if self.now < LIMIT_ENDS_AT or self._recovered_at < END_AT:
             return
-        limited = sum(daemon.limits.is_limited(ENDPOINT) for daemon in self.daemons.values())
-        if limited <= len(self.daemons) / 10:
-            self._known_over_at = self.now
+        limited_count = sum(daemon.limits.is_limited(ENDPOINT) for daemon in self.daemons.values())
+        if limited_count <= len(self.daemons) / 10:
+            self._recovered_at = self.now
 
-    def _next_request(self, name: str, daemon: _SimDaemon) -> None:
-        def come() -> None:
+    def _schedule_next_request(self, name: str, daemon: _SimDaemon) -> None:
+        def send_and_schedule_next() -> None:
             if self.daemons.get(name) is daemon:
-                self._request(daemon)
-                self._next_request(name, daemon)
+                self._send_request(daemon)
+                self._schedule_next_request(name, daemon)
 
-        self.after(self.random.expovariate(self._rate), come)
+        self.schedule(self.random.expovariate(self._rate), send_and_schedule_next)
 
-    def _request(self, daemon: _SimDaemon) -> None:
+    def _send_request(self, daemon: _SimDaemon) -> None:
         limits = daemon.limits
         if not limits.with_leave([ENDPOINT]):
             return
-        if not limits.is_limited(ENDPOINT) and self.random.random() > PART_UNLIMITED:
+        if not limits.is_limited(ENDPOINT) and self.random.random() > UNLIMITED_REQUEST_SHARE:
             return
         limits.take(ENDPOINT)
         sent_at, name = self.now, daemon.fleet.own.id
-        self.after(WAY_SECONDS, lambda: self._arrive(daemon, name, sent_at))
+        self.schedule(ONE_WAY_SECONDS, lambda: self._receive_request(daemon, name, sent_at))
 
-    def _arrive(self, daemon: _SimDaemon, name: str, sent_at: float) -> None:
+    def _receive_request(self, daemon: _SimDaemon, name: str, sent_at: float) -> None:
         self._arrivals.append((self.now, name))
 
         def answer() -> None:
-            limit = self._limit if NAMED_AT <= self.now < OVER_AT else None
+            limit = self._limit if LIMIT_STARTS_AT <= self.now < LIMIT_ENDS_AT else None
             meta = AnswerMeta("r", True, False, False, rate_limit=limit)
-            self.after(WAY_SECONDS, lambda: self._answered(daemon, name, meta, sent_at))
+            self.schedule(ONE_WAY_SECONDS, lambda: self._handle_answer(daemon, name, meta, sent_at))
 
-        self.after(self.random.uniform(*ANSWER_SECONDS), answer)
+        self.schedule(self.random.uniform(*ANSWER_DELAY_RANGE_SECONDS), answer)
 
-    def _answered(self, daemon: _SimDaemon, name: str, meta: AnswerMeta, sent_at: float) -> None:
+    def _handle_answer(
+        self, daemon: _SimDaemon, name: str, meta: AnswerMeta, sent_at: float
+    ) -> None:
         if self.daemons.get(name) is not daemon:
             return
         if meta.rate_limit is not None:
-            self._told.setdefault(name, self.now)
+            self._notified_at.setdefault(name, self.now)
         daemon.limits.answered(ENDPOINT, meta, sent_at)
 
-    def _seen(self) -> Seen:
-        since = NAMED_AT + limit_rule.FIRST_NOTICE_GRACE_SECONDS
+    def _result(self) -> FleetResult:
+        since = LIMIT_STARTS_AT + limit_rule.FIRST_NOTICE_GRACE_SECONDS
         counted = [
             at
             for at, name in self._arrivals
-            if since <= at < OVER_AT
-            and at >= self._told.get(name, END) + limit_rule.NOTICE_GRACE_SECONDS
+            if since <= at < LIMIT_ENDS_AT
+            and at >= self._notified_at.get(name, END_AT) + limit_rule.NOTICE_GRACE_SECONDS
         ]
-        arrived = sum(since <= at < OVER_AT for at, _ in self._arrivals)
-        used = arrived / ((OVER_AT - since) * max(self._limit, 1e-9))
-        return Seen(limit_rule.max_requests_in_window(counted), used, self._known_over_at - OVER_AT)
+        arrived = sum(since <= at < LIMIT_ENDS_AT for at, _ in self._arrivals)
+        used_share = arrived / ((LIMIT_ENDS_AT - since) * max(self._limit, 1e-9))
+        return FleetResult(
+            limit_rule.max_requests_in_window(counted),
+            used_share,
+            self._recovered_at - LIMIT_ENDS_AT,
+        )
 
 
 def limits(
@@ -369,34 +379,41 @@
     rate: float = 3.0,
     seeds: int = 2,
 ) -> None:
-    """Compare ways to share a limit: requests in 4 s at most, part used, seconds until it is over.
+    """Compare ways to share a limit.
 
-    :param rate: requests a second at each daemon.
+    :param ways: strategies, with commas between them.
+    :param sizes: numbers of daemons, with commas between them.
+    :param figures: limits in requests a second, with commas between them.
+    :param rate: requests a second at each daemon that the endpoint could serve.
+    :param seeds: number of runs of each combination.
     """
     print("way daemons limit trouble | most in 4 s (allowed) | used | known to be over after, s")
-    plays = itertools.product(_listed(ways), _listed(sizes), _listed(figures), SCENARIOS)
-    for way, size, figure, trouble in plays:
+    combinations = itertools.product(_items(ways), _items(sizes), _items(figures), SCENARIOS)
+    for strategy, size, figure, scenario in combinations:
         limit = float(figure)
-        # the gateway draws whom it tells; so each run of a comparison sees the same
+        # The gateway draws from the global generator; each combination starts from the same state.
         random.seed(0)
-        seen = [
-            LimitFleet(way, int(size), limit, rate, trouble, seed).run() for seed in range(seeds)
+        results = [
+            LimitFleet(strategy, int(size), limit, rate, scenario, seed).run()
+            for seed in range(seeds)
         ]
-        most = max(one.max_in_window for one in seen)
-        used = sum(one.used_share for one in seen) / seeds
-        again = max(one.recovery_seconds for one in seen)
+        max_in_window = max(result.max_in_window for result in results)
+        used_share = sum(result.used_share for result in results) / seeds
+        recovery_seconds = max(result.recovery_seconds for result in results)
         allowed = limit_rule.max_allowed_in_window(limit)
-        mark = " OVER" if most > allowed else ""
+        mark = " OVER" if max_in_window > allowed else ""
         print(
-            f"{way} {size} {figure} {trouble} | {most} ({allowed:g}){mark}"
-            f" | {used:.2f} | {again:.1f}",
+            f"{strategy} {size} {figure} {scenario} | {max_in_window} ({allowed:g}){mark}"
+            f" | {used_share:.2f} | {recovery_seconds:.1f}",
             flush=True,
         )
 
 
-def _listed(text: t.Any) -> list[str]:
-    """Return the parts of a list as the command line gives it."""
-    return [str(one) for one in text] if isinstance(text, tuple | list) else str(text).split(",")
+def _items(value: t.Any) -> list[str]:
+    """Return the items of a list on the command line, which Fire may have split already."""
+    return (
+        [str(item) for item in value] if isinstance(value, tuple | list) else str(value).split(",")
+    )
 
 
 if __name__ == "__main__":
