--- a/bench/days.py
+++ b/bench/days.py
@@ -1,13 +1,10 @@
-"""Writes days of our own for the users' bench.
+"""Writes additional days, with faults of every kind, for the users' bench.
 
-- ``bin/days write SITE DIRECTORY``: for one site. Each day carries a few kinds of trouble in one of
-  their variants, early, in the middle and late, so that all together play every kind that may
-  come. The traffic is the site's own. The bench's ``hunt`` mixes the kinds that a site's file
-  lists; these days play the others too.
-- ``bin/days write_for_all DIRECTORY``: for all sites, which ``hunt`` plays from ``deploy/days``.
+``bin/days write SITE DIRECTORY`` writes days for one site, and ``bin/days write_for_all DIRECTORY``
+days for all sites.
 
-Owns: the kinds and their variants, and the days on which a rule was broken once.
-Relies on: the form of a site's file, of which it takes the quiet day as text.
+Owns: the faults and their variants, and the regression days.
+Relies on: the form of a site's file, whose quiet day is the template.
 """
 
 import pathlib
@@ -17,14 +14,14 @@
 
 import fire
 
-DAY = "[[day]]"
-TROUBLES_A_DAY = 3
-# of a day's traffic, within which troubles begin
-FIRST_SECOND, LAST_SECOND = 2.0, 24.0
-# between the last moment a trouble may begin and the next one's first
-APART_SECONDS = 2.0
-# kind, and what else its entry says, as the bench's page on kinds lists them
-TROUBLES = (
+DAY_HEADER = "[[day]]"
+FAULTS_PER_DAY = 3
+# Seconds of a day between which faults begin.
+FIRST_FAULT_SECOND, LAST_FAULT_SECOND = 2.0, 24.0
+# Time between the ranges in which two successive faults may begin.
+MIN_GAP_SECONDS = 2.0
+# Entries of faults without their time, in the form of the bench's day files.
+FAULTS = (
     'kind = "after_ack_kill", how = "kill"',
     'kind = "after_ack_kill", how = "timed"',
     'kind = "after_ack_kill", how = "taken", for_s = 3.0',
@@ -78,17 +75,17 @@
     'kind = "srv_lying_health", share = 0.2, how = "hang", for_s = 6.0',
     'kind = "srv_slow", share = 0.3, x = 8.0, for_s = 6.0',
 )
-# days on which a rule was broken, with what broke it
-REGRESSIONS = {
-    # LOST 13 on Lima: a daemon took requests until its grace was over
+# Days that guard against regressions.
+REGRESSION_DAYS = {
+    # A stopping daemon must not take requests until its grace period is over.
     "planned-stops": (
         'at = 6.43, kind = "srv_cut", share = 0.3, for_s = 6.0, how = "some", x = 0.5',
         'at = 12.91, kind = "after_ack_kill", how = "timed"',
         'at = 18.28, kind = "roll_term", share = 1.0, x = 2.0, gap_s = 1.0',
     ),
-    # on Riga all groups were formed anew when the store was back
+    # Groups must survive an outage of the store.
     "entries-lapse": ('at = 9.0, kind = "platform_down", for_s = 6.0, how = "busy lapse"',),
-    # TWO on Lima: groups that were neither listed nor heard came back, and their members were used
+    # Members of a group that is unlisted and unreachable may still serve, and must not be reused.
     "cut-and-back": (
         'at = 4.0, kind = "srv_cut", share = 0.3, for_s = 9.0, how = ""',
         'at = 4.5, kind = "node_cut", share = 0.3, for_s = 8.0, how = "servers"',
@@ -96,10 +93,10 @@
         'at = 16.5, kind = "roll_term", share = 1.0, x = 1.0, gap_s = 1.0, how = "leader"',
     ),
 }
-# days for all sites; names of a site's own things stand as the bench's placeholders
-FOR_ALL = {
-    # endpoints that start again under their id, behind a cut that hides it from the store or from
-    # the daemons; groups with such a member must not count as whole
+# Days for all sites; placeholders of the bench, such as ``@s0``, stand for a site's own names.
+COMMON_DAYS = {
+    # Endpoints restart under the same id while cut off from the store or the daemons; groups with
+    # such a member must not count as complete.
     "restarts-behind-cuts": (
         'at = 4.0, kind = "srv_cut", service = "@s0", share = 0.2, for_s = 5.0, how = "reborn"',
         'at = 9.0, kind = "node_cut", share = 0.2, for_s = 5.0, how = "servers reborn"',
@@ -109,7 +106,7 @@
         'at = 21.0, kind = "srv_cut", service = "@s0", share = 0.2, for_s = 4.0, how = "reborn"',
         'at = 21.0, kind = "platform_down", for_s = 3.0, how = "busy lapse"',
     ),
-    # connections that are open and say nothing any more, to all that a daemon speaks to
+    # Connections to endpoints, daemons and the store stay open without data.
     "silent-connections": (
         'at = 3.0, kind = "reset_conns", share = 0.6, x = 0.8, for_s = 3.0',
         'at = 8.0, kind = "srv_grey", service = "@s0", x = 0.4, for_s = 4.0, how = "mute"',
@@ -117,7 +114,7 @@
         'at = 18.0, kind = "srv_grey", service = "@s0", x = 0.4, for_s = 4.0, how = "hang"',
         'at = 23.0, kind = "lossy", zone = "@z0", x = 0.05, for_s = 4.0',
     ),
-    # all daemons return at once, with callers who come back sooner and more often than told
+    # All daemons restart at once, with callers that retry sooner and more often than allowed.
     "all-return": (
         'at = 4.0, kind = "herd_kill", on = "core", how = "off", for_s = 0.5',
         'at = 12.0, kind = "retry_abuse", share = 0.3, x = 3.0, for_s = 8.0',
@@ -125,13 +122,13 @@
         'at = 22.0, kind = "burst", class = "@c0", x = 1.6, for_s = 6.0',
         'at = 24.0, kind = "herd_kill", share = 0.6',
     ),
-    # members of groups turn slow: a few, and two in five of all
+    # Members of groups become slow.
     "slow-members": (
         'at = 4.0, kind = "srv_slow", service = "@s0", share = 0.15, x = 12.0, for_s = 7.0',
         'at = 13.0, kind = "srv_slow", service = "@s0", count = 2, how = "joined", x = 4.0',
         'at = 21.0, kind = "srv_slow", service = "@s0", share = 0.4, x = 12.0, for_s = 8.0',
     ),
-    # endpoints decline all, at first and with a burst, and leave while the store is away
+    # Endpoints reject all requests, also during a burst, and leave while the store is unavailable.
     "endpoints-turn-away": (
         'at = 4.0, kind = "srv_grey", service = "@s0", share = 0.2, x = 1.0, for_s = 6.0, '
         'how = "shed"',
@@ -141,7 +138,7 @@
         'at = 16.0, kind = "release", service = "@s0", share = 0.3, x = 4.0, gap_s = 0.5',
         'at = 25.0, kind = "srv_grey", share = 0.3, x = 1.0, for_s = 5.0, how = "busy"',
     ),
-    # requests that end their endpoints: few, many, and while daemons are killed or cut off
+    # Requests crash their endpoints, also while daemons are killed or cut off.
     "deadly-requests": (
         'at = 3.0, kind = "poison", how = "deadly", class = "@c0", share = 0.01, for_s = 6.0',
         'at = 11.0, kind = "poison", how = "deadly", class = "@c0", share = 0.06, for_s = 5.0',
@@ -149,7 +146,7 @@
         'at = 20.0, kind = "poison", how = "deadly", class = "@c0", share = 0.02, for_s = 8.0',
         'at = 22.0, kind = "node_cut", share = 0.3, for_s = 4.0, how = "all"',
     ),
-    # callers move and leave, while a daemon that has just acknowledged loses power
+    # Callers move and disconnect, and a daemon fails right after an acknowledgement.
     "callers-move-and-leave": (
         'at = 3.0, kind = "shift", share = 0.5, for_s = 5.0',
         'at = 6.0, kind = "give_up", share = 0.3, for_s = 4.0',
@@ -159,32 +156,34 @@
         'at = 23.0, kind = "shift", share = 0.5, for_s = 5.0',
     ),
 }
-# seed of the days for all sites; the bench varies it
-FOR_ALL_SEED = 1
-# contracts without which the bench refuses a kind
-NEEDED = {"srv_lying_health": "health", "srv_flap": "health", "idle_race": "pool"}
-PLANNED = ("release", "roll_term", "scale_in", "config_storm", "revoke", "hup")
+# The bench varies this seed.
+COMMON_DAYS_SEED = 1
+# Contract that a site must have for a kind of fault; the others need the base contract only.
+REQUIRED_CONTRACTS = {"srv_lying_health": "health", "srv_flap": "health", "idle_race": "pool"}
+PLANNED_KINDS = ("release", "roll_term", "scale_in", "config_storm", "revoke", "hup")
 
 
-def _quiet(site: pathlib.Path) -> str:
-    days = site.read_text(encoding="utf-8").split(DAY)[1:]
+def _quiet_day(site: pathlib.Path) -> str:
+    days = site.read_text(encoding="utf-8").split(DAY_HEADER)[1:]
     return next(day for day in days if 'slot = "quiet"' in day)
 
 
-def _entries(troubles: t.Iterable[str], *, planned: bool) -> str:
-    """Return the entries of a day, planned work or the rest, as its file holds them."""
-    chosen = [entry for entry in troubles if (_kind(entry) in PLANNED) == planned]
+def _format_entries(entries: t.Iterable[str], *, is_planned: bool) -> str:
+    """Return the planned work or the other entries of a day, in the form of a day file."""
+    chosen = [entry for entry in entries if (_kind(entry) in PLANNED_KINDS) == is_planned]
     if not chosen:
         return "[]"
     return "[\n" + "".join(f"  {{ {entry} }},\n" for entry in chosen) + "]"
 
 
-def _with(day: str, name: str, troubles: list[str]) -> str:
-    plan, faults = (_entries(troubles, planned=planned) for planned in (True, False))
-    day = re.sub(r"plan = \[.*?\n\]", lambda _: f"plan = {plan}", day, flags=re.DOTALL)
+def _make_day(day: str, name: str, entries: list[str]) -> str:
+    planned_work, faults = (
+        _format_entries(entries, is_planned=is_planned) for is_planned in (True, False)
+    )
+    day = re.sub(r"plan = \[.*?\n\]", lambda _: f"plan = {planned_work}", day, flags=re.DOTALL)
     day = re.sub(r"faults = \[.*?\n\]", lambda _: f"faults = {faults}", day, flags=re.DOTALL)
     day = re.sub(r'name = "[^"]*"', f'name = "{name}"', day, count=1)
-    return DAY + day.replace('slot = "quiet"', 'slot = "trouble"')
+    return DAY_HEADER + day.replace('slot = "quiet"', 'slot = "trouble"')
 
 
 def _kind(entry: str) -> str:
@@ -194,37 +193,52 @@
 def write(site: str, directory: str, seed: int = 1) -> None:
     """Write the days for a site.
 
-    :param seed: of the order and the moments.
+    :param site: path of the site's file.
+    :param directory: where the days are written.
+    :param seed: seed of the order and the times of faults.
     """
-    draw = random.Random(seed)
+    generator = random.Random(seed)
     contracts = pathlib.Path(site).read_text(encoding="utf-8").partition("contracts = ")[2]
-    listed = contracts.partition("]")[0]
-    known = [entry for entry in TROUBLES if f'"{NEEDED.get(_kind(entry), "base")}"' in listed]
-    order = draw.sample(known, len(known))
+    contract_list = contracts.partition("]")[0]
+    playable = [
+        entry
+        for entry in FAULTS
+        if f'"{REQUIRED_CONTRACTS.get(_kind(entry), "base")}"' in contract_list
+    ]
+    order = generator.sample(playable, len(playable))
     target = pathlib.Path(directory)
     target.mkdir(parents=True, exist_ok=True)
-    quiet = _quiet(pathlib.Path(site))
-    for name, troubles in REGRESSIONS.items():
-        (target / f"{name}.toml").write_text(_with(quiet, name, list(troubles)), encoding="utf-8")
-    span = (LAST_SECOND - FIRST_SECOND) / TROUBLES_A_DAY
-    for number, begin in enumerate(range(0, len(order), TROUBLES_A_DAY)):
+    quiet = _quiet_day(pathlib.Path(site))
+    for name, entries in REGRESSION_DAYS.items():
+        (target / f"{name}.toml").write_text(
+            _make_day(quiet, name, list(entries)), encoding="utf-8"
+        )
+    slot_seconds = (LAST_FAULT_SECOND - FIRST_FAULT_SECOND) / FAULTS_PER_DAY
+    for number, begin in enumerate(range(0, len(order), FAULTS_PER_DAY)):
         chosen = []
-        for place, entry in enumerate(order[begin : begin + TROUBLES_A_DAY]):
-            at = FIRST_SECOND + place * span + draw.uniform(0, span - APART_SECONDS)
+        for position, entry in enumerate(order[begin : begin + FAULTS_PER_DAY]):
+            at = (
+                FIRST_FAULT_SECOND
+                + position * slot_seconds
+                + generator.uniform(0, slot_seconds - MIN_GAP_SECONDS)
+            )
             chosen.append(f"at = {at:.2f}, {entry}")
         name = f"own-{seed}-{number:02}"
-        (target / f"{name}.toml").write_text(_with(quiet, name, chosen), encoding="utf-8")
+        (target / f"{name}.toml").write_text(_make_day(quiet, name, chosen), encoding="utf-8")
 
 
 def write_for_all(directory: str) -> None:
-    """Write the days for all sites; the bench leaves out what doesn't fit one."""
+    """Write the days for all sites; the bench skips entries that a site doesn't support.
+
+    :param directory: where the days are written.
+    """
     target = pathlib.Path(directory)
     target.mkdir(parents=True, exist_ok=True)
-    for name, troubles in FOR_ALL.items():
+    for name, entries in COMMON_DAYS.items():
         text = (
-            f'{DAY}\nname = "{name}"\nslot = "trouble"\nseed = {FOR_ALL_SEED}\n'
-            f"plan = {_entries(troubles, planned=True)}\n"
-            f"faults = {_entries(troubles, planned=False)}\n"
+            f'{DAY_HEADER}\nname = "{name}"\nslot = "trouble"\nseed = {COMMON_DAYS_SEED}\n'
+            f"plan = {_format_entries(entries, is_planned=True)}\n"
+            f"faults = {_format_entries(entries, is_planned=False)}\n"
         )
         (target / f"{name}.toml").write_text(text, encoding="utf-8")
 
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -1,12 +1,10 @@
-"""One workspace at ten times its share: what the others notice, and what goes unused.
+"""Measures the effect of one overloading workspace on the others, in virtual time.
 
-Deterministic: time is counted. Queues, shares and credits are those of the daemons; several
-daemons see a part of the traffic each and renew their credits twice a second. Baseline:
-first come, first served from one queue over all daemons.
+Compares the daemons' fair queues and credits with a single first-come, first-served queue.
 
-Owns: a clock of its own, and stand-ins of the daemons around their queues, shares and credits.
-Relies on: :class:`~thorncleat_daemon.dispatch.Dispatcher` asking for credits as it is done here;
-what the dispatcher itself does is not played.
+Owns: the simulated daemons around the real queues, shares and credits.
+Relies on: :class:`~thorncleat_daemon.dispatch.Dispatcher` requesting credits as the simulation
+does; the dispatcher itself isn't part of it.
 """
 
 import collections
@@ -35,34 +33,33 @@
 from .report import print_target
 from .report import quantile
 
-# the load and the fleet that serves it
-DAEMONS = 4
+DAEMON_COUNT = 4
 CAPACITY_TOKENS = 8000
-TOKEN_SECONDS = 0.02
+SECONDS_PER_TOKEN = 0.02
 PREFILL_SECONDS = 0.3
 PROMPT_TOKENS = 60
-MEAN_TOKENS = 100
-WORKSPACES = 10
+MEAN_ANSWER_TOKENS = 100
+WORKSPACE_COUNT = 10
 RTT_SECONDS = 0.003
-QUEUE_TOKENS = 4000
+QUEUE_LIMIT_TOKENS = 4000
 DEADLINE_SECONDS = 30.0
-PERMIT_SECONDS = 2.0
-# a daemon renews a permit four times in its validity (thorncleat_daemon.permits)
-RENEW_SECONDS = PERMIT_SECONDS / 4
-HEAVY = "w0"
-# of a workspace's share: what the heavy one asks for in a rush, and all others always
-RUSH_SHARES = 10.0
-CALM_SHARES = 0.5
-# wanted: others' p95 of first token in a rush, as a multiple of their own; tokens served, as a
-# part of first come, first served
-WANTED_RATIO = 1.2
-WANTED_USE = 0.95
+PERMIT_TTL_SECONDS = 2.0
+# Daemons renew a permit four times during its validity.
+RENEWAL_INTERVAL_SECONDS = PERMIT_TTL_SECONDS / 4
+HEAVY_WORKSPACE = "w0"
+# Load of the heavy workspace and of each other one, as multiples of a workspace's share.
+OVERLOAD_SHARES = 10.0
+NORMAL_SHARES = 0.5
+# Targets: the others' p95 time to first token under overload against that without the heavy
+# workspace, and the tokens served against those of the first-come queue.
+MAX_LATENCY_RATIO = 1.2
+MIN_UTILISATION = 0.95
 GROUP = Group("g-0", "g", "m", "v", 1, ("i0",))
 
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """A request of the load."""
+    """A request of the load, which arrives at one daemon."""
 
     at: float
     workspace: str
@@ -71,53 +68,57 @@
 
     @property
     def cost(self) -> int:
-        """Tokens that it is charged with."""
+        """Tokens that are charged for the request."""
         return self.tokens + PROMPT_TOKENS
 
     @property
     def seconds(self) -> float:
-        """How long the engine runs it."""
-        return PREFILL_SECONDS + self.tokens * TOKEN_SECONDS
+        """Seconds that the engine takes for the request."""
+        return PREFILL_SECONDS + self.tokens * SECONDS_PER_TOKEN
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What came of a load."""
+    """The result of a load."""
 
-    first_token: dict[str, list[float]] = dataclasses.field(
+    first_token_seconds: dict[str, list[float]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
     served_tokens: int = 0
     refused: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
-    def others(self) -> list[float]:
-        """Return the times to first token of all but the heavy workspace."""
+    def other_first_token_seconds(self) -> list[float]:
+        """Return the times to first token of all workspaces but the heavy one."""
         return [
             seconds
-            for name, times in self.first_token.items()
-            if name != HEAVY
+            for name, times in self.first_token_seconds.items()
+            if name != HEAVY_WORKSPACE
             for seconds in times
         ]
 
 
-def load(seconds: float, heavy: float, draw: random.Random) -> list[Request]:
-    """Return the requests of ten workspaces; the first asks ``heavy`` times its share."""
-    mean_cost = MEAN_TOKENS + PROMPT_TOKENS
-    mean_seconds = PREFILL_SECONDS + MEAN_TOKENS * TOKEN_SECONDS
-    share = CAPACITY_TOKENS / mean_cost / mean_seconds / WORKSPACES
-    made = []
-    for number in range(WORKSPACES):
-        rate = share * (heavy if number == 0 else CALM_SHARES)
-        at = draw.expovariate(rate) if rate else seconds
+def make_load(seconds: float, heavy_shares: float, generator: random.Random) -> list[Request]:
+    """Return the requests of all workspaces in order of time.
+
+    :param seconds: duration of the load.
+    :param heavy_shares: load of the heavy workspace, as a multiple of its share.
+    """
+    mean_cost = MEAN_ANSWER_TOKENS + PROMPT_TOKENS
+    mean_seconds = PREFILL_SECONDS + MEAN_ANSWER_TOKENS * SECONDS_PER_TOKEN
+    share = CAPACITY_TOKENS / mean_cost / mean_seconds / WORKSPACE_COUNT
+    requests = []
+    for number in range(WORKSPACE_COUNT):
+        rate = share * (heavy_shares if number == 0 else NORMAL_SHARES)
+        at = generator.expovariate(rate) if rate else seconds
         while at < seconds:
-            tokens = draw.randint(40, 160)
-            made.append(Request(at, f"w{number}", tokens, draw.randrange(DAEMONS)))
-            at += draw.expovariate(rate)
-    return sorted(made, key=lambda request: request.at)
+            tokens = generator.randint(40, 160)
+            requests.append(Request(at, f"w{number}", tokens, generator.randrange(DAEMON_COUNT)))
+            at += generator.expovariate(rate)
+    return sorted(requests, key=lambda request: request.at)
 
 
-class _Clocked:
-    """Events in order of time."""
+class _EventQueue:
+    """A queue of events in virtual time."""
 
     def __init__(self) -> None:
         self._events: list[tuple[float, int, t.Callable[[float], None]]] = []
@@ -132,37 +133,42 @@
             action(when)
 
 
-class FirstCome:
-    """The baseline: one queue, no limits but the group's capacity."""
+class FirstComeScheduler:
+    """The baseline: one queue, limited only by the group's capacity."""
 
     def __init__(self) -> None:
         self.outcome = Outcome()
-        self._clock = _Clocked()
+        self._event_queue = _EventQueue()
         self._queue: collections.deque[Request] = collections.deque()
         self._used = 0
 
     def run(self, requests: list[Request], seconds: float) -> Outcome:
-        """Serve a load."""
+        """Return the outcome of a load.
+
+        :param seconds: when the simulation ends.
+        """
         for request in requests:
-            self._clock.at(request.at, functools.partial(self._arrive, request))
-        self._clock.run(seconds)
+            self._event_queue.at(request.at, functools.partial(self._arrive, request))
+        self._event_queue.run(seconds)
         return self.outcome
 
     def _arrive(self, request: Request, now: float) -> None:
         self._queue.append(request)
-        self._pump(now)
+        self._start_waiting(now)
 
-    def _pump(self, now: float) -> None:
+    def _start_waiting(self, now: float) -> None:
         while self._queue and self._used + self._queue[0].cost <= CAPACITY_TOKENS:
             request = self._queue.popleft()
             self._used += request.cost
-            self.outcome.first_token[request.workspace].append(now - request.at + PREFILL_SECONDS)
+            self.outcome.first_token_seconds[request.workspace].append(
+                now - request.at + PREFILL_SECONDS
+            )
             self.outcome.served_tokens += request.tokens
-            self._clock.at(now + request.seconds, functools.partial(self._end, request))
+            self._event_queue.at(now + request.seconds, functools.partial(self._finish, request))
 
-    def _end(self, request: Request, now: float) -> None:
+    def _finish(self, request: Request, now: float) -> None:
         self._used -= request.cost
-        self._pump(now)
+        self._start_waiting(now)
 
 
 class _Daemon:
@@ -170,55 +176,64 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.queue: FairQueue[Request] = FairQueue(QUEUE_TOKENS)
+        self.queue: FairQueue[Request] = FairQueue(QUEUE_LIMIT_TOKENS)
         self.ledger = Ledger()
-        self.held: HeldPermit | None = None
-        self.asked_at = float("-inf")
-        self.nudged = False
+        self.permit: HeldPermit | None = None
+        self.requested_at = float("-inf")
+        self.is_nudge_scheduled = False
 
     def demand(self) -> dict[str, int]:
-        wanted = collections.Counter(self.ledger.tokens(GROUP.id))
-        wanted.update(self.queue.waiting_cost)
-        return {name: amount for name, amount in wanted.items() if amount > 0}
+        demand_tokens = collections.Counter(self.ledger.tokens(GROUP.id))
+        demand_tokens.update(self.queue.waiting_cost)
+        return {name: amount for name, amount in demand_tokens.items() if amount > 0}
 
 
-class Shared:
-    """The daemons' own queues, shares and credits."""
+class FairShareScheduler:
+    """The daemons' queues, shares and credits."""
 
     def __init__(self) -> None:
         self.outcome = Outcome()
-        self._clock = _Clocked()
-        self._desk = PermitDesk(PERMIT_SECONDS, CAPACITY_TOKENS)
-        self._daemons = [_Daemon(f"d{number}") for number in range(DAEMONS)]
-        self._seen = Confirmations(1e9)
+        self._event_queue = _EventQueue()
+        self._desk = PermitDesk(PERMIT_TTL_SECONDS, CAPACITY_TOKENS)
+        self._daemons = [_Daemon(f"d{number}") for number in range(DAEMON_COUNT)]
+        self._confirmations = Confirmations(1e9)
         report = InstanceReport("i0", "b", True, 1, GROUP.id, GROUP.generation, 0)
-        self._seen.confirm(GROUP, report, 0.0)
-        self.most_used = 0
+        self._confirmations.confirm(GROUP, report, 0.0)
+        self.max_tokens_in_flight = 0
 
     def run(self, requests: list[Request], seconds: float) -> Outcome:
-        """Serve a load."""
+        """Return the outcome of a load.
+
+        :param seconds: when the simulation ends.
+        """
         for number, daemon in enumerate(self._daemons):
-            self._clock.at(number * 0.1, functools.partial(self._renew_in_turn, daemon))
+            self._event_queue.at(number * 0.1, functools.partial(self._renew_periodically, daemon))
         for request in requests:
-            self._clock.at(request.at, functools.partial(self._arrive, request))
-        self._clock.run(seconds)
+            self._event_queue.at(request.at, functools.partial(self._arrive, request))
+        self._event_queue.run(seconds)
         return self.outcome
 
-    def _renew_in_turn(self, daemon: _Daemon, now: float) -> None:
-        self._ask(daemon, now)
-        self._clock.at(now + RENEW_SECONDS, lambda at: self._renew_in_turn(daemon, at))
+    def _renew_periodically(self, daemon: _Daemon, now: float) -> None:
+        self._request_permit(daemon, now)
+        self._event_queue.at(
+            now + RENEWAL_INTERVAL_SECONDS, lambda at: self._renew_periodically(daemon, at)
+        )
 
-    def _ask(self, daemon: _Daemon, now: float) -> None:
-        daemon.asked_at = now
+    def _request_permit(self, daemon: _Daemon, now: float) -> None:
+        daemon.requested_at = now
         request = PermitRequest(GROUP.id, daemon.ledger.requests(GROUP.id), daemon.demand())
-        self._desk.valid_for(daemon.name, request, GROUP, self._seen, now)
+        self._desk.valid_for(daemon.name, request, GROUP, self._confirmations, now)
         grant = self._desk.grant(GROUP.id, daemon.name, {}, now)
-        permit = Permit(GROUP.id, 1, 1, PERMIT_SECONDS, False, "", grant.credits, grant.spare)
-        self._clock.at(now + RTT_SECONDS, lambda at: self._renewed(daemon, permit, now, at))
+        permit = Permit(GROUP.id, 1, 1, PERMIT_TTL_SECONDS, False, "", grant.credits, grant.spare)
+        self._event_queue.at(
+            now + RTT_SECONDS, lambda at: self._accept_permit(daemon, permit, now, at)
+        )
 
-    def _renewed(self, daemon: _Daemon, permit: Permit, asked_at: float, now: float) -> None:
-        daemon.held = HeldPermit(permit, asked_at + permit.valid_for)
-        self._pump(daemon, now)
+    def _accept_permit(
+        self, daemon: _Daemon, permit: Permit, requested_at: float, now: float
+    ) -> None:
+        daemon.permit = HeldPermit(permit, requested_at + permit.valid_for)
+        self._start_waiting(daemon, now)
 
     def _arrive(self, request: Request, now: float) -> None:
         daemon = self._daemons[request.daemon]
@@ -227,31 +242,31 @@
             self.outcome.refused[request.workspace] += 1
             return
         daemon.queue.add(waiting)
-        self._pump(daemon, now)
+        self._start_waiting(daemon, now)
         if len(daemon.queue):
             self._nudge(daemon, now)
 
     def _nudge(self, daemon: _Daemon, now: float) -> None:
-        """Ask at once, or as soon as the last asking is long enough ago."""
-        due = daemon.asked_at + NUDGE_SECONDS
-        if now >= due:
-            self._ask(daemon, now)
-        elif not daemon.nudged:
-            daemon.nudged = True
-            self._clock.at(due, functools.partial(self._nudge_later, daemon))
+        """Request a permit at once, or as soon as the interval between requests is over."""
+        next_request_at = daemon.requested_at + NUDGE_SECONDS
+        if now >= next_request_at:
+            self._request_permit(daemon, now)
+        elif not daemon.is_nudge_scheduled:
+            daemon.is_nudge_scheduled = True
+            self._event_queue.at(next_request_at, functools.partial(self._nudge_later, daemon))
 
     def _nudge_later(self, daemon: _Daemon, now: float) -> None:
-        daemon.nudged = False
-        if len(daemon.queue) and now >= daemon.asked_at + NUDGE_SECONDS:
-            self._ask(daemon, now)
+        daemon.is_nudge_scheduled = False
+        if len(daemon.queue) and now >= daemon.requested_at + NUDGE_SECONDS:
+            self._request_permit(daemon, now)
 
-    def _pump(self, daemon: _Daemon, now: float) -> None:
-        held = daemon.held
-        if held is None or not held.takes_work(now):
+    def _start_waiting(self, daemon: _Daemon, now: float) -> None:
+        permit = daemon.permit
+        if permit is None or not permit.takes_work(now):
             return
         while True:
             found = daemon.queue.pop(
-                lambda name, cost: daemon.ledger.room(held, name) >= cost, {}, now
+                lambda name, cost: daemon.ledger.room(permit, name) >= cost, {}, now
             )
             if found is None:
                 return
@@ -261,44 +276,58 @@
         slot = Slot(GROUP.id, 1, "", request.workspace, request.cost)
         daemon.ledger.add(slot)
         used = sum(other.ledger.tokens(GROUP.id).total() for other in self._daemons)
-        self.most_used = max(self.most_used, used)
-        self.outcome.first_token[request.workspace].append(now - request.at + PREFILL_SECONDS)
+        self.max_tokens_in_flight = max(self.max_tokens_in_flight, used)
+        self.outcome.first_token_seconds[request.workspace].append(
+            now - request.at + PREFILL_SECONDS
+        )
         self.outcome.served_tokens += request.tokens
-        self._clock.at(now + request.seconds, lambda at: self._end(daemon, slot, at))
+        self._event_queue.at(now + request.seconds, lambda at: self._finish(daemon, slot, at))
 
-    def _end(self, daemon: _Daemon, slot: Slot, now: float) -> None:
+    def _finish(self, daemon: _Daemon, slot: Slot, now: float) -> None:
         daemon.ledger.remove(slot)
-        self._pump(daemon, now)
+        self._start_waiting(daemon, now)
 
 
 def fairness(seconds: float = 120.0, seeds: int = 5) -> None:
-    """Compare.
+    """Compare fair shares with a first-come queue, and check the targets.
 
-    :param seconds: of each load.
+    :param seconds: duration of each load.
+    :param seeds: number of loads.
     """
-    worst_ratio, worst_use = 0.0, 1.0
+    worst_ratio, worst_utilisation = 0.0, 1.0
     print(f"{'seed':>4}{'served by':>14}{'others p95, calm':>18}{'rush':>8}{'ratio':>7}", end="")
     print(f"{'tokens served':>15}{'heavy refused':>15}{'most in flight':>16}")
     for seed in range(seeds):
-        calm = load(seconds, 0.0, random.Random(seed))
-        rush = load(seconds, RUSH_SHARES, random.Random(seed))
-        first = FirstCome().run(rush, seconds)
-        before = FirstCome().run(calm, seconds)
-        ours = Shared()
-        ours_calm = Shared().run(calm, seconds)
-        ours_rush = ours.run(rush, seconds)
-        pairs = (("first come", before, first, 0), ("shares", ours_calm, ours_rush, ours.most_used))
-        for name, quiet, busy, most in pairs:
-            calm_p95, rush_p95 = quantile(quiet.others(), 0.95), quantile(busy.others(), 0.95)
+        normal = make_load(seconds, 0.0, random.Random(seed))
+        overload = make_load(seconds, OVERLOAD_SHARES, random.Random(seed))
+        first_come_overload = FirstComeScheduler().run(overload, seconds)
+        first_come_normal = FirstComeScheduler().run(normal, seconds)
+        fair_shares = FairShareScheduler()
+        fair_normal = FairShareScheduler().run(normal, seconds)
+        fair_overload = fair_shares.run(overload, seconds)
+        schedulers = (
+            ("first come", first_come_normal, first_come_overload, 0),
+            ("shares", fair_normal, fair_overload, fair_shares.max_tokens_in_flight),
+        )
+        for name, normal_outcome, overload_outcome, max_in_flight in schedulers:
+            normal_p95, overload_p95 = (
+                quantile(normal_outcome.other_first_token_seconds(), 0.95),
+                quantile(overload_outcome.other_first_token_seconds(), 0.95),
+            )
             print(
-                f"{seed:4}{name:>14}{calm_p95:18.2f}{rush_p95:8.2f}{rush_p95 / calm_p95:7.2f}"
-                f"{busy.served_tokens:15}{busy.refused[HEAVY]:15}{most:16}"
+                f"{seed:4}{name:>14}{normal_p95:18.2f}{overload_p95:8.2f}"
+                f"{overload_p95 / normal_p95:7.2f}{overload_outcome.served_tokens:15}"
+                f"{overload_outcome.refused[HEAVY_WORKSPACE]:15}{max_in_flight:16}"
             )
-        ratio = quantile(ours_rush.others(), 0.95) / quantile(ours_calm.others(), 0.95)
+        ratio = quantile(fair_overload.other_first_token_seconds(), 0.95) / quantile(
+            fair_normal.other_first_token_seconds(), 0.95
+        )
         worst_ratio = max(worst_ratio, ratio)
-        worst_use = min(worst_use, ours_rush.served_tokens / first.served_tokens)
-    print_target("fairness-others-p95-ratio", worst_ratio, WANTED_RATIO)
-    print_target("fairness-utilisation", worst_use, WANTED_USE, at_least=True)
+        worst_utilisation = min(
+            worst_utilisation, fair_overload.served_tokens / first_come_overload.served_tokens
+        )
+    print_target("fairness-others-p95-ratio", worst_ratio, MAX_LATENCY_RATIO)
+    print_target("fairness-utilisation", worst_utilisation, MIN_UTILISATION, at_least=True)
 
 
 if __name__ == "__main__":
