--- a/bench/load.py
+++ b/bench/load.py
@@ -1,10 +1,9 @@
-"""A load of streams or of single requests, run as a process of its own.
+"""Load generator of streams or short requests, run as a process of its own.
 
-It prints one JSON line: tokens, requests, and quantiles of the time from the engine's
-stamp in a token to its arrival here.
+Prints a JSON line when the measurement starts, and one with its result.
 
 Owns: the connections of its streams.
-Relies on: engines on the same machine, whose clock the stamps are of.
+Relies on: engines on the same machine, whose tokens carry the machine's monotonic time.
 """
 
 import asyncio
@@ -16,14 +15,13 @@
 
 from .report import quantile
 
-_MARK = b'"content":"'
-# characters of a stamp, as engines write it
-_STAMP = 14
-# requests of fewer tokens are sent again and again; longer ones outlast the load
-_REPEATED_TOKENS = 100
+_TOKEN_MARK = b'"content":"'
+_STAMP_CHARACTERS = 14
+# Requests for fewer tokens are repeated on their connection; longer ones outlast the load.
+_SHORT_ANSWER_TOKENS = 100
 
 
-def _request(address: str, key: str, tokens: int) -> bytes:
+def _make_request(address: str, key: str, tokens: int) -> bytes:
     body = json.dumps(
         {
             "model": "m",
@@ -49,14 +47,14 @@
 
 
 class _Stream(asyncio.Protocol):
-    """Sends requests one after the other and counts what comes back."""
+    """Sends requests one after the other and counts their tokens."""
 
-    def __init__(self, counts: _Counts, request: bytes, repeat: bool) -> None:
+    def __init__(self, counts: _Counts, request: bytes, should_repeat: bool) -> None:
         self._counts = counts
         self._request = request
-        self._repeat = repeat
+        self._should_repeat = should_repeat
         self._transport: asyncio.Transport | None = None
-        self._left = b""
+        self._previous_data = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the first request."""
@@ -65,23 +63,25 @@
         transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Count tokens, note their delays, and ask again after an answer's end."""
+        """Count tokens and their delays, and repeat the request after an answer's end."""
         now = time.monotonic()
-        found = data.find(_MARK)
-        while found >= 0:
-            stamp = data[found + len(_MARK) : found + len(_MARK) + _STAMP]
+        position = data.find(_TOKEN_MARK)
+        while position >= 0:
+            stamp = data[
+                position + len(_TOKEN_MARK) : position + len(_TOKEN_MARK) + _STAMP_CHARACTERS
+            ]
             self._counts.tokens += 1
             if b"." in stamp:
                 self._counts.delays.append(now - float(stamp))
-            found = data.find(_MARK, found + 1)
+            position = data.find(_TOKEN_MARK, position + 1)
         if b"HTTP/1.1 " in data and b"HTTP/1.1 200" not in data:
             self._counts.errors += 1
-        tail = self._left[-8:] + data
+        tail = self._previous_data[-8:] + data
         if tail.endswith(b"0\r\n\r\n"):
             self._counts.requests += 1
-            if self._repeat and self._transport:
+            if self._should_repeat and self._transport:
                 self._transport.write(self._request)
-        self._left = data
+        self._previous_data = data
 
 
 async def _run(
@@ -90,21 +90,21 @@
     counts = _Counts()
     addresses = address.split(",")
     loop = asyncio.get_running_loop()
-    repeat = tokens < _REPEATED_TOKENS
+    should_repeat = tokens < _SHORT_ANSWER_TOKENS
     transports = []
     for number in range(streams):
-        chosen = addresses[number % len(addresses)]
-        host, _, port = chosen.rpartition(":")
-        request = _request(chosen, key, tokens)
-        made = await loop.create_connection(
-            functools.partial(_Stream, counts, request, repeat), host, int(port)
+        target_address = addresses[number % len(addresses)]
+        host, _, port = target_address.rpartition(":")
+        request = _make_request(target_address, key, tokens)
+        connection = await loop.create_connection(
+            functools.partial(_Stream, counts, request, should_repeat), host, int(port)
         )
-        transports.append(made[0])
+        transports.append(connection[0])
         if number % 10 == 9:
-            # spread over the engines' steps
+            # Spreads the streams over the engines' token intervals.
             await asyncio.sleep(0.004)
     await asyncio.sleep(warm)
-    # the driver measures the server between these two lines
+    # The parent process measures the server's processor time between these two lines.
     print(json.dumps({"started": True}), flush=True)
     counts.tokens = counts.requests = 0
     counts.delays.clear()
@@ -130,7 +130,15 @@
     tokens: int = 100_000,
     warm: float = 3.5,
 ) -> None:
-    """Put a load on an address, or on several with commas between them."""
+    """Generate a load and print its result.
+
+    :param address: server address, or several with commas between them.
+    :param streams: number of connections.
+    :param seconds: duration of the measurement.
+    :param key: the caller's key.
+    :param tokens: length of each answer.
+    :param warm: seconds of load before the measurement.
+    """
     asyncio.run(_run(address, streams, seconds, key, tokens, warm))
 
 
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,12 +1,10 @@
-"""Where a day's worth was lost, from the gateway's log lines: ``bin/bench losses FILE...``.
+"""Lists the causes of lost requests and groups, from the gateway's log lines.
 
-Each file holds what the users' bench prints for a day with ``--log all``. Each request that was not
-answered in time is counted once, under what its daemon knows of the cause; then by second, and the
-groups that were lost with the seconds until each step of their replacement.
+Each file holds the output of the users' bench for a day with ``--log all``.
 
 Owns: nothing.
-Relies on: the gateway's log events by number (docs/LOGS-GATEWAY.md), each line after the day's
-second and the daemon's name.
+Relies on: the numbers of the gateway's log events (docs/LOGS-GATEWAY.md), and log lines that follow
+the day's second and the daemon's name.
 """
 
 import collections
@@ -18,18 +16,21 @@
 
 import fire
 
-LINE = re.compile(r"\s*(-?\d+\.\d+) (\S+) (\{.*\})\s*$")
+LINE_PATTERN = re.compile(r"\s*(-?\d+\.\d+) (\S+) (\{.*\})\s*$")
 SUSPECTED, DONE, FAILED, REFUSED, CUT = 7301, 7303, 7304, 7305, 7306
 ENDED, DETACHED, FORMING, OPENED = 7206, 7207, 7203, 7204
-# refusals that are no loss: the caller asked for what the configuration doesn't hold
-PROPER = ("no route", "unknown key")
-# seconds that are counted together; those of the bench's own table
-TOGETHER = 2
+# Causes of refusals that are the caller's fault and count as no loss.
+EXPECTED_REFUSALS = ("no route", "unknown key")
+# Losses are counted by intervals of this length, as in the bench's own table.
+BUCKET_SECONDS = 2
 
 
 @dataclasses.dataclass(frozen=True)
 class Line:
-    """A log line, and the second of the day in which it was written."""
+    """A log line.
+
+    :param at: when it was written, in seconds of the day.
+    """
 
     at: float
     daemon: str
@@ -39,25 +40,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class Loss:
-    """A request that was not answered in time."""
+    """A request that was not answered in time.
+
+    :param at: when it was lost, in seconds of the day.
+    """
 
     at: float
     cause: str
 
 
 def read(path: pathlib.Path) -> list[Line]:
-    """Return the log lines of a day; other lines are the bench's own."""
+    """Return the log lines of a day; the bench's own lines are skipped."""
     lines = []
     for text in path.read_text(encoding="utf-8", errors="replace").splitlines():
-        found = LINE.match(text)
+        found = LINE_PATTERN.match(text)
         if found:
             fields = json.loads(found.group(3))
             lines.append(Line(float(found.group(1)), found.group(2), fields["event"], fields))
     return lines
 
 
-def losses(lines: t.Iterable[Line]) -> list[Loss]:
-    """Return each loss with its cause: how it shows, and what went before it."""
+def find_losses(lines: t.Iterable[Line]) -> list[Loss]:
+    """Return the lost requests, each once; a late one has the cause of its first failed attempt."""
     failures: dict[str, list[str]] = collections.defaultdict(list)
     found = []
     for line in lines:
@@ -66,22 +70,24 @@
         if line.event == FAILED:
             failures[request].append(cause)
         elif line.event == DONE and line.fields.get("late"):
-            before = failures.get(request, ["no failed attempt"])[0]
-            found.append(Loss(line.at, f"late {line.fields['late']}: {_kind(before)}"))
-        elif line.event == REFUSED and cause not in PROPER:
-            found.append(Loss(line.at, f"refused: {_kind(cause)}"))
+            first_cause = failures.get(request, ["no failed attempt"])[0]
+            found.append(
+                Loss(line.at, f"late {line.fields['late']}: {_normalize_cause(first_cause)}")
+            )
+        elif line.event == REFUSED and cause not in EXPECTED_REFUSALS:
+            found.append(Loss(line.at, f"refused: {_normalize_cause(cause)}"))
         elif line.event == CUT:
-            found.append(Loss(line.at, f"cut: {_kind(cause)}"))
+            found.append(Loss(line.at, f"cut: {_normalize_cause(cause)}"))
     return found
 
 
-def _kind(cause: str) -> str:
-    """Return a cause without the figures and names that differ from case to case."""
+def _normalize_cause(cause: str) -> str:
+    """Return a cause with ``#`` in place of numbers and quoted names."""
     return re.sub(r"'[^']*'|\d+(\.\d+)?", "#", cause)
 
 
-def groups(lines: t.Iterable[Line]) -> list[str]:
-    """Return a row for each group that was ended, and for each that was formed after the start."""
+def group_rows(lines: t.Iterable[Line]) -> list[str]:
+    """Return a row for each step of a group's end and replacement."""
     suspected: dict[str, float] = {}
     ended: dict[str, float] = {}
     rows = []
@@ -91,32 +97,38 @@
             suspected.setdefault(group, line.at)
         elif line.event == ENDED:
             ended[group] = line.at
-            known = group in suspected
-            since = f"{line.at - suspected[group]:.2f} s after a suspicion" if known else "at once"
-            rows.append(f"{line.at:8.2f} {group} ended: {line.fields['cause']}, {since}")
+            was_suspected = group in suspected
+            delay = (
+                f"{line.at - suspected[group]:.2f} s after a suspicion"
+                if was_suspected
+                else "at once"
+            )
+            rows.append(f"{line.at:8.2f} {group} ended: {line.fields['cause']}, {delay}")
         elif line.event == DETACHED and group in ended:
             rows.append(f"{line.at:8.2f} {group} over: {line.fields['how']}")
         elif line.event in (FORMING, OPENED) and line.at > 0:
-            what = "forming" if line.event == FORMING else "open"
-            rows.append(f"{line.at:8.2f} {group} {what}: {line.fields['model']}")
+            state = "forming" if line.event == FORMING else "open"
+            rows.append(f"{line.at:8.2f} {group} {state}: {line.fields['model']}")
     return rows
 
 
 def main(*files: str) -> None:
     """Print the losses of each day.
 
-    :param files: what the users' bench printed.
+    :param files: files with the output of the users' bench.
     """
     for name in files:
         lines = read(pathlib.Path(name))
-        found = losses(lines)
+        found = find_losses(lines)
         answered = sum(line.event == DONE for line in lines)
         print(f"{name}: {answered} answered, {len(found)} of them late, refused or cut")
         for cause, count in collections.Counter(loss.cause for loss in found).most_common():
             print(f"  {count:6d} {cause}")
-        seconds = collections.Counter(int(loss.at // TOGETHER) * TOGETHER for loss in found)
-        print("  by second:", ", ".join(f"{at}: {seconds[at]}" for at in sorted(seconds)))
-        for row in groups(lines):
+        counts = collections.Counter(
+            int(loss.at // BUCKET_SECONDS) * BUCKET_SECONDS for loss in found
+        )
+        print("  by second:", ", ".join(f"{at}: {counts[at]}" for at in sorted(counts)))
+        for row in group_rows(lines):
             print("  " + row)
 
 
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -1,7 +1,7 @@
-"""The figures of a play, and tables that compare variants play by play.
+"""Extracts the figures of plays, and compares variants play by play.
 
-Owns: nothing; all is pure.
-Relies on: the form of an entry in the journal of the users' bench.
+Owns: nothing.
+Relies on: the form of a journal entry of the users' bench.
 """
 
 import dataclasses
@@ -12,13 +12,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Figures:
-    """What a play came to.
+    """The figures of a play.
 
-    :param worth: the whole, less prices.
-    :param served: of the whole day.
-    :param worst_windows: of the worst seconds.
-    :param prices: taken off the worth, as a sum.
-    :param broken: names of the rules that broke.
+    :param worth: total worth after prices.
+    :param served: share served over the whole day.
+    :param worst_windows: share served in the worst windows.
+    :param prices: sum of the prices.
+    :param broken: names of the rules that were broken.
     """
 
     worth: float
@@ -31,13 +31,13 @@
 
 
 def figures(entry: t.Mapping[str, t.Any]) -> Figures:
-    """Return the figures of a journal entry that holds one day."""
+    """Return the figures of the one day in a journal entry."""
     day = entry["days"][0]
-    parts = {name: value for name, _, value in day["parts"]}
+    shares = {name: value for name, _, value in day["parts"]}
     return Figures(
         worth=day["G"],
         served=day["served"],
-        worst_windows=parts["worst windows"],
+        worst_windows=shares["worst windows"],
         refused=day["refused"],
         failed=day["failed"],
         prices=sum(price for _, _, price in day["prices"]),
@@ -47,35 +47,45 @@
 
 @dataclasses.dataclass(frozen=True)
 class Difference:
-    """The mean of paired differences, with its standard error; NaN where it takes more pairs."""
+    """The mean of paired differences and its standard error; NaN if there are too few pairs."""
 
     mean: float
     error: float
 
 
 def difference(pairs: t.Sequence[tuple[float, float]]) -> Difference:
-    """Return how far the second of each pair lies above the first."""
-    apart = [after - before for before, after in pairs]
-    mean = statistics.fmean(apart) if apart else math.nan
-    error = statistics.stdev(apart) / math.sqrt(len(apart)) if len(apart) > 1 else math.nan
+    """Return the mean difference of the second value of each pair from the first."""
+    differences = [after - before for before, after in pairs]
+    mean = statistics.fmean(differences) if differences else math.nan
+    error = (
+        statistics.stdev(differences) / math.sqrt(len(differences))
+        if len(differences) > 1
+        else math.nan
+    )
     return Difference(mean, error)
 
 
 def table(
-    title: str, plays: t.Sequence[str], found: t.Mapping[str, t.Mapping[str, Figures]]
+    title: str, plays: t.Sequence[str], results: t.Mapping[str, t.Mapping[str, Figures]]
 ) -> str:
-    """Return a table in Markdown: worth by play and variant, then the differences to the first.
+    """Return a Markdown table of worth, and the differences of each variant from the first.
 
-    :param found: figures by variant and play; a play that is missing shows as such.
+    :param plays: names of the plays, a row each.
+    :param results: figures by variant and play; absent plays are shown as missing.
     """
-    names = list(found)
-    lines = [f"{title}:", "", f"| play | {' | '.join(names)} |", "|---" * (len(names) + 1) + "|"]
+    variants = list(results)
+    lines = [
+        f"{title}:",
+        "",
+        f"| play | {' | '.join(variants)} |",
+        "|---" * (len(variants) + 1) + "|",
+    ]
     for play in plays:
-        cells = [_cell(found[name].get(play)) for name in names]
+        cells = [_cell(results[variant].get(play)) for variant in variants]
         lines.append(f"| {play} | {' | '.join(cells)} |")
     lines.append("")
-    for name in names[1:]:
-        lines += _differences(names[0], name, found)
+    for variant in variants[1:]:
+        lines += _difference_lines(variants[0], variant, results)
     return "\n".join(lines)
 
 
@@ -86,16 +96,17 @@
     return f"{play.worth:.3f} ({play.worst_windows:.2f}; {play.prices:.3f}){broken}"
 
 
-def _differences(
-    first: str, name: str, found: t.Mapping[str, t.Mapping[str, Figures]]
+def _difference_lines(
+    baseline: str, variant: str, results: t.Mapping[str, t.Mapping[str, Figures]]
 ) -> list[str]:
-    both = [play for play in found[first] if play in found[name]]
+    common_plays = [play for play in results[baseline] if play in results[variant]]
     lines = []
     for field in ("worth", "served", "worst_windows", "refused", "failed", "prices"):
         values = [
-            (getattr(found[first][play], field), getattr(found[name][play], field)) for play in both
+            (getattr(results[baseline][play], field), getattr(results[variant][play], field))
+            for play in common_plays
         ]
-        apart = difference(values)
-        text = f"{apart.mean:+.4f}, standard error {apart.error:.4f}, {len(both)} pairs"
-        lines.append(f"- {name} less {first}, {field}: {text}")
+        gap = difference(values)
+        text = f"{gap.mean:+.4f}, standard error {gap.error:.4f}, {len(common_plays)} pairs"
+        lines.append(f"- {variant} less {baseline}, {field}: {text}")
     return lines
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -1,4 +1,4 @@
-"""The experiment tool: plans, constants, paired figures; and the account of losses."""
+"""Plans, constants and paired differences of the policy benchmark, and the list of losses."""
 
 import json
 
@@ -116,7 +116,7 @@
             ]
         )
     )
-    found = losses.losses(losses.read(tmp_path / "day.txt"))
+    found = losses.find_losses(losses.read(tmp_path / "day.txt"))
     assert [loss.cause for loss in found] == [
         "late pause: no answer in # s",
         "refused: no group for #: # open",
@@ -132,7 +132,7 @@
         losses.Line(2.5, "d", losses.FORMING, {"group": "g2", "model": "m"}),
         losses.Line(2.9, "d", losses.OPENED, {"group": "g2", "model": "m"}),
     ]
-    assert losses.groups(lines) == [
+    assert losses.group_rows(lines) == [
         "    2.30 g1 ended: member unreachable, 0.30 s after a suspicion",
         "    2.40 g1 over: left",
         "    2.50 g2 forming: m",
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""Fitting costs against size."""
+"""Slopes fitted to costs."""
 
 import pytest
 from bench.slopes import Slope
