--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,8 +1,8 @@
-"""Daemon processor time for each relayed token and request, beside two baselines.
+"""Measures a daemon's processor time for each relayed token and request, beside two baselines.
 
-Owns: a cluster of one daemon before engines, and the loads put on it.
-Relies on: an otherwise quiet machine, and :mod:`bench.load` and :mod:`bench.servers` as processes
-of their own.
+Owns: a cluster of one daemon before engines, and the load on it.
+Relies on: a machine that is otherwise idle, and :mod:`bench.load` and :mod:`bench.servers` as
+processes of their own.
 """
 
 import asyncio
@@ -28,24 +28,23 @@
 from .slopes import record_slopes
 
 COMMAND = "bin/bench relay --record"
-KEY = "caller-key"
+CALLER_KEY = "caller-key"
 GROUPS = 4
-# wanted at most: of the cost of the bare copy of bytes
-FLOOR_FACTOR = 1.2
-# wanted at most, for 95 of 100 tokens (docs/DESIGN.md)
-ADDED_MS = 2.0
-# a second and daemon: 28 million at the peak for 980 daemons (docs/CAPACITY.md)
-PLANNED_TOKENS = 28_600
-# open streams, and requests of one token at once, at which the slopes are measured
-STREAMS = [80, 160, 320]
-CONCURRENT = [2, 4, 8]
+# Targets: the cost of a token against that of copying bytes, and the added p95 delay.
+MAX_TOKEN_COST_FACTOR = 1.2
+MAX_ADDED_DELAY_MS = 2.0
+# Peak rate of each daemon at the planned size (docs/CAPACITY.md).
+PLANNED_TOKENS_PER_SECOND = 28_600
+# Loads at which the slopes are measured.
+STREAM_COUNTS = [80, 160, 320]
+CONCURRENT_REQUEST_COUNTS = [2, 4, 8]
 
 
 @dataclasses.dataclass
-class Load:
-    """What :mod:`bench.load` counted, and what the server that it was put on used meanwhile.
+class LoadResult:
+    """The result of :mod:`bench.load`, and the server's processor time meanwhile.
 
-    :param cpu: processor seconds.
+    :param processor_seconds: processor time of the server.
     """
 
     tokens: int
@@ -54,32 +53,33 @@
     p50_ms: float
     p95_ms: float
     p99_ms: float
-    cpu: float
+    processor_seconds: float
 
 
 @dataclasses.dataclass
-class Run:
-    """One measurement of one server: many open streams, then requests of one token."""
+class ServerResult:
+    """The measurement of a server: with many open streams, and with requests of one token."""
 
     server: str
-    streams: Load
-    single: Load
+    streams: LoadResult
+    short_requests: LoadResult
 
     @property
     def per_token(self) -> float:
         """Processor microseconds for each token."""
-        return self.streams.cpu / max(1, self.streams.tokens) * 1e6
+        return self.streams.processor_seconds / max(1, self.streams.tokens) * 1e6
 
     @property
     def per_request(self) -> float:
         """Processor microseconds for each request of one token."""
-        return self.single.cpu / max(1, self.single.requests) * 1e6
+        return self.short_requests.processor_seconds / max(1, self.short_requests.requests) * 1e6
 
 
-async def _load(pid: int, address: str, **options: t.Any) -> Load:
-    """Put a load on an address.
+async def _run_load(pid: int, address: str, **options: t.Any) -> LoadResult:
+    """Return the result of a load on an address.
 
-    :param pid: of the process whose processor time is measured.
+    :param pid: process whose processor time is measured.
+    :param options: further options of :mod:`bench.load`.
     """
     arguments = [f"--{name}={value}" for name, value in options.items()]
     process = await asyncio.create_subprocess_exec(
@@ -87,33 +87,37 @@
     )
     assert process.stdout is not None
     await process.stdout.readline()
-    before = cpu_seconds(pid)
+    cpu_before = cpu_seconds(pid)
     line = await process.stdout.readline()
-    used = cpu_seconds(pid) - before
+    cpu_used = cpu_seconds(pid) - cpu_before
     await process.wait()
-    return Load(**json.loads(line), cpu=used)
+    return LoadResult(**json.loads(line), processor_seconds=cpu_used)
 
 
-async def _measure(name: str, pid: int, address: str, streams: int, seconds: float) -> Run:
-    many = await _load(pid, address, streams=streams, seconds=seconds)
-    single = await _load(pid, address, streams=16, seconds=seconds / 3, tokens=1, warm=0.5)
-    return Run(name, many, single)
+async def _measure_server(
+    name: str, pid: int, address: str, streams: int, seconds: float
+) -> ServerResult:
+    streams_result = await _run_load(pid, address, streams=streams, seconds=seconds)
+    short_requests = await _run_load(
+        pid, address, streams=16, seconds=seconds / 3, tokens=1, warm=0.5
+    )
+    return ServerResult(name, streams_result, short_requests)
 
 
-def _change() -> dict[str, t.Any]:
-    digest = hashlib.sha256(KEY.encode()).hexdigest()
+def _configuration_change() -> dict[str, t.Any]:
+    digest = hashlib.sha256(CALLER_KEY.encode()).hexdigest()
     workspace = {"name": "a", "key_digests": [digest], "first_token_seconds": 10}
     return {**group_intent(GROUPS), "workspaces": [workspace]}
 
 
-async def _started(directory: pathlib.Path) -> Cluster:
-    """Return a cluster of one daemon before engines whose tokens carry the time."""
+async def _start_cluster(directory: pathlib.Path) -> Cluster:
+    """Start a cluster of one daemon before engines that put a timestamp into each token."""
     site = Site(daemons=1, domains=GROUPS, instances=4, token_seconds=0.03)
     requests = {"group_tokens": 100_000_000, "queue_tokens": 100_000_000, "deadline": 600.0}
     cluster = Cluster(directory, site, requests=requests)
     await cluster.start()
     await cluster.wait_until_ready()
-    await cluster.apply(_change())
+    await cluster.apply(_configuration_change())
     await cluster.wait_for_open_groups(GROUPS)
     for leader in _leaders(cluster):
         await cluster.call_standin("POST", leader, "/behaviour", stamp=True, spread=True)
@@ -124,8 +128,10 @@
     return [cluster.instances[f"d{number}-i0"] for number in range(GROUPS)]
 
 
-async def _run(directory: pathlib.Path, streams: int, seconds: float) -> list[Run]:
-    cluster = await _started(directory)
+async def _measure_servers(
+    directory: pathlib.Path, streams: int, seconds: float
+) -> list[ServerResult]:
+    cluster = await _start_cluster(directory)
     leaders = _leaders(cluster)
     try:
         plain = await cluster.spawn("plain", "bench.servers", "plain", *leaders)
@@ -139,35 +145,41 @@
         ]
         runs = []
         for name, pid, address in servers:
-            runs.append(await _measure(name, pid, address, streams, seconds))
+            runs.append(await _measure_server(name, pid, address, streams, seconds))
         return runs
     finally:
         await cluster.stop()
 
 
-async def _slopes(directory: pathlib.Path, runs: int, seconds: float) -> list[Slope]:
+async def _measure_slopes(directory: pathlib.Path, runs: int, seconds: float) -> list[Slope]:
     """Fit the daemon's processor time against tokens and requests a second."""
-    cluster = await _started(directory)
+    cluster = await _start_cluster(directory)
     try:
         daemon = cluster.processes["daemon-0"]
         address = daemon.announcement["callers"]
         fits: dict[str, list[Fit]] = {"token_us": [], "request_us": []}
         for _ in range(runs):
-            tokens = [
-                await _load(daemon.pid, address, streams=count, seconds=seconds)
-                for count in STREAMS
+            stream_loads = [
+                await _run_load(daemon.pid, address, streams=count, seconds=seconds)
+                for count in STREAM_COUNTS
             ]
-            singles = [
-                await _load(daemon.pid, address, streams=count, seconds=seconds, tokens=1, warm=0.5)
-                for count in CONCURRENT
+            request_loads = [
+                await _run_load(
+                    daemon.pid, address, streams=count, seconds=seconds, tokens=1, warm=0.5
+                )
+                for count in CONCURRENT_REQUEST_COUNTS
             ]
-            fits["token_us"].append(_fit([load.tokens for load in tokens], tokens, seconds))
-            fits["request_us"].append(_fit([load.requests for load in singles], singles, seconds))
+            fits["token_us"].append(
+                _fit_rates([load.tokens for load in stream_loads], stream_loads, seconds)
+            )
+            fits["request_us"].append(
+                _fit_rates([load.requests for load in request_loads], request_loads, seconds)
+            )
     finally:
         await cluster.stop()
     units = {
-        "token_us": ("us for each token, 30 ms between", STREAMS),
-        "request_us": ("us for each request of one token", CONCURRENT),
+        "token_us": ("us for each token, 30 ms between", STREAM_COUNTS),
+        "request_us": ("us for each request of one token", CONCURRENT_REQUEST_COUNTS),
     }
     return [
         Slope.from_fits(name, unit, sizes, fits[name], COMMAND)
@@ -175,21 +187,23 @@
     ]
 
 
-def _fit(counted: list[int], loads: list[Load], seconds: float) -> Fit:
-    """Fit processor microseconds a second against what was counted a second."""
-    rates = [count / seconds for count in counted]
-    costs = [load.cpu / seconds * 1e6 for load in loads]
-    return fit_line(rates, costs)
+def _fit_rates(counts: list[int], loads: list[LoadResult], seconds: float) -> Fit:
+    """Fit processor microseconds a second against counts a second."""
+    counts_per_second = [count / seconds for count in counts]
+    costs = [load.processor_seconds / seconds * 1e6 for load in loads]
+    return fit_line(counts_per_second, costs)
 
 
-def _show(runs: list[Run]) -> None:
+def _print_results(runs: list[ServerResult]) -> None:
     print(f"{'server':12}{'us/token':>10}{'us/request':>12}{'tokens/s of a core':>20}", end="")
     print(f"{'p50 ms':>8}{'p95 ms':>8}{'p99 ms':>8}{'errors':>8}")
     for run in runs:
         if run.server == "direct":
-            # only one of the engines was measured, which is no relay's cost
-            streams = dataclasses.replace(run.streams, cpu=0.0)
-            run = Run(run.server, streams, dataclasses.replace(run.single, cpu=0.0))
+            # The processor time is that of one engine, which is not comparable.
+            streams = dataclasses.replace(run.streams, processor_seconds=0.0)
+            run = ServerResult(
+                run.server, streams, dataclasses.replace(run.short_requests, processor_seconds=0.0)
+            )
         rate = 1e6 / run.per_token if run.per_token else 0
         load = run.streams
         delays = "".join(f"{ms:8.2f}" for ms in (load.p50_ms, load.p95_ms, load.p99_ms))
@@ -200,15 +214,15 @@
 
 
 def relay(streams: int = 400, seconds: float = 3.5, record: bool = False) -> None:
-    """Measure; 30 ms between the tokens of a stream.
+    """Measure the daemon and the baselines, and check the targets.
 
-    :param streams: open streams.
-    :param seconds: for each server.
-    :param record: measure the slopes for docs/CAPACITY.md instead, three times.
+    :param streams: number of open streams.
+    :param seconds: duration of each measurement with open streams.
+    :param record: measure the slopes and write them to ``bench/slopes.json`` instead.
     """
     if record:
         with tempfile.TemporaryDirectory(prefix="thorncleat-bench-") as name:
-            slopes = asyncio.run(_slopes(pathlib.Path(name), 3, seconds))
+            slopes = asyncio.run(_measure_slopes(pathlib.Path(name), 3, seconds))
         record_slopes(slopes)
         for slope in slopes:
             print(
@@ -216,14 +230,16 @@
             )
         return
     with tempfile.TemporaryDirectory(prefix="thorncleat-bench-") as name:
-        runs = asyncio.run(_run(pathlib.Path(name), streams, seconds))
-    _show(runs)
+        runs = asyncio.run(_measure_servers(pathlib.Path(name), streams, seconds))
+    _print_results(runs)
     by_name = {run.server: run for run in runs}
-    ours, floor, direct = by_name["thorncleat"], by_name["bare"], by_name["direct"]
-    print(f"planned for each daemon: {PLANNED_TOKENS} tokens/s")
-    print_target("relay-token-cost-of-floor", ours.per_token / floor.per_token, FLOOR_FACTOR)
-    added = ours.streams.p95_ms - direct.streams.p95_ms
-    print_target("relay-added-delay-p95-ms", added, ADDED_MS)
+    thorncleat, bare, direct = by_name["thorncleat"], by_name["bare"], by_name["direct"]
+    print(f"planned for each daemon: {PLANNED_TOKENS_PER_SECOND} tokens/s")
+    print_target(
+        "relay-token-cost-of-floor", thorncleat.per_token / bare.per_token, MAX_TOKEN_COST_FACTOR
+    )
+    added = thorncleat.streams.p95_ms - direct.streams.p95_ms
+    print_target("relay-added-delay-p95-ms", added, MAX_ADDED_DELAY_MS)
 
 
 if __name__ == "__main__":
--- a/bench/servers.py
+++ b/bench/servers.py
@@ -1,7 +1,6 @@
 """The baselines of the relay benchmark, each run as a process of its own.
 
-``plain`` is the plainest handler with the HTTP library, ``bare`` copies bytes between two
-sockets: the floor for one read and one write a token.
+``plain`` is a minimal handler with the HTTP library, ``bare`` copies bytes between two sockets.
 
 Owns: the connections that it passes on.
 Relies on: nothing of the product.
@@ -18,40 +17,40 @@
 from thorncleat_standins.served import run
 
 
-class _Bare(asyncio.Protocol):
-    """Copies what comes in to its peer."""
+class _ByteCopier(asyncio.Protocol):
+    """Copies received data to its peer, and buffers it until there is one."""
 
     def __init__(self) -> None:
         self.peer: asyncio.Transport | None = None
         self.transport: asyncio.Transport | None = None
-        self._early: list[bytes] = []
+        self._buffered: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Pass data on."""
+        """Send data to the peer, or buffer it."""
         if self.peer is None:
-            self._early.append(data)
+            self._buffered.append(data)
         else:
             self.peer.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the peer too."""
+        """Close the peer."""
         if self.peer is not None:
             self.peer.close()
 
-    def join(self, peer: asyncio.Transport) -> None:
-        """Begin to copy to a peer."""
+    def connect_to(self, peer: asyncio.Transport) -> None:
+        """Start to copy to a peer."""
         self.peer = peer
-        for data in self._early:
+        for data in self._buffered:
             peer.write(data)
 
 
-class _BareServed:
-    """A bare relay that is being served."""
+class _BareServer:
+    """A listening server that copies bytes to its upstreams."""
 
     def __init__(self, server: asyncio.Server, tasks: set[asyncio.Task[None]]) -> None:
         self._server = server
@@ -63,12 +62,12 @@
         self._server.close()
 
 
-async def _serve_bare(upstreams: list[str]) -> _BareServed:
+async def _start_bare(upstreams: list[str]) -> _BareServer:
     loop = asyncio.get_running_loop()
-    turns = itertools.cycle(upstreams)
+    upstream_cycle = itertools.cycle(upstreams)
     tasks: set[asyncio.Task[None]] = set()
 
-    class Front(_Bare):
+    class AcceptedConnection(_ByteCopier):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
             task = loop.create_task(self._connect())
@@ -76,22 +75,22 @@
             task.add_done_callback(tasks.discard)
 
         async def _connect(self) -> None:
-            host, _, port = next(turns).rpartition(":")
-            transport, back = await loop.create_connection(_Bare, host, int(port))
+            host, _, port = next(upstream_cycle).rpartition(":")
+            transport, copier = await loop.create_connection(_ByteCopier, host, int(port))
             assert self.transport is not None
-            back.join(self.transport)
-            self.join(transport)
+            copier.connect_to(self.transport)
+            self.connect_to(transport)
 
-    return _BareServed(await loop.create_server(Front, "127.0.0.1", 0), tasks)
+    return _BareServer(await loop.create_server(AcceptedConnection, "127.0.0.1", 0), tasks)
 
 
-async def _serve_plain(upstreams: list[str]) -> Served:
-    turns = itertools.cycle(upstreams)
+async def _start_plain(upstreams: list[str]) -> Served:
+    upstream_cycle = itertools.cycle(upstreams)
     app = web.Application()
 
     async def relay(request: web.Request) -> web.StreamResponse:
         body = await request.read()
-        url = f"http://{next(turns)}{request.path}"
+        url = f"http://{next(upstream_cycle)}{request.path}"
         async with request.app["session"].post(url, data=body) as upstream:
             response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
             await response.prepare(request)
@@ -101,8 +100,8 @@
 
     async def session(app: web.Application):  # type: ignore[no-untyped-def]
         connector = aiohttp.TCPConnector(limit=0)
-        async with aiohttp.ClientSession(connector=connector) as made:
-            app["session"] = made
+        async with aiohttp.ClientSession(connector=connector) as client_session:
+            app["session"] = client_session
             yield
 
     app.cleanup_ctx.append(session)
@@ -111,21 +110,21 @@
 
 
 class Commands:
-    """Start a baseline before some engines."""
+    """Start a baseline server before some engines."""
 
     def plain(self, *upstreams: str) -> None:
-        """Start the plainest handler with the HTTP library."""
+        """Start the minimal handler with the HTTP library."""
 
         async def start() -> list[Served]:
-            return [await _serve_plain(list(upstreams))]
+            return [await _start_plain(list(upstreams))]
 
         run(start)
 
     def bare(self, *upstreams: str) -> None:
-        """Start the bare copier."""
+        """Start the server that copies bytes."""
 
         async def start() -> list[Served]:
-            return [await _serve_bare(list(upstreams))]  # type: ignore[list-item]
+            return [await _start_bare(list(upstreams))]  # type: ignore[list-item]
 
         run(start)
 
