--- a/bench/paired.py
+++ b/bench/paired.py
@@ -99,14 +99,14 @@
 def _difference_lines(
     baseline: str, variant: str, results: t.Mapping[str, t.Mapping[str, Figures]]
 ) -> list[str]:
-    common_plays = [play for play in results[baseline] if play in results[variant]]
+    shared_plays = [play for play in results[baseline] if play in results[variant]]
     lines = []
     for field in ("worth", "served", "worst_windows", "refused", "failed", "prices"):
         values = [
             (getattr(results[baseline][play], field), getattr(results[variant][play], field))
-            for play in common_plays
+            for play in shared_plays
         ]
         gap = difference(values)
-        text = f"{gap.mean:+.4f}, standard error {gap.error:.4f}, {len(common_plays)} pairs"
+        text = f"{gap.mean:+.4f}, standard error {gap.error:.4f}, {len(shared_plays)} pairs"
         lines.append(f"- {variant} less {baseline}, {field}: {text}")
     return lines
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The operations page's commands, run on the log lines that it was written from."""
+"""The commands on the operations page, run on the log lines that the page describes."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _at_the_root(monkeypatch):
+def _in_project_root(monkeypatch):
     monkeypatch.chdir(ROOT)
 
 
@@ -28,11 +28,11 @@
 
 
 def test_there_are_three_kinds_of_failed_request():
-    assert sum(one.startswith("trace ") for one in COMMANDS) == 3
+    assert sum(command.startswith("trace ") for command in COMMANDS) == 3
 
 
 @pytest.mark.parametrize("command", COMMANDS)
-def test_commands_of_the_page_tell_a_story(command, capsys):
+def test_commands_of_the_page_show_log_lines(command, capsys):
     run(command)
     assert command.split()[1] in capsys.readouterr().out
 
@@ -45,25 +45,25 @@
         ("0497efc420a8ba8f", ["attempt_failed", "request_refused"]),
     ],
 )
-def test_story_holds_what_the_page_says(request_id, events, capsys):
+def test_trace_shows_the_events_on_the_page(request_id, events, capsys):
     run(f"trace {request_id} {LOG}", json=True)
-    story = json.loads(capsys.readouterr().out)
-    assert set(events) <= {one["name"] for one in story}
-    assert [one["time"] for one in story] == sorted(one["time"] for one in story)
+    lines = json.loads(capsys.readouterr().out)
+    assert set(events) <= {line["name"] for line in lines}
+    assert [line["time"] for line in lines] == sorted(line["time"] for line in lines)
 
 
-def test_a_collector_may_put_its_own_time_before_a_line(tmp_path):
+def test_text_before_the_json_of_a_line_is_skipped(tmp_path):
     path = tmp_path / "collected.log"
     lines = (ROOT / LOG).read_text().splitlines()
     path.write_text("".join(f"12.5 edge-1 {line}\n" for line in lines) + "not a line\n{broken\n")
     assert logs.read([str(path)]) == logs.read([LOG])
 
 
-def test_unknown_request_is_a_clear_error():
+def test_unknown_request_is_reported():
     with pytest.raises(UnusableDocumentError, match="'nobody'"):
         run(f"trace nobody {LOG}")
 
 
-def test_missing_file_is_a_clear_error():
+def test_missing_file_is_reported():
     with pytest.raises(UnusableDocumentError, match="nothing-here"):
         run("trace x nothing-here.log")
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -28,7 +28,7 @@
         pytest.param(PLAN.replace('"quiet-1"', "1"), "day", id="wrong type"),
     ],
 )
-def test_wrong_plan_is_named(text, names, tmp_path):
+def test_error_names_the_fault_of_a_plan(text, names, tmp_path):
     (tmp_path / "plan.json").write_text(text)
     with pytest.raises(policy.PolicyError, match=names):
         policy.read_plan(tmp_path / "plan.json")
@@ -52,7 +52,7 @@
         ),
     ],
 )
-def test_constant_is_set(tree, name, file, line):
+def test_constant_is_changed(tree, name, file, line):
     policy.set_constant(tree, name, "9")
     found = tree / "packages/gateway/src/thorncleat_gateway" / file
     assert line in found.read_text().splitlines()
@@ -66,7 +66,7 @@
         pytest.param("thorncleat_gateway.rule.TWICE", "TWICE", id="set twice"),
     ],
 )
-def test_unknown_constant_is_named(tree, name, named):
+def test_error_names_the_unknown_constant(tree, name, named):
     with pytest.raises(policy.PolicyError, match=named):
         policy.set_constant(tree, name, "9")
 
@@ -77,7 +77,7 @@
     assert found.error == pytest.approx(0.1)
 
 
-def test_table_names_what_is_missing_and_what_broke():
+def test_table_shows_missing_plays_and_broken_rules():
     entry = {
         "days": [
             {
