--- a/bench/soaks/gateway_limits.py
+++ b/bench/soaks/gateway_limits.py
@@ -70,7 +70,10 @@
             return
         now = asyncio.get_running_loop().time()
         reported_at = limit.reported_at.get(daemon.name, float("inf"))
-        if now > reported_at + limit_rule.TOLD_SECONDS and daemon.interrupted_at < reported_at:
+        if (
+            now > reported_at + limit_rule.NOTICE_GRACE_SECONDS
+            and daemon.interrupted_at < reported_at
+        ):
             self._count_arrival(worker, limit, request, now)
         if is_reachable(worker):
             limit.announced_at = min(limit.announced_at, now)
@@ -78,16 +81,16 @@
                 limit.reported_at[daemon.name] = now
 
     def _count_arrival(self, worker: "SoakWorker", limit: _Limit, request: str, now: float) -> None:
-        if now < limit.announced_at + limit_rule.KNOWN_SECONDS:
+        if now < limit.announced_at + limit_rule.FIRST_NOTICE_GRACE_SECONDS:
             return
         self._counts["requests at a limit"] += 1
         limit.arrivals.append(now)
-        arrivals_in_span = sum(at > now - limit_rule.SPAN_SECONDS for at in limit.arrivals)
-        if arrivals_in_span > limit_rule.allowed(limit.requests_per_second):
+        arrivals_in_span = sum(at > now - limit_rule.WINDOW_SECONDS for at in limit.arrivals)
+        if arrivals_in_span > limit_rule.max_allowed_in_window(limit.requests_per_second):
             self._violations.append(
                 f"LIMIT {request} reached {worker.id}, which takes "
                 f"{limit.requests_per_second} a second, as number {arrivals_in_span} in "
-                f"{limit_rule.SPAN_SECONDS} s"
+                f"{limit_rule.WINDOW_SECONDS} s"
             )
 
 
--- a/tests/notice_endpoints.py
+++ b/tests/notice_endpoints.py
@@ -142,9 +142,9 @@
             at
             for at, daemon in zip(self.arrivals, self.senders, strict=True)
             if begin <= at <= end
-            and at >= self.limited_since.get(daemon, at) + limit_rule.TOLD_SECONDS
+            and at >= self.limited_since.get(daemon, at) + limit_rule.NOTICE_GRACE_SECONDS
         ]
-        return limit_rule.most_in_a_span(counted)
+        return limit_rule.max_requests_in_window(counted)
 
     async def acquire_slot(self) -> bool:
         """Wait for a slot; return False at once if the queue is full."""
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -40,7 +40,7 @@
     started_at = world.now()
     await world.send_requests(16.0)
     await world.end()
-    return world, world.workers[0].max_in_a_span(started_at + limit_rule.KNOWN_SECONDS)
+    return world, world.workers[0].max_in_a_span(started_at + limit_rule.FIRST_NOTICE_GRACE_SECONDS)
 
 
 @pytest.mark.parametrize("limit", ["0.1", "1", "1.2"])
@@ -48,7 +48,7 @@
 def test_daemons_keep_together_to_a_limit(size, limit):
     for seed in SEEDS:
         world, max_requests = virtual_time.run(_play_one_limit(size, seed, limit))
-        assert max_requests <= limit_rule.allowed(float(limit))
+        assert max_requests <= limit_rule.max_allowed_in_window(float(limit))
         assert not world.unserved
 
 
@@ -62,13 +62,13 @@
     started_at = world.now()
     await world.send_requests(12.0)
     spans = [
-        worker.max_in_a_span(started_at + limit_rule.KNOWN_SECONDS)
+        worker.max_in_a_span(started_at + limit_rule.FIRST_NOTICE_GRACE_SECONDS)
         for worker in world.workers.values()
     ]
     refused = [
         outcome
         for outcome in world.refusals
-        if outcome.answered_at > started_at + limit_rule.KNOWN_SECONDS
+        if outcome.answered_at > started_at + limit_rule.FIRST_NOTICE_GRACE_SECONDS
     ]
     for worker in world.workers.values():
         worker.extra_headers = {}
@@ -81,7 +81,7 @@
 
 def test_excess_requests_are_refused_at_once_while_all_endpoints_are_limited():
     world, spans, refused = virtual_time.run(_play_limits_of_all("1", 1))
-    assert max(spans) <= limit_rule.SPAN_SECONDS
+    assert max(spans) <= limit_rule.WINDOW_SECONDS
     assert refused
     # A retry right away would be refused as well.
     assert all(0 < outcome.retry_after < 1.0 for outcome in refused)
@@ -308,21 +308,23 @@
     assert not scene.limits.notices
 
 
-@pytest.mark.parametrize("trouble", limit_fleet.TROUBLES)
+@pytest.mark.parametrize("trouble", limit_fleet.SCENARIOS)
 @pytest.mark.parametrize("daemons", [8, 40])
 @pytest.mark.parametrize("limit", [0.1, 1.0, 10.0])
 def test_fleet_keeps_to_a_limit_through_partitions(trouble, daemons, limit):
     """The endpoint counts; the bound is the limit and one request at the edge of a span."""
-    seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).play()
-    assert seen.most <= limit_rule.SPAN_SECONDS * limit + 1
+    seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).run()
+    assert seen.max_in_window <= limit_rule.WINDOW_SECONDS * limit + 1
     # Most of the limit is used without faults.
-    assert seen.used > (0.5 if trouble == "calm" else 0)
+    assert seen.used_share > (0.5 if trouble == "calm" else 0)
     # The next request of the slowest holder, and its answer.
-    assert seen.again_after < 1 / (rate_shares.rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
+    assert (
+        seen.recovery_seconds < 1 / (rate_shares.rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
+    )
 
 
 @pytest.mark.parametrize(("way", "daemons", "limit"), [("own", 8, 1.0), ("fixed", 195, 10.0)])
 def test_check_detects_other_ways_to_share_that_exceed_the_limit(way, daemons, limit):
     """The fleet's check fails for schemes that exceed the limit."""
-    seen = limit_fleet.LimitFleet(way, daemons, limit, 3.0, "calm", 0).play()
-    assert seen.most > limit_rule.allowed(limit)
+    seen = limit_fleet.LimitFleet(way, daemons, limit, 3.0, "calm", 0).run()
+    assert seen.max_in_window > limit_rule.max_allowed_in_window(limit)
