--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -28,9 +28,9 @@
 from thorncleat_core.daemon.permits import PermitRequest
 from thorncleat_core.daemon.queues import FairQueue
 from thorncleat_core.daemon.queues import Waiting
-from thorncleat_daemon.dispatch import Ledger
+from thorncleat_daemon.dispatch import OutstandingWork
 from thorncleat_daemon.dispatch import Slot
-from thorncleat_daemon.permits import NUDGE_SECONDS
+from thorncleat_daemon.permits import MIN_EARLY_RENEWAL_INTERVAL_SECONDS
 
 from .report import quantile
 from .report import target
@@ -171,7 +171,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.queue: FairQueue[Request] = FairQueue(QUEUE_TOKENS)
-        self.ledger = Ledger()
+        self.ledger = OutstandingWork()
         self.held: HeldPermit | None = None
         self.asked_at = float("-inf")
         self.nudged = False
@@ -233,7 +233,7 @@
 
     def _nudge(self, daemon: _Daemon, now: float) -> None:
         """Ask at once, or as soon as the last asking is long enough ago."""
-        due = daemon.asked_at + NUDGE_SECONDS
+        due = daemon.asked_at + MIN_EARLY_RENEWAL_INTERVAL_SECONDS
         if now >= due:
             self._ask(daemon, now)
         elif not daemon.nudged:
@@ -242,7 +242,7 @@
 
     def _nudge_later(self, daemon: _Daemon, now: float) -> None:
         daemon.nudged = False
-        if len(daemon.queue) and now >= daemon.asked_at + NUDGE_SECONDS:
+        if len(daemon.queue) and now >= daemon.asked_at + MIN_EARLY_RENEWAL_INTERVAL_SECONDS:
             self._ask(daemon, now)
 
     def _pump(self, daemon: _Daemon, now: float) -> None:
@@ -251,7 +251,7 @@
             return
         while True:
             found = daemon.queue.pop(
-                lambda name, cost: daemon.ledger.room(held, name) >= cost, {}, now
+                lambda name, cost: daemon.ledger.available_tokens(held, name) >= cost, {}, now
             )
             if found is None:
                 return
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -38,7 +38,7 @@
 from .keyspace import Keyspace
 from .ports import Erase
 from .ports import Peers
-from .ports import SameLife
+from .ports import KeyNotRecreated
 from .ports import Store
 from .ports import Write
 from .shard_map import ShardMap
@@ -177,7 +177,7 @@
         hour = int(time.time()) // HOUR
         key = self._keys.claim_batch(lease.shard, hour, lease.epoch, owned.number)
         value = claims.encode_batch(batch)
-        condition = SameLife(self._keys.holder(lease.shard), lease.create_revision)
+        condition = KeyNotRecreated(self._keys.holder(lease.shard), lease.create_revision)
         conditions = [condition] if self._fenced else []
         try:
             write = [Write(key, value)]
@@ -260,7 +260,7 @@
             owned.granted &= owned.book.ids
             for hour in sorted(hour for hour in owned.hours if hour < oldest):
                 prefix = f"{self._keys.claims(owned.lease.shard)}{hour:08d}/"
-                condition = SameLife(
+                condition = KeyNotRecreated(
                     self._keys.holder(owned.lease.shard), owned.lease.create_revision
                 )
                 await self._store.transact([condition], [Erase(prefix, True)], Purpose.READ)
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -77,7 +77,7 @@
     return characters // CHARACTERS_PER_TOKEN + max_tokens + 1
 
 
-class Ledger:
+class OutstandingWork:
     """What this daemon has outstanding in each group, in tokens and requests."""
 
     def __init__(self) -> None:
@@ -105,7 +105,7 @@
         if tokens[slot.workspace] <= 0:
             del tokens[slot.workspace]
 
-    def room(self, held: HeldPermit, workspace: str) -> int:
+    def available_tokens(self, held: HeldPermit, workspace: str) -> int:
         """Return the tokens that a workspace may still send to a group."""
         permit = held.permit
         tokens = self.tokens(permit.group)
@@ -138,7 +138,7 @@
         self._choose = routing.choices.get(routing_choice)
         self._queue_tokens = queue_tokens
         self._queues: dict[str, FairQueue[_Place]] = {}
-        self._ledger = Ledger()
+        self._ledger = OutstandingWork()
         self._since: dict[tuple[str, int], float] = {}
         self.ejection = Ejection()
         permits.usage = self
@@ -254,7 +254,7 @@
         return [
             held
             for held in usable
-            if self._ledger.room(held, workspace) >= cost
+            if self._ledger.available_tokens(held, workspace) >= cost
             # a request larger than any credit must get through some time
             or (not self._ledger.requests(held.permit.group) and held.permit.spare > 0)
         ]
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -20,7 +20,7 @@
 from .open_groups import OpenGroups
 from .order_giver import OrderGiver
 from .ports import Condition
-from .ports import SameLife
+from .ports import KeyNotRecreated
 from .ports import Unchanged
 from .ports import Write
 
@@ -141,7 +141,7 @@
         key = services.keys.domain(state.domain)
         conditions: list[Condition] = [
             Unchanged(key, state.mod_revision),
-            SameLife(services.keys.holder(lease.shard), lease.create_revision),
+            KeyNotRecreated(services.keys.holder(lease.shard), lease.create_revision),
         ]
         try:
             write = [Write(key, changed.encode())]
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -24,7 +24,7 @@
 from .exceptions import StoreError
 from .exceptions import StoreOutcomeUnknownError
 from .ports import Erase
-from .ports import SameLife
+from .ports import KeyNotRecreated
 from .ports import Stored
 from .ports import Unchanged
 from .ports import Write
@@ -181,7 +181,7 @@
 
     async def _hand_over(self, shard: int, lease: HeldLease) -> None:
         key = self._services.keys.holder(shard)
-        condition = SameLife(key, lease.create_revision)
+        condition = KeyNotRecreated(key, lease.create_revision)
         self._lose(shard)
         self._look_at[shard] = self._clock() + BALANCE_SECONDS
         await self._services.store.transact([condition], [Erase(key)], Purpose.LEASE)
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -29,7 +29,7 @@
 from .shard_map import ShardMap
 
 # least time between renewals out of turn
-NUDGE_SECONDS = 0.05
+MIN_EARLY_RENEWAL_INTERVAL_SECONDS = 0.05
 # after which a model that nobody asks for needs no permits
 IDLE_SECONDS = 300.0
 # times that a permit is asked for again in its life
@@ -122,7 +122,7 @@
     async def nudge(self) -> None:
         """Renew now instead of at the next turn, though not too often."""
         now = self._clock()
-        if now - self._nudged_at >= NUDGE_SECONDS:
+        if now - self._nudged_at >= MIN_EARLY_RENEWAL_INTERVAL_SECONDS:
             self._nudged_at = now
             await self.renew()
 
--- a/packages/daemon/src/thorncleat_daemon/ports.py
+++ b/packages/daemon/src/thorncleat_daemon/ports.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class SameLife:
+class KeyNotRecreated:
     """A condition: a key has been there ever since it was created at this revision."""
 
     key: str
@@ -62,7 +62,7 @@
     prefix: bool = False
 
 
-Condition = Unchanged | SameLife
+Condition = Unchanged | KeyNotRecreated
 Operation = Write | Erase
 
 
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -23,7 +23,7 @@
 from .ports import Condition
 from .ports import Erase
 from .ports import Operation
-from .ports import SameLife
+from .ports import KeyNotRecreated
 from .ports import Stored
 
 HTTP_NOT_DONE = frozenset({429, 503})
@@ -53,7 +53,7 @@
 
 def _condition(condition: Condition) -> Json:
     row: Json = {"key": _encoded(condition.key.encode()), "result": "EQUAL"}
-    if isinstance(condition, SameLife):
+    if isinstance(condition, KeyNotRecreated):
         return row | {"target": "CREATE", "create_revision": str(condition.create_revision)}
     return row | {"target": "MOD", "mod_revision": str(condition.mod_revision)}
 
--- a/tests/test_forms_daemon_calls.py
+++ b/tests/test_forms_daemon_calls.py
@@ -32,7 +32,7 @@
 from thorncleat_daemon.platform import HttpInstanceList
 from thorncleat_daemon.ports import Erase
 from thorncleat_daemon.ports import Order
-from thorncleat_daemon.ports import SameLife
+from thorncleat_daemon.ports import KeyNotRecreated
 from thorncleat_daemon.ports import Unchanged
 from thorncleat_daemon.ports import Write
 from thorncleat_daemon.store import EtcdStore
@@ -58,7 +58,7 @@
     },
     "log_level": "debug",
 }
-CONDITIONS = [Unchanged("/a", 3), SameLife("/b", 4)]
+CONDITIONS = [Unchanged("/a", 3), KeyNotRecreated("/b", 4)]
 OPERATIONS = [Write("/a", b"\xff", 7), Write("/b", b""), Erase("/c"), Erase("/d/", prefix=True)]
 ROW = {"key": "L2E=", "value": "/w==", "create_revision": "3", "mod_revision": "4"}
 STORE_CALLS = {
--- a/tests/world.py
+++ b/tests/world.py
@@ -34,7 +34,7 @@
 from thorncleat_daemon.permits import PermitKeeper
 from thorncleat_daemon.ports import Erase
 from thorncleat_daemon.ports import Order
-from thorncleat_daemon.ports import SameLife
+from thorncleat_daemon.ports import KeyNotRecreated
 from thorncleat_daemon.ports import Stored
 from thorncleat_daemon.shard_map import ShardMap
 from thorncleat_standins import kv
@@ -85,7 +85,7 @@
         self._admit()
         compares = [
             kv.Compare(one.key.encode(), "create_revision", one.create_revision)
-            if isinstance(one, SameLife)
+            if isinstance(one, KeyNotRecreated)
             else kv.Compare(one.key.encode(), "mod_revision", one.mod_revision)
             for one in conditions
         ]
