--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -20,11 +20,11 @@
 from .dispatch import SlotRequest
 from .exceptions import RequestError
 from .metrics import Metrics
-from .permits import PermitKeeper
+from .permits import PermitManager
 
 # groups that a request is tried in
 MAX_ATTEMPTS = 4
-RETRIED = frozenset(
+RETRIED_CAUSES = frozenset(
     {
         "endpoint_unreachable",
         "answer_lost",
@@ -34,13 +34,13 @@
         "group_closed",
     }
 )
-_CLOSED = "group closed"
+_GROUP_CLOSED_MESSAGE = "group closed"
 Answer = t.TypeVar("Answer")
-SlotRequestOf = t.Callable[[frozenset[str]], SlotRequest]
-Work = t.Callable[[Slot], t.Coroutine[t.Any, t.Any, Answer]]
+SlotRequestFactory = t.Callable[[frozenset[str]], SlotRequest]
+SendToGroup = t.Callable[[Slot], t.Coroutine[t.Any, t.Any, Answer]]
 
 
-def group_closed(slot: Slot) -> RequestError:
+def group_closed_error(slot: Slot) -> RequestError:
     """Return what ends a call in a group that may not answer any more."""
     return RequestError(
         503,
@@ -55,16 +55,16 @@
 class Attempts:
     """Runs requests in groups; ends a call at once when its group is closed."""
 
-    def __init__(self, dispatcher: Dispatcher, permits: PermitKeeper, metrics: Metrics) -> None:
+    def __init__(self, dispatcher: Dispatcher, permits: PermitManager, metrics: Metrics) -> None:
         self._dispatcher = dispatcher
         self._permits = permits
         self._metrics = metrics
         self._retries = RetryThrottle()
         self._running: dict[str, set[asyncio.Task[t.Any]]] = {}
-        permits.on_closed(self._cut)
+        permits.on_closed(self._cancel_calls)
 
     async def run(
-        self, caller: Caller, slot_request_of: SlotRequestOf, work: Work[Answer]
+        self, caller: Caller, slot_request_factory: SlotRequestFactory, work: SendToGroup[Answer]
     ) -> Answer:
         """Run a request until it is answered or may not be tried again.
 
@@ -74,15 +74,15 @@
         """
         failed: set[str] = set()
         for attempt in range(1, MAX_ATTEMPTS + 1):
-            slot = await self._dispatcher.acquire(slot_request_of(frozenset(failed)))
+            slot = await self._dispatcher.acquire(slot_request_factory(frozenset(failed)))
             try:
-                answer = await self._guarded(slot, work(slot))
+                answer = await self._run_until_closed(slot, work(slot))
                 self._dispatcher.ejection.succeeded(slot.group)
                 self._retries.succeeded()
                 return answer
             except RequestError as error:
-                self._note_failure(slot, error, failed)
-                if not self._may_retry(caller, error, attempt):
+                self._record_failure(slot, error, failed)
+                if not self._reserve_retry(caller, error, attempt):
                     raise
                 events.REQUEST_MOVED.log(request=caller.id, cause=error.cause)
             finally:
@@ -102,39 +102,41 @@
         :raises RequestError: if it may not.
         """
         if not self.permitted_until(slot):
-            raise group_closed(slot)
+            raise group_closed_error(slot)
 
-    def _cut(self, group: str) -> None:
+    def _cancel_calls(self, group: str) -> None:
         """End the calls that run in a group which may not answer any more."""
         for task in self._running.pop(group, set()):
-            task.cancel(_CLOSED)
+            task.cancel(_GROUP_CLOSED_MESSAGE)
 
-    async def _guarded(self, slot: Slot, work: t.Coroutine[t.Any, t.Any, Answer]) -> Answer:
+    async def _run_until_closed(
+        self, slot: Slot, work: t.Coroutine[t.Any, t.Any, Answer]
+    ) -> Answer:
         task = asyncio.ensure_future(work)
         self._running.setdefault(slot.group, set()).add(task)
         try:
             return await task
         except asyncio.CancelledError as error:
             current = asyncio.current_task()
-            if _CLOSED in error.args and not (current and current.cancelling()):
-                raise group_closed(slot) from None
+            if _GROUP_CLOSED_MESSAGE in error.args and not (current and current.cancelling()):
+                raise group_closed_error(slot) from None
             task.cancel()
             raise
         finally:
             self._running.get(slot.group, set()).discard(task)
 
-    def _note_failure(self, slot: Slot, error: RequestError, failed: set[str]) -> None:
+    def _record_failure(self, slot: Slot, error: RequestError, failed: set[str]) -> None:
         failed.add(slot.group)
-        if error.cause in RETRIED:
+        if error.cause in RETRIED_CAUSES:
             self._dispatcher.ejection.failed(slot.group, clock.now())
 
-    def _may_retry(self, caller: Caller, error: RequestError, attempt: int) -> bool:
-        if error.cause not in RETRIED or not may_send_again(
+    def _reserve_retry(self, caller: Caller, error: RequestError, attempt: int) -> bool:
+        if error.cause not in RETRIED_CAUSES or not may_send_again(
             error.executed,
             repeatable=caller.repeatable,
             attempt=attempt,
             most=MAX_ATTEMPTS,
-            seconds_left=caller.left(),
+            seconds_left=caller.seconds_left(),
         ):
             return False
         if not self._retries.take():
--- a/packages/daemon/src/thorncleat_daemon/background.py
+++ b/packages/daemon/src/thorncleat_daemon/background.py
@@ -13,7 +13,7 @@
 from . import events
 
 # part by which an interval varies
-JITTER = 0.1
+JITTER_SHARE = 0.1
 
 
 async def repeat(
@@ -43,4 +43,4 @@
             # a fault that lasts is written once
             events.TASK_FAILED.log(task=name, reason=reason, expected=expected)
         last = reason
-        await asyncio.sleep(seconds * random.uniform(1 - JITTER, 1 + JITTER))
+        await asyncio.sleep(seconds * random.uniform(1 - JITTER_SHARE, 1 + JITTER_SHARE))
--- a/packages/daemon/src/thorncleat_daemon/callers.py
+++ b/packages/daemon/src/thorncleat_daemon/callers.py
@@ -17,16 +17,16 @@
 
 from .exceptions import RequestError
 
-DEADLINE = "X-Request-Deadline"
-PRIORITY = "X-Request-Priority"
-REPEATABLE = "X-Request-Repeatable"
-KEY = "Idempotency-Key"
+DEADLINE_HEADER = "X-Request-Deadline"
+PRIORITY_HEADER = "X-Request-Priority"
+REPEATABLE_HEADER = "X-Request-Repeatable"
+KEY_HEADER = "Idempotency-Key"
 # highest priority that a caller may name
 MAX_PRIORITY = 9
 # characters of a key
-MAX_KEY = 200
+MAX_KEY_CHARACTERS = 200
 # longest deadline in seconds
-MAX_DEADLINE = 3600.0
+MAX_DEADLINE_SECONDS = 3600.0
 # for a call that is begun at the deadline: 0 would mean no limit
 MIN_CALL_SECONDS = 0.01
 
@@ -47,50 +47,52 @@
     repeatable: bool
     key: str | None
 
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Return the seconds to the deadline."""
         return self.deadline - clock.now()
 
     def timeout(self) -> float:
         """Return the seconds for a call to an endpoint."""
-        return max(MIN_CALL_SECONDS, self.left())
+        return max(MIN_CALL_SECONDS, self.seconds_left())
 
 
-def _bad(detail: str) -> RequestError:
+def _bad_request(detail: str) -> RequestError:
     return RequestError(400, "Bad request", detail, cause="bad_request")
 
 
-def _deadline(text: str | None, default: float) -> float:
+def _parse_deadline(text: str | None, default: float) -> float:
     if text is None:
         return default
     try:
         seconds = float(text)
     except ValueError:
-        raise _bad(f"{DEADLINE} {text!r} is not a number of seconds") from None
-    if not math.isfinite(seconds) or seconds > MAX_DEADLINE:
-        raise _bad(f"{DEADLINE} {text!r} is over {MAX_DEADLINE!r} seconds")
+        raise _bad_request(f"{DEADLINE_HEADER} {text!r} is not a number of seconds") from None
+    if not math.isfinite(seconds) or seconds > MAX_DEADLINE_SECONDS:
+        raise _bad_request(f"{DEADLINE_HEADER} {text!r} is over {MAX_DEADLINE_SECONDS!r} seconds")
     if seconds <= 0:
-        raise _bad(f"{DEADLINE} {text!r} has passed")
+        raise _bad_request(f"{DEADLINE_HEADER} {text!r} has passed")
     return seconds
 
 
-def _priority(text: str | None) -> int:
+def _parse_priority(text: str | None) -> int:
     if text is None:
         return 0
     if not text.isdigit() or int(text) > MAX_PRIORITY:
-        raise _bad(f"{PRIORITY} {text!r} is not between 0 and {MAX_PRIORITY}")
+        raise _bad_request(f"{PRIORITY_HEADER} {text!r} is not between 0 and {MAX_PRIORITY}")
     return int(text)
 
 
-def _repeatable(text: str | None) -> bool:
+def _parse_repeatable(text: str | None) -> bool:
     if text not in (None, "yes", "no"):
-        raise _bad(f"{REPEATABLE} {text!r} is neither 'yes' nor 'no'")
+        raise _bad_request(f"{REPEATABLE_HEADER} {text!r} is neither 'yes' nor 'no'")
     return text != "no"
 
 
-def _key(text: str | None) -> str | None:
-    if text is not None and not 0 < len(text) <= MAX_KEY:
-        raise _bad(f"{KEY} must have 1 to {MAX_KEY} characters, not {len(text)}")
+def _parse_key(text: str | None) -> str | None:
+    if text is not None and not 0 < len(text) <= MAX_KEY_CHARACTERS:
+        raise _bad_request(
+            f"{KEY_HEADER} must have 1 to {MAX_KEY_CHARACTERS} characters, not {len(text)}"
+        )
     return text
 
 
@@ -106,16 +108,16 @@
         raise RequestError(
             401, "Unknown key", "a workspace's key is wanted as a bearer", cause="unauthorized"
         )
-    found = request.headers
-    repeatable = _repeatable(found.get(REPEATABLE))
-    seconds = _deadline(found.get(DEADLINE), deadline)
+    headers = request.headers
+    repeatable = _parse_repeatable(headers.get(REPEATABLE_HEADER))
+    seconds = _parse_deadline(headers.get(DEADLINE_HEADER), deadline)
     return Caller(
         uuid.uuid4().hex,
         workspace,
         clock.now() + seconds,
-        _priority(found.get(PRIORITY)),
+        _parse_priority(headers.get(PRIORITY_HEADER)),
         repeatable,
-        _key(found.get(KEY)),
+        _parse_key(headers.get(KEY_HEADER)),
     )
 
 
@@ -133,7 +135,7 @@
     except web.HTTPRequestEntityTooLarge:
         raise _too_large(limit) from None
     except (web.RequestPayloadError, ConnectionError) as error:
-        raise _bad(f"the body broke off: {error}") from error
+        raise _bad_request(f"the body broke off: {error}") from error
 
 
 def _too_large(limit: int) -> RequestError:
@@ -147,5 +149,5 @@
     :raises RequestError: if it has none.
     """
     if caller.key is None:
-        raise _bad(f"a request that may not be repeated needs {KEY}")
+        raise _bad_request(f"a request that may not be repeated needs {KEY_HEADER}")
     return caller.key
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -37,26 +37,26 @@
 from .invariants import Invariants
 from .keyspace import Keyspace
 from .ports import Erase
-from .ports import Peers
 from .ports import KeyNotRecreated
+from .ports import Peers
 from .ports import Store
 from .ports import Write
 from .shard_map import ShardMap
 
 # seconds; claims are kept in the store by the hour, to be erased by the hour
-HOUR = 3600
+SECONDS_PER_HOUR = 3600
 # claims in one write
-MAX_BATCH = 500
+MAX_BATCH_CLAIMS = 500
 # body of an answer that is kept for repeats
 MAX_OUTCOME_BYTES = 65_536
 # between two looks for expired hours
-CLEAN_SECONDS = 600.0
+CLEAN_INTERVAL_SECONDS = 600.0
 # for the owner's answer, a write to the store included
-ASK_SECONDS = 3.0
+ASK_TIMEOUT_SECONDS = 3.0
 # between two turns of a shard's writer
 WRITER_PAUSE_SECONDS = 0.001
 # after a writer could not read the shard's claims
-RESTORE_PAUSE_SECONDS = 0.5
+RESTORE_RETRY_SECONDS = 0.5
 
 
 @dataclasses.dataclass
@@ -71,10 +71,10 @@
     def __init__(self, lease: HeldLease, book: ClaimBook) -> None:
         self.lease = lease
         self.book = book
-        self.restored = False
+        self.is_restored = False
         self.pending: list[_Pending] = []
         self.wake = asyncio.Event()
-        self.number = 0
+        self.last_batch_number = 0
         self.hours: set[int] = set()
         self.granted: set[tuple[str, str]] = set()
         self.task: asyncio.Task[None] | None = None
@@ -109,25 +109,25 @@
         self._keys = keys
         self._shards = holder.shards
         self._keep = keep
-        self._owned: dict[int, _OwnedShard] = {}
-        holder.on_change(self._acquired, self._lost)
+        self._owned_shards: dict[int, _OwnedShard] = {}
+        holder.on_change(self._on_acquired, self._on_lost)
         peers.handle("claim", self._on_claim)
         peers.handle("outcome", self._on_outcome)
 
-    def _acquired(self, lease: HeldLease) -> None:
+    def _on_acquired(self, lease: HeldLease) -> None:
         owned = _OwnedShard(lease, ClaimBook(keep=self._keep))
-        self._owned[lease.shard] = owned
+        self._owned_shards[lease.shard] = owned
         owned.task = asyncio.create_task(
             background.repeat(
                 f"claims {lease.shard}",
-                lambda: self._work(owned),
+                lambda: self._run_writer(owned),
                 WRITER_PAUSE_SECONDS,
                 lambda: self.should_stop or owned.lease.deadline == 0,
             )
         )
 
-    def _lost(self, shard: int) -> None:
-        owned = self._owned.pop(shard, None)
+    def _on_lost(self, shard: int) -> None:
+        owned = self._owned_shards.pop(shard, None)
         if owned is None:
             return
         if owned.task:
@@ -138,17 +138,17 @@
 
     async def on_stop(self) -> None:
         """End the writers."""
-        for shard in list(self._owned):
-            self._lost(shard)
+        for shard in list(self._owned_shards):
+            self._on_lost(shard)
 
-    async def _work(self, owned: _OwnedShard) -> None:
-        if not owned.restored:
+    async def _run_writer(self, owned: _OwnedShard) -> None:
+        if not owned.is_restored:
             await self._restore(owned)
         await owned.wake.wait()
         owned.wake.clear()
         while owned.pending:
-            batch = owned.pending[:MAX_BATCH]
-            del owned.pending[:MAX_BATCH]
+            batch = owned.pending[:MAX_BATCH_CLAIMS]
+            del owned.pending[:MAX_BATCH_CLAIMS]
             written = await self._write(owned, [pending.claim for pending in batch])
             for pending in batch:
                 if pending.done and not pending.done.done():
@@ -159,23 +159,23 @@
         try:
             rows = await self._store.read_under(prefix, Purpose.CLAIM)
         except StoreError:
-            await asyncio.sleep(RESTORE_PAUSE_SECONDS)
+            await asyncio.sleep(RESTORE_RETRY_SECONDS)
             raise
         # by epoch and number: the hours come from clocks, which may have stepped back
         for row in sorted(rows, key=lambda row: row.key.rsplit("/", 1)[1]):
             owned.book.restore(claims.decode_batch(row.value))
             owned.hours.add(int(row.key.removeprefix(prefix).split("/")[0]))
         owned.book.expire(int(time.time()))
-        owned.restored = True
+        owned.is_restored = True
         events.CLAIMS_RESTORED.log(shard=owned.lease.shard, claims=len(owned.book))
 
     async def _write(self, owned: _OwnedShard, batch: list[Claim]) -> bool:
         lease = owned.lease
-        if not self._holds(lease):
+        if not self._is_lease_held(lease):
             return False
-        owned.number += 1
-        hour = int(time.time()) // HOUR
-        key = self._keys.claim_batch(lease.shard, hour, lease.epoch, owned.number)
+        owned.last_batch_number += 1
+        hour = int(time.time()) // SECONDS_PER_HOUR
+        key = self._keys.claim_batch(lease.shard, hour, lease.epoch, owned.last_batch_number)
         value = claims.encode_batch(batch)
         condition = KeyNotRecreated(self._keys.holder(lease.shard), lease.create_revision)
         conditions = [condition] if self._fenced else []
@@ -187,7 +187,7 @@
         except StoreError:
             return False
         owned.hours.add(hour)
-        return done and self._holds(lease)
+        return done and self._is_lease_held(lease)
 
     async def _read_back(self, key: str, value: bytes) -> bool:
         try:
@@ -197,19 +197,19 @@
         events.STORE_READ_BACK.log(key=key, own=found is not None)
         return found is not None and found.value == value
 
-    def _holds(self, lease: HeldLease) -> bool:
+    def _is_lease_held(self, lease: HeldLease) -> bool:
         return not self._fenced or lease.held(self._clock())
 
-    def _owner(self, workspace: str, key: str) -> _OwnedShard | None:
-        owned = self._owned.get(self._shards.shard_of(claim_name(workspace, key)))
-        if owned is None or not owned.restored or not self._holds(owned.lease):
+    def _find_owned_shard(self, workspace: str, key: str) -> _OwnedShard | None:
+        owned = self._owned_shards.get(self._shards.shard_of(claim_name(workspace, key)))
+        if owned is None or not owned.is_restored or not self._is_lease_held(owned.lease):
             return None
         return owned
 
     async def _on_claim(self, sender: str, body: t.Any) -> t.Any:
         workspace, key, request = str(body["workspace"]), str(body["key"]), str(body["request"])
         attempt = str(body.get("attempt", ""))
-        owned = self._owner(workspace, key)
+        owned = self._find_owned_shard(workspace, key)
         if owned is None:
             return Reply(ClaimAnswer.BUSY)
         now, wall = self._clock(), int(time.time())
@@ -236,7 +236,7 @@
         workspace, key = str(body["workspace"]), str(body["key"])
         raw = body["outcome"]
         outcome = codec.validated(Outcome, raw) if raw is not None else None
-        owned = self._owner(workspace, key)
+        owned = self._find_owned_shard(workspace, key)
         if owned is None:
             return False
         ran = str(body["ran"])
@@ -250,12 +250,14 @@
 
     @mode.Service.task
     async def _clean_task(self) -> None:
-        await background.repeat("clean", self._clean, CLEAN_SECONDS, lambda: self.should_stop)
+        await background.repeat(
+            "clean", self._delete_expired_hours, CLEAN_INTERVAL_SECONDS, lambda: self.should_stop
+        )
 
-    async def _clean(self) -> None:
+    async def _delete_expired_hours(self) -> None:
         """Delete the hours that hold nothing but expired claims."""
-        oldest = (int(time.time()) - self._keep) // HOUR - 1
-        for owned in list(self._owned.values()):
+        oldest = (int(time.time()) - self._keep) // SECONDS_PER_HOUR - 1
+        for owned in list(self._owned_shards.values()):
             owned.book.expire(int(time.time()))
             owned.granted &= owned.book.ids
             for hour in sorted(hour for hour in owned.hours if hour < oldest):
@@ -292,13 +294,13 @@
             reply = codec.validated(Reply, answer)
         except (PeerError, DecodeError) as error:
             # a grant may have been lost on the way: nothing was sent, so it is given back
-            await self.tell(workspace, key, attempt, "no", None)
-            raise _no_owner(str(error)) from error
+            await self.report(workspace, key, attempt, "no", None)
+            raise _claims_unavailable_error(str(error)) from error
         if reply.answer is ClaimAnswer.BUSY:
-            raise _no_owner("the owner of the key can't make it durable now")
+            raise _claims_unavailable_error("the owner of the key can't make it durable now")
         return reply
 
-    async def tell(
+    async def report(
         self, workspace: str, key: str, attempt: str, ran: str, outcome: Outcome | None
     ) -> None:
         """Report to the owner how a request ended; if that fails the claim counts as unknown."""
@@ -320,10 +322,10 @@
         owner = self._shards.holder_of(shard)
         if owner is None:
             raise PeerError(f"shard {shard!r} has no holder")
-        return await self._peers.ask(owner, kind, body, ASK_SECONDS)
+        return await self._peers.ask(owner, kind, body, ASK_TIMEOUT_SECONDS)
 
 
-def _no_owner(reason: str) -> RequestError:
+def _claims_unavailable_error(reason: str) -> RequestError:
     return RequestError(
         503,
         "Claims unavailable",
@@ -333,6 +335,6 @@
     )
 
 
-def kept_outcome(status: int, content_type: str, body: bytes) -> Outcome:
+def stored_outcome(status: int, content_type: str, body: bytes) -> Outcome:
     """Return an outcome as it is kept: a large body is left out."""
     return Outcome(status, content_type, body if len(body) <= MAX_OUTCOME_BYTES else None)
--- a/packages/daemon/src/thorncleat_daemon/completion.py
+++ b/packages/daemon/src/thorncleat_daemon/completion.py
@@ -21,7 +21,7 @@
 # most tokens that a request may ask for
 MAX_TOKENS = 131_072
 # the engine is not (or no longer) what the directory says, or has no room
-REFUSED_BY_ENGINE = frozenset({404, 409, 429, 503})
+REFUSAL_STATUSES = frozenset({404, 409, 429, 503})
 
 
 class _Completion(pydantic.BaseModel):
@@ -96,7 +96,7 @@
     if status == 200:
         return
     detail = f"the engine answered {status!r}: {text[:200]!r}"
-    if status in REFUSED_BY_ENGINE:
+    if status in REFUSAL_STATUSES:
         raise RequestError(
             502,
             "Engine refused",
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -19,7 +19,7 @@
 
 from . import events
 from .attempts import Attempts
-from .attempts import SlotRequestOf
+from .attempts import SlotRequestFactory
 from .callers import Caller
 from .claims import ClaimClient
 from .completion import PATH
@@ -33,10 +33,10 @@
 from .dispatch import prompt_cost
 from .exceptions import RequestError
 from .metrics import Metrics
-from .once import Answered
+from .once import WholeAnswer
 from .once import run_once
 from .pieces import DONE
-from .pieces import whole_answer_fault
+from .pieces import find_answer_fault
 from .streams import Streams
 from .upstream import Upstream
 from .upstream import answer_lost
@@ -70,37 +70,39 @@
         :raises RequestError: if it can't be answered.
         """
         completion = parse(body)
-        slot_request_of = self._slot_request_of(caller, completion)
+        slot_request_factory = self._slot_request_of(caller, completion)
         if completion.stream and caller.repeatable:
-            return await self._streams.answer(request, caller, completion, slot_request_of)
+            return await self._streams.answer(request, caller, completion, slot_request_factory)
         started = clock.now()
 
-        async def whole() -> Answered:
+        async def run_attempts() -> WholeAnswer:
             return await self._attempts.run(
-                caller, slot_request_of, lambda slot: self._whole(slot, caller, completion)
+                caller,
+                slot_request_factory,
+                lambda slot: self._fetch_whole_answer(slot, caller, completion),
             )
 
         if caller.repeatable:
-            answered = await whole()
+            answered = await run_attempts()
         else:
-            answered = await run_once(self._claims, caller, "POST", PATH, body, whole)
-        self._note(caller, completion, clock.now() - started)
+            answered = await run_once(self._claims, caller, "POST", PATH, body, run_attempts)
+        self._record_metrics(caller, completion, clock.now() - started)
         return _response(answered, caller, completion)
 
-    def _note(self, caller: Caller, completion: Completion, seconds: float) -> None:
+    def _record_metrics(self, caller: Caller, completion: Completion, seconds: float) -> None:
         self._metrics.distribution("whole_answer", completion.model).note(seconds)
-        self._metrics.ended(caller.workspace.name, completion.model, GOOD)
+        self._metrics.record_ended(caller.workspace.name, completion.model, GOOD)
 
-    def _intent(self, caller: Caller, completion: Completion) -> Intent:
+    def _find_intent(self, caller: Caller, completion: Completion) -> Intent:
         found = self._configuration().intents_for(caller.workspace.name, completion.model)
         if not found:
             detail = f"no model {completion.model!r} for workspace {caller.workspace.name!r}"
             raise RequestError(404, "Unknown model", detail, cause="bad_request")
         return found[0]
 
-    def _slot_request_of(self, caller: Caller, completion: Completion) -> SlotRequestOf:
+    def _slot_request_of(self, caller: Caller, completion: Completion) -> SlotRequestFactory:
         """Return what a request needs, as a function of the groups to avoid."""
-        intent = self._intent(caller, completion)
+        intent = self._find_intent(caller, completion)
         cost = prompt_cost(len(completion.text), completion.max_tokens)
         prefix = routing.prefix_identity(intent.model, intent.version, completion.text)
 
@@ -117,7 +119,9 @@
 
         return slot_request
 
-    async def _whole(self, slot: Slot, caller: Caller, completion: Completion) -> Answered:
+    async def _fetch_whole_answer(
+        self, slot: Slot, caller: Caller, completion: Completion
+    ) -> WholeAnswer:
         url = engine_url(slot)
         async with self._upstream.call(
             "POST",
@@ -132,13 +136,13 @@
             except (aiohttp.ClientError, TimeoutError) as error:
                 raise answer_lost(url, error) from error
             check_status(response.status, text)
-            self._check_whole(text, caller)
+            self._check_whole_answer(text, caller)
         self._attempts.check_permit(slot)
-        return Answered(200, "application/json", text)
+        return WholeAnswer(200, "application/json", text)
 
-    def _check_whole(self, text: bytes, caller: Caller) -> None:
+    def _check_whole_answer(self, text: bytes, caller: Caller) -> None:
         try:
-            fault = whole_answer_fault(json.loads(text), caller.id)
+            fault = find_answer_fault(json.loads(text), caller.id)
         except ValueError:
             fault = "not JSON"
         if fault is None:
@@ -150,7 +154,7 @@
         )
 
 
-def _response(answered: Answered, caller: Caller, completion: Completion) -> web.Response:
+def _response(answered: WholeAnswer, caller: Caller, completion: Completion) -> web.Response:
     """Return a whole answer; of an earlier run, or for a caller that wanted a stream, too."""
     headers = {"X-Request-Id": caller.id}
     if answered.repeated:
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -42,29 +42,29 @@
 from .ports import Write
 
 # daemons that watch the store
-WATCHERS = 3
+WATCHER_COUNT = 3
 # peers asked for the configuration while the store is away
-PEERS_ASKED = 3
+MAX_PEERS_ASKED = 3
 # first wait after a watch broke
 WATCH_RETRY_SECONDS = 0.2
 # between two looks whether this daemon is to watch
-WATCHER_LOOK_SECONDS = 1.0
-RECORD = "config"
+WATCHER_POLL_INTERVAL_SECONDS = 1.0
+RECORD_KEY = "config"
 # revisions
-SNAPSHOT_EVERY = 64
+SNAPSHOT_INTERVAL_REVISIONS = 64
 # between looks at the store
-POLL_SECONDS = 60.0
+STORE_POLL_INTERVAL_SECONDS = 60.0
 # for finding out whether a write took effect
-READ_BACK_SECONDS = 5.0
+READ_BACK_TIMEOUT_SECONDS = 5.0
 # entries sent to a peer before a snapshot is sent instead
-ENTRIES_AT_ONCE = 64
+MAX_ENTRIES_PER_ANSWER = 64
 # in which peers may bring what a watch announces
 WATCH_GRACE_SECONDS = 0.1
 # between tries to get what was announced
-FOLLOW_SECONDS = 0.5
+FOLLOW_INTERVAL_SECONDS = 0.5
 
 
-class ConfigKeeper(mode.Service):
+class ConfigManager(mode.Service):
     """Holds this daemon's journal and keeps it up with the accepted one.
 
     Three daemons, chosen by rendezvous hashing, watch the store; all others hear of a change
@@ -87,12 +87,12 @@
         self._gossip = gossip
         self._peers = peers
         self._invariants = invariants or Invariants()
-        self._highest = 0
+        self._highest_revision = 0
         self._fetching: set[asyncio.Task[None]] = set()
         self.journal = Journal()
-        self.loaded = False
+        self.is_loaded = False
         peers.handle("journal", self._on_journal)
-        gossip.listen(RECORD, self._on_record)
+        gossip.listen(RECORD_KEY, self._on_record)
 
     @property
     def current(self) -> State:
@@ -107,8 +107,8 @@
         :raises StoreOutcomeUnknownError: if that can't be found out now.
         """
         head = await self._store.read(self._keys.head, Purpose.CONFIG)
-        known = Head.decode(head.value) if head else Head()
-        if known != self.journal.head:
+        store_head = Head.decode(head.value) if head else Head()
+        if store_head != self.journal.head:
             await self.catch_up()
         # checked before it is written: what is accepted must be applicable everywhere
         try:
@@ -132,18 +132,18 @@
             Write(self._keys.entry(entry.revision), entry.encode()),
             Write(self._keys.head, state.head.encode()),
         ]
-        if entry.revision % SNAPSHOT_EVERY == 0:
+        if entry.revision % SNAPSHOT_INTERVAL_REVISIONS == 0:
             operations.append(Write(self._keys.snapshot, state.encode()))
-            last = entry.revision - SNAPSHOT_EVERY
+            last = entry.revision - SNAPSHOT_INTERVAL_REVISIONS
             operations += [
                 Erase(self._keys.entry(revision))
-                for revision in range(last - SNAPSHOT_EVERY + 1, last + 1)
+                for revision in range(last - SNAPSHOT_INTERVAL_REVISIONS + 1, last + 1)
             ]
         return operations
 
     async def _read_back(self, entry: Entry) -> int | None:
         """Find out whether a write took effect whose answer was lost."""
-        end = clock.now() + READ_BACK_SECONDS
+        end = clock.now() + READ_BACK_TIMEOUT_SECONDS
         backoff = Backoff()
         while clock.now() < end:
             try:
@@ -165,23 +165,23 @@
         """
         head = await self._store.read(self._keys.head, Purpose.CONFIG)
         if head is None:
-            self.loaded = True
+            self.is_loaded = True
             return
-        wanted = Head.decode(head.value)
-        behind = wanted.revision - self.journal.head.revision
-        if behind > SNAPSHOT_EVERY:
+        accepted_head = Head.decode(head.value)
+        behind = accepted_head.revision - self.journal.head.revision
+        if behind > SNAPSHOT_INTERVAL_REVISIONS:
             snapshot = await self._store.read(self._keys.snapshot, Purpose.CONFIG)
             if snapshot:
                 self._restore(State.decode(snapshot.value))
-        while self.journal.head.revision < wanted.revision:
+        while self.journal.head.revision < accepted_head.revision:
             before = self.journal.head.revision
-            await self._catch_up_one()
+            await self._apply_next_entry()
             # a peer may have brought the entry meanwhile, which is as good
             if self.journal.head.revision == before:
                 break
-        self.loaded = True
+        self.is_loaded = True
 
-    async def _catch_up_one(self) -> None:
+    async def _apply_next_entry(self) -> None:
         key = self._keys.entry(self.journal.head.revision + 1)
         found = await self._store.read(key, Purpose.CONFIG)
         if found is None:
@@ -195,35 +195,35 @@
     def _apply(self, entries: list[Entry]) -> bool:
         changed = [entry for entry in entries if self.journal.append(entry)]
         if changed:
-            self._note_applied()
+            self._record_applied()
         return bool(changed)
 
     def _restore(self, state: State) -> bool:
         changed = self.journal.restore(state)
         if changed:
-            self._note_applied()
+            self._record_applied()
         return changed
 
-    def _note_applied(self) -> None:
+    def _record_applied(self) -> None:
         head = self.journal.head
         self._invariants.check(
-            head.revision > self._highest,
+            head.revision > self._highest_revision,
             Invariant.CONFIGURATION_REVERTED,
             revision=head.revision,
-            highest=self._highest,
+            highest=self._highest_revision,
         )
-        self._highest = max(self._highest, head.revision)
+        self._highest_revision = max(self._highest_revision, head.revision)
         events.CONFIG_IN_FORCE.log(revision=head.revision)
-        self._gossip.publish(Record(RECORD, (head.revision,), {"digest": head.digest}))
+        self._gossip.publish(Record(RECORD_KEY, (head.revision,), {"digest": head.digest}))
 
     def _on_record(self, record: Record, sender: str) -> None:
         if record.version[0] > self.journal.head.revision and sender != self._me:
-            task = asyncio.create_task(self._fetch_quietly(sender))
+            task = asyncio.create_task(self._try_fetch(sender))
             self._fetching.add(task)
             task.add_done_callback(self._fetching.discard)
 
-    async def _fetch_quietly(self, peer: str) -> None:
-        for source in [peer, *self._gossip.some_peers(2)]:
+    async def _try_fetch(self, peer: str) -> None:
+        for source in [peer, *self._gossip.sample_peers(2)]:
             try:
                 await self.fetch_from(source)
                 return
@@ -243,7 +243,7 @@
 
     async def _on_journal(self, sender: str, body: t.Any) -> t.Any:
         entries = self.journal.since(int(body))
-        if entries is None or len(entries) > ENTRIES_AT_ONCE:
+        if entries is None or len(entries) > MAX_ENTRIES_PER_ANSWER:
             return {"snapshot": self.current.encode(), "entries": []}
         return {"snapshot": None, "entries": [entry.encode() for entry in entries]}
 
@@ -251,7 +251,7 @@
     async def _load_task(self) -> None:
         """Load at the start, from the store or else from peers, then look again now and then."""
         backoff = Backoff()
-        while not self.should_stop and not self.loaded:
+        while not self.should_stop and not self.is_loaded:
             try:
                 await self.catch_up()
             except ThorncleatError as error:
@@ -259,32 +259,34 @@
                 await self._load_from_peers()
                 await asyncio.sleep(backoff.failed(random.random()))
         await background.repeat(
-            "config", self.catch_up_if_possible, POLL_SECONDS, lambda: self.should_stop
+            "config", self.try_catch_up, STORE_POLL_INTERVAL_SECONDS, lambda: self.should_stop
         )
 
     @mode.Service.task
     async def _follow_task(self) -> None:
-        await background.repeat("follow", self.follow, FOLLOW_SECONDS, lambda: self.should_stop)
+        await background.repeat(
+            "follow", self.fetch_announced, FOLLOW_INTERVAL_SECONDS, lambda: self.should_stop
+        )
 
-    async def follow(self) -> None:
+    async def fetch_announced(self) -> None:
         """Try again to get what was announced, for as long as it is not applied here.
 
         Whoever announced it may not have been reachable, or not listed here yet.
         """
-        record = self._gossip.directory.get(RECORD)
+        record = self._gossip.directory.get(RECORD_KEY)
         if record is None or record.version[0] <= self.journal.head.revision:
             return
-        for peer in self._gossip.some_peers(2):
-            await self._fetch_quietly(peer)
+        for peer in self._gossip.sample_peers(2):
+            await self._try_fetch(peer)
             if record.version[0] <= self.journal.head.revision:
                 return
-        await self.catch_up_if_possible()
+        await self.try_catch_up()
 
     async def _load_from_peers(self) -> None:
         """Take the newest configuration that the peers know; one stale peer isn't enough."""
         answers = 0
         others = [name for name in self._gossip.members.alive if name != self._me]
-        for peer in random.sample(others, min(PEERS_ASKED, len(others))):
+        for peer in random.sample(others, min(MAX_PEERS_ASKED, len(others))):
             try:
                 await self.fetch_from(peer)
                 answers += 1
@@ -292,9 +294,9 @@
                 # another peer is asked; too few answers leave this daemon unready, which shows
                 continue
         if answers >= min(2, len(others)) and self.journal.head.revision > 0:
-            self.loaded = True
+            self.is_loaded = True
 
-    async def catch_up_if_possible(self) -> None:
+    async def try_catch_up(self) -> None:
         """Read what is newer from the store, unless it is away."""
         try:
             await self.catch_up()
@@ -305,14 +307,14 @@
     def is_watcher(self) -> bool:
         """Whether this daemon is one of the few that watch the store."""
         alive = self._gossip.members.alive
-        return rendezvous.place("config-watch", self._me, alive, WATCHERS) is not None
+        return rendezvous.place("config-watch", self._me, alive, WATCHER_COUNT) is not None
 
     @mode.Service.task
     async def _watch_task(self) -> None:
         backoff = Backoff(WATCH_RETRY_SECONDS)
         while not self.should_stop:
             if not self.is_watcher:
-                await asyncio.sleep(WATCHER_LOOK_SECONDS)
+                await asyncio.sleep(WATCHER_POLL_INTERVAL_SECONDS)
                 continue
             try:
                 await self._watch(backoff)
@@ -320,7 +322,7 @@
                 events.TASK_FAILED.log(task="watch", reason=str(error), expected=True)
                 await asyncio.sleep(backoff.failed(random.random()))
 
-    async def _is_news(self, head: Head) -> bool:
+    async def _is_still_newer(self, head: Head) -> bool:
         """Return whether a head is newer, after a moment in which the peers may bring it."""
         if head.revision > self.journal.head.revision:
             await asyncio.sleep(WATCH_GRACE_SECONDS)
@@ -329,7 +331,7 @@
     async def _watch(self, backoff: Backoff) -> None:
         async for value in self._store.watch(self._keys.head):
             # an event only says that there is something: late and doubled ones do no harm
-            if value is None or await self._is_news(Head.decode(value.value)):
+            if value is None or await self._is_still_newer(Head.decode(value.value)):
                 await self.catch_up()
             backoff.succeeded()
             if self.should_stop or not self.is_watcher:
--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -24,9 +24,9 @@
 from .claims import ClaimClient
 from .claims import ClaimOwner
 from .completions import Completions
-from .config import ConfigKeeper
+from .config import ConfigManager
 from .dispatch import Dispatcher
-from .domain_state import KeeperServices
+from .domain_state import DomainServices
 from .engines import HttpEngines
 from .entry import Entry
 from .gossip import Gossip
@@ -35,9 +35,9 @@
 from .lag import LoopLag
 from .metrics import Metrics
 from .operators import Operators
-from .operators import Parts
+from .operators import OperatorServices
 from .peers import ZmqPeers
-from .permits import PermitKeeper
+from .permits import PermitManager
 from .plain import PlainServices
 from .platform import HttpInstanceList
 from .recent import RecentRequests
@@ -49,9 +49,9 @@
 from .upstream import stream_session
 
 # for running requests when the daemon stops
-FINISH_SECONDS = 60.0
+SHUTDOWN_TIMEOUT_SECONDS = 60.0
 # for tests only: the soak run must notice when claims are given without a lease
-BROKEN_FENCE = "THORNCLEAT_TEST_BROKEN_FENCE"
+BROKEN_FENCE_VARIABLE = "THORNCLEAT_TEST_BROKEN_FENCE"
 
 
 class Daemon(mode.Service):
@@ -89,7 +89,7 @@
             self._operators.application(), listen.operators, listen.operators_tls, 1.0
         )
         self.addresses["callers"] = await self._listen(
-            self._entry.application(), listen.callers, listen.callers_tls, FINISH_SECONDS
+            self._entry.application(), listen.callers, listen.callers_tls, SHUTDOWN_TIMEOUT_SECONDS
         )
         events.DAEMON_STARTED.log(**self.addresses)
 
@@ -107,13 +107,13 @@
             await session.close()
         events.DAEMON_STOPPED.log()
 
-    def not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         """Return why this daemon should get no requests, or None if it should."""
         if self._stopping:
             return "stopping"
-        if not self._config.loaded:
+        if not self._config.is_loaded:
             return "no configuration yet"
-        if not self._gossip.listed:
+        if not self._gossip.has_list:
             return "no list of instances yet"
         return None
 
@@ -121,13 +121,13 @@
         return self._config.current.configuration
 
     def _build(self) -> None:
-        self._build_outside()
+        self._build_clients()
         self._build_control()
         self._build_requests()
-        self._build_sides()
-        self._show_gauges()
+        self._build_listeners()
+        self._register_gauges()
 
-    def _build_outside(self) -> None:
+    def _build_clients(self) -> None:
         """Build what reaches the store, the platform, the engines and the other daemons."""
         settings, me = self._settings, self._settings.daemon.id
         self._lag = LoopLag(clock.now)
@@ -153,7 +153,7 @@
             me, self._peers, self._instances, control.member_probe, settings.platform.poll
         )
         self._gossip.on_listed(self._budget.set_members)
-        self._config = ConfigKeeper(
+        self._config = ConfigManager(
             me, self._store, self._keys, self._gossip, self._peers, invariants
         )
         self._shards = ShardMap(me, self._gossip, control.shards)
@@ -165,13 +165,13 @@
             self._peers,
             settings.requests.claim_seconds,
             invariants,
-            fenced=BROKEN_FENCE not in os.environ,
+            fenced=BROKEN_FENCE_VARIABLE not in os.environ,
         )
 
-    def _services(self) -> KeeperServices:
+    def _services(self) -> DomainServices:
         """Return what the keepers of fabric domains use."""
         settings, control = self._settings, self._settings.control
-        return KeeperServices(
+        return DomainServices(
             settings.daemon.id,
             self._store,
             self._keys,
@@ -184,13 +184,13 @@
             LeaseTerms(control.lease, control.lease_margin),
             settings.requests.group_tokens,
             settings.platform.poll,
-            late=lambda: self._lag.late,
+            is_loop_late=lambda: self._lag.is_late,
         )
 
     def _build_requests(self) -> None:
         """Build what sends requests to groups and services."""
         settings, limits = self._settings, self._settings.requests
-        self._permits = PermitKeeper(
+        self._permits = PermitManager(
             settings.daemon.id,
             self._gossip,
             self._shards,
@@ -212,7 +212,7 @@
         )
         self._plain = PlainServices(self._configuration, self._upstream, claims, self.metrics)
 
-    def _build_sides(self) -> None:
+    def _build_listeners(self) -> None:
         """Build the callers' and the operators' side."""
         settings, limits = self._settings, self._settings.requests
         recent = RecentRequests(settings.daemon.id)
@@ -222,11 +222,11 @@
             self._plain,
             self.metrics,
             recent,
-            self.not_ready,
+            self.not_ready_reason,
             limits.body,
             limits.deadline,
         )
-        parts = Parts(
+        parts = OperatorServices(
             settings.daemon.id,
             self._config,
             self._gossip,
@@ -236,12 +236,12 @@
             recent,
             self._peers,
             self._instances,
-            lambda: self._store.reachable,
+            lambda: self._store.is_reachable,
             settings.control.load,
         )
         self._operators = Operators(parts, settings.operators)
 
-    def _show_gauges(self) -> None:
+    def _register_gauges(self) -> None:
         metrics = self.metrics
         metrics.gauge(
             "config_revision",
@@ -252,7 +252,7 @@
         metrics.gauge("waiting", "Requests in queues", lambda: float(self._dispatcher.waiting))
         metrics.gauge("loop_lag_worst", "Longest delay of a timer, s", lambda: self._lag.worst)
         metrics.gauge(
-            "store_reachable", "Whether the store answers", lambda: float(self._store.reachable)
+            "store_reachable", "Whether the store answers", lambda: float(self._store.is_reachable)
         )
         metrics.gauge(
             "peer_sent_bytes", "Bytes sent to daemons", lambda: self._peers.counts["sent_bytes"]
@@ -273,7 +273,7 @@
         await runner.setup()
         self._runners.append(runner)
         host, _, port = address.rpartition(":")
-        site = web.TCPSite(runner, host, int(port), ssl_context=_context(tls))
+        site = web.TCPSite(runner, host, int(port), ssl_context=_tls_context(tls))
         await site.start()
         return f"{host}:{runner.addresses[0][1]}"
 
@@ -283,7 +283,7 @@
     return aiohttp.ClientSession(connector=connector, auto_decompress=False)
 
 
-def _context(tls: Tls | None) -> ssl.SSLContext | None:
+def _tls_context(tls: Tls | None) -> ssl.SSLContext | None:
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -22,16 +22,16 @@
 
 from . import retry_after
 from .exceptions import RequestError
-from .permits import PermitKeeper
+from .permits import PermitManager
 
 # between looks at what waits
-TICK_SECONDS = 0.05
+QUEUE_POLL_INTERVAL_SECONDS = 0.05
 # of a prompt, for its estimated cost
 CHARACTERS_PER_TOKEN = 4
 # in which a new group comes up to full weight
-WARM_SECONDS = 5.0
+WARM_UP_SECONDS = 5.0
 # weight of a group that has just come up
-COLD_WARMTH = 0.2
+INITIAL_WARMTH = 0.2
 
 
 @dataclasses.dataclass
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass
-class _Place:
+class _SlotWaiter:
     request: SlotRequest
     future: "asyncio.Future[Slot]"
 
@@ -125,7 +125,7 @@
 
     def __init__(
         self,
-        permits: PermitKeeper,
+        permits: PermitManager,
         configuration: t.Callable[[], Configuration],
         routing_choice: str,
         queue_tokens: int,
@@ -135,30 +135,30 @@
         self._clock = now
         self._permits = permits
         self._configuration = configuration
-        self._choose = routing.choices.get(routing_choice)
+        self._choose_group = routing.choices.get(routing_choice)
         self._queue_tokens = queue_tokens
-        self._queues: dict[str, FairQueue[_Place]] = {}
-        self._ledger = OutstandingWork()
-        self._since: dict[tuple[str, int], float] = {}
+        self._queues: dict[str, FairQueue[_SlotWaiter]] = {}
+        self._outstanding = OutstandingWork()
+        self._first_used_at: dict[tuple[str, int], float] = {}
         self.ejection = Ejection()
         permits.usage = self
-        permits.on_renewed(self._pump_all)
+        permits.on_renewed(self._serve_all_queues)
 
     def in_flight(self, group: str) -> int:
         """Return the requests that run in a group."""
-        return self._ledger.requests(group)
+        return self._outstanding.requests(group)
 
     def demand(self, group: str) -> dict[str, int]:
         """Return the tokens that run in a group or wait for one, for each workspace."""
-        wanted = collections.Counter(self._ledger.tokens(group))
+        demand = collections.Counter(self._outstanding.tokens(group))
         intent = group.rsplit("-", 1)[0]
         queue = self._queues.get(intent)
         if queue:
             found = self._configuration().intents.get(intent)
             groups = self._permits.groups(intent, found.model) if found else []
             for workspace, waiting in queue.waiting_cost.items():
-                wanted[workspace] += -(-waiting // max(1, len(groups)))
-        return {name: amount for name, amount in wanted.items() if amount > 0}
+                demand[workspace] += -(-waiting // max(1, len(groups)))
+        return {name: amount for name, amount in demand.items() if amount > 0}
 
     @property
     def waiting(self) -> int:
@@ -173,7 +173,7 @@
         queue = self._queues.setdefault(request.intent.name, FairQueue(self._queue_tokens))
         future: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
         waiting = Waiting(
-            _Place(request, future),
+            _SlotWaiter(request, future),
             request.workspace,
             request.cost,
             request.priority,
@@ -181,19 +181,21 @@
         )
         refused = queue.refuse(waiting, self._clock())
         if refused is not None:
-            raise _overloaded(request, refused)
+            raise _overload_error(request, refused)
         ticket = queue.add(waiting)
-        self._pump(request.intent.name)
+        self._serve_queue(request.intent.name)
         if not future.done():
-            await self._permits.nudge()
-            self._pump(request.intent.name)
+            await self._permits.renew_early()
+            self._serve_queue(request.intent.name)
         try:
             return await future
         except asyncio.CancelledError:
-            self._withdraw(queue, ticket, waiting)
+            self._cancel_wait(queue, ticket, waiting)
             raise
 
-    def _withdraw(self, queue: FairQueue[_Place], ticket: int, waiting: Waiting[_Place]) -> None:
+    def _cancel_wait(
+        self, queue: FairQueue[_SlotWaiter], ticket: int, waiting: Waiting[_SlotWaiter]
+    ) -> None:
         future = waiting.item.future
         if future.done() and not future.cancelled() and future.exception() is None:
             # the room was given at the same moment as the caller went
@@ -203,36 +205,36 @@
 
     def release(self, slot: Slot) -> None:
         """Give room back."""
-        self._ledger.remove(slot)
-        self._pump(slot.group.rsplit("-", 1)[0])
+        self._outstanding.remove(slot)
+        self._serve_queue(slot.group.rsplit("-", 1)[0])
 
     @mode.Service.task
     async def _tick_task(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(TICK_SECONDS)
-            self._expire()
-            self._pump_all()
+            await asyncio.sleep(QUEUE_POLL_INTERVAL_SECONDS)
+            self._fail_expired()
+            self._serve_all_queues()
             if self.waiting:
                 # the credits may have been given out anew
-                await self._permits.nudge()
+                await self._permits.renew_early()
 
-    def _expire(self) -> None:
+    def _fail_expired(self) -> None:
         now = self._clock()
         for queue in self._queues.values():
             for waiting in queue.expired(now):
                 if not waiting.item.future.done():
-                    error = _overloaded(
+                    error = _overload_error(
                         waiting.item.request,
                         retry_after.EXPIRED_IN_QUEUE,
                         "deadline passed in the queue",
                     )
                     waiting.item.future.set_exception(error)
 
-    def _pump_all(self) -> None:
+    def _serve_all_queues(self) -> None:
         for name in self._queues:
-            self._pump(name)
+            self._serve_queue(name)
 
-    def _pump(self, name: str) -> None:
+    def _serve_queue(self, name: str) -> None:
         queue = self._queues.get(name)
         intent = self._configuration().intents.get(name)
         if not queue or intent is None:
@@ -241,50 +243,54 @@
         usable = self._permits.usable(name, intent.model)
         while usable:
             waiting = queue.pop(
-                lambda workspace, cost: bool(self._with_room(usable, workspace, cost)),
+                lambda workspace, cost: bool(self._permits_with_capacity(usable, workspace, cost)),
                 self._configuration().shares,
                 now,
             )
             if waiting is None:
                 return
             if not waiting.item.future.done():
-                self._give(waiting.item, usable, now)
+                self._assign_slot(waiting.item, usable, now)
 
-    def _with_room(self, usable: list[HeldPermit], workspace: str, cost: int) -> list[HeldPermit]:
+    def _permits_with_capacity(
+        self, usable: list[HeldPermit], workspace: str, cost: int
+    ) -> list[HeldPermit]:
         return [
             held
             for held in usable
-            if self._ledger.available_tokens(held, workspace) >= cost
+            if self._outstanding.available_tokens(held, workspace) >= cost
             # a request larger than any credit must get through some time
-            or (not self._ledger.requests(held.permit.group) and held.permit.spare > 0)
+            or (not self._outstanding.requests(held.permit.group) and held.permit.spare > 0)
         ]
 
-    def _give(self, place: _Place, usable: list[HeldPermit], now: float) -> None:
-        request = place.request
-        with_room = self._with_room(usable, request.workspace, request.cost)
-        names = self.ejection.usable([held.permit.group for held in with_room], now)
+    def _assign_slot(self, waiter: _SlotWaiter, usable: list[HeldPermit], now: float) -> None:
+        request = waiter.request
+        with_capacity = self._permits_with_capacity(usable, request.workspace, request.cost)
+        names = self.ejection.usable([held.permit.group for held in with_capacity], now)
         preferred = [name for name in names if name not in request.avoid] or names
-        by_name = {held.permit.group: held.permit for held in with_room}
-        candidates = [self._candidate(name, by_name[name].generation, now) for name in preferred]
-        permit = by_name[self._choose(request.prefix, request.cost, candidates)]
+        by_name = {held.permit.group: held.permit for held in with_capacity}
+        candidates = [
+            self._routing_candidate(name, by_name[name].generation, now) for name in preferred
+        ]
+        permit = by_name[self._choose_group(request.prefix, request.cost, candidates)]
         slot = Slot(permit.group, permit.generation, permit.leader, request.workspace, request.cost)
-        self._ledger.add(slot)
-        place.future.set_result(slot)
+        self._outstanding.add(slot)
+        waiter.future.set_result(slot)
 
-    def _candidate(self, group: str, generation: int, now: float) -> routing.Candidate:
-        since = self._since.setdefault((group, generation), now)
+    def _routing_candidate(self, group: str, generation: int, now: float) -> routing.Candidate:
+        since = self._first_used_at.setdefault((group, generation), now)
         # the first group ever seen is as warm as any other
-        warmth = min(1.0, COLD_WARMTH + (now - since) / WARM_SECONDS)
-        return routing.Candidate(group, self._ledger.tokens(group).total(), warmth=warmth)
+        warmth = min(1.0, INITIAL_WARMTH + (now - since) / WARM_UP_SECONDS)
+        return routing.Candidate(group, self._outstanding.tokens(group).total(), warmth=warmth)
 
 
-def _overloaded(
+def _overload_error(
     request: SlotRequest, seconds: float, reason: str = "no room in time"
 ) -> RequestError:
     return RequestError(
         503,
         "No room",
         f"{reason} for model {request.intent.model!r}",
-        retry_after=retry_after.spread(seconds),
+        retry_after=retry_after.with_jitter(seconds),
         cause="overload",
     )
--- a/packages/daemon/src/thorncleat_daemon/domain_keepers.py
+++ b/packages/daemon/src/thorncleat_daemon/domain_keepers.py
@@ -15,15 +15,15 @@
 from thorncleat_core.daemon.permits import PermitRequest
 
 from . import background
-from .domain_state import KeeperServices
-from .domains import DomainKeeper
+from .domain_state import DomainServices
+from .domains import DomainManager
 from .shard_map import ShardMap
 
 # seconds without a question after which a keeper without a lease ends
-STAND_IN_SECONDS = 10.0
+LEASELESS_IDLE_SECONDS = 10.0
 
 
-class DomainKeepers:
+class DomainManagers:
     """Runs a keeper for each domain of the shards held, and stands in for absent holders.
 
     :param held: the leases that this daemon holds, by shard.
@@ -33,28 +33,28 @@
 
     def __init__(
         self,
-        services: KeeperServices,
+        services: DomainServices,
         shards: ShardMap,
         held: t.Mapping[int, HeldLease],
         *,
-        spawns: bool,
+        runs_tasks: bool,
         should_stop: t.Callable[[], bool],
     ) -> None:
         self._services = services
         self._shards = shards
         self._held = held
-        self._spawns = spawns
+        self._spawns = runs_tasks
         self._should_stop = should_stop
-        self._keepers: dict[str, DomainKeeper] = {}
+        self._managers: dict[str, DomainManager] = {}
         self._running: dict[str, list[asyncio.Task[None]]] = {}
         services.peers.handle("permit", self._on_permit)
 
     @property
-    def by_domain(self) -> t.Mapping[str, DomainKeeper]:
+    def by_domain(self) -> t.Mapping[str, DomainManager]:
         """The keepers, by fabric domain."""
-        return self._keepers
+        return self._managers
 
-    def keep(self) -> None:
+    def update(self) -> None:
         """Run a keeper for each domain of the shards held, and end those without use."""
         placements = self._services.config().placements.values()
         domains = {placed.domain for placed in placements}
@@ -63,38 +63,38 @@
         domains |= {str(record.body["domain"]) for record in records if not record.body.get("gone")}
         for domain in sorted(domains):
             lease = self._held.get(self._shards.shard_of(domain))
-            keeper = self._keepers.get(domain)
-            if lease and (keeper is None or keeper.lease is not lease):
-                self._run(DomainKeeper(domain, self._services, lease.epoch, lease))
-        for domain, keeper in list(self._keepers.items()):
-            if keeper.superseded or self._unneeded(keeper):
+            manager = self._managers.get(domain)
+            if lease and (manager is None or manager.lease is not lease):
+                self._start(DomainManager(domain, self._services, lease.epoch, lease))
+        for domain, manager in list(self._managers.items()):
+            if manager.is_superseded or self._is_unneeded(manager):
                 self._end(domain)
 
-    def lose(self, lease: HeldLease) -> None:
+    def drop_lease(self, lease: HeldLease) -> None:
         """Let the keepers of a lost lease go on without it."""
-        for keeper in self._keepers.values():
-            if keeper.lease is lease:
-                keeper.lose_lease()
+        for manager in self._managers.values():
+            if manager.lease is lease:
+                manager.drop_lease()
 
     def end_all(self) -> None:
         """End all keepers that run."""
         for domain in list(self._running):
             self._end(domain)
 
-    def _unneeded(self, keeper: DomainKeeper) -> bool:
+    def _is_unneeded(self, manager: DomainManager) -> bool:
         """Return whether nobody has asked a keeper without a lease for a while."""
-        idle = self._services.clock() - keeper.asked_at
-        return keeper.lease is None and idle > STAND_IN_SECONDS
+        idle = self._services.clock() - manager.last_request_at
+        return manager.lease is None and idle > LEASELESS_IDLE_SECONDS
 
-    def _run(self, keeper: DomainKeeper) -> None:
-        self._end(keeper.domain)
-        self._keepers[keeper.domain] = keeper
+    def _start(self, manager: DomainManager) -> None:
+        self._end(manager.domain)
+        self._managers[manager.domain] = manager
         if self._spawns:
             probe = self._services.control.probe
-            self._running[keeper.domain] = [
-                self._spawn(f"list {keeper.domain}", keeper.refresh, self._services.poll),
-                self._spawn(f"watch {keeper.domain}", keeper.watch, probe),
-                self._spawn(f"mend {keeper.domain}", keeper.mend, probe),
+            self._running[manager.domain] = [
+                self._spawn(f"list {manager.domain}", manager.refresh, self._services.poll),
+                self._spawn(f"watch {manager.domain}", manager.watch, probe),
+                self._spawn(f"mend {manager.domain}", manager.repair, probe),
             ]
 
     def _spawn(
@@ -103,7 +103,7 @@
         return asyncio.create_task(background.repeat(name, step, seconds, self._should_stop))
 
     def _end(self, domain: str) -> None:
-        self._keepers.pop(domain, None)
+        self._managers.pop(domain, None)
         for task in self._running.pop(domain, []):
             task.cancel()
 
@@ -115,23 +115,23 @@
         answers = []
         for raw in body:
             request = codec.validated(PermitRequest, raw)
-            keeper = self._keeper_of(request.group)
-            permit = keeper.permit(sender, request, weights) if keeper else None
+            manager = self._manager_of_group(request.group)
+            permit = manager.permit(sender, request, weights) if manager else None
             if permit:
                 answers.append(permit)
         return answers
 
-    def _keeper_of(self, group_id: str) -> DomainKeeper | None:
+    def _manager_of_group(self, group_id: str) -> DomainManager | None:
         record = self._services.gossip.directory.get(f"group/{group_id}")
         if record is None or record.body.get("gone"):
             return None
         domain = str(record.body["domain"])
-        keeper = self._keepers.get(domain)
-        if keeper is None and self._may_stand_in(domain):
-            keeper = self._stand_in(domain)
-        return keeper
+        manager = self._managers.get(domain)
+        if manager is None and self._can_stand_in(domain):
+            manager = self._start_without_lease(domain)
+        return manager
 
-    def _may_stand_in(self, domain: str) -> bool:
+    def _can_stand_in(self, domain: str) -> bool:
         """Return whether to keep a domain without a lease.
 
         A candidate is asked only by a daemon that got no answer from the holder: it has
@@ -142,7 +142,7 @@
         shard = self._shards.shard_of(domain)
         return shard not in self._held and self._shards.rank(shard) is not None
 
-    def _stand_in(self, domain: str) -> DomainKeeper | None:
+    def _start_without_lease(self, domain: str) -> DomainManager | None:
         records = [
             record
             for record in self._services.gossip.directory.under("group/")
@@ -163,7 +163,7 @@
                 tuple(body["members"]),
             )
         epoch = max(int(record.body["epoch"]) for record in records)
-        keeper = DomainKeeper(domain, self._services, epoch, None)
-        keeper.adopt(Assignments(domain, groups))
-        self._run(keeper)
-        return keeper
+        manager = DomainManager(domain, self._services, epoch, None)
+        manager.adopt(Assignments(domain, groups))
+        self._start(manager)
+        return manager
--- a/packages/daemon/src/thorncleat_daemon/domain_state.py
+++ b/packages/daemon/src/thorncleat_daemon/domain_state.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass
-class KeeperServices:
+class DomainServices:
     """What a keeper uses.
 
     :param config: returns the current configuration.
@@ -51,10 +51,10 @@
     group_tokens: int
     poll: float
     clock: Clock = clock.now
-    late: t.Callable[[], bool] = lambda: False
+    is_loop_late: t.Callable[[], bool] = lambda: False
 
     @property
-    def outlived(self) -> float:
+    def takeover_wait_seconds(self) -> float:
         """Seconds after which nothing counts any more that an earlier keeper has given."""
         return max(self.control.window, self.control.permit) * (1 + MAX_DRIFT)
 
@@ -74,7 +74,7 @@
     epoch: int
     lease: HeldLease | None
     assignments: Assignments
-    loaded: bool = False
+    is_loaded: bool = False
     mod_revision: int = 0
     listed: t.Mapping[str, Instance] = dataclasses.field(default_factory=dict)
 
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -16,16 +16,16 @@
 from thorncleat_core.daemon.permits import PermitDesk
 from thorncleat_core.daemon.permits import PermitRequest
 
+from .domain_state import DomainServices
 from .domain_state import DomainState
-from .domain_state import KeeperServices
 from .downtime import Downtime
 from .group_changes import GroupChanges
 from .instance_probes import InstanceProbes
 from .open_groups import OpenGroups
-from .order_giver import OrderGiver
+from .order_giver import OrderSender
 
 
-class DomainKeeper:
+class DomainManager:
     """Keeps one fabric domain, with a lease or without.
 
     Without a lease it goes on probing members and giving permits for the assignments that it
@@ -34,12 +34,12 @@
     """
 
     def __init__(
-        self, domain: str, services: KeeperServices, epoch: int, lease: HeldLease | None
+        self, domain: str, services: DomainServices, epoch: int, lease: HeldLease | None
     ) -> None:
-        self.superseded = False
-        self.asked_at = services.clock()
+        self.is_superseded = False
+        self.last_request_at = services.clock()
         self.downtime = Downtime(services.clock)
-        self._watched = False
+        self._has_probed = False
         self._services = services
         self._clock = services.clock
         self._state = state = DomainState(domain, epoch, lease, Assignments(domain))
@@ -49,10 +49,10 @@
             services.clock,
             services.control.window,
             state.group_of,
-            services.late,
+            services.is_loop_late,
         )
         self._open_groups = OpenGroups(state, services, self._desk, self._probes)
-        self._orders = OrderGiver(state, services, self._probes)
+        self._orders = OrderSender(state, services, self._probes)
         self._changes = GroupChanges(
             state, services, self._desk, self._probes, self._orders, self._open_groups
         )
@@ -90,9 +90,9 @@
     def adopt(self, assignments: Assignments) -> None:
         """Begin without a lease, from assignments known otherwise."""
         self._state.assignments = assignments
-        self._state.loaded = True
+        self._state.is_loaded = True
 
-    def lose_lease(self) -> None:
+    def drop_lease(self) -> None:
         """Go on without a lease: permits for what stands, until a later epoch shows."""
         self._state.lease = None
 
@@ -107,7 +107,7 @@
         )
         state.mod_revision = found.mod_revision if found else 0
         state.assignments = Assignments.decode(found.value) if found else Assignments(state.domain)
-        state.loaded = True
+        state.is_loaded = True
         self._open_groups.publish_all()
 
     async def refresh(self) -> None:
@@ -120,27 +120,27 @@
 
     async def watch(self) -> None:
         """Probe the instances once, and open or close groups by what they say."""
-        if not self._state.loaded or not self.listed:
+        if not self._state.is_loaded or not self.listed:
             return
         await self._probe_all()
-        if self.superseded:
+        if self.is_superseded:
             # the permits that were given end by themselves; the next holder waits for that
             return
-        self._watched = True
-        self._open_groups.note()
+        self._has_probed = True
+        self._open_groups.update()
         self.downtime.add(self.assignments.groups.values(), self._open_groups.ids, self.listed)
 
-    async def mend(self) -> None:
+    async def repair(self) -> None:
         """Give orders and change assignments once, where that is due.
 
         It runs beside :meth:`watch`, so that a slow store or engine delays no probe.
         """
-        if self.lease is None or self.superseded:
+        if self.lease is None or self.is_superseded:
             return
-        if not self._state.loaded:
+        if not self._state.is_loaded:
             await self.load()
             return
-        await self._orders.give()
+        await self._orders.send_due_orders()
         self._changes.decide()
         await self._changes.carry_out()
 
@@ -148,13 +148,13 @@
         self, daemon: str, request: PermitRequest, weights: t.Mapping[str, float]
     ) -> Permit | None:
         """Answer a daemon that wants to use a group; None if another one has to answer."""
-        if self.superseded or not self._watched:
+        if self.is_superseded or not self._has_probed:
             return None
         group = self.assignments.groups.get(request.group)
         leader = self._state.address(group.leader) if group else None
         if group is None or leader is None:
             return Permit(request.group, self.epoch, 0, 0.0, True, "")
-        now = self.asked_at = self._clock()
+        now = self.last_request_at = self._clock()
         seconds = self._desk.valid_for(daemon, request, group, self._probes.confirmations, now)
         grant = self._desk.grant(group.id, daemon, weights, now)
         return Permit(
@@ -175,7 +175,7 @@
             targets = {name: where for name, where in targets.items() if name in members}
         await self._probes.probe(targets)
         for name in members - set(targets):
-            self._probes.miss(name)
+            self._probes.record_missed(name)
         reports = self._probes.reports
         if any(reports[name].epoch > self.epoch for name in members if name in reports):
-            self.superseded = True
+            self.is_superseded = True
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -17,7 +17,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._at = clock()
+        self._last_added_at = clock()
         self._group_seconds: collections.defaultdict[str, float] = collections.defaultdict(float)
         self._stranded = 0.0
 
@@ -42,7 +42,7 @@
         :param listed: the domain's instances, for their accelerators.
         """
         now = self._clock()
-        elapsed, self._at = now - self._at, now
+        elapsed, self._last_added_at = now - self._last_added_at, now
         for group in groups:
             if group.id in open_groups:
                 continue
--- a/packages/daemon/src/thorncleat_daemon/entry.py
+++ b/packages/daemon/src/thorncleat_daemon/entry.py
@@ -24,7 +24,7 @@
 from .plain import PlainServices
 from .recent import RecentRequests
 
-Answerer = t.Callable[[web.Request, Caller, bytes], t.Awaitable[web.StreamResponse]]
+AnswerFunction = t.Callable[[web.Request, Caller, bytes], t.Awaitable[web.StreamResponse]]
 
 
 class Entry:
@@ -42,7 +42,7 @@
         services: PlainServices,
         metrics: Metrics,
         recent: RecentRequests,
-        ready: t.Callable[[], str | None],
+        not_ready_reason: t.Callable[[], str | None],
         body_limit: int,
         deadline: float,
     ) -> None:
@@ -51,7 +51,7 @@
         self._services = services
         self._metrics = metrics
         self._recent = recent
-        self._ready = ready
+        self._not_ready_reason = not_ready_reason
         self._body_limit = body_limit
         self._deadline = deadline
         self._gate = Gate()
@@ -75,20 +75,20 @@
         return await self._answer(request, self._services.answer, name)
 
     async def _answer(
-        self, request: web.Request, answerer: Answerer, target: str
+        self, request: web.Request, answer_request: AnswerFunction, target: str
     ) -> web.StreamResponse:
         started = clock.now()
         caller: Caller | None = None
         try:
             if not await self._gate.enter():
-                raise _rush()
+                raise _overload_error()
             caller = callers.identify(request, self._configuration(), self._deadline)
             body = await callers.read_body(request, self._body_limit)
             with self._metrics.in_flight.track_inprogress():
-                response = await answerer(request, caller, body)
+                response = await answer_request(request, caller, body)
         except RequestError as error:
-            return self._refused(error, caller, target, started)
-        self._recent.note(
+            return self._error_response(error, caller, target, started)
+        self._recent.record_request(
             caller.id,
             clock.now() - started,
             workspace=caller.workspace.name,
@@ -100,7 +100,7 @@
         )
         return response
 
-    def _refused(
+    def _error_response(
         self, error: RequestError, caller: Caller | None, target: str, started: float
     ) -> web.Response:
         request_id = caller.id if caller else "none"
@@ -109,9 +109,9 @@
         if error.cause in ("bad_request", "unauthorized", "repeat"):
             self._metrics.requests.labels(workspace, error.cause).inc()
         else:
-            self._metrics.ended(workspace, target, error.cause)
+            self._metrics.record_ended(workspace, target, error.cause)
             events.REQUEST_FAILED.log(request=request_id, cause=error.cause, detail=error.detail)
-        self._recent.note(
+        self._recent.record_request(
             request_id,
             clock.now() - started,
             workspace=workspace,
@@ -145,7 +145,7 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.Response:
-        reason = self._ready()
+        reason = self._not_ready_reason()
         if reason is None:
             return web.Response(text="ready\n")
         return web.Response(status=503, text=f"not ready: {reason}\n")
@@ -156,11 +156,11 @@
         )
 
 
-def _rush() -> RequestError:
+def _overload_error() -> RequestError:
     return RequestError(
         503,
         "No room",
         "too many requests came at once",
-        retry_after=retry_after.rush(),
+        retry_after=retry_after.random_overload_delay(),
         cause="overload",
     )
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -23,9 +23,9 @@
 from .ports import Peers
 
 # for which records wait for others to go out with
-FLUSH_SECONDS = 0.02
+FLUSH_DELAY_SECONDS = 0.02
 # records in one message
-MAX_RECORDS = 500
+MAX_RECORDS_PER_MESSAGE = 500
 Listener = t.Callable[[Record, str], None]
 
 
@@ -51,14 +51,14 @@
         self._instances = instances
         self._probe = probe
         self._poll = poll
-        self._turn = 0
+        self._probe_index = 0
         self._outbox: list[tuple[Record, str]] = []
         self._listeners: dict[str, Listener] = {}
-        self._listed: list[t.Callable[[int], None]] = []
-        self._flushing = asyncio.Event()
+        self._list_listeners: list[t.Callable[[int], None]] = []
+        self._has_outgoing = asyncio.Event()
         self.directory = Directory()
         self.members = Members(me, self.directory)
-        self.listed = False
+        self.has_list = False
         peers.handle("records", self._on_records)
         peers.handle("sync", self._on_sync)
         peers.handle("ping", self._on_ping)
@@ -69,11 +69,11 @@
 
     def on_listed(self, listener: t.Callable[[int], None]) -> None:
         """Call a function with the number of daemons whenever the list was fetched."""
-        self._listed.append(listener)
+        self._list_listeners.append(listener)
 
     def publish(self, record: Record) -> None:
         """Put a record into the directory and pass it on."""
-        self._take(record, self._me)
+        self._apply_record(record, self._me)
 
     async def on_start(self) -> None:
         """Fetch the list once before anything else needs it."""
@@ -86,16 +86,16 @@
         except PlatformError as error:
             events.PLATFORM_LOST.log(reason=str(error))
             return
-        self.listed = True
+        self.has_list = True
         self.members.listed({entry.id: entry.address for entry in entries})
-        for listener in self._listed:
+        for listener in self._list_listeners:
             listener(len(self.members.addresses))
 
-    def _take(self, record: Record, sender: str) -> None:
+    def _apply_record(self, record: Record, sender: str) -> None:
         if not self.directory.put(record):
             return
         self._outbox.append((record, sender))
-        self._flushing.set()
+        self._has_outgoing.set()
         for prefix, listener in self._listeners.items():
             if record.key.startswith(prefix):
                 listener(record, sender)
@@ -110,17 +110,19 @@
             self.publish(refutation)
 
     async def _on_records(self, sender: str, body: t.Any) -> None:
-        for raw in body[:MAX_RECORDS]:
-            self._take(directory.decode(raw), sender)
+        for raw in body[:MAX_RECORDS_PER_MESSAGE]:
+            self._apply_record(directory.decode(raw), sender)
 
     async def _on_sync(self, sender: str, body: t.Any) -> t.Any:
         versions = {key: tuple(version) for key, version in body.items()}
-        mine = self.directory.versions()
+        own_versions = self.directory.versions()
         # what the other one has newer is asked for in the same answer
-        lacking = [key for key, version in versions.items() if mine.get(key, ()) < version]
+        older_keys = [
+            key for key, version in versions.items() if own_versions.get(key, ()) < version
+        ]
         return {
-            "records": self.directory.newer_than(versions)[:MAX_RECORDS],
-            "wanted": lacking[:MAX_RECORDS],
+            "records": self.directory.newer_than(versions)[:MAX_RECORDS_PER_MESSAGE],
+            "wanted": older_keys[:MAX_RECORDS_PER_MESSAGE],
         }
 
     async def _on_ping(self, sender: str, body: t.Any) -> t.Any:
@@ -133,10 +135,10 @@
     @mode.Service.task
     async def _flush_task(self) -> None:
         while not self.should_stop:
-            await self._flushing.wait()
+            await self._has_outgoing.wait()
             # records that come together go out together
-            await asyncio.sleep(FLUSH_SECONDS)
-            self._flushing.clear()
+            await asyncio.sleep(FLUSH_DELAY_SECONDS)
+            self._has_outgoing.clear()
             await self.flush()
 
     async def flush(self) -> None:
@@ -147,7 +149,7 @@
             if not records:
                 continue
             try:
-                await self._peers.tell(neighbour, "records", records[:MAX_RECORDS])
+                await self._peers.send(neighbour, "records", records[:MAX_RECORDS_PER_MESSAGE])
             except PeerError:
                 # the comparison with one neighbour a second brings what was lost
                 continue
@@ -161,8 +163,8 @@
         neighbours = self.members.neighbours
         if not neighbours:
             return
-        self._turn = (self._turn + 1) % len(neighbours)
-        neighbour = neighbours[self._turn]
+        self._probe_index = (self._probe_index + 1) % len(neighbours)
+        neighbour = neighbours[self._probe_index]
         try:
             checksum = await self._peers.ask(neighbour, "ping", None, self._probe)
         except PeerError:
@@ -182,13 +184,13 @@
         """
         answer = await self._peers.ask(peer, "sync", self.directory.versions())
         for raw in answer["records"]:
-            self._take(directory.decode(raw), peer)
+            self._apply_record(directory.decode(raw), peer)
         wanted = [self.directory.get(key) for key in answer["wanted"]]
         records = [record for record in wanted if record]
         if records:
-            await self._peers.tell(peer, "records", records)
+            await self._peers.send(peer, "records", records)
 
-    def some_peers(self, count: int) -> list[str]:
+    def sample_peers(self, count: int) -> list[str]:
         """Return some other daemons, chosen at random."""
         others = [name for name in self.members.alive if name != self._me]
         return random.sample(others, min(count, len(others)))
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -12,20 +12,20 @@
 from thorncleat_core.daemon.permits import PermitDesk
 
 from . import events
+from .domain_state import DomainServices
 from .domain_state import DomainState
-from .domain_state import KeeperServices
 from .exceptions import StoreError
 from .exceptions import StoreOutcomeUnknownError
 from .instance_probes import InstanceProbes
 from .open_groups import OpenGroups
-from .order_giver import OrderGiver
+from .order_giver import OrderSender
 from .ports import Condition
 from .ports import KeyNotRecreated
 from .ports import Unchanged
 from .ports import Write
 
 # seconds of silence after which an instance that is listed no more counts as gone
-GONE_AFTER = 30.0
+REMOVED_AFTER_SECONDS = 30.0
 
 
 class GroupChanges:
@@ -34,10 +34,10 @@
     def __init__(
         self,
         state: DomainState,
-        services: KeeperServices,
+        services: DomainServices,
         desk: PermitDesk,
         probes: InstanceProbes,
-        orders: OrderGiver,
+        orders: OrderSender,
         open_groups: OpenGroups,
     ) -> None:
         self._state = state
@@ -52,15 +52,15 @@
         """Decide anew what to change: a member that came back makes its replacement moot."""
         changes = repair.decide(
             self._state.assignments,
-            self._wanted(),
-            self._view(),
+            self._desired_state(),
+            self._observe(),
             self._services.clock(),
             self._services.control.repair,
         )
-        fresh = {repair.group_of(change): change for change in changes}
-        for group_id in set(self._pending) - set(fresh):
+        decided = {repair.group_of(change): change for change in changes}
+        for group_id in set(self._pending) - set(decided):
             self._desk.resume(group_id)
-        self._pending = fresh
+        self._pending = decided
 
     async def carry_out(self) -> None:
         """Carry out the first change that is ready; prepare replacements on the way to it.
@@ -74,23 +74,24 @@
                 continue
             if not self._is_ready(change):
                 continue
-            if await self._write(_applied(self._state.assignments, change)):
+            if await self._write(_apply_change(self._state.assignments, change)):
                 self._desk.resume(subject)
                 self._pending.pop(subject, None)
                 self._log(change)
             return
 
-    def _view(self) -> repair.View:
+    def _observe(self) -> repair.View:
         state, reports = self._state, self._probes.reports
         leaving = {
             instance.id
             for instance in state.listed.values()
             if instance.state is InstanceState.LEAVING
         }
-        gone = {
+        removed = {
             name
             for name in state.assignments.taken()
-            if name not in state.listed and self._probes.silence(name) > GONE_AFTER
+            if name not in state.listed
+            and self._probes.silence_seconds(name) > REMOVED_AFTER_SECONDS
         }
         idle = {name for name, report in reports.items() if not report.group}
         prepared = {
@@ -101,13 +102,13 @@
         draining = self._services.config().configuration.draining | leaving
         return repair.View(
             frozenset(idle),
-            frozenset(gone),
+            frozenset(removed),
             dict(self._probes.missing_since),
             frozenset(draining),
             prepared,
         )
 
-    def _wanted(self) -> repair.Wanted:
+    def _desired_state(self) -> repair.Wanted:
         state = self._services.config()
         placements = {
             name: placed
@@ -147,17 +148,17 @@
             write = [Write(key, changed.encode())]
             revision = await services.store.transact(conditions, write, Purpose.ASSIGN)
         except StoreOutcomeUnknownError:
-            state.loaded = False
+            state.is_loaded = False
             return False
         except StoreError as error:
             events.TASK_FAILED.log(task="assign", reason=str(error), expected=True)
             return False
         if revision is None:
-            state.loaded = False
+            state.is_loaded = False
             return False
         state.mod_revision = revision
         old, state.assignments = state.assignments, changed
-        self._open_groups.replaced(old, changed)
+        self._open_groups.on_assignments_replaced(old, changed)
         return True
 
     def _log(self, change: repair.Change) -> None:
@@ -172,7 +173,7 @@
         events.GROUP_CHANGED.log(group=repair.group_of(change), change=kind, members=members)
 
 
-def _applied(assignments: Assignments, change: repair.Change) -> Assignments:
+def _apply_change(assignments: Assignments, change: repair.Change) -> Assignments:
     if isinstance(change, repair.Release):
         return assignments.released(change.instances)
     if isinstance(change, repair.Dissolve):
--- a/packages/daemon/src/thorncleat_daemon/group_publisher.py
+++ b/packages/daemon/src/thorncleat_daemon/group_publisher.py
@@ -42,7 +42,7 @@
         }
         self._publish(group, body)
 
-    def publish_gone(self, group: Group) -> None:
+    def publish_removed(self, group: Group) -> None:
         """Publish that a group is gone."""
         self._publish(group, {"gone": True, "domain": self._domain})
 
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -18,9 +18,9 @@
 
 from . import background
 from . import events
-from .domain_keepers import DomainKeepers
-from .domain_state import KeeperServices
-from .domains import DomainKeeper
+from .domain_keepers import DomainManagers
+from .domain_state import DomainServices
+from .domains import DomainManager
 from .exceptions import StoreError
 from .exceptions import StoreOutcomeUnknownError
 from .ports import Erase
@@ -31,13 +31,13 @@
 from .shard_map import ShardMap
 
 # between looks at a shard that another daemon holds
-LOOK_SECONDS = 2.0
+POLL_INTERVAL_SECONDS = 2.0
 # part by which they vary
-LOOK_JITTER = 0.2
+POLL_JITTER_SHARE = 0.2
 # between two shards given away
-BALANCE_SECONDS = 5.0
+BALANCE_INTERVAL_SECONDS = 5.0
 # shards beyond an even part that a daemon keeps
-BALANCE_SLACK = 1
+MAX_EXTRA_SHARDS = 1
 
 
 class ShardHolder(mode.Service):
@@ -47,7 +47,9 @@
     :param spawns: whether keepers run by themselves; tests step them instead.
     """
 
-    def __init__(self, services: KeeperServices, shards: ShardMap, *, spawns: bool = True) -> None:
+    def __init__(
+        self, services: DomainServices, shards: ShardMap, *, runs_tasks: bool = True
+    ) -> None:
         super().__init__()
         self._services = services
         self.shards = shards
@@ -57,15 +59,15 @@
         self._renewed_at = 0.0
         self._held: dict[int, HeldLease] = {}
         self._balanced_at = 0.0
-        self._look_at: dict[int, float] = {}
+        self._next_poll_at: dict[int, float] = {}
         self._free_since: dict[int, float] = {}
-        self._lost: t.Callable[[int], None] = lambda shard: None
-        self._acquired: t.Callable[[HeldLease], None] = lambda lease: None
-        self._keepers = DomainKeepers(
+        self._on_lost: t.Callable[[int], None] = lambda shard: None
+        self._on_acquired: t.Callable[[HeldLease], None] = lambda lease: None
+        self._managers = DomainManagers(
             services,
             shards,
             self._held,
-            spawns=spawns,
+            runs_tasks=runs_tasks,
             should_stop=lambda: self.should_stop,
         )
 
@@ -75,20 +77,20 @@
         return self._held
 
     @property
-    def keepers(self) -> t.Mapping[str, DomainKeeper]:
+    def managers(self) -> t.Mapping[str, DomainManager]:
         """The keepers, by fabric domain."""
-        return self._keepers.by_domain
+        return self._managers.by_domain
 
     def on_change(
         self, acquired: t.Callable[[HeldLease], None], lost: t.Callable[[int], None]
     ) -> None:
         """Call functions when a shard is acquired or lost."""
-        self._acquired = acquired
-        self._lost = lost
+        self._on_acquired = acquired
+        self._on_lost = lost
 
     async def on_stop(self) -> None:
         """Give the shards up, so that others need not wait for the lease to lapse."""
-        self._keepers.end_all()
+        self._managers.end_all()
         if self._lease_id:
             try:
                 await self._services.store.revoke(self._lease_id)
@@ -107,16 +109,16 @@
         """Renew the lease if it is due, or note that it has lapsed."""
         now = self._clock()
         if not self._lease_id or now < self._renewed_at + self._services.terms.renew_every:
-            self._drop_lapsed(now)
+            self._drop_expired(now)
             return
         try:
             alive = await self._services.store.renew(self._lease_id)
         except StoreError:
-            self._drop_lapsed(self._clock())
+            self._drop_expired(self._clock())
             return
         if not alive:
             self._lease_id = 0
-            self._lose_all()
+            self._drop_all()
             return
         self._extend(now)
 
@@ -126,40 +128,40 @@
         for lease in self._held.values():
             lease.deadline = self._deadline
 
-    def _drop_lapsed(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         if self._held and now >= self._deadline:
             self._lease_id = 0
-            self._lose_all()
+            self._drop_all()
 
-    def _lose_all(self) -> None:
+    def _drop_all(self) -> None:
         for shard in list(self._held):
-            self._lose(shard)
+            self._drop_shard(shard)
 
-    def _lose(self, shard: int) -> None:
+    def _drop_shard(self, shard: int) -> None:
         lease = self._held.pop(shard)
         lease.deadline = 0.0
         events.SHARD_LOST.log(shard=shard, epoch=lease.epoch)
-        self._lost(shard)
-        self._keepers.lose(lease)
+        self._on_lost(shard)
+        self._managers.drop_lease(lease)
 
     @mode.Service.task
     async def _acquire_task(self) -> None:
-        seconds = LOOK_SECONDS / 4
-        await background.repeat("acquire", self.look, seconds, lambda: self.should_stop)
+        seconds = POLL_INTERVAL_SECONDS / 4
+        await background.repeat("acquire", self.poll_shards, seconds, lambda: self.should_stop)
 
-    async def look(self) -> None:
+    async def poll_shards(self) -> None:
         """Look for shards to take, and keep the domains of those held."""
         if self._services.me not in self._services.gossip.members.addresses:
             # a daemon that isn't listed could not be asked for permits
             return
         now = self._clock()
         for shard in range(self.shards.count):
-            if shard not in self._held and now >= self._look_at.get(shard, 0.0):
-                self._look_at[shard] = now + LOOK_SECONDS * random.uniform(
-                    1 - LOOK_JITTER, 1 + LOOK_JITTER
+            if shard not in self._held and now >= self._next_poll_at.get(shard, 0.0):
+                self._next_poll_at[shard] = now + POLL_INTERVAL_SECONDS * random.uniform(
+                    1 - POLL_JITTER_SHARE, 1 + POLL_JITTER_SHARE
                 )
-                await self._try_shard(shard)
-        self._keepers.keep()
+                await self._try_acquire(shard)
+        self._managers.update()
         await self._balance()
 
     async def _balance(self) -> None:
@@ -169,68 +171,68 @@
         the groups stay open meanwhile.
         """
         alive = len(self._services.gossip.members.alive)
-        most = -(-self.shards.count // alive) + BALANCE_SLACK
+        max_held = -(-self.shards.count // alive) + MAX_EXTRA_SHARDS
         now = self._clock()
-        if len(self._held) <= most or now < self._balanced_at + BALANCE_SECONDS:
+        if len(self._held) <= max_held or now < self._balanced_at + BALANCE_INTERVAL_SECONDS:
             return
         self._balanced_at = now
         for shard, lease in self._held.items():
             if self.shards.rank(shard) != 0:
-                await self._hand_over(shard, lease)
+                await self._release_shard(shard, lease)
                 return
 
-    async def _hand_over(self, shard: int, lease: HeldLease) -> None:
+    async def _release_shard(self, shard: int, lease: HeldLease) -> None:
         key = self._services.keys.holder(shard)
         condition = KeyNotRecreated(key, lease.create_revision)
-        self._lose(shard)
-        self._look_at[shard] = self._clock() + BALANCE_SECONDS
+        self._drop_shard(shard)
+        self._next_poll_at[shard] = self._clock() + BALANCE_INTERVAL_SECONDS
         await self._services.store.transact([condition], [Erase(key)], Purpose.LEASE)
 
-    async def _try_shard(self, shard: int) -> None:
+    async def _try_acquire(self, shard: int) -> None:
         """Take a shard that is free; those less preferred leave it to the others at first."""
         rank = self.shards.rank(shard)
         if rank is None:
             self._free_since.pop(shard, None)
             return
-        patience = rank * LOOK_SECONDS / 2
+        delay = rank * POLL_INTERVAL_SECONDS / 2
         try:
-            await self._acquire(shard, patience)
+            await self._acquire(shard, delay)
         except StoreError:
             # the next look tries again; the watch of the configuration logs a lost store
             return
 
-    async def _acquire(self, shard: int, patience: float) -> None:
+    async def _acquire(self, shard: int, delay: float) -> None:
         keys, store = self._services.keys, self._services.store
         found = {row.key: row for row in await store.read_under(keys.shard(shard), Purpose.LEASE)}
         if keys.holder(shard) in found:
-            self._note_holder(shard, found)
+            self._publish_holder(shard, found)
             self._free_since.pop(shard, None)
             return
         now = self._clock()
-        if now < self._free_since.setdefault(shard, now) + patience:
+        if now < self._free_since.setdefault(shard, now) + delay:
             return
         epoch_row = found.get(keys.epoch(shard))
         epoch = int(codec.unpack(epoch_row.value)) + 1 if epoch_row else 1
         await self._ensure_lease()
-        mark = codec.pack({"holder": self._services.me, "epoch": epoch})
+        holder_value = codec.pack({"holder": self._services.me, "epoch": epoch})
         conditions = [
             Unchanged(keys.holder(shard), 0),
             Unchanged(keys.epoch(shard), epoch_row.mod_revision if epoch_row else 0),
         ]
         writes = [
-            Write(keys.holder(shard), mark, self._lease_id),
+            Write(keys.holder(shard), holder_value, self._lease_id),
             Write(keys.epoch(shard), codec.pack(epoch)),
         ]
         try:
             revision = await store.transact(conditions, writes, Purpose.LEASE)
         except StoreOutcomeUnknownError:
-            revision = await self._read_back(shard, mark)
+            revision = await self._read_back(shard, holder_value)
         if revision is not None and self._clock() < self._deadline:
-            self._hold(HeldLease(shard, epoch, revision, self._clock(), self._deadline))
+            self._add_held(HeldLease(shard, epoch, revision, self._clock(), self._deadline))
 
-    async def _read_back(self, shard: int, mark: bytes) -> int | None:
+    async def _read_back(self, shard: int, holder_value: bytes) -> int | None:
         found = await self._services.store.read(self._services.keys.holder(shard), Purpose.LEASE)
-        own = found is not None and found.value == mark
+        own = found is not None and found.value == holder_value
         events.STORE_READ_BACK.log(shard=shard, own=own)
         return found.create_revision if found and own else None
 
@@ -241,15 +243,17 @@
         self._lease_id = await self._services.store.grant(self._services.terms.ttl)
         self._extend(sent_at)
 
-    def _hold(self, lease: HeldLease) -> None:
+    def _add_held(self, lease: HeldLease) -> None:
         self._held[lease.shard] = lease
         events.SHARD_ACQUIRED.log(shard=lease.shard, epoch=lease.epoch)
         body = {"holder": self._services.me}
         self._services.gossip.publish(Record(f"shard/{lease.shard}", (lease.epoch,), body))
-        self._acquired(lease)
-        self._keepers.keep()
+        self._on_acquired(lease)
+        self._managers.update()
 
-    def _note_holder(self, shard: int, found: t.Mapping[str, Stored]) -> None:
-        mark = codec.unpack(found[self._services.keys.holder(shard)].value)
-        record = Record(f"shard/{shard}", (mark["epoch"],), {"holder": mark["holder"]})
+    def _publish_holder(self, shard: int, found: t.Mapping[str, Stored]) -> None:
+        holder_value = codec.unpack(found[self._services.keys.holder(shard)].value)
+        record = Record(
+            f"shard/{shard}", (holder_value["epoch"],), {"holder": holder_value["holder"]}
+        )
         self._services.gossip.publish(record)
--- a/packages/daemon/src/thorncleat_daemon/instance_probes.py
+++ b/packages/daemon/src/thorncleat_daemon/instance_probes.py
@@ -33,14 +33,14 @@
         clock: Clock,
         window: float,
         group_of: GroupOf,
-        late: t.Callable[[], bool],
+        is_loop_late: t.Callable[[], bool],
     ) -> None:
-        self._late = late
+        self._is_loop_late = is_loop_late
         self._engines = engines
         self._clock = clock
         self._group_of = group_of
         self._reports: dict[str, InstanceReport] = {}
-        self._heard: dict[str, float] = {}
+        self._last_answer_at: dict[str, float] = {}
         self._missing_since: dict[str, float] = {}
         self.confirmations = Confirmations(window)
 
@@ -54,15 +54,15 @@
         """Since when each instance has not answered."""
         return self._missing_since
 
-    def silence(self, instance: str) -> float:
+    def silence_seconds(self, instance: str) -> float:
         """Return for how many seconds nothing was heard of an instance."""
-        return self._clock() - self._heard.get(instance, float("-inf"))
+        return self._clock() - self._last_answer_at.get(instance, float("-inf"))
 
     async def probe(self, targets: t.Mapping[str, str]) -> None:
         """Probe instances at their addresses, all at once."""
         await asyncio.gather(*(self._probe(name, where) for name, where in targets.items()))
 
-    def miss(self, instance: str) -> None:
+    def record_missed(self, instance: str) -> None:
         """Note that an instance did not answer: its group is in doubt from now on."""
         self._reports.pop(instance, None)
         self.confirmations.doubt(instance)
@@ -73,21 +73,21 @@
         try:
             report = await self._engines.probe(address)
         except EndpointSilentError:
-            if not self._late():
-                self.miss(instance)
+            if not self._is_loop_late():
+                self.record_missed(instance)
             return
         except EndpointError:
-            self.miss(instance)
+            self.record_missed(instance)
             return
         if report.instance != instance:
             # the address was given to another instance
-            self.miss(instance)
+            self.record_missed(instance)
             return
         self._reports[instance] = report
-        self._heard[instance] = self._clock()
-        self._note(instance, report, sent_at)
+        self._last_answer_at[instance] = self._clock()
+        self._update_confirmation(instance, report, sent_at)
 
-    def _note(self, instance: str, report: InstanceReport, sent_at: float) -> None:
+    def _update_confirmation(self, instance: str, report: InstanceReport, sent_at: float) -> None:
         group = self._group_of(instance)
         if group is None or self.confirmations.confirm(group, report, sent_at):
             self._missing_since.pop(instance, None)
--- a/packages/daemon/src/thorncleat_daemon/lag.py
+++ b/packages/daemon/src/thorncleat_daemon/lag.py
@@ -15,11 +15,11 @@
 from thorncleat_core.clock import Clock
 
 # between timers
-TICK_SECONDS = 0.02
+TIMER_INTERVAL_SECONDS = 0.02
 # for which the loop counts as late afterwards
-REMEMBERED_SECONDS = 1.0
+LATE_HOLD_SECONDS = 1.0
 # by which a timer must be late to count
-LATE_SECONDS = 0.1
+LATE_THRESHOLD_SECONDS = 0.1
 
 
 class LoopLag(mode.Service):
@@ -33,21 +33,21 @@
         self.worst = 0.0
 
     @property
-    def late(self) -> bool:
+    def is_late(self) -> bool:
         """Whether the loop is late, or was within the last second."""
         now = self._clock()
-        overdue = self._due is not None and now - self._due > LATE_SECONDS
+        overdue = self._due is not None and now - self._due > LATE_THRESHOLD_SECONDS
         return overdue or now < self._late_until
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Note by how many seconds a timer was late."""
         self.worst = max(self.worst, seconds)
-        if seconds > LATE_SECONDS:
-            self._late_until = self._clock() + REMEMBERED_SECONDS
+        if seconds > LATE_THRESHOLD_SECONDS:
+            self._late_until = self._clock() + LATE_HOLD_SECONDS
 
     @mode.Service.task
     async def _tick_task(self) -> None:
         while not self.should_stop:
-            self._due = self._clock() + TICK_SECONDS
-            await asyncio.sleep(TICK_SECONDS)
-            self.note(self._clock() - self._due)
+            self._due = self._clock() + TIMER_INTERVAL_SECONDS
+            await asyncio.sleep(TIMER_INTERVAL_SECONDS)
+            self.record(self._clock() - self._due)
--- a/packages/daemon/src/thorncleat_daemon/metrics.py
+++ b/packages/daemon/src/thorncleat_daemon/metrics.py
@@ -39,7 +39,7 @@
         """Return the distribution of a kind of duration for a model or service."""
         return self._distributions.of(what, target)
 
-    def ended(self, workspace: str, target: str, cause: str) -> None:
+    def record_ended(self, workspace: str, target: str, cause: str) -> None:
         """Count how a request ended.
 
         :param cause: ``good``, or why it counts against the objective.
--- a/packages/daemon/src/thorncleat_daemon/once.py
+++ b/packages/daemon/src/thorncleat_daemon/once.py
@@ -17,7 +17,7 @@
 from .callers import Caller
 from .callers import require_key
 from .claims import ClaimClient
-from .claims import kept_outcome
+from .claims import stored_outcome
 from .exceptions import RequestError
 
 # of randomness that tell attempts apart
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answered:
+class WholeAnswer:
     """A whole answer.
 
     :param repeated: whether it is the answer of an earlier run.
@@ -37,14 +37,14 @@
     repeated: bool = False
 
 
-Run = t.Callable[[], t.Awaitable[Answered]]
+Run = t.Callable[[], t.Awaitable[WholeAnswer]]
 
 
-def _from_earlier(reply: Reply) -> Answered:
+def _answer_from_claim(reply: Reply) -> WholeAnswer:
     """Return the answer of an earlier run, or raise what is known of it."""
     outcome = reply.outcome
     if reply.answer is ClaimAnswer.DONE and outcome and outcome.body is not None:
-        return Answered(outcome.status, outcome.content_type, outcome.body, repeated=True)
+        return WholeAnswer(outcome.status, outcome.content_type, outcome.body, repeated=True)
     if reply.answer is ClaimAnswer.MISMATCH:
         raise RequestError(
             422, "Key reused", "the key was used with another request", cause="bad_request"
@@ -73,7 +73,7 @@
 
 async def run_once(
     claims: ClaimClient, caller: Caller, method: str, path: str, body: bytes, run: Run
-) -> Answered:
+) -> WholeAnswer:
     """Run a request unless its key was claimed before.
 
     :raises RequestError: that says whether the request ran.
@@ -83,17 +83,17 @@
     attempt = secrets.token_hex(ATTEMPT_BYTES)
     reply = await claims.ask(workspace, key, request_digest(method, path, body), attempt)
     if reply.answer is not ClaimAnswer.GRANTED:
-        return _from_earlier(reply)
+        return _answer_from_claim(reply)
     ran = "unknown"
     outcome: Outcome | None = None
     try:
         answered = await run()
         ran = "yes"
-        outcome = kept_outcome(answered.status, answered.content_type, answered.body)
+        outcome = stored_outcome(answered.status, answered.content_type, answered.body)
         return answered
     except RequestError as error:
         ran = error.executed
         raise
     finally:
         # also when the caller has gone: then the fate is unknown and stays so
-        await claims.tell(workspace, key, attempt, ran, outcome)
+        await claims.report(workspace, key, attempt, ran, outcome)
--- a/packages/daemon/src/thorncleat_daemon/open_groups.py
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -13,8 +13,8 @@
 from thorncleat_core.daemon.permits import PermitDesk
 
 from . import events
+from .domain_state import DomainServices
 from .domain_state import DomainState
-from .domain_state import KeeperServices
 from .group_publisher import GroupPublisher
 from .instance_probes import InstanceProbes
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         state: DomainState,
-        services: KeeperServices,
+        services: DomainServices,
         desk: PermitDesk,
         probes: InstanceProbes,
     ) -> None:
@@ -37,14 +37,14 @@
             state.domain, state.epoch, services.gossip, services.config
         )
         self._open: set[str] = set()
-        self._informing: set[asyncio.Task[None]] = set()
+        self._notifications: set[asyncio.Task[None]] = set()
 
     @property
     def ids(self) -> t.AbstractSet[str]:
         """The groups that may answer."""
         return self._open
 
-    def note(self) -> None:
+    def update(self) -> None:
         """Open or close each group by its members' confirmations."""
         now = self._services.clock()
         for group in self._state.assignments.groups.values():
@@ -56,7 +56,7 @@
             elif not is_open and group.id in self._open:
                 self._close(group, self._probes.confirmations.missing(group, now))
 
-    def replaced(self, old: Assignments, new: Assignments) -> None:
+    def on_assignments_replaced(self, old: Assignments, new: Assignments) -> None:
         """Close and publish what differs between two assignments."""
         for group_id, group in old.groups.items():
             if new.groups.get(group_id) == group:
@@ -64,7 +64,7 @@
             if group_id in self._open:
                 self._close(group, [])
             if group_id not in new.groups:
-                self._publisher.publish_gone(group)
+                self._publisher.publish_removed(group)
         for group in new.groups.values():
             if old.groups.get(group.id) != group:
                 self._publish(group)
@@ -83,13 +83,13 @@
         self._publish(group)
         body = {"group": group.id, "generation": group.generation}
         for daemon in self._desk.holders(group.id, self._services.clock()):
-            task = asyncio.create_task(self._inform(daemon, body))
-            self._informing.add(task)
-            task.add_done_callback(self._informing.discard)
+            task = asyncio.create_task(self._notify(daemon, body))
+            self._notifications.add(task)
+            task.add_done_callback(self._notifications.discard)
 
-    async def _inform(self, daemon: str, body: dict[str, t.Any]) -> None:
+    async def _notify(self, daemon: str, body: dict[str, t.Any]) -> None:
         # only to be quicker than the end of the permit, which needs no message
         try:
-            await self._services.peers.tell(daemon, "closed", body)
+            await self._services.peers.send(daemon, "closed", body)
         except Exception as error:
             events.TASK_FAILED.log(task="closed", reason=repr(error), expected=True)
--- a/packages/daemon/src/thorncleat_daemon/operator_access.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_access.py
@@ -53,13 +53,13 @@
         self._configuration = configuration
         self._bootstrap = bootstrap
 
-    def guarded(
+    def require_right(
         self, right: Right, handler: Handler
     ) -> t.Callable[[web.Request], t.Awaitable[web.Response]]:
         """Return a handler that answers operators who have a right, and refuses all others."""
 
         async def answer(request: web.Request) -> web.Response:
-            operator = self._recognised(request)
+            operator = self._identify(request)
             if operator is None:
                 return problem(401, "an operator's key is wanted as a bearer")
             if right == "change" and operator.rights != "change":
@@ -69,15 +69,15 @@
 
         return answer
 
-    def _recognised(self, request: web.Request) -> ActingOperator | None:
+    def _identify(self, request: web.Request) -> ActingOperator | None:
         key = keys.bearer(request.headers.get("Authorization"))
         if key is None:
             return None
-        wanted = keys.digest(key)
+        key_digest_value = keys.digest(key)
         for operator in self._configuration().operators.values():
-            if keys.same(operator.key_digest, wanted):
+            if keys.same(operator.key_digest, key_digest_value):
                 return ActingOperator(operator.name, operator.rights)
         for bootstrap in self._bootstrap:
-            if keys.same(bootstrap.key_digest, wanted):
+            if keys.same(bootstrap.key_digest, key_digest_value):
                 return ActingOperator(bootstrap.name, "change")
         return None
--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -24,7 +24,7 @@
 from thorncleat_core.exceptions import DocumentError
 
 from . import events
-from .config import ConfigKeeper
+from .config import ConfigManager
 from .exceptions import PlatformError
 from .exceptions import StoreOutcomeUnknownError
 from .exceptions import StoreUnavailableError
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        config: ConfigKeeper,
+        config: ConfigManager,
         gossip: Gossip,
         instances: InstanceList,
         load_seconds: float,
@@ -59,8 +59,8 @@
             document = jsonc.parse(str(raw["document"]), str(raw.get("name", "intent")))
             change = jsonc.validate(document, Change)
             # a plan from a revision that has just been overtaken could not be confirmed
-            await self._config.catch_up_if_possible()
-            plan = await self._fresh(change)
+            await self._config.try_catch_up()
+            plan = await self._make_current_plan(change)
         except DocumentError as error:
             return problem(422, "the document is unusable", problems=_problems(error))
         except (ValueError, KeyError, TypeError) as error:
@@ -70,19 +70,19 @@
         events.PLAN_MADE.log(operator=operator.name, plan=plan.digest, revision=plan.base_revision)
         return web.json_response(_plan_json(plan))
 
-    async def _fresh(self, change: Change) -> Plan | web.Response:
+    async def _make_current_plan(self, change: Change) -> Plan | web.Response:
         try:
             fleet = Fleet.of(await self._instances.everything())
         except PlatformError as error:
             return problem(503, str(error), accepted="no")
-        state, taken = self._actual()
+        state, occupied = self._current_state()
         times = plans.Estimates(load=self._load_seconds)
-        made = plans.make(change, state, fleet, taken, times)
-        if isinstance(made, Failure):
-            return problem(422, str(made.failure()), problems=[])
-        return made.unwrap()
+        result = plans.make(change, state, fleet, occupied, times)
+        if isinstance(result, Failure):
+            return problem(422, str(result.failure()), problems=[])
+        return result.unwrap()
 
-    def _actual(self) -> tuple[State, set[str]]:
+    def _current_state(self) -> tuple[State, set[str]]:
         """Return the state with placements as they stand after repairs, and what is taken."""
         state = self._config.current
         placements = dict(state.placements)
@@ -91,8 +91,8 @@
             if record and not record.body.get("gone"):
                 members = tuple(record.body["members"])
                 placements[group] = dataclasses.replace(placed, members=members)
-        taken = {member for placed in placements.values() for member in placed.members}
-        return dataclasses.replace(state, placements=placements), taken
+        occupied = {member for placed in placements.values() for member in placed.members}
+        return dataclasses.replace(state, placements=placements), occupied
 
     async def confirm(self, request: web.Request, operator: ActingOperator) -> web.Response:
         """Carry a plan out, if it is still what would be planned now."""
@@ -100,18 +100,18 @@
             plan = codec.validated(Plan, (await request.json())["plan"])
         except (ValueError, KeyError, TypeError, DecodeError) as error:
             return problem(400, f"a plan is wanted: {error}")
-        done = self._accepted_before(plan)
-        if done is not None:
-            return web.json_response({"revision": done, "repeated": True})
+        accepted_revision = self._find_accepted_revision(plan)
+        if accepted_revision is not None:
+            return web.json_response({"revision": accepted_revision, "repeated": True})
         return await self._accept(plan, operator)
 
-    def _accepted_before(self, plan: Plan) -> int | None:
+    def _find_accepted_revision(self, plan: Plan) -> int | None:
         entry = self._config.journal.entry(plan.base_revision + 1)
         return entry.revision if entry and entry.plan == plan.digest else None
 
     async def _accept(self, plan: Plan, operator: ActingOperator) -> web.Response:
         try:
-            fresh = await self._fresh(plan.change)
+            fresh = await self._make_current_plan(plan.change)
             if isinstance(fresh, web.Response):
                 return fresh
             plans.verify(plan, fresh)
@@ -131,13 +131,13 @@
     async def _conflict(
         self, plan: Plan, operator: ActingOperator, error: ConflictError
     ) -> web.Response:
-        done = self._accepted_before(plan)
-        if done is not None:
+        accepted_revision = self._find_accepted_revision(plan)
+        if accepted_revision is not None:
             # this very plan was accepted meanwhile, at another daemon
-            return web.json_response({"revision": done, "repeated": True})
+            return web.json_response({"revision": accepted_revision, "repeated": True})
         events.PLAN_REFUSED.log(operator=operator.name, plan=plan.digest, reason=str(error))
         try:
-            fresh = await self._fresh(plan.change)
+            fresh = await self._make_current_plan(plan.change)
         except DocumentError as unusable:
             return problem(422, "the change contradicts itself", problems=_problems(unusable))
         if isinstance(fresh, web.Response):
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -19,9 +19,9 @@
 from thorncleat_core.daemon.configuration import DEFAULT_AVAILABILITY
 from thorncleat_core.daemon.settings import BootstrapOperator
 
-from .config import ConfigKeeper
+from .config import ConfigManager
 from .dispatch import Dispatcher
-from .domains import DomainKeeper
+from .domains import DomainManager
 from .exceptions import PeerError
 from .gossip import Gossip
 from .holder import ShardHolder
@@ -36,17 +36,17 @@
 
 PREFIX = "/operators/v1"
 # daemons asked at the same time
-GATHER_AT_ONCE = 32
+MAX_CONCURRENT_QUESTIONS = 32
 # for each daemon's answer
-GATHER_SECONDS = 2.0
+GATHER_TIMEOUT_SECONDS = 2.0
 
 
 @dataclasses.dataclass
-class Parts:
+class OperatorServices:
     """The daemon's parts that operators look at."""
 
     me: str
-    config: ConfigKeeper
+    config: ConfigManager
     gossip: Gossip
     holder: ShardHolder
     dispatcher: Dispatcher
@@ -64,7 +64,7 @@
     :param bootstrap: operators from the settings, with the right to change.
     """
 
-    def __init__(self, parts: Parts, bootstrap: t.Sequence[BootstrapOperator]) -> None:
+    def __init__(self, parts: OperatorServices, bootstrap: t.Sequence[BootstrapOperator]) -> None:
         self._parts = parts
         self._access = OperatorAccess(lambda: parts.config.current.configuration, bootstrap)
         self._plans = OperatorPlans(parts.config, parts.gossip, parts.instances, parts.load_seconds)
@@ -74,13 +74,13 @@
     def application(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application(client_max_size=2 * jsonc.MAX_DOCUMENT_BYTES)
-        may = self._access.guarded
-        app.router.add_post(f"{PREFIX}/plans", may("change", self._plans.plan))
-        app.router.add_post(f"{PREFIX}/confirm", may("change", self._plans.confirm))
-        app.router.add_get(f"{PREFIX}/status", may("read", self._status))
-        app.router.add_get(f"{PREFIX}/groups", may("read", self._groups))
-        app.router.add_get(f"{PREFIX}/explain/{{name}}", may("read", self._explain))
-        app.router.add_get(f"{PREFIX}/burn", may("read", self._burn))
+        require_right = self._access.require_right
+        app.router.add_post(f"{PREFIX}/plans", require_right("change", self._plans.plan))
+        app.router.add_post(f"{PREFIX}/confirm", require_right("change", self._plans.confirm))
+        app.router.add_get(f"{PREFIX}/status", require_right("read", self._status))
+        app.router.add_get(f"{PREFIX}/groups", require_right("read", self._groups))
+        app.router.add_get(f"{PREFIX}/explain/{{name}}", require_right("read", self._explain))
+        app.router.add_get(f"{PREFIX}/burn", require_right("read", self._burn))
         return app
 
     # looking
@@ -91,7 +91,7 @@
         body = {
             "daemon": parts.me,
             "revision": parts.config.journal.head.revision,
-            "loaded": parts.config.loaded,
+            "loaded": parts.config.is_loaded,
             "store_reachable": parts.store_reachable(),
             "daemons": list(parts.gossip.members.alive),
             "listed_daemons": len(parts.gossip.members.addresses),
@@ -147,7 +147,7 @@
 
     def _explained(self, row: dict[str, t.Any]) -> dict[str, t.Any]:
         shard = self._parts.holder.shards.shard_of(row["domain"])
-        keeper = self._parts.holder.keepers.get(row["domain"])
+        keeper = self._parts.holder.managers.get(row["domain"])
         return {
             **row,
             "members": [_member(member, keeper) for member in row["members"]],
@@ -163,16 +163,16 @@
     # service levels
 
     async def _on_burn(self, sender: str, body: t.Any) -> t.Any:
-        keepers = self._parts.holder.keepers.values()
+        managers = self._parts.holder.managers.values()
         down = {
             group: seconds
-            for keeper in keepers
+            for keeper in managers
             for group, seconds in keeper.downtime.group_seconds.items()
         }
         return {
             "counts": self._parts.metrics.burn.export(),
             "down_seconds": down,
-            "stranded_seconds": sum(keeper.downtime.stranded_seconds for keeper in keepers),
+            "stranded_seconds": sum(keeper.downtime.stranded_seconds for keeper in managers),
         }
 
     async def _burn(self, request: web.Request, operator: ActingOperator) -> web.Response:
@@ -201,13 +201,15 @@
 
     async def _gather(self, kind: str, body: t.Any) -> dict[str, t.Any]:
         """Ask all daemons and return the answers of those that gave one."""
-        room = asyncio.Semaphore(GATHER_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUESTIONS)
         answers: dict[str, t.Any] = {}
 
         async def ask(peer: str) -> None:
-            async with room:
+            async with semaphore:
                 try:
-                    answers[peer] = await self._parts.peers.ask(peer, kind, body, GATHER_SECONDS)
+                    answers[peer] = await self._parts.peers.ask(
+                        peer, kind, body, GATHER_TIMEOUT_SECONDS
+                    )
                 except PeerError:
                     # the report names how many daemons answered
                     return
@@ -222,7 +224,7 @@
     return "open" if body["open"] else "closed"
 
 
-def _member(name: str, keeper: DomainKeeper | None) -> dict[str, str]:
+def _member(name: str, keeper: DomainManager | None) -> dict[str, str]:
     """Return what this daemon knows of a member; only its holder knows more than the name."""
     if keeper is None:
         return {"id": name}
--- a/packages/daemon/src/thorncleat_daemon/order_giver.py
+++ b/packages/daemon/src/thorncleat_daemon/order_giver.py
@@ -12,18 +12,18 @@
 from thorncleat_core.daemon.groups import Group
 
 from . import events
+from .domain_state import DomainServices
 from .domain_state import DomainState
-from .domain_state import KeeperServices
 from .exceptions import EndpointError
 from .instance_probes import InstanceProbes
 from .ports import Order
 
 
-class OrderGiver:
+class OrderSender:
     """Gives the engines of one domain the orders that their reports lack."""
 
     def __init__(
-        self, state: DomainState, services: KeeperServices, probes: InstanceProbes
+        self, state: DomainState, services: DomainServices, probes: InstanceProbes
     ) -> None:
         self._state = state
         self._services = services
@@ -35,9 +35,9 @@
 
         :param acquired_at: when the lease was acquired; it counts until an order is followed.
         """
-        return self._safe_at.get(group_id, acquired_at + self._services.outlived)
+        return self._safe_at.get(group_id, acquired_at + self._services.takeover_wait_seconds)
 
-    async def give(self) -> None:
+    async def send_due_orders(self) -> None:
         """Give all orders that are due.
 
         :raises StoreUnavailableError: if there is no lease.
@@ -45,14 +45,14 @@
         """
         state = self._state
         orders = [
-            self._order(name, self._order_for(group, rank))
+            self._send_order(name, self._order_for(group, rank))
             for group in state.assignments.groups.values()
             for rank, name in enumerate(group.members)
             if self._needs_order(name, group)
         ]
         generation = state.assignments.generation
         orders += [
-            self._order(name, Order(state.epoch, "", generation, -1, "", ""))
+            self._send_order(name, Order(state.epoch, "", generation, -1, "", ""))
             for name, report in self._probes.reports.items()
             if report.group and state.group_of(name) is None
         ]
@@ -62,15 +62,15 @@
         """Let an instance load a part ahead, unless it does already."""
         report = self._probes.reports.get(change.instance)
         part = change.part
-        loading = report and (report.model, report.version, report.rank) == (
+        is_loading = report and (report.model, report.version, report.rank) == (
             part.model,
             part.version,
             part.rank,
         )
-        if not loading:
+        if not is_loading:
             generation = self._state.assignments.generation
             order = Order(self._state.epoch, "", generation, part.rank, part.model, part.version)
-            await self._order(change.instance, order)
+            await self._send_order(change.instance, order)
 
     def _order_for(self, group: Group, rank: int) -> Order:
         epoch = self._state.epoch
@@ -83,7 +83,7 @@
         placed = (report.group, report.generation, report.epoch)
         return placed != (group.id, group.generation, self._state.epoch)
 
-    async def _order(self, name: str, order: Order) -> None:
+    async def _send_order(self, name: str, order: Order) -> None:
         address = self._state.address(name)
         if address is None:
             return
@@ -95,5 +95,5 @@
             return
         if order.group:
             # whoever kept the group before sees the new epoch from now on
-            safe_at = self._services.clock() + self._services.outlived
+            safe_at = self._services.clock() + self._services.takeover_wait_seconds
             self._safe_at.setdefault(order.group, safe_at)
--- a/packages/daemon/src/thorncleat_daemon/peers.py
+++ b/packages/daemon/src/thorncleat_daemon/peers.py
@@ -24,17 +24,17 @@
 from .ports import Handler
 
 # bytes
-MAX_FRAME = 1_200_000
+MAX_FRAME_BYTES = 1_200_000
 # sockets to peers, the least lately used closed first
 MAX_CONNECTIONS = 64
 # messages handled at the same time
-MAX_HANDLING = 256
+MAX_RUNNING_HANDLERS = 256
 # messages that wait in a socket
-HIGH_WATER = 1000
+MAX_QUEUED_MESSAGES = 1000
 ZAP_DOMAIN = "thorncleat"
 
 
-class _Accepted:
+class _AcceptedKeys:
     """Tells the authenticator which public keys may connect."""
 
     def __init__(self, accepted: t.Iterable[str]) -> None:
@@ -85,7 +85,7 @@
         self._context: zmq.asyncio.Context = zmq.asyncio.Context()
         self._handlers: dict[str, Handler] = {}
         self._connections: collections.OrderedDict[str, _Connection] = collections.OrderedDict()
-        self._key_of: collections.Counter[str] = collections.Counter()
+        self._key_index: collections.Counter[str] = collections.Counter()
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
         self._authenticator: AsyncioAuthenticator | None = None
@@ -100,10 +100,10 @@
         """Listen; return the address with the port that was taken."""
         self._authenticator = AsyncioAuthenticator(self._context)
         self._authenticator.start()
-        accepted = _Accepted(self._keys.accepted)
+        accepted = _AcceptedKeys(self._keys.accepted)
         self._authenticator.configure_curve_callback(ZAP_DOMAIN, accepted)
         server = self._context.socket(zmq.ROUTER)
-        self._harden(server)
+        self._set_limits(server)
         server.curve_server = True
         server.curve_publickey = self._keys.public.encode()
         server.curve_secretkey = self._keys.secret.get_secret_value().encode()
@@ -136,7 +136,7 @@
         :raises PeerError: if there is none in time, or it is an error.
         """
         if peer == self._me:
-            return await self._handled(self._me, kind, body)
+            return await self._run_handler(self._me, kind, body)
         connection = self._connection(peer)
         number = next(self._numbers)
         future: asyncio.Future[t.Any] = asyncio.get_running_loop().create_future()
@@ -150,28 +150,28 @@
         finally:
             connection.waiting.pop(number, None)
 
-    async def tell(self, peer: str, kind: str, body: t.Any) -> None:
+    async def send(self, peer: str, kind: str, body: t.Any) -> None:
         """Send a message that needs no answer."""
         if peer == self._me:
-            await self._handled(self._me, kind, body)
+            await self._run_handler(self._me, kind, body)
             return
         await self._send(self._connection(peer).socket, kind, body, 0)
 
-    def _harden(self, socket: zmq.asyncio.Socket) -> None:
-        socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME)
-        socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
-        socket.setsockopt(zmq.RCVHWM, HIGH_WATER)
+    def _set_limits(self, socket: zmq.asyncio.Socket) -> None:
+        socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
+        socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
+        socket.setsockopt(zmq.RCVHWM, MAX_QUEUED_MESSAGES)
         socket.setsockopt(zmq.LINGER, 0)
 
     def _connection(self, peer: str) -> _Connection:
         address = self._addresses().get(peer)
         if address is None:
             raise PeerError(f"no address of daemon {peer!r}")
-        known = self._connections.get(peer)
-        if known and known.address == address:
+        existing = self._connections.get(peer)
+        if existing and existing.address == address:
             self._connections.move_to_end(peer)
-            return known
-        if known:
+            return existing
+        if existing:
             self._connections.pop(peer).close()
         while len(self._connections) >= MAX_CONNECTIONS:
             self._connections.popitem(last=False)[1].close()
@@ -186,14 +186,14 @@
         peer's own.
         """
         if len(self._keys.accepted) > 1 and peer in self._connections:
-            self._key_of[peer] += 1
+            self._key_index[peer] += 1
             self._connections.pop(peer).close()
 
     def _connect(self, peer: str, address: str) -> _Connection:
         socket = self._context.socket(zmq.DEALER)
-        self._harden(socket)
+        self._set_limits(socket)
         accepted = self._keys.accepted
-        socket.curve_serverkey = accepted[self._key_of[peer] % len(accepted)].encode()
+        socket.curve_serverkey = accepted[self._key_index[peer] % len(accepted)].encode()
         socket.curve_publickey = self._keys.public.encode()
         socket.curve_secretkey = self._keys.secret.get_secret_value().encode()
         socket.connect(f"tcp://{address}")
@@ -232,23 +232,23 @@
                 else:
                     future.set_result(answer.get("b"))
             except (DecodeError, KeyError, TypeError) as error:
-                self._reject(str(error))
+                self._record_rejected(str(error))
 
     async def _serve(self, server: zmq.asyncio.Socket) -> None:
         while True:
             frames = await server.recv_multipart()
             self._count_received(frames[-1])
-            if len(self._tasks) > MAX_HANDLING:
+            if len(self._tasks) > MAX_RUNNING_HANDLERS:
                 self.counts["overrun"] += 1
                 continue
             try:
-                message = self._checked(codec.unpack(frames[-1]))
+                message = self._validate(codec.unpack(frames[-1]))
             except DecodeError as error:
-                self._reject(str(error))
+                self._record_rejected(str(error))
                 continue
             self._spawn(self._answer(server, frames[0], message))
 
-    def _checked(self, message: t.Any) -> dict[str, t.Any]:
+    def _validate(self, message: t.Any) -> dict[str, t.Any]:
         if not isinstance(message, dict) or set(message) != {"c", "f", "k", "n", "b"}:
             raise DecodeError("a frame without the fields of one")
         if message["c"] != self._cluster:
@@ -257,7 +257,7 @@
             raise DecodeError(f"a frame of unknown kind {message['k']!r}")
         return message
 
-    def _reject(self, reason: str) -> None:
+    def _record_rejected(self, reason: str) -> None:
         self.counts["rejected"] += 1
         events.PEER_REJECTED.log(reason=reason)
 
@@ -265,7 +265,7 @@
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(frame)
 
-    async def _handled(self, sender: str, kind: str, body: t.Any) -> t.Any:
+    async def _run_handler(self, sender: str, kind: str, body: t.Any) -> t.Any:
         return await self._handlers[kind](sender, body)
 
     async def _answer(
@@ -273,11 +273,11 @@
     ) -> None:
         answer: dict[str, t.Any] = {"n": message["n"]}
         try:
-            answer["b"] = await self._handled(message["f"], message["k"], message["b"])
+            answer["b"] = await self._run_handler(message["f"], message["k"], message["b"])
         except ThorncleatError as error:
             answer["e"] = str(error)
         except (KeyError, TypeError, ValueError) as error:
-            self._reject(f"{message['k']!r}: {error!r}")
+            self._record_rejected(f"{message['k']!r}: {error!r}")
             answer["e"] = "malformed body"
         if not message["n"]:
             return
--- a/packages/daemon/src/thorncleat_daemon/pieces.py
+++ b/packages/daemon/src/thorncleat_daemon/pieces.py
@@ -10,10 +10,10 @@
 import collections
 import typing as t
 
-BOUNDARY = b"\n\n"
-DATA = b"data: "
+EVENT_SEPARATOR = b"\n\n"
+DATA_PREFIX = b"data: "
 DONE = b"data: [DONE]\n\n"
-FINISHED = (b'"finish_reason":"', b'"finish_reason": "')
+FINISH_MARKERS = (b'"finish_reason":"', b'"finish_reason": "')
 
 
 class Pieces:
@@ -24,72 +24,74 @@
 
     def __init__(self, request_id: str) -> None:
         identity = f'"id":"chatcmpl-{request_id}"'
-        self._prefix = (DATA + b"{" + identity.encode()).rstrip()
+        self._prefix = (DATA_PREFIX + b"{" + identity.encode()).rstrip()
         self._identities = (identity.encode(), identity.replace(":", ": ", 1).encode())
-        self._rest = b""
+        self._partial_event = b""
         # two: the event that counts the tokens may come after the one that finishes
-        self._last = b""
-        self._before = b""
+        self._last_event = b""
+        self._previous_event = b""
         self.events = 0
-        self.done = False
+        self.is_done = False
         self.dropped: collections.Counter[str] = collections.Counter()
 
     def feed(self, chunk: bytes) -> bytes:
         """Check what arrived and return what may be passed on: whole, own events."""
         if (
-            not self._rest
-            and not self.done
+            not self._partial_event
+            and not self.is_done
             and chunk.startswith(self._prefix)
-            and chunk.find(BOUNDARY) == len(chunk) - 2
+            and chunk.find(EVENT_SEPARATOR) == len(chunk) - 2
         ):
             # the usual case: one whole event of this request
             self.events += 1
-            self._before, self._last = self._last, chunk
+            self._previous_event, self._last_event = self._last_event, chunk
             return chunk
-        return self._feed_slowly(chunk)
+        return self._feed_partial(chunk)
 
-    def _feed_slowly(self, chunk: bytes) -> bytes:
-        *whole, self._rest = (self._rest + chunk).split(BOUNDARY)
-        return b"".join(self._checked(event + BOUNDARY) for event in whole if event)
+    def _feed_partial(self, chunk: bytes) -> bytes:
+        *whole, self._partial_event = (self._partial_event + chunk).split(EVENT_SEPARATOR)
+        return b"".join(self._check_event(event + EVENT_SEPARATOR) for event in whole if event)
 
-    def _checked(self, event: bytes) -> bytes:
-        if self.done:
+    def _check_event(self, event: bytes) -> bytes:
+        if self.is_done:
             self.dropped["after_end"] += 1
             return b""
         if event == DONE:
             # it names no request, so it counts only after an own event that finishes
-            self.done = self.finished
-            if not self.done:
+            self.is_done = self.has_finish_event
+            if not self.is_done:
                 self.dropped["end_of_another"] += 1
             return b""
         if event.startswith(self._prefix) or self._is_own(event):
             self.events += 1
-            self._before, self._last = self._last, event
+            self._previous_event, self._last_event = self._last_event, event
             return event
-        self.dropped["foreign" if event.startswith(DATA) else "not_an_event"] += 1
+        self.dropped["foreign" if event.startswith(DATA_PREFIX) else "not_an_event"] += 1
         return b""
 
     def _is_own(self, event: bytes) -> bool:
-        return event.startswith(DATA) and any(identity in event for identity in self._identities)
+        return event.startswith(DATA_PREFIX) and any(
+            identity in event for identity in self._identities
+        )
 
     @property
-    def finished(self) -> bool:
+    def has_finish_event(self) -> bool:
         """Whether one of the last own events says that the answer ends."""
-        return any(mark in self._last + self._before for mark in FINISHED)
+        return any(mark in self._last_event + self._previous_event for mark in FINISH_MARKERS)
 
-    def forget_rest(self) -> None:
+    def drop_partial_event(self) -> None:
         """Drop half an event, before the answer goes on in another group."""
-        if self._rest:
+        if self._partial_event:
             self.dropped["half_event"] += 1
-        self._rest = b""
+        self._partial_event = b""
 
     @property
-    def truncated(self) -> bool:
+    def is_truncated(self) -> bool:
         """Whether the answer lacks its end; the end marker alone may be missing."""
-        return not self.done and not self.finished
+        return not self.is_done and not self.has_finish_event
 
 
-def whole_answer_fault(answer: t.Any, request_id: str) -> str | None:
+def find_answer_fault(answer: t.Any, request_id: str) -> str | None:
     """Return what is wrong with an answer that came as a whole, or None."""
     if not isinstance(answer, dict):
         return "not an object"
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -23,7 +23,7 @@
 from .claims import ClaimClient
 from .exceptions import RequestError
 from .metrics import Metrics
-from .once import Answered
+from .once import WholeAnswer
 from .once import run_once
 from .upstream import Upstream
 from .upstream import answer_lost
@@ -31,7 +31,7 @@
 
 # endpoints that a call is tried at
 MAX_ATTEMPTS = 3
-DEFAULT_TYPE = "application/octet-stream"
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class PlainServices:
@@ -56,14 +56,14 @@
 
         :raises RequestError: if it can't be answered; it says whether the call ran.
         """
-        service = self._service(request.match_info["service"], caller)
+        service = self._find_service(request.match_info["service"], caller)
         path = "/" + request.match_info["tail"]
         target = request.rel_url.raw_path.split(f"/{service.name}", 1)[1] or "/"
         if request.rel_url.raw_query_string:
             target += f"?{request.rel_url.raw_query_string}"
         repeatable = caller.repeatable and service.may_repeat(request.method, path)
         headers = end_to_end(request.headers) | {"X-Request-Id": caller.id}
-        call = _Call(request.method, target, body, headers, repeatable)
+        call = _ForwardedCall(request.method, target, body, headers, repeatable)
         if repeatable:
             answered = await self._run(service, caller, call)
         else:
@@ -75,17 +75,17 @@
                 body,
                 lambda: self._run(service, caller, call),
             )
-        self._metrics.ended(caller.workspace.name, service.name, GOOD)
+        self._metrics.record_ended(caller.workspace.name, service.name, GOOD)
         return _response(answered, caller)
 
-    def _service(self, name: str, caller: Caller) -> Service:
+    def _find_service(self, name: str, caller: Caller) -> Service:
         service = self._configuration().services.get(name)
         if service is None or caller.workspace.name not in service.workspaces:
             detail = f"no service {name!r} for workspace {caller.workspace.name!r}"
             raise RequestError(404, "Unknown service", detail, cause="bad_request")
         return service
 
-    async def _run(self, service: Service, caller: Caller, call: "_Call") -> Answered:
+    async def _run(self, service: Service, caller: Caller, call: "_ForwardedCall") -> WholeAnswer:
         """Call endpoints in turn, as long as that is safe and within the retry budget."""
         now = clock.now()
         order = rendezvous.ranked(caller.id, self._ejection.usable(service.endpoints, now))
@@ -97,19 +97,19 @@
                 return answered
             except RequestError as error:
                 self._ejection.failed(endpoint, clock.now())
-                may = may_send_again(
+                is_retryable = may_send_again(
                     error.executed,
                     repeatable=call.repeatable,
                     attempt=attempt,
                     most=min(len(order), MAX_ATTEMPTS),
-                    seconds_left=caller.left(),
+                    seconds_left=caller.seconds_left(),
                 )
-                if not may or not self._retries.take():
+                if not is_retryable or not self._retries.take():
                     raise
                 self._metrics.retries.labels(error.cause).inc()
         raise RequestError(503, "No endpoint", f"service {service.name!r} has none to use")
 
-    async def _call(self, endpoint: str, caller: Caller, call: "_Call") -> Answered:
+    async def _call(self, endpoint: str, caller: Caller, call: "_ForwardedCall") -> WholeAnswer:
         url = f"http://{endpoint}{call.target}"
         async with self._upstream.call(
             call.method,
@@ -123,12 +123,12 @@
                 body = await response.read()
             except (aiohttp.ClientError, TimeoutError) as error:
                 raise answer_lost(url, error) from error
-            kind = response.headers.get("Content-Type", DEFAULT_TYPE)
-            return Answered(response.status, kind, body)
+            content_type = response.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
+            return WholeAnswer(response.status, content_type, body)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Call:
+class _ForwardedCall:
     """A call as it is passed on."""
 
     method: str
@@ -138,7 +138,7 @@
     repeatable: bool
 
 
-def _response(answered: Answered, caller: Caller) -> web.Response:
+def _response(answered: WholeAnswer, caller: Caller) -> web.Response:
     headers = {"X-Request-Id": caller.id, "Content-Type": answered.content_type}
     if answered.repeated:
         headers["X-Repeated"] = "yes"
--- a/packages/daemon/src/thorncleat_daemon/platform.py
+++ b/packages/daemon/src/thorncleat_daemon/platform.py
@@ -22,7 +22,7 @@
 _ROWS = pydantic.TypeAdapter(list[ListedInstance])
 
 
-class _Kept(t.NamedTuple):
+class _CachedList(t.NamedTuple):
     """A part of the list and the tag that the platform gave it."""
 
     tag: str
@@ -42,7 +42,7 @@
         self._session = session
         self._endpoints = list(endpoints)
         self._current = 0
-        self._kept: dict[str, _Kept] = {}
+        self._cache: dict[str, _CachedList] = {}
 
     async def entries(self) -> list[Instance]:
         """Return the instances that run daemons."""
@@ -55,18 +55,18 @@
     async def everything(self) -> list[Instance]:
         """Return all instances."""
         rows = await self._fetch("")
-        self._kept.pop("", None)
+        self._cache.pop("", None)
         return rows
 
     async def _fetch(self, query: str) -> list[Instance]:
         url = f"http://{self._endpoints[self._current]}{PATH}{query}"
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
-        kept = self._kept.get(query)
-        headers = {"If-None-Match": kept.tag} if kept else {}
+        cached = self._cache.get(query)
+        headers = {"If-None-Match": cached.tag} if cached else {}
         try:
             async with self._session.get(url, timeout=timeout, headers=headers) as response:
-                if response.status == NOT_MODIFIED and kept:
-                    return kept.rows
+                if response.status == NOT_MODIFIED and cached:
+                    return cached.rows
                 response.raise_for_status()
                 raw = await response.json()
                 tag = response.headers.get("ETag", "")
@@ -76,5 +76,5 @@
             raise PlatformError(f"list of instances: {error!r}") from error
         rows = [Instance.from_listed(row) for row in listed]
         if tag:
-            self._kept[query] = _Kept(tag, rows)
+            self._cache[query] = _CachedList(tag, rows)
         return rows
--- a/packages/daemon/src/thorncleat_daemon/ports.py
+++ b/packages/daemon/src/thorncleat_daemon/ports.py
@@ -175,6 +175,6 @@
         """
         ...
 
-    async def tell(self, peer: str, kind: str, body: t.Any) -> None:
+    async def send(self, peer: str, kind: str, body: t.Any) -> None:
         """Send a message that needs no answer; it may be lost."""
         ...
--- a/packages/daemon/src/thorncleat_daemon/recent.py
+++ b/packages/daemon/src/thorncleat_daemon/recent.py
@@ -10,7 +10,7 @@
 import typing as t
 
 # requests
-KEPT = 5000
+MAX_RECORDS = 5000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -44,11 +44,11 @@
         """Return the record of a request."""
         return self._records.get(request_id)
 
-    def note(self, request_id: str, seconds: float, **fields: t.Any) -> None:
+    def record_request(self, request_id: str, seconds: float, **fields: t.Any) -> None:
         """Record a request."""
         record = RequestRecord(
             id=request_id, daemon=self._daemon, at=time.time(), seconds=seconds, **fields
         )
         self._records[request_id] = record
-        if len(self._records) > KEPT:
+        if len(self._records) > MAX_RECORDS:
             self._records.popitem(last=False)
--- a/packages/daemon/src/thorncleat_daemon/retry_after.py
+++ b/packages/daemon/src/thorncleat_daemon/retry_after.py
@@ -22,18 +22,18 @@
 # the owner of a key can't be asked, or can't write
 CLAIMS_UNAVAILABLE = 2.0
 # too many came at once: from the shortest to the longest, so that they come back apart
-SHORTEST_RUSH = 1.0
+MIN_OVERLOAD = 1.0
 # see SHORTEST_RUSH
-LONGEST_RUSH = 3.0
+MAX_OVERLOAD = 3.0
 # part by which a queue's measure is spread upwards
-JITTER = 0.5
+JITTER_SHARE = 0.5
 
 
-def rush() -> float:
+def random_overload_delay() -> float:
     """Return the seconds for one of many that came at once."""
-    return random.uniform(SHORTEST_RUSH, LONGEST_RUSH)
+    return random.uniform(MIN_OVERLOAD, MAX_OVERLOAD)
 
 
-def spread(seconds: float) -> float:
+def with_jitter(seconds: float) -> float:
     """Return the seconds, or somewhat more, so that those refused together come back apart."""
-    return seconds * random.uniform(1, 1 + JITTER)
+    return seconds * random.uniform(1, 1 + JITTER_SHARE)
--- a/packages/daemon/src/thorncleat_daemon/shard_map.py
+++ b/packages/daemon/src/thorncleat_daemon/shard_map.py
@@ -9,7 +9,7 @@
 from .gossip import Gossip
 
 # daemons that may take a shard
-CANDIDATES = 3
+CANDIDATE_COUNT = 3
 
 
 class ShardMap:
@@ -31,12 +31,12 @@
     def candidates(self, shard: int) -> list[str]:
         """Return the daemons that may take a shard, the preferred one first."""
         alive = self._gossip.members.alive
-        return rendezvous.ranked(f"shard/{shard}", alive)[:CANDIDATES]
+        return rendezvous.ranked(f"shard/{shard}", alive)[:CANDIDATE_COUNT]
 
     def rank(self, shard: int) -> int | None:
         """Return this daemon's place among a shard's candidates; None if it is none."""
         alive = self._gossip.members.alive
-        return rendezvous.place(f"shard/{shard}", self._me, alive, CANDIDATES)
+        return rendezvous.place(f"shard/{shard}", self._me, alive, CANDIDATE_COUNT)
 
     def holder_of(self, shard: int) -> str | None:
         """Return the daemon that last said it holds a shard."""
--- a/packages/daemon/src/thorncleat_daemon/splice.py
+++ b/packages/daemon/src/thorncleat_daemon/splice.py
@@ -18,11 +18,11 @@
 from .pieces import Pieces
 
 # bytes that may wait for a slow caller before the engine is read no further
-HIGH_WATER = 262_144
+HIGH_WATER_BYTES = 262_144
 # bytes at which a paused engine is read again
-LOW_WATER = 65_536
+LOW_WATER_BYTES = 65_536
 # between looks at what a slow caller has yet to read
-DRAIN_SECONDS = 0.02
+DRAIN_POLL_INTERVAL_SECONDS = 0.02
 
 
 class Sink:
@@ -36,7 +36,7 @@
         self._chunked = chunked
 
     @property
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the caller has closed its connection."""
         return self._transport.is_closing()
 
@@ -57,31 +57,31 @@
 
     :param pieces: checks whose events they are.
     :param until: until when the group may answer, on :func:`clock.now`.
-    ``closed`` says whether it ended because the group may not answer any more.
+    ``is_group_closed`` says whether it ended because the group may not answer any more.
 
     :param renewed: returns a later ``until``, or 0 if the group may not answer any more.
     """
 
     def __init__(
-        self, sink: Sink, pieces: Pieces, until: float, renewed: t.Callable[[], float]
+        self, sink: Sink, pieces: Pieces, until: float, permit_end: t.Callable[[], float]
     ) -> None:
         self._sink = sink
         self._pieces = pieces
         self.until = until
-        self._renewed = renewed
+        self._read_permit_end = permit_end
         self._transport: asyncio.Transport | None = None
-        self._draining: asyncio.TimerHandle | None = None
-        self.last_at = 0.0
-        self.closed = False
-        self.wrote_at = 0.0
+        self._drain_timer: asyncio.TimerHandle | None = None
+        self.last_event_at = 0.0
+        self.is_group_closed = False
+        self.last_write_at = 0.0
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     @property
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether the engine is not read because the caller is slow."""
-        return self._draining is not None
+        return self._drain_timer is not None
 
-    def take_over(self, transport: asyncio.Transport, early: bytes) -> None:
+    def take_over(self, transport: asyncio.Transport, buffered: bytes) -> None:
         """Begin on a connection whose head was read.
 
         :param early: what had come of the body by then.
@@ -89,29 +89,29 @@
         self._transport = transport
         transport.set_protocol(self)
         transport.resume_reading()
-        if early:
-            self.data_received(early)
+        if buffered:
+            self.data_received(buffered)
 
     def data_received(self, data: bytes) -> None:
         """Pass on what is whole and the request's own."""
-        now = self.last_at = clock.now()
+        now = self.last_event_at = clock.now()
         if now >= self.until:
-            renewed = self._renewed()
-            if now >= renewed:
-                self.closed = True
+            permit_end = self._read_permit_end()
+            if now >= permit_end:
+                self.is_group_closed = True
                 self._end()
                 return
-            self.until = renewed
-        own = self._pieces.feed(data)
-        if own:
-            if self._sink.gone:
+            self.until = permit_end
+        own_events = self._pieces.feed(data)
+        if own_events:
+            if self._sink.is_closed:
                 self._end()
                 return
-            self._sink.write(own)
-            self.wrote_at = now
-            if self._sink.waiting > HIGH_WATER:
-                self._wait_for_caller()
-        if self._pieces.done:
+            self._sink.write(own_events)
+            self.last_write_at = now
+            if self._sink.waiting > HIGH_WATER_BYTES:
+                self._pause_engine()
+        if self._pieces.is_done:
             self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -120,8 +120,8 @@
 
     def stop(self) -> None:
         """Break the engine's connection, by which it cancels what is left."""
-        if self._draining:
-            self._draining.cancel()
+        if self._drain_timer:
+            self._drain_timer.cancel()
         if self._transport:
             self._transport.abort()
         self._end()
@@ -130,19 +130,19 @@
         if not self.ended.done():
             self.ended.set_result(None)
 
-    def _wait_for_caller(self) -> None:
+    def _pause_engine(self) -> None:
         """Read no further until the caller has caught up."""
-        if self._transport is None or self._draining is not None:
+        if self._transport is None or self._drain_timer is not None:
             return
         self._transport.pause_reading()
-        self._look_again()
+        self._poll_drain()
 
-    def _look_again(self) -> None:
-        self._draining = None
-        if self._sink.gone:
+    def _poll_drain(self) -> None:
+        self._drain_timer = None
+        if self._sink.is_closed:
             self._end()
-        elif self._sink.waiting > LOW_WATER:
+        elif self._sink.waiting > LOW_WATER_BYTES:
             loop = asyncio.get_running_loop()
-            self._draining = loop.call_later(DRAIN_SECONDS, self._look_again)
+            self._drain_timer = loop.call_later(DRAIN_POLL_INTERVAL_SECONDS, self._poll_drain)
         elif self._transport is not None:
             self._transport.resume_reading()
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -22,13 +22,13 @@
 from .exceptions import StoreUnavailableError
 from .ports import Condition
 from .ports import Erase
-from .ports import Operation
 from .ports import KeyNotRecreated
+from .ports import Operation
 from .ports import Stored
 
-HTTP_NOT_DONE = frozenset({429, 503})
+REFUSED_STATUSES = frozenset({429, 503})
 # seconds that a call may wait for the budget
-MAX_BUDGET_WAIT = 2.0
+MAX_BUDGET_WAIT_SECONDS = 2.0
 Json = dict[str, t.Any]
 
 
@@ -36,7 +36,7 @@
     return base64.b64encode(data).decode()
 
 
-def _end_of(prefix: str) -> bytes:
+def _prefix_end(prefix: str) -> bytes:
     """Return the first key after all that begin with a prefix."""
     raw = prefix.encode()
     return raw[:-1] + bytes([raw[-1] + 1])
@@ -61,7 +61,7 @@
 def _operation(operation: Operation) -> Json:
     key = _encoded(operation.key.encode())
     if isinstance(operation, Erase):
-        end = {"range_end": _encoded(_end_of(operation.key))} if operation.prefix else {}
+        end = {"range_end": _encoded(_prefix_end(operation.key))} if operation.prefix else {}
         return {"request_delete_range": {"key": key, **end}}
     put: Json = {"key": key, "value": _encoded(operation.value)}
     if operation.lease:
@@ -86,16 +86,16 @@
     ) -> None:
         self._session = session
         self._endpoints = list(endpoints)
-        self._current = 0
+        self._endpoint_index = 0
         self._budget = budget
         self._daemon = daemon
         self._timeout = aiohttp.ClientTimeout(total=timeout)
-        self._reachable = True
+        self._is_reachable = True
 
     @property
-    def reachable(self) -> bool:
+    def is_reachable(self) -> bool:
         """Whether the newest call was answered."""
-        return self._reachable
+        return self._is_reachable
 
     @property
     def budget(self) -> StoreBudget:
@@ -110,7 +110,7 @@
 
     async def read_under(self, prefix: str, purpose: Purpose) -> list[Stored]:
         """Return all values whose keys begin with a prefix, sorted by key."""
-        body = {"key": _encoded(prefix.encode()), "range_end": _encoded(_end_of(prefix))}
+        body = {"key": _encoded(prefix.encode()), "range_end": _encoded(_prefix_end(prefix))}
         rows = (await self._read("/v3/kv/range", body, purpose)).get("kvs", [])
         return [_stored(row) for row in rows]
 
@@ -142,8 +142,8 @@
 
     async def watch(self, key: str) -> t.AsyncIterator[Stored | None]:
         """Yield each new value of a key, None once when the watch begins."""
-        await self._admit(False, Purpose.CONFIG)
-        url = f"http://{self._endpoints[self._current]}/v3/watch"
+        await self._wait_for_budget(False, Purpose.CONFIG)
+        url = f"http://{self._endpoints[self._endpoint_index]}/v3/watch"
         body = {"create_request": {"key": _encoded(key.encode())}}
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=2)
         try:
@@ -153,16 +153,16 @@
                 if response.status != 200:
                     raise StoreUnavailableError(f"watch refused with {response.status!r}")
                 async for line in response.content:
-                    for value in _watched(line):
+                    for value in _parse_watch_line(line):
                         yield value
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
             raise StoreUnavailableError(f"watch of {key!r} ended: {error!r}") from error
 
-    async def _admit(self, write: bool, purpose: Purpose) -> None:
+    async def _wait_for_budget(self, write: bool, purpose: Purpose) -> None:
         waited = 0.0
         while wait := self._budget.wait(write, purpose, clock.now()):
             waited += wait
-            if waited > MAX_BUDGET_WAIT:
+            if waited > MAX_BUDGET_WAIT_SECONDS:
                 raise StoreUnavailableError(f"no room in the store's budget for {purpose!s}")
             await asyncio.sleep(wait)
 
@@ -174,26 +174,26 @@
             raise StoreUnavailableError(str(error)) from error
 
     async def _call(self, path: str, body: Json, purpose: Purpose, *, write: bool) -> Json:
-        await self._admit(write, purpose)
-        url = f"http://{self._endpoints[self._current]}{path}"
+        await self._wait_for_budget(write, purpose)
+        url = f"http://{self._endpoints[self._endpoint_index]}{path}"
         headers = {"X-Purpose": str(purpose), "X-Daemon": self._daemon}
         try:
             async with self._session.post(
                 url, json=body, timeout=self._timeout, headers=headers
             ) as response:
                 text = await response.text()
-                self._answered()
-                return self._checked(response.status, text)
+                self._mark_answered()
+                return self._parse_answer(response.status, text)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            self._failed()
+            self._mark_failed()
             raise StoreUnavailableError(f"no connection: {error}") from error
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-            self._failed()
+            self._mark_failed()
             raise StoreOutcomeUnknownError(f"answer lost: {error!r}") from error
 
-    def _checked(self, status: int, text: str) -> Json:
-        if status in HTTP_NOT_DONE:
-            self._failed()
+    def _parse_answer(self, status: int, text: str) -> Json:
+        if status in REFUSED_STATUSES:
+            self._mark_failed()
             raise StoreUnavailableError(f"refused with {status!r}")
         if status >= 500:
             raise StoreOutcomeUnknownError(f"failed with {status!r}")
@@ -201,19 +201,19 @@
             raise StoreRefusedError(f"refused with {status!r}: {text[:200]!r}")
         return t.cast(Json, json.loads(text))
 
-    def _answered(self) -> None:
-        if not self._reachable:
+    def _mark_answered(self) -> None:
+        if not self._is_reachable:
             events.STORE_BACK.log()
-        self._reachable = True
+        self._is_reachable = True
 
-    def _failed(self) -> None:
-        if self._reachable:
-            events.STORE_LOST.log(endpoint=self._endpoints[self._current])
-        self._reachable = False
-        self._current = (self._current + 1) % len(self._endpoints)
+    def _mark_failed(self) -> None:
+        if self._is_reachable:
+            events.STORE_LOST.log(endpoint=self._endpoints[self._endpoint_index])
+        self._is_reachable = False
+        self._endpoint_index = (self._endpoint_index + 1) % len(self._endpoints)
 
 
-def _watched(line: bytes) -> t.Iterator[Stored | None]:
+def _parse_watch_line(line: bytes) -> t.Iterator[Stored | None]:
     result = json.loads(line).get("result", {})
     if result.get("created"):
         yield None
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -17,8 +17,8 @@
 from . import events
 from . import problems
 from .attempts import Attempts
-from .attempts import SlotRequestOf
-from .attempts import group_closed
+from .attempts import SlotRequestFactory
+from .attempts import group_closed_error
 from .callers import Caller
 from .completion import Completion
 from .completion import check_status
@@ -41,7 +41,7 @@
 CALLER_GONE = "caller_gone"
 
 
-class _Flow:
+class _CallerStream:
     """The caller's side of a stream; its head is sent with the first piece."""
 
     def __init__(self, request: web.Request, caller: Caller) -> None:
@@ -50,8 +50,8 @@
         self.response = web.StreamResponse(headers={**HEADERS, "X-Request-Id": caller.id})
         self.pieces = Pieces(caller.id)
         self.started_at = clock.now()
-        self.first_at = 0.0
-        self.last_at = 0.0
+        self.first_event_at = 0.0
+        self.last_event_at = 0.0
 
     async def write(self, data: bytes) -> None:
         """Send a piece by the library.
@@ -61,15 +61,15 @@
         try:
             if not self.response.prepared:
                 await self.response.prepare(self.request)
-                self.first_at = clock.now()
+                self.first_event_at = clock.now()
             await self.response.write(data)
         except ConnectionError as error:
             # of the caller's connection: an engine's is never written to here
-            raise caller_gone() from error
-        self.last_at = clock.now()
+            raise caller_gone_error() from error
+        self.last_event_at = clock.now()
 
     @property
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the caller has closed its connection."""
         return self.request.transport is None or self.request.transport.is_closing()
 
@@ -107,127 +107,139 @@
         request: web.Request,
         caller: Caller,
         completion: Completion,
-        slot_request_of: SlotRequestOf,
+        slot_request_factory: SlotRequestFactory,
     ) -> web.StreamResponse:
         """Answer with a stream.
 
         :raises RequestError: if it can't be begun; a later failure is an event in the stream.
         """
-        flow = _Flow(request, caller)
+        caller_stream = _CallerStream(request, caller)
 
-        async def once(slot: Slot) -> None:
-            flow.pieces.forget_rest()
-            await self._copy(flow, slot, completion)
+        async def send_once(slot: Slot) -> None:
+            caller_stream.pieces.drop_partial_event()
+            await self._copy_answer(caller_stream, slot, completion)
 
         try:
-            await self._attempts.run(caller, slot_request_of, once)
-            await flow.write(DONE)
-            await flow.response.write_eof()
+            await self._attempts.run(caller, slot_request_factory, send_once)
+            await caller_stream.write(DONE)
+            await caller_stream.response.write_eof()
         except RequestError as error:
-            if not flow.response.prepared:
+            if not caller_stream.response.prepared:
                 raise
-            await self._end_broken(flow, error, completion.model)
-            return flow.response
-        self._note(flow, completion.model, GOOD)
-        return flow.response
+            await self._end_with_error(caller_stream, error, completion.model)
+            return caller_stream.response
+        self._record_metrics(caller_stream, completion.model, GOOD)
+        return caller_stream.response
 
-    async def _copy(self, flow: _Flow, slot: Slot, completion: Completion) -> None:
+    async def _copy_answer(
+        self, caller_stream: _CallerStream, slot: Slot, completion: Completion
+    ) -> None:
         """Copy one engine's answer to the caller, from where the caller's copy ends."""
         url = engine_url(slot)
-        body = completion.body(flow.caller.priority, flow.pieces.events)
-        left = flow.caller.timeout()
-        async with self._upstream.stream(url, body, engine_headers(flow.caller), left) as response:
+        body = completion.body(caller_stream.caller.priority, caller_stream.pieces.events)
+        left = caller_stream.caller.timeout()
+        async with self._upstream.stream(
+            url, body, engine_headers(caller_stream.caller), left
+        ) as response:
             if response.status != 200:
                 check_status(response.status, await response.read())
             try:
-                await self._begin(flow, slot, response)
-                await self._splice(flow, slot, response)
+                await self._copy_first_events(caller_stream, slot, response)
+                await self._splice_connections(caller_stream, slot, response)
             except (aiohttp.ClientError, TimeoutError) as error:
                 raise answer_lost(url, error) from error
-        if flow.pieces.truncated:
-            raise caller_gone() if flow.gone else _truncated()
+        if caller_stream.pieces.is_truncated:
+            raise caller_gone_error() if caller_stream.is_closed else _truncated_error()
 
-    async def _begin(self, flow: _Flow, slot: Slot, response: aiohttp.ClientResponse) -> None:
+    async def _copy_first_events(
+        self, caller_stream: _CallerStream, slot: Slot, response: aiohttp.ClientResponse
+    ) -> None:
         """Pass on the first pieces by the library, which sends the caller's head with them."""
-        while not flow.response.prepared and not flow.pieces.done:
+        while not caller_stream.response.prepared and not caller_stream.pieces.is_done:
             chunk = await response.content.readany()
             if not chunk:
                 return
             # before the events are counted: what isn't passed on must be asked for again
             self._attempts.check_permit(slot)
-            own = flow.pieces.feed(chunk)
-            if own:
-                await flow.write(own)
+            own_events = caller_stream.pieces.feed(chunk)
+            if own_events:
+                await caller_stream.write(own_events)
 
-    async def _splice(self, flow: _Flow, slot: Slot, response: aiohttp.ClientResponse) -> None:
+    async def _splice_connections(
+        self, caller_stream: _CallerStream, slot: Slot, response: aiohttp.ClientResponse
+    ) -> None:
         """Join the engine's connection to the caller's until the answer ends."""
-        connection, sink = response.connection, flow.sink()
+        connection, sink = response.connection, caller_stream.sink()
         transport = connection.transport if connection else None
-        if flow.pieces.done or sink is None or sink.gone:
+        if caller_stream.pieces.is_done or sink is None or sink.is_closed:
             return
-        early = response.content.read_nowait()
+        buffered = response.content.read_nowait()
         splice = Splice(
             sink,
-            flow.pieces,
+            caller_stream.pieces,
             self._attempts.permitted_until(slot),
             lambda: self._attempts.permitted_until(slot),
         )
         if transport is None:
             # all of it had come already
-            splice.data_received(early)
+            splice.data_received(buffered)
             return
-        splice.take_over(transport, early)
+        splice.take_over(transport, buffered)
         try:
-            await self._wait(flow, splice)
+            await self._wait_for_end(caller_stream, splice)
         finally:
             splice.stop()
             self._invariants.check(
-                splice.wrote_at <= splice.until,
+                splice.last_write_at <= splice.until,
                 Invariant.ANSWER_FROM_CLOSED_GROUP,
-                request=flow.caller.id,
+                request=caller_stream.caller.id,
                 group=slot.group,
             )
-            flow.last_at = splice.last_at or flow.last_at
-        if splice.closed:
-            raise group_closed(slot)
+            caller_stream.last_event_at = splice.last_event_at or caller_stream.last_event_at
+        if splice.is_group_closed:
+            raise group_closed_error(slot)
 
-    async def _wait(self, flow: _Flow, splice: Splice) -> None:
+    async def _wait_for_end(self, caller_stream: _CallerStream, splice: Splice) -> None:
         """Wait for the end, and give up on silence or at the deadline.
 
         :raises TimeoutError: then.
         """
         while not splice.ended.done():
-            heard = splice.last_at
-            seconds = min(self._stall, flow.caller.left())
+            previous_event_at = splice.last_event_at
+            seconds = min(self._stall, caller_stream.caller.seconds_left())
             if seconds <= 0:
                 raise TimeoutError("deadline")
             await asyncio.wait([splice.ended], timeout=seconds)
-            silent = splice.last_at == heard and not splice.paused
-            if silent and not splice.ended.done():
+            is_silent = splice.last_event_at == previous_event_at and not splice.is_paused
+            if is_silent and not splice.ended.done():
                 raise TimeoutError(f"no event in {seconds:.1f} s")
 
-    async def _end_broken(self, flow: _Flow, error: RequestError, model: str) -> None:
+    async def _end_with_error(
+        self, caller_stream: _CallerStream, error: RequestError, model: str
+    ) -> None:
         """End the stream with an error event instead of DONE: the answer is not whole."""
         if error.cause != CALLER_GONE:
-            caller = flow.caller.id
+            caller = caller_stream.caller.id
             events.REQUEST_FAILED.log(request=caller, cause=error.cause, detail=error.detail)
             # the caller may have left as well; the failure itself is logged above
             with contextlib.suppress(RequestError, ConnectionError):
-                await flow.write(problems.stream_event(error, caller))
-                await flow.response.write_eof()
-        self._note(flow, model, error.cause)
-
-    def _note(self, flow: _Flow, model: str, cause: str) -> None:
-        workspace = flow.caller.workspace
-        self._metrics.tokens.labels(workspace.name, model).inc(flow.pieces.events)
-        for reason, count in flow.pieces.dropped.items():
+                await caller_stream.write(problems.stream_event(error, caller))
+                await caller_stream.response.write_eof()
+        self._record_metrics(caller_stream, model, error.cause)
+
+    def _record_metrics(self, caller_stream: _CallerStream, model: str, cause: str) -> None:
+        workspace = caller_stream.caller.workspace
+        self._metrics.tokens.labels(workspace.name, model).inc(caller_stream.pieces.events)
+        for reason, count in caller_stream.pieces.dropped.items():
             self._metrics.dropped.labels(reason).inc(count)
-            events.PIECE_DROPPED.log(request=flow.caller.id, reason=reason, count=count)
-        if flow.first_at:
-            seconds = flow.first_at - flow.started_at
+            events.PIECE_DROPPED.log(request=caller_stream.caller.id, reason=reason, count=count)
+        if caller_stream.first_event_at:
+            seconds = caller_stream.first_event_at - caller_stream.started_at
             self._metrics.distribution("first_token", model).note(seconds)
-            if flow.pieces.events > 1:
-                gap = (flow.last_at - flow.first_at) / (flow.pieces.events - 1)
+            if caller_stream.pieces.events > 1:
+                gap = (caller_stream.last_event_at - caller_stream.first_event_at) / (
+                    caller_stream.pieces.events - 1
+                )
                 self._metrics.distribution("between_tokens", model).note(gap)
             if cause == GOOD and seconds > workspace.first_token_seconds:
                 cause = "late"
@@ -235,17 +247,17 @@
             # the caller's own doing: it says nothing of the service
             self._metrics.requests.labels(workspace.name, cause).inc()
         else:
-            self._metrics.ended(workspace.name, model, cause)
+            self._metrics.record_ended(workspace.name, model, cause)
 
 
-def caller_gone() -> RequestError:
+def caller_gone_error() -> RequestError:
     """Return what ends a request whose caller has closed its connection."""
     return RequestError(
         499, "Caller gone", "the caller left", executed="unknown", cause=CALLER_GONE
     )
 
 
-def _truncated() -> RequestError:
+def _truncated_error() -> RequestError:
     return RequestError(
         502,
         "Truncated answer",
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -3,7 +3,7 @@
 from thorncleat_core.daemon.budget import Purpose
 from thorncleat_core.daemon.directory import Record
 from thorncleat_core.daemon.journal import State
-from thorncleat_daemon.config import ConfigKeeper
+from thorncleat_daemon.config import ConfigManager
 from thorncleat_daemon.keyspace import Keyspace
 from thorncleat_daemon.ports import Stored
 
@@ -18,7 +18,7 @@
     """Holds the first entries of the chain; a hook runs before each read is answered."""
 
     def __init__(self, count: int) -> None:
-        self.reachable = True
+        self.is_reachable = True
         self.before_answer = lambda key: None
         self._values = {KEYS.entry(one.revision): one.encode() for one in ENTRIES[:count]}
         self._values[KEYS.head] = CHAIN[count].head.encode()
@@ -29,9 +29,9 @@
         return Stored(key, value, 1, 1) if value else None
 
 
-def _keeper(store: _Store) -> ConfigKeeper:
+def _keeper(store: _Store) -> ConfigManager:
     daemon = World(daemons=1).daemons["d0"]
-    return ConfigKeeper("d0", store, KEYS, daemon.gossip, daemon.peers)
+    return ConfigManager("d0", store, KEYS, daemon.gossip, daemon.peers)
 
 
 class TestCatchingUp:
@@ -39,7 +39,7 @@
         keeper = _keeper(_Store(9))
         await keeper.catch_up()
         assert keeper.current == CHAIN[9]
-        assert keeper.loaded
+        assert keeper.is_loaded
 
     async def test_goes_on_when_a_peer_brings_the_next_entry_meanwhile(self):
         store = _Store(3)
@@ -72,7 +72,7 @@
     async def test_goes_after_what_was_announced_by_one_it_cannot_reach(self):
         keeper = _keeper(_Store(3))
         keeper._gossip.directory.put(Record("config", (3,), {"digest": "x"}))
-        await keeper.follow()
+        await keeper.fetch_announced()
         assert keeper.current == CHAIN[3]
 
     async def test_never_goes_back(self):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -104,7 +104,7 @@
         world = _opened(World())
         world.daemons[_holder(world)].paused = True
         world.run(40)
-        kept = [one for one in world.daemons.values() if one.holder.keepers and not one.paused]
+        kept = [one for one in world.daemons.values() if one.holder.managers and not one.paused]
         assert [one.name for one in kept] == [_holder_of(kept)]
 
     def test_paused_holder_comes_back_and_changes_nothing(self):
@@ -187,7 +187,7 @@
 
 
 def _last_keeper(world: World) -> str:
-    (name,) = [one.name for one in world.daemons.values() if one.holder.keepers]
+    (name,) = [one.name for one in world.daemons.values() if one.holder.managers]
     return name
 
 
@@ -230,7 +230,7 @@
         # on an engine without fences the holder's own clock is all there is
         world = _opened(World(fenced=False))
         old = world.daemons[_holder(world)]
-        (keeper,) = old.holder.keepers.values()
+        (keeper,) = old.holder.managers.values()
         old.paused = True
         # past the holder's own deadline, and before the store lets the lease lapse
         world.run(world.control.lease - 0.6, step=0.1)
@@ -238,13 +238,13 @@
         asyncio.run(keeper.watch())
         followed = {name: engine.order for name, engine in world.engines.items()}
         with contextlib.suppress(ThorncleatError):
-            asyncio.run(keeper.mend())
+            asyncio.run(keeper.repair())
         assert {name: engine.order for name, engine in world.engines.items()} == followed
 
     def test_assignments_are_not_written_after_the_lease_ended(self):
         world = _opened(World())
         old = world.daemons[_holder(world)]
-        (keeper,) = old.holder.keepers.values()
+        (keeper,) = old.holder.managers.values()
         world.run(0.25)
         old.paused = True
         world.run(world.control.lease + 8)
@@ -254,7 +254,7 @@
         _drain(world, "i1", "i2")
         for _ in range(5):
             with contextlib.suppress(ThorncleatError):
-                asyncio.run(keeper.mend())
+                asyncio.run(keeper.repair())
         assert world.assignments() == before
 
 
--- a/tests/test_forms_daemon_calls.py
+++ b/tests/test_forms_daemon_calls.py
@@ -31,8 +31,8 @@
 from thorncleat_daemon.peers import ZmqPeers
 from thorncleat_daemon.platform import HttpInstanceList
 from thorncleat_daemon.ports import Erase
-from thorncleat_daemon.ports import Order
 from thorncleat_daemon.ports import KeyNotRecreated
+from thorncleat_daemon.ports import Order
 from thorncleat_daemon.ports import Unchanged
 from thorncleat_daemon.ports import Write
 from thorncleat_daemon.store import EtcdStore
@@ -195,7 +195,7 @@
         port = other.bind_to_random_port("tcp://127.0.0.1")
         peers = ZmqPeers("c", "d-1", keys, lambda: {"d-2": f"127.0.0.1:{port}"})
         try:
-            await peers.tell("d-2", kind, body)
+            await peers.send("d-2", kind, body)
             _, told = await other.recv_multipart()
             wait = asyncio.create_task(peers.ask("d-2", kind, body, 5.0))
             identity, asked = await other.recv_multipart()
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -8,7 +8,7 @@
 
 from thorncleat_daemon.pieces import DONE
 from thorncleat_daemon.pieces import Pieces
-from thorncleat_daemon.pieces import whole_answer_fault
+from thorncleat_daemon.pieces import find_answer_fault
 
 ID = "0123abcd"
 
@@ -35,7 +35,7 @@
             size = data.draw(st.integers(1, len(sent)))
             passed += pieces.feed(sent[:size])
             sent = sent[size:]
-        assert (passed, pieces.events, pieces.done) == (whole, len(texts) + 1, True)
+        assert (passed, pieces.events, pieces.is_done) == (whole, len(texts) + 1, True)
         assert not pieces.dropped
 
     def test_another_requests_event_is_dropped(self):
@@ -58,13 +58,13 @@
     def test_end_that_may_be_anothers_does_not_count(self):
         pieces = Pieces(ID)
         pieces.feed(_event("a") + _event("", "other", finish="stop") + DONE)
-        assert pieces.truncated
+        assert pieces.is_truncated
         assert pieces.dropped == {"foreign": 1, "end_of_another": 1}
 
     def test_usage_may_follow_the_finish(self):
         pieces = Pieces(ID)
         pieces.feed(_event("a", finish="length") + _event("usage") + DONE)
-        assert pieces.done
+        assert pieces.is_done
 
     def test_other_spacing_is_known(self):
         assert Pieces(ID).feed(_event("a", spaced=True)) == _event("a", spaced=True)
@@ -72,8 +72,8 @@
     def test_end_without_done_is_truncated(self):
         pieces = Pieces(ID)
         pieces.feed(_event("a") + b'data: {"id":"chat')
-        assert pieces.truncated
-        pieces.forget_rest()
+        assert pieces.is_truncated
+        pieces.drop_partial_event()
         assert pieces.feed(_event("b")) == _event("b")
         assert pieces.dropped == {"half_event": 1}
 
@@ -90,7 +90,7 @@
     )
     def test_fault_is_named(self, changes, fault):
         answer = {"id": f"chatcmpl-{ID}", "choices": [{"finish_reason": "stop"}], **changes}
-        assert whole_answer_fault(answer, ID) == fault
+        assert find_answer_fault(answer, ID) == fault
 
     def test_not_an_object(self):
-        assert whole_answer_fault([], ID) == "not an object"
+        assert find_answer_fault([], ID) == "not an object"
--- a/tests/test_splice.py
+++ b/tests/test_splice.py
@@ -6,12 +6,12 @@
 import pytest
 
 from thorncleat_core import clock
-from thorncleat_daemon.attempts import group_closed
+from thorncleat_daemon.attempts import group_closed_error
 from thorncleat_daemon.dispatch import Slot
 from thorncleat_daemon.exceptions import RequestError
 from thorncleat_daemon.invariants import Invariants
 from thorncleat_daemon.pieces import Pieces
-from thorncleat_daemon.splice import HIGH_WATER
+from thorncleat_daemon.splice import HIGH_WATER_BYTES
 from thorncleat_daemon.splice import Sink
 from thorncleat_daemon.splice import Splice
 from thorncleat_daemon.streams import Streams
@@ -60,7 +60,7 @@
 
 class _ClosedGroup:
     def check_permit(self, slot):
-        raise group_closed(slot)
+        raise group_closed_error(slot)
 
 
 class _Content:
@@ -76,7 +76,7 @@
         slot = Slot("g-0", 1, "", "a", 1)
         streams = Streams(_ClosedGroup(), None, None, 1.0, Invariants())
         with pytest.raises(RequestError, match="lost a member"):
-            await streams._begin(flow, slot, SimpleNamespace(content=_Content()))
+            await streams._copy_first_events(flow, slot, SimpleNamespace(content=_Content()))
         assert flow.pieces.events == 0
 
 
@@ -89,7 +89,7 @@
     async def test_nothing_is_passed_on_or_counted_after_the_permit(self):
         joined = Joined(clock.now() - 1)
         joined.splice.data_received(EVENT)
-        assert joined.splice.closed
+        assert joined.splice.is_group_closed
         assert joined.splice.ended.done()
         assert joined.caller.written == b""
         # an event that was not passed on must be asked for again
@@ -99,14 +99,14 @@
         joined = Joined(clock.now() - 1, renewed=clock.now() + 60)
         joined.splice.data_received(EVENT)
         assert joined.caller.written
-        assert joined.splice.wrote_at <= joined.splice.until
+        assert joined.splice.last_write_at <= joined.splice.until
 
     async def test_slow_caller_holds_the_engine_up(self):
         joined = Joined(clock.now() + 60)
-        joined.caller.waiting = HIGH_WATER + 1
+        joined.caller.waiting = HIGH_WATER_BYTES + 1
         joined.splice.data_received(EVENT)
         assert joined.engine.paused
-        assert joined.splice.paused
+        assert joined.splice.is_paused
         joined.caller.waiting = 0
         await asyncio.sleep(0.05)
         assert not joined.engine.paused
--- a/tests/world.py
+++ b/tests/world.py
@@ -22,7 +22,7 @@
 from thorncleat_core.daemon.leases import LeaseTerms
 from thorncleat_core.daemon.settings import Control
 from thorncleat_core.exceptions import ThorncleatError
-from thorncleat_daemon.domain_state import KeeperServices
+from thorncleat_daemon.domain_state import DomainServices
 from thorncleat_daemon.exceptions import EndpointError
 from thorncleat_daemon.exceptions import PeerError
 from thorncleat_daemon.exceptions import StaleOrderError
@@ -31,10 +31,10 @@
 from thorncleat_daemon.gossip import Gossip
 from thorncleat_daemon.holder import ShardHolder
 from thorncleat_daemon.keyspace import Keyspace
-from thorncleat_daemon.permits import PermitKeeper
+from thorncleat_daemon.permits import PermitManager
 from thorncleat_daemon.ports import Erase
-from thorncleat_daemon.ports import Order
 from thorncleat_daemon.ports import KeyNotRecreated
+from thorncleat_daemon.ports import Order
 from thorncleat_daemon.ports import Stored
 from thorncleat_daemon.shard_map import ShardMap
 from thorncleat_standins import kv
@@ -60,11 +60,11 @@
     def __init__(self, world: "World", me: str) -> None:
         self._world = world
         self._me = me
-        self.reachable = True
+        self.is_reachable = True
 
     def _admit(self) -> None:
-        self.reachable = not (self._world.store_down or self._me in self._world.cut_from_store)
-        if not self.reachable:
+        self.is_reachable = not (self._world.store_down or self._me in self._world.cut_from_store)
+        if not self.is_reachable:
             raise StoreUnavailableError("down")
 
     def _answer(self) -> None:
@@ -194,7 +194,7 @@
             raise PeerError(f"{peer!r} does not answer")
         return _plain(await target.peers.handlers[kind](self._me, _plain(body)))
 
-    async def tell(self, peer: str, kind: str, body: t.Any) -> None:
+    async def send(self, peer: str, kind: str, body: t.Any) -> None:
         with contextlib.suppress(PeerError):
             await self.ask(peer, kind, body)
 
@@ -246,7 +246,7 @@
         self.store = FakeStore(world, name)
         self.peers = FakePeers(world, name)
         self.gossip = Gossip(name, self.peers, FakeList(world), 1.0, 1.0)
-        services = KeeperServices(
+        services = DomainServices(
             name,
             self.store,
             Keyspace("test"),
@@ -262,8 +262,8 @@
             self.clock,
         )
         shards = ShardMap(name, self.gossip, 1)
-        self.holder = ShardHolder(services, shards, spawns=False)
-        self.permits = PermitKeeper(
+        self.holder = ShardHolder(services, shards, runs_tasks=False)
+        self.permits = PermitManager(
             name,
             self.gossip,
             shards,
@@ -280,9 +280,9 @@
 
     async def step(self) -> None:
         """Do once all that the daemon does at intervals."""
-        steps = [self.gossip.fetch, self.holder.renew, self.holder.look]
-        for keeper in list(self.holder.keepers.values()):
-            steps += [keeper.refresh, keeper.watch, keeper.mend]
+        steps = [self.gossip.fetch, self.holder.renew, self.holder.poll_shards]
+        for keeper in list(self.holder.managers.values()):
+            steps += [keeper.refresh, keeper.watch, keeper.repair]
         self.permits.usable("narrator", "m")
         steps += [self.gossip.flush, self.gossip.probe_next, self.permits.renew]
         for one in steps:
