--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -1,7 +1,7 @@
-"""Trying a request in one group after another, where that is safe.
+"""Running a request in a group and retrying it in others where that is safe.
 
-Owns: the calls that run in each group, and the retries left.
-Relies on: permits (:mod:`.permits`) to say whether a group may answer; errors to say whether a
+Owns: the running calls of each group, and the retry budget.
+Relies on: permits (:mod:`.permits`) for whether a group may answer; errors that say whether a
 request ran.
 """
 
@@ -22,8 +22,8 @@
 from .metrics import Metrics
 from .permits import PermitManager
 
-# groups that a request is tried in
 MAX_ATTEMPTS = 4
+# Causes of failures after which another group is tried.
 RETRIED_CAUSES = frozenset(
     {
         "endpoint_unreachable",
@@ -41,7 +41,7 @@
 
 
 def group_closed_error(slot: Slot) -> RequestError:
-    """Return what ends a call in a group that may not answer any more."""
+    """Return the error of a call whose group may no longer answer."""
     return RequestError(
         503,
         "Group closed",
@@ -53,7 +53,7 @@
 
 
 class Attempts:
-    """Runs requests in groups; ends a call at once when its group is closed."""
+    """Runs requests in groups and cancels the calls of a group as soon as it closes."""
 
     def __init__(self, dispatcher: Dispatcher, permits: PermitManager, metrics: Metrics) -> None:
         self._dispatcher = dispatcher
@@ -66,11 +66,11 @@
     async def run(
         self, caller: Caller, slot_request_factory: SlotRequestFactory, work: SendToGroup[Answer]
     ) -> Answer:
-        """Run a request until it is answered or may not be tried again.
+        """Run a request until it is answered or can't be retried.
 
-        :param slot_request_of: what the request needs, given the groups that failed it.
-        :param work: sends it to a group.
-        :raises RequestError: of the last attempt; it says whether the request ran.
+        :param slot_request_factory: returns the request's requirements, given the groups to avoid.
+        :param work: sends the request to the group of a slot.
+        :raises RequestError: the error of the last attempt; it says whether the request ran.
         """
         failed: set[str] = set()
         for attempt in range(1, MAX_ATTEMPTS + 1):
@@ -90,22 +90,22 @@
         raise AssertionError("the last attempt returns or raises")
 
     def permitted_until(self, slot: Slot) -> float:
-        """Return until when the group of a call may answer; 0 if it may not now."""
+        """Return the end of the permit of a call's group; 0 if the group may not answer now."""
         held = self._permits.permit(slot.group)
         if held and held.permit.generation == slot.generation and held.usable(clock.now()):
             return held.until
         return 0.0
 
     def check_permit(self, slot: Slot) -> None:
-        """Make sure that a group may answer, right before its answer is passed on.
+        """Check that a group may answer; call this right before its answer is passed on.
 
-        :raises RequestError: if it may not.
+        :raises RequestError: if the group may not answer.
         """
         if not self.permitted_until(slot):
             raise group_closed_error(slot)
 
     def _cancel_calls(self, group: str) -> None:
-        """End the calls that run in a group which may not answer any more."""
+        """Cancel the running calls of a group that may no longer answer."""
         for task in self._running.pop(group, set()):
             task.cancel(_GROUP_CLOSED_MESSAGE)
 
--- a/packages/daemon/src/thorncleat_daemon/background.py
+++ b/packages/daemon/src/thorncleat_daemon/background.py
@@ -1,7 +1,7 @@
-"""Running a step again and again, whatever it raises.
+"""Running a step periodically despite errors.
 
 Owns: nothing.
-Relies on: steps that leave a state from which they can be run again.
+Relies on: steps that can be run again after a failure.
 """
 
 import asyncio
@@ -12,7 +12,6 @@
 
 from . import events
 
-# part by which an interval varies
 JITTER_SHARE = 0.1
 
 
@@ -22,13 +21,10 @@
     seconds: float,
     should_stop: t.Callable[[], bool],
 ) -> None:
-    """Run a step at intervals until it should stop.
+    """Run a step at intervals until it should stop; failures are logged and don't end it.
 
-    A step that fails is logged and run again, so that one fault can't end the daemon's part
-    in the control work without anybody's knowing.
-
-    :param name: for the log.
-    :param seconds: the interval, varied a little so that daemons don't fall into step.
+    :param name: the task's name in the log.
+    :param seconds: the interval; jitter keeps daemons from synchronising.
     """
     last = ""
     while not should_stop():
@@ -40,7 +36,7 @@
         except Exception as error:
             reason, expected = repr(error), False
         if reason and reason != last:
-            # a fault that lasts is written once
+            # A persistent fault is logged once.
             events.TASK_FAILED.log(task=name, reason=reason, expected=expected)
         last = reason
         await asyncio.sleep(seconds * random.uniform(1 - JITTER_SHARE, 1 + JITTER_SHARE))
--- a/packages/daemon/src/thorncleat_daemon/callers.py
+++ b/packages/daemon/src/thorncleat_daemon/callers.py
@@ -1,7 +1,7 @@
-"""What every request of a caller has: identity, workspace, deadline, priority, key.
+"""Authentication and common headers of callers' requests.
 
 Owns: nothing.
-Relies on: the configuration for keys; nothing else of a request is believed.
+Relies on: the configuration for the workspaces' keys.
 """
 
 import dataclasses
@@ -21,23 +21,21 @@
 PRIORITY_HEADER = "X-Request-Priority"
 REPEATABLE_HEADER = "X-Request-Repeatable"
 KEY_HEADER = "Idempotency-Key"
-# highest priority that a caller may name
 MAX_PRIORITY = 9
-# characters of a key
 MAX_KEY_CHARACTERS = 200
-# longest deadline in seconds
 MAX_DEADLINE_SECONDS = 3600.0
-# for a call that is begun at the deadline: 0 would mean no limit
+# Used for a call at the deadline, since a timeout of 0 means no limit.
 MIN_CALL_SECONDS = 0.01
 
 
 @dataclasses.dataclass(frozen=True)
 class Caller:
-    """A caller's request: who asks, until when, how urgently and whether it may run again.
+    """The attributes common to all requests of callers.
 
-    :param id: given by this daemon; names the request in logs, errors and towards endpoints.
+    :param id: assigned by this daemon; identifies the request in logs, errors and to endpoints.
     :param deadline: on the monotonic clock, in seconds.
-    :param key: the caller's name for a request that may be asked for again.
+    :param repeatable: whether the request may be run more than once.
+    :param key: the idempotency key, if any.
     """
 
     id: str
@@ -48,11 +46,11 @@
     key: str | None
 
     def seconds_left(self) -> float:
-        """Return the seconds to the deadline."""
+        """Return the seconds until the deadline; negative after it."""
         return self.deadline - clock.now()
 
     def timeout(self) -> float:
-        """Return the seconds for a call to an endpoint."""
+        """Return the timeout of a call to an endpoint in seconds."""
         return max(MIN_CALL_SECONDS, self.seconds_left())
 
 
@@ -97,10 +95,10 @@
 
 
 def identify(request: web.Request, configuration: Configuration, deadline: float) -> Caller:
-    """Return the particulars of a request.
+    """Authenticate a request and parse its headers.
 
-    :param deadline: seconds for a request that doesn't say.
-    :raises RequestError: if its key is unknown or a header is wrong.
+    :param deadline: default deadline in seconds.
+    :raises RequestError: if its key is unknown or a header is invalid.
     """
     key = keys.bearer(request.headers.get("Authorization"))
     workspace = configuration.workspace_of(key) if key else None
@@ -125,7 +123,7 @@
     """Return a request's body.
 
     :param limit: in bytes.
-    :raises RequestError: if it is too large or breaks off.
+    :raises RequestError: if it is too large or incomplete.
     """
     length = request.content_length
     if length is not None and length > limit:
@@ -144,7 +142,7 @@
 
 
 def require_key(caller: Caller) -> str:
-    """Return the key of a request that may not be repeated.
+    """Return the idempotency key of a request that may not be repeated.
 
     :raises RequestError: if it has none.
     """
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -1,8 +1,8 @@
-"""Owning claims for the shards held, and asking the owners of others.
+"""Granting claims for the shards held here, and requesting them from other owners.
 
-Owns: the claims of the shards held here, and the batches on their way to the store.
-Relies on: the lease of each shard, checked before and after each write; core's
-:mod:`~thorncleat_core.daemon.claims` for the decisions.
+Owns: the claims of the shards held here, and their pending writes.
+Relies on: the lease of each shard, checked before and after each write;
+:mod:`thorncleat_core.daemon.claims` for the decisions.
 """
 
 import asyncio
@@ -43,19 +43,15 @@
 from .ports import Write
 from .shard_map import ShardMap
 
-# seconds; claims are kept in the store by the hour, to be erased by the hour
+# Claims are stored under the hour of their writing and deleted by whole hours.
 SECONDS_PER_HOUR = 3600
-# claims in one write
 MAX_BATCH_CLAIMS = 500
-# body of an answer that is kept for repeats
+# Larger answers are not stored for repeated requests.
 MAX_OUTCOME_BYTES = 65_536
-# between two looks for expired hours
 CLEAN_INTERVAL_SECONDS = 600.0
-# for the owner's answer, a write to the store included
+# The owner's answer includes a write to the store.
 ASK_TIMEOUT_SECONDS = 3.0
-# between two turns of a shard's writer
 WRITER_PAUSE_SECONDS = 0.001
-# after a writer could not read the shard's claims
 RESTORE_RETRY_SECONDS = 0.5
 
 
@@ -66,7 +62,7 @@
 
 
 class _OwnedShard:
-    """The claims of one shard that this daemon holds."""
+    """The claims of one shard held by this daemon."""
 
     def __init__(self, lease: HeldLease, book: ClaimBook) -> None:
         self.lease = lease
@@ -81,13 +77,12 @@
 
 
 class ClaimOwner(mode.Service):
-    """Answers claims on the shards held; writes them in batches.
+    """Grants claims on the shards held and writes them to the store in batches.
 
-    While a write is under way the claims that come in wait for the next one, so the delay is
-    one call to the store when it is quiet and two when it is busy, at a bounded rate.
+    Claims that arrive during a write go into the next batch, which bounds the rate of writes.
 
-    :param keep: seconds for which a claim is kept.
-    :param fenced: whether the lease counts; without it the soak run must fail.
+    :param keep: seconds until a claim expires.
+    :param fenced: whether writes depend on the lease; False only in a test that must then fail.
     """
 
     def __init__(
@@ -137,7 +132,7 @@
                 pending.done.set_result(False)
 
     async def on_stop(self) -> None:
-        """End the writers."""
+        """Stop the writers of all shards."""
         for shard in list(self._owned_shards):
             self._on_lost(shard)
 
@@ -161,7 +156,7 @@
         except StoreError:
             await asyncio.sleep(RESTORE_RETRY_SECONDS)
             raise
-        # by epoch and number: the hours come from clocks, which may have stepped back
+        # Sorted by epoch and number, since clocks that step back make the hours unreliable.
         for row in sorted(rows, key=lambda row: row.key.rsplit("/", 1)[1]):
             owned.book.restore(claims.decode_batch(row.value))
             owned.hours.add(int(row.key.removeprefix(prefix).split("/")[0]))
@@ -191,11 +186,11 @@
 
     async def _read_back(self, key: str, value: bytes) -> bool:
         try:
-            found = await self._store.read(key, Purpose.CLAIM)
+            stored = await self._store.read(key, Purpose.CLAIM)
         except StoreUnavailableError:
             return False
-        events.STORE_READ_BACK.log(key=key, own=found is not None)
-        return found is not None and found.value == value
+        events.STORE_READ_BACK.log(key=key, own=stored is not None)
+        return stored is not None and stored.value == value
 
     def _is_lease_held(self, lease: HeldLease) -> bool:
         return not self._fenced or lease.held(self._clock())
@@ -227,7 +222,7 @@
                 )
                 owned.granted.add(claim.id)
             else:
-                # nothing was sent, whatever the store holds: the key may be asked for again
+                # The request was not sent, so the key may be claimed again.
                 owned.book.not_written(claim)
                 reply = Reply(ClaimAnswer.BUSY)
         return reply
@@ -255,7 +250,7 @@
         )
 
     async def _delete_expired_hours(self) -> None:
-        """Delete the hours that hold nothing but expired claims."""
+        """Delete the hours that hold only expired claims."""
         oldest = (int(time.time()) - self._keep) // SECONDS_PER_HOUR - 1
         for owned in list(self._owned_shards.values()):
             owned.book.expire(int(time.time()))
@@ -270,30 +265,30 @@
 
 
 def claim_name(workspace: str, key: str) -> str:
-    """Return the name by which a claim's shard is found."""
+    """Return the name that determines a claim's shard."""
     return f"claim/{workspace}/{key}"
 
 
 class ClaimClient:
-    """Asks the owner of a claim and tells it how the request ended."""
+    """Requests claims from their owners and reports how the requests ended."""
 
     def __init__(self, shards: ShardMap, peers: Peers) -> None:
         self._shards = shards
         self._peers = peers
 
     async def ask(self, workspace: str, key: str, request: str, attempt: str) -> Reply:
-        """Ask whether a request may run.
+        """Request the claim of a key.
 
-        :param attempt: unique to this question; it is named again when the request ends.
-        :raises RequestError: if the owner can't be asked or can't write; the request was
-            not run.
+        :param request: digest of the request.
+        :param attempt: unique id of this claim; :meth:`report` names it again.
+        :raises RequestError: if the owner is unreachable or can't write; the request was not run.
         """
         body = {"workspace": workspace, "key": key, "request": request, "attempt": attempt}
         try:
             answer = await self._ask("claim", workspace, key, body)
             reply = codec.validated(Reply, answer)
         except (PeerError, DecodeError) as error:
-            # a grant may have been lost on the way: nothing was sent, so it is given back
+            # A granted claim may have been lost in transit; it is returned, since nothing was sent.
             await self.report(workspace, key, attempt, "no", None)
             raise _claims_unavailable_error(str(error)) from error
         if reply.answer is ClaimAnswer.BUSY:
@@ -303,7 +298,10 @@
     async def report(
         self, workspace: str, key: str, attempt: str, ran: str, outcome: Outcome | None
     ) -> None:
-        """Report to the owner how a request ended; if that fails the claim counts as unknown."""
+        """Report to the owner how a request ended.
+
+        :param ran: ``yes``, ``no`` or ``unknown``.
+        """
         body = {
             "workspace": workspace,
             "key": key,
@@ -314,7 +312,7 @@
         try:
             await self._ask("outcome", workspace, key, body)
         except PeerError:
-            # the owner keeps the claim as unknown, which is never sent again
+            # The owner treats an unreported claim as unknown and never grants it again.
             return
 
     async def _ask(self, kind: str, workspace: str, key: str, body: t.Any) -> t.Any:
@@ -336,5 +334,5 @@
 
 
 def stored_outcome(status: int, content_type: str, body: bytes) -> Outcome:
-    """Return an outcome as it is kept: a large body is left out."""
+    """Return the outcome to store; a large body is omitted."""
     return Outcome(status, content_type, body if len(body) <= MAX_OUTCOME_BYTES else None)
--- a/packages/daemon/src/thorncleat_daemon/completion.py
+++ b/packages/daemon/src/thorncleat_daemon/completion.py
@@ -1,7 +1,7 @@
-"""A request for a completion, as far as the daemon reads it, and the engine's refusals.
+"""The part of a completion request that the daemon reads, and the statuses of engines.
 
 Owns: nothing.
-Relies on: the engine to check what is not read here.
+Relies on: the engine to validate all other fields.
 """
 
 import dataclasses
@@ -16,16 +16,15 @@
 from .exceptions import RequestError
 
 PATH = "/v1/chat/completions"
-# tokens of an answer when the request doesn't say
+# Limit of an answer's tokens if the request names none.
 DEFAULT_MAX_TOKENS = 256
-# most tokens that a request may ask for
 MAX_TOKENS = 131_072
-# the engine is not (or no longer) what the directory says, or has no room
+# The engine doesn't serve the model at present or is full; it did not run the request.
 REFUSAL_STATUSES = frozenset({404, 409, 429, 503})
 
 
 class _Completion(pydantic.BaseModel):
-    """What the daemon needs of a request; the engine checks the rest."""
+    """The validated fields of a request; the engine validates the others."""
 
     model_config = pydantic.ConfigDict(extra="allow")
 
@@ -39,8 +38,8 @@
 class Completion:
     """A request for a completion.
 
-    :param text: all messages, for its cost and its prefix.
-    :param raw: all of its fields, for the engine.
+    :param text: all messages, for the cost and the prefix.
+    :param raw: all fields, for the engine.
     """
 
     model: str
@@ -50,9 +49,9 @@
     raw: t.Mapping[str, t.Any]
 
     def body(self, priority: int, resume_from: int, *, stream: bool = True) -> bytes:
-        """Return the body for the engine.
+        """Return the body of the request to the engine.
 
-        :param resume_from: events that the caller has already.
+        :param resume_from: number of events that the caller already has.
         """
         fields = {**self.raw, "max_tokens": self.max_tokens, "priority": priority}
         fields["stream"] = stream
@@ -62,36 +61,37 @@
 
 
 def parse(body: bytes) -> Completion:
-    """Parse and validate a body.
+    """Parse and validate a request's body.
 
-    :raises RequestError: naming what is wrong.
+    :raises RequestError: if it is invalid; the detail names the first fault.
     """
     try:
-        found = _Completion.model_validate_json(body)
+        parsed = _Completion.model_validate_json(body)
     except pydantic.ValidationError as error:
         fault = error.errors(include_url=False, include_input=False)[0]
         path = ".".join(str(step) for step in fault["loc"]) or "body"
         detail = f"{path}: {fault['msg']}"
         raise RequestError(400, "Bad request", detail, cause="bad_request") from error
-    text = "\n".join(str(message.get("content", "")) for message in found.messages)
-    raw = found.model_dump()
-    return Completion(found.model, text, found.stream, found.max_tokens, raw)
+    text = "\n".join(str(message.get("content", "")) for message in parsed.messages)
+    raw = parsed.model_dump()
+    return Completion(parsed.model, text, parsed.stream, parsed.max_tokens, raw)
 
 
 def engine_url(slot: Slot) -> str:
-    """Return where a request is sent."""
+    """Return the URL for completions of a slot's group."""
     return f"http://{slot.leader}{PATH}"
 
 
 def engine_headers(caller: Caller) -> dict[str, str]:
-    """Return the headers of a request to an engine; the id comes back in its answer."""
+    """Return the headers of a request to an engine, which repeats the id in its answer."""
     return {"Content-Type": "application/json", "X-Request-Id": caller.id}
 
 
 def check_status(status: int, text: bytes) -> None:
-    """Make sure that an engine took a request.
+    """Check that an engine accepted a request.
 
-    :raises RequestError: if it did not.
+    :param text: body of the engine's answer.
+    :raises RequestError: if it did not; it says whether the request may have run.
     """
     if status == 200:
         return
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -1,8 +1,8 @@
-"""Answering ``POST /v1/chat/completions``: who may ask what, whole answers, and repeats.
+"""Handler of ``POST /v1/chat/completions``: model lookup, whole answers, idempotent requests.
 
 Owns: nothing.
-Relies on: :mod:`.attempts` to try groups, :mod:`.streams` for streams, :mod:`.once` for
-requests that may run once.
+Relies on: :mod:`.attempts` for running in groups, :mod:`.streams` for streamed answers,
+:mod:`.once` for requests that run at most once.
 """
 
 import json
@@ -39,11 +39,11 @@
 from .pieces import find_answer_fault
 from .streams import Streams
 from .upstream import Upstream
-from .upstream import answer_lost
+from .upstream import answer_lost_error
 
 
 class Completions:
-    """Serves completions.
+    """Answers requests for completions.
 
     :param configuration: returns the current configuration.
     """
@@ -94,14 +94,14 @@
         self._metrics.record_ended(caller.workspace.name, completion.model, GOOD)
 
     def _find_intent(self, caller: Caller, completion: Completion) -> Intent:
-        found = self._configuration().intents_for(caller.workspace.name, completion.model)
-        if not found:
+        intents = self._configuration().intents_for(caller.workspace.name, completion.model)
+        if not intents:
             detail = f"no model {completion.model!r} for workspace {caller.workspace.name!r}"
             raise RequestError(404, "Unknown model", detail, cause="bad_request")
-        return found[0]
+        return intents[0]
 
     def _slot_request_of(self, caller: Caller, completion: Completion) -> SlotRequestFactory:
-        """Return what a request needs, as a function of the groups to avoid."""
+        """Return a function from the groups to avoid to the request's requirements."""
         intent = self._find_intent(caller, completion)
         cost = prompt_cost(len(completion.text), completion.max_tokens)
         prefix = routing.prefix_identity(intent.model, intent.version, completion.text)
@@ -134,7 +134,7 @@
             try:
                 text = await response.read()
             except (aiohttp.ClientError, TimeoutError) as error:
-                raise answer_lost(url, error) from error
+                raise answer_lost_error(url, error) from error
             check_status(response.status, text)
             self._check_whole_answer(text, caller)
         self._attempts.check_permit(slot)
@@ -155,7 +155,7 @@
 
 
 def _response(answered: WholeAnswer, caller: Caller, completion: Completion) -> web.Response:
-    """Return a whole answer; of an earlier run, or for a caller that wanted a stream, too."""
+    """Return the response for a whole answer; as a stream if the caller asked for one."""
     headers = {"X-Request-Id": caller.id}
     if answered.repeated:
         headers["X-Repeated"] = "yes"
@@ -170,7 +170,10 @@
 
 
 def _as_stream(body: bytes) -> bytes:
-    """Return a whole answer as the events of a stream."""
+    """Return a whole answer as the events of a stream.
+
+    :param body: the answer as JSON.
+    """
     answer = json.loads(body)
     answer["object"] = "chat.completion.chunk"
     for choice in answer["choices"]:
--- a/packages/daemon/src/thorncleat_daemon/config.py
+++ b/packages/daemon/src/thorncleat_daemon/config.py
@@ -1,7 +1,7 @@
-"""Keeping the configuration: loading it, accepting changes, and passing them on.
+"""Loading, changing and distributing the configuration.
 
-Owns: this daemon's journal and whether it was ever loaded.
-Relies on: the store's compare-and-swap on the head, which makes one chain of all changes.
+Owns: this daemon's journal and whether it was loaded.
+Relies on: the store's compare-and-swap on the head, which orders all changes in one chain.
 """
 
 import asyncio
@@ -41,34 +41,28 @@
 from .ports import Unchanged
 from .ports import Write
 
-# daemons that watch the store
+# Number of daemons that watch the store.
 WATCHER_COUNT = 3
-# peers asked for the configuration while the store is away
 MAX_PEERS_ASKED = 3
-# first wait after a watch broke
+# First delay before a watch is restarted; it backs off after further failures.
 WATCH_RETRY_SECONDS = 0.2
-# between two looks whether this daemon is to watch
 WATCHER_POLL_INTERVAL_SECONDS = 1.0
 RECORD_KEY = "config"
-# revisions
 SNAPSHOT_INTERVAL_REVISIONS = 64
-# between looks at the store
 STORE_POLL_INTERVAL_SECONDS = 60.0
-# for finding out whether a write took effect
 READ_BACK_TIMEOUT_SECONDS = 5.0
-# entries sent to a peer before a snapshot is sent instead
+# A peer that lacks more entries gets a snapshot instead.
 MAX_ENTRIES_PER_ANSWER = 64
-# in which peers may bring what a watch announces
+# Delay in which the entries announced by a watch may arrive from peers.
 WATCH_GRACE_SECONDS = 0.1
-# between tries to get what was announced
 FOLLOW_INTERVAL_SECONDS = 0.5
 
 
 class ConfigManager(mode.Service):
-    """Holds this daemon's journal and keeps it up with the accepted one.
+    """Keeps this daemon's journal up to date with the accepted one.
 
-    Three daemons, chosen by rendezvous hashing, watch the store; all others hear of a change
-    over the overlay and fetch the entries from whoever told them.
+    A few daemons, selected by rendezvous hashing, watch the store; the others learn of a change
+    by gossip and fetch the entries from the sender.
     """
 
     def __init__(
@@ -100,17 +94,17 @@
         return self.journal.state
 
     async def accept(self, entry: Entry) -> int:
-        """Make an entry durable and apply it; return its revision.
+        """Make an entry durable, apply it and return its revision.
 
-        :raises ConflictError: if another entry came first.
-        :raises StoreUnavailableError: if it was not accepted.
-        :raises StoreOutcomeUnknownError: if that can't be found out now.
+        :raises ConflictError: if another entry has taken the revision.
+        :raises StoreUnavailableError: if the entry was not accepted.
+        :raises StoreOutcomeUnknownError: if it is unknown whether the entry was accepted.
         """
         head = await self._store.read(self._keys.head, Purpose.CONFIG)
         store_head = Head.decode(head.value) if head else Head()
         if store_head != self.journal.head:
             await self.catch_up()
-        # checked before it is written: what is accepted must be applicable everywhere
+        # Checked before the write, since every daemon must be able to apply an accepted entry.
         try:
             state = self.current.after(entry)
         except JournalError as error:
@@ -118,10 +112,10 @@
         operations = self._operations(entry, state)
         condition = Unchanged(self._keys.head, head.mod_revision if head else 0)
         try:
-            done = await self._store.transact([condition], operations, Purpose.CONFIG)
+            revision = await self._store.transact([condition], operations, Purpose.CONFIG)
         except StoreOutcomeUnknownError:
-            done = await self._read_back(entry)
-        if done is None:
+            revision = await self._read_back(entry)
+        if revision is None:
             await self.catch_up()
             raise ConflictError(f"revision {entry.revision!r} was taken by another change")
         self._apply([entry])
@@ -142,24 +136,24 @@
         return operations
 
     async def _read_back(self, entry: Entry) -> int | None:
-        """Find out whether a write took effect whose answer was lost."""
+        """Return the revision of a write whose answer was lost, or None if another entry won."""
         end = clock.now() + READ_BACK_TIMEOUT_SECONDS
         backoff = Backoff()
         while clock.now() < end:
             try:
-                found = await self._store.read(self._keys.entry(entry.revision), Purpose.CONFIG)
+                stored = await self._store.read(self._keys.entry(entry.revision), Purpose.CONFIG)
             except StoreUnavailableError:
                 await asyncio.sleep(backoff.failed(random.random()))
                 continue
-            if found is None:
+            if stored is None:
                 raise StoreUnavailableError("the write did not take effect")
-            same = Entry.decode(found.value).digest == entry.digest
-            events.STORE_READ_BACK.log(revision=entry.revision, own=same)
-            return found.mod_revision if same else None
+            is_own = Entry.decode(stored.value).digest == entry.digest
+            events.STORE_READ_BACK.log(revision=entry.revision, own=is_own)
+            return stored.mod_revision if is_own else None
         raise StoreOutcomeUnknownError(f"whether revision {entry.revision!r} was accepted")
 
     async def catch_up(self) -> None:
-        """Read what is newer from the store.
+        """Read newer entries from the store and apply them.
 
         :raises StoreUnavailableError: if the store can't be read.
         """
@@ -176,33 +170,33 @@
         while self.journal.head.revision < accepted_head.revision:
             before = self.journal.head.revision
             await self._apply_next_entry()
-            # a peer may have brought the entry meanwhile, which is as good
+            # Unchanged if the entry is missing; a peer may also have delivered it meanwhile.
             if self.journal.head.revision == before:
                 break
         self.is_loaded = True
 
     async def _apply_next_entry(self) -> None:
         key = self._keys.entry(self.journal.head.revision + 1)
-        found = await self._store.read(key, Purpose.CONFIG)
-        if found is None:
-            # erased since: the snapshot is newer than what was looked for
+        stored = await self._store.read(key, Purpose.CONFIG)
+        if stored is None:
+            # The entry was deleted, so the snapshot is newer.
             snapshot = await self._store.read(self._keys.snapshot, Purpose.CONFIG)
             if snapshot:
                 self._restore(State.decode(snapshot.value))
             return
-        self._apply([Entry.decode(found.value)])
+        self._apply([Entry.decode(stored.value)])
 
     def _apply(self, entries: list[Entry]) -> bool:
-        changed = [entry for entry in entries if self.journal.append(entry)]
-        if changed:
+        applied = [entry for entry in entries if self.journal.append(entry)]
+        if applied:
             self._record_applied()
-        return bool(changed)
+        return bool(applied)
 
     def _restore(self, state: State) -> bool:
-        changed = self.journal.restore(state)
-        if changed:
+        applied = self.journal.restore(state)
+        if applied:
             self._record_applied()
-        return changed
+        return applied
 
     def _record_applied(self) -> None:
         head = self.journal.head
@@ -231,10 +225,10 @@
                 events.TASK_FAILED.log(task="journal", reason=str(error), expected=True)
 
     async def fetch_from(self, peer: str) -> None:
-        """Fetch what is newer from a peer.
+        """Fetch newer entries from a peer and apply them.
 
-        :raises PeerError: if it doesn't answer.
-        :raises DecodeError: if its answer is broken.
+        :raises PeerError: if the peer doesn't answer.
+        :raises DecodeError: if its answer is malformed.
         """
         answer = await self._peers.ask(peer, "journal", self.journal.head.revision, 2.0)
         if answer.get("snapshot"):
@@ -249,7 +243,7 @@
 
     @mode.Service.task
     async def _load_task(self) -> None:
-        """Load at the start, from the store or else from peers, then look again now and then."""
+        """Load from the store, or else from peers, then poll the store."""
         backoff = Backoff()
         while not self.should_stop and not self.is_loaded:
             try:
@@ -269,9 +263,9 @@
         )
 
     async def fetch_announced(self) -> None:
-        """Try again to get what was announced, for as long as it is not applied here.
+        """Retry fetching the announced revision until it is applied.
 
-        Whoever announced it may not have been reachable, or not listed here yet.
+        The first attempt may have failed because the announcing daemon was unreachable or unlisted.
         """
         record = self._gossip.directory.get(RECORD_KEY)
         if record is None or record.version[0] <= self.journal.head.revision:
@@ -283,7 +277,7 @@
         await self.try_catch_up()
 
     async def _load_from_peers(self) -> None:
-        """Take the newest configuration that the peers know; one stale peer isn't enough."""
+        """Load the newest configuration of several peers, since a single one may be stale."""
         answers = 0
         others = [name for name in self._gossip.members.alive if name != self._me]
         for peer in random.sample(others, min(MAX_PEERS_ASKED, len(others))):
@@ -291,13 +285,13 @@
                 await self.fetch_from(peer)
                 answers += 1
             except (PeerError, DecodeError, JournalError):
-                # another peer is asked; too few answers leave this daemon unready, which shows
+                # The next peer is asked; with too few answers this daemon stays unready.
                 continue
         if answers >= min(2, len(others)) and self.journal.head.revision > 0:
             self.is_loaded = True
 
     async def try_catch_up(self) -> None:
-        """Read what is newer from the store, unless it is away."""
+        """Catch up from the store; log a failure instead of raising it."""
         try:
             await self.catch_up()
         except StoreError as error:
@@ -305,7 +299,7 @@
 
     @property
     def is_watcher(self) -> bool:
-        """Whether this daemon is one of the few that watch the store."""
+        """Whether this daemon is one of those that watch the store."""
         alive = self._gossip.members.alive
         return rendezvous.place("config-watch", self._me, alive, WATCHER_COUNT) is not None
 
@@ -323,14 +317,14 @@
                 await asyncio.sleep(backoff.failed(random.random()))
 
     async def _is_still_newer(self, head: Head) -> bool:
-        """Return whether a head is newer, after a moment in which the peers may bring it."""
+        """Return whether a head is still newer after a delay in which peers may deliver it."""
         if head.revision > self.journal.head.revision:
             await asyncio.sleep(WATCH_GRACE_SECONDS)
         return head.revision > self.journal.head.revision
 
     async def _watch(self, backoff: Backoff) -> None:
         async for value in self._store.watch(self._keys.head):
-            # an event only says that there is something: late and doubled ones do no harm
+            # An event is only a hint to catch up, so late and duplicate ones are harmless.
             if value is None or await self._is_still_newer(Head.decode(value.value)):
                 await self.catch_up()
             backoff.succeeded()
--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -1,7 +1,7 @@
-"""The daemon: builds its parts from the settings and runs them.
+"""The daemon: builds its services from the settings and runs them.
 
-Owns: every part, its sessions and its listeners.
-Relies on: settings that were checked before.
+Owns: all services, HTTP sessions and listeners.
+Relies on: validated settings.
 """
 
 import os
@@ -48,9 +48,9 @@
 from .upstream import single_session
 from .upstream import stream_session
 
-# for running requests when the daemon stops
+# Time for running requests to finish when the daemon stops.
 SHUTDOWN_TIMEOUT_SECONDS = 60.0
-# for tests only: the soak run must notice when claims are given without a lease
+# Disables the fencing of claims; a test checks that the soak run detects it.
 BROKEN_FENCE_VARIABLE = "THORNCLEAT_TEST_BROKEN_FENCE"
 
 
@@ -70,11 +70,11 @@
         self.metrics = Metrics()
 
     async def on_start(self) -> None:
-        """Build and start all parts, then listen."""
+        """Build and start all services, then listen."""
         self._build()
         settings = self._settings
         self.addresses["peers"] = await self._peers.start(settings.listen.peers)
-        for part in (
+        for service in (
             self._lag,
             self._gossip,
             self._config,
@@ -83,7 +83,7 @@
             self._permits,
             self._dispatcher,
         ):
-            await self.add_runtime_dependency(part)
+            await self.add_runtime_dependency(service)
         listen = settings.listen
         self.addresses["operators"] = await self._listen(
             self._operators.application(), listen.operators, listen.operators_tls, 1.0
@@ -94,21 +94,21 @@
         events.DAEMON_STARTED.log(**self.addresses)
 
     async def on_stop(self) -> None:
-        """Take no new requests, finish the running ones, then close."""
+        """Stop accepting requests and finish the running ones."""
         self._stopping = True
         events.DAEMON_STOPPING.log()
         for runner in reversed(self._runners):
             await runner.cleanup()
 
     async def on_shutdown(self) -> None:
-        """Close what the parts used, after they have stopped."""
+        """Close connections and sessions after the services have stopped."""
         await self._peers.stop()
         for session in self._sessions:
             await session.close()
         events.DAEMON_STOPPED.log()
 
     def not_ready_reason(self) -> str | None:
-        """Return why this daemon should get no requests, or None if it should."""
+        """Return why this daemon is not ready for requests, or None if it is."""
         if self._stopping:
             return "stopping"
         if not self._config.is_loaded:
@@ -128,7 +128,7 @@
         self._register_gauges()
 
     def _build_clients(self) -> None:
-        """Build what reaches the store, the platform, the engines and the other daemons."""
+        """Build the adapters to the store, the platform, the engines and the other daemons."""
         settings, me = self._settings, self._settings.daemon.id
         self._lag = LoopLag(clock.now)
         self._keys = Keyspace(settings.cluster)
@@ -146,7 +146,7 @@
         self._sessions += [session, *self._upstream.sessions]
 
     def _build_control(self) -> None:
-        """Build membership, configuration, shards with their groups, and claims."""
+        """Build membership, configuration, shards and claims."""
         settings, me = self._settings, self._settings.daemon.id
         control, invariants = settings.control, self.metrics.invariants
         self._gossip = Gossip(
@@ -157,7 +157,7 @@
             me, self._store, self._keys, self._gossip, self._peers, invariants
         )
         self._shards = ShardMap(me, self._gossip, control.shards)
-        self._holder = ShardHolder(self._services(), self._shards)
+        self._holder = ShardHolder(self._domain_services(), self._shards)
         self._claim_owner = ClaimOwner(
             self._store,
             self._keys,
@@ -168,8 +168,8 @@
             fenced=BROKEN_FENCE_VARIABLE not in os.environ,
         )
 
-    def _services(self) -> DomainServices:
-        """Return what the keepers of fabric domains use."""
+    def _domain_services(self) -> DomainServices:
+        """Return the services that the domain managers use."""
         settings, control = self._settings, self._settings.control
         return DomainServices(
             settings.daemon.id,
@@ -188,7 +188,7 @@
         )
 
     def _build_requests(self) -> None:
-        """Build what sends requests to groups and services."""
+        """Build the services that send requests to groups and plain services."""
         settings, limits = self._settings, self._settings.requests
         self._permits = PermitManager(
             settings.daemon.id,
@@ -213,7 +213,7 @@
         self._plain = PlainServices(self._configuration, self._upstream, claims, self.metrics)
 
     def _build_listeners(self) -> None:
-        """Build the callers' and the operators' side."""
+        """Build the HTTP applications of callers and operators."""
         settings, limits = self._settings, self._settings.requests
         recent = RecentRequests(settings.daemon.id)
         self._entry = Entry(
@@ -226,7 +226,7 @@
             limits.body,
             limits.deadline,
         )
-        parts = OperatorServices(
+        operator_services = OperatorServices(
             settings.daemon.id,
             self._config,
             self._gossip,
@@ -239,7 +239,7 @@
             lambda: self._store.is_reachable,
             settings.control.load,
         )
-        self._operators = Operators(parts, settings.operators)
+        self._operators = Operators(operator_services, settings.operators)
 
     def _register_gauges(self) -> None:
         metrics = self.metrics
@@ -250,7 +250,9 @@
         )
         metrics.gauge("shards_held", "Shards held", lambda: float(len(self._holder.held)))
         metrics.gauge("waiting", "Requests in queues", lambda: float(self._dispatcher.waiting))
-        metrics.gauge("loop_lag_worst", "Longest delay of a timer, s", lambda: self._lag.worst)
+        metrics.gauge(
+            "loop_lag_worst", "Longest delay of a timer, s", lambda: self._lag.worst_seconds
+        )
         metrics.gauge(
             "store_reachable", "Whether the store answers", lambda: float(self._store.is_reachable)
         )
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -1,7 +1,7 @@
-"""Deciding when and where each request is sent: queue, credits, choice of group.
+"""Admission and group selection of requests, by the credits of the permits held.
 
-Owns: the queue of each intent, and what is outstanding in each group.
-Relies on: permits and their credits (:mod:`.permits`); each slot being given back once.
+Owns: the queue of each intent, and the outstanding work of each group.
+Relies on: permits and their credits (:mod:`.permits`); each slot being released once.
 """
 
 import asyncio
@@ -24,22 +24,21 @@
 from .exceptions import RequestError
 from .permits import PermitManager
 
-# between looks at what waits
 QUEUE_POLL_INTERVAL_SECONDS = 0.05
-# of a prompt, for its estimated cost
+# Estimates a prompt's tokens from its length.
 CHARACTERS_PER_TOKEN = 4
-# in which a new group comes up to full weight
+# Time until a new group is chosen as often as the others.
 WARM_UP_SECONDS = 5.0
-# weight of a group that has just come up
 INITIAL_WARMTH = 0.2
 
 
 @dataclasses.dataclass
 class Slot:
-    """Room for one request in one group.
+    """A reservation for one request in one group.
 
-    :param generation: of the group when the room was given.
+    :param generation: the group's generation when the slot was assigned.
     :param leader: address to send the request to.
+    :param cost: tokens charged.
     """
 
     group: str
@@ -51,10 +50,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class SlotRequest:
-    """What a request needs.
+    """The requirements of a request that waits for a slot.
 
-    :param prefix: identity of the prompt's beginning.
-    :param avoid: groups that have just failed it.
+    :param cost: tokens charged.
+    :param deadline: on the monotonic clock, in seconds.
+    :param prefix: identity of the prompt's beginning, for cache affinity.
+    :param avoid: groups in which an earlier attempt failed.
     """
 
     intent: Intent
@@ -73,32 +74,35 @@
 
 
 def prompt_cost(characters: int, max_tokens: int) -> int:
-    """Return the tokens that a request is charged with."""
+    """Return the tokens that a request is charged.
+
+    :param characters: length of the prompt.
+    """
     return characters // CHARACTERS_PER_TOKEN + max_tokens + 1
 
 
 class OutstandingWork:
-    """What this daemon has outstanding in each group, in tokens and requests."""
+    """Counts this daemon's outstanding tokens and requests in each group."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, collections.Counter[str]] = {}
         self._requests: collections.Counter[str] = collections.Counter()
 
     def requests(self, group: str) -> int:
-        """Return the requests outstanding in a group."""
+        """Return the number of outstanding requests of a group."""
         return self._requests[group]
 
     def tokens(self, group: str) -> collections.Counter[str]:
-        """Return the tokens outstanding in a group, for each workspace."""
+        """Return the outstanding tokens of a group by workspace."""
         return self._tokens.setdefault(group, collections.Counter())
 
     def add(self, slot: Slot) -> None:
-        """Count a request in."""
+        """Add a request that was sent."""
         self._requests[slot.group] += 1
         self.tokens(slot.group)[slot.workspace] += slot.cost
 
     def remove(self, slot: Slot) -> None:
-        """Count a request out."""
+        """Remove a request that ended."""
         self._requests[slot.group] -= 1
         tokens = self.tokens(slot.group)
         tokens[slot.workspace] -= slot.cost
@@ -106,7 +110,10 @@
             del tokens[slot.workspace]
 
     def available_tokens(self, held: HeldPermit, workspace: str) -> int:
-        """Return the tokens that a workspace may still send to a group."""
+        """Return the tokens that a workspace may still send to a group.
+
+        The spare credits of a permit are shared by all workspaces that exceed their own.
+        """
         permit = held.permit
         tokens = self.tokens(permit.group)
         own = max(0, permit.credits.get(workspace, 0) - tokens[workspace])
@@ -117,10 +124,10 @@
 
 
 class Dispatcher(mode.Service):
-    """Gives out room in the groups, fairly and in time.
+    """Assigns slots in groups to waiting requests, fairly across workspaces.
 
-    :param routing_choice: how a group is chosen.
-    :param queue_tokens: tokens that may wait for each workspace and intent.
+    :param routing_choice: name of the routing policy.
+    :param queue_tokens: limit of queued tokens for each workspace and intent.
     """
 
     def __init__(
@@ -145,30 +152,32 @@
         permits.on_renewed(self._serve_all_queues)
 
     def in_flight(self, group: str) -> int:
-        """Return the requests that run in a group."""
+        """Return the number of requests running in a group."""
         return self._outstanding.requests(group)
 
     def demand(self, group: str) -> dict[str, int]:
-        """Return the tokens that run in a group or wait for one, for each workspace."""
+        """Return the tokens running in a group or queued for it, by workspace."""
         demand = collections.Counter(self._outstanding.tokens(group))
         intent = group.rsplit("-", 1)[0]
         queue = self._queues.get(intent)
         if queue:
-            found = self._configuration().intents.get(intent)
-            groups = self._permits.groups(intent, found.model) if found else []
+            configured_intent = self._configuration().intents.get(intent)
+            groups = (
+                self._permits.groups(intent, configured_intent.model) if configured_intent else []
+            )
             for workspace, waiting in queue.waiting_cost.items():
                 demand[workspace] += -(-waiting // max(1, len(groups)))
         return {name: amount for name, amount in demand.items() if amount > 0}
 
     @property
     def waiting(self) -> int:
-        """Requests in all queues."""
+        """The number of requests in all queues."""
         return sum(len(queue) for queue in self._queues.values())
 
     async def acquire(self, request: SlotRequest) -> Slot:
-        """Wait for room and return it; it has to be given back with :meth:`release`.
+        """Wait for a slot and return it; the caller must :meth:`release` it.
 
-        :raises RequestError: if there will be none in time. The request was not run.
+        :raises RequestError: if the queue is full or the deadline passes. The request was not run.
         """
         queue = self._queues.setdefault(request.intent.name, FairQueue(self._queue_tokens))
         future: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
@@ -179,9 +188,9 @@
             request.priority,
             request.deadline,
         )
-        refused = queue.refuse(waiting, self._clock())
-        if refused is not None:
-            raise _overload_error(request, refused)
+        retry_seconds = queue.refuse(waiting, self._clock())
+        if retry_seconds is not None:
+            raise _overload_error(request, retry_seconds)
         ticket = queue.add(waiting)
         self._serve_queue(request.intent.name)
         if not future.done():
@@ -198,13 +207,13 @@
     ) -> None:
         future = waiting.item.future
         if future.done() and not future.cancelled() and future.exception() is None:
-            # the room was given at the same moment as the caller went
+            # The slot was assigned just before the cancellation.
             self.release(future.result())
         else:
             queue.drop(ticket, waiting)
 
     def release(self, slot: Slot) -> None:
-        """Give room back."""
+        """Release a slot and serve the queue of its intent."""
         self._outstanding.remove(slot)
         self._serve_queue(slot.group.rsplit("-", 1)[0])
 
@@ -215,7 +224,7 @@
             self._fail_expired()
             self._serve_all_queues()
             if self.waiting:
-                # the credits may have been given out anew
+                # A renewal may bring more credits.
                 await self._permits.renew_early()
 
     def _fail_expired(self) -> None:
@@ -259,7 +268,7 @@
             held
             for held in usable
             if self._outstanding.available_tokens(held, workspace) >= cost
-            # a request larger than any credit must get through some time
+            # A request that exceeds any credit runs alone instead of waiting forever.
             or (not self._outstanding.requests(held.permit.group) and held.permit.spare > 0)
         ]
 
@@ -279,7 +288,7 @@
 
     def _routing_candidate(self, group: str, generation: int, now: float) -> routing.Candidate:
         since = self._first_used_at.setdefault((group, generation), now)
-        # the first group ever seen is as warm as any other
+        # Groups first used together are equally warm, so their order doesn't change.
         warmth = min(1.0, INITIAL_WARMTH + (now - since) / WARM_UP_SECONDS)
         return routing.Candidate(group, self._outstanding.tokens(group).total(), warmth=warmth)
 
--- a/packages/daemon/src/thorncleat_daemon/domain_keepers.py
+++ b/packages/daemon/src/thorncleat_daemon/domain_keepers.py
@@ -1,8 +1,8 @@
-"""The keepers that run on this daemon, and the permits that other daemons ask them for.
+"""The domain managers of this daemon, and the permit requests of other daemons.
 
-Owns: one keeper for each domain that this daemon holds or stands in for, and their tasks.
-Relies on: the leases that the holder (:mod:`.holder`) has; directory records of groups, which
-say to which domain a group belongs and what to keep while standing in.
+Owns: one manager for each domain that this daemon serves, and the managers' tasks.
+Relies on: the leases of :mod:`.holder`; directory records of groups, which name a group's domain
+and, for a manager without a lease, its assignments.
 """
 
 import asyncio
@@ -19,16 +19,16 @@
 from .domains import DomainManager
 from .shard_map import ShardMap
 
-# seconds without a question after which a keeper without a lease ends
+# A manager without a lease ends after this time without a permit request.
 LEASELESS_IDLE_SECONDS = 10.0
 
 
 class DomainManagers:
-    """Runs a keeper for each domain of the shards held, and stands in for absent holders.
+    """Runs a manager for each domain of the shards held, and for those of unreachable holders.
 
     :param held: the leases that this daemon holds, by shard.
-    :param spawns: whether keepers run by themselves; tests step them instead.
-    :param should_stop: whether the daemon stops.
+    :param runs_tasks: whether managers run as tasks; False if a test steps them.
+    :param should_stop: whether the daemon is stopping.
     """
 
     def __init__(
@@ -51,14 +51,14 @@
 
     @property
     def by_domain(self) -> t.Mapping[str, DomainManager]:
-        """The keepers, by fabric domain."""
+        """The domain managers, by fabric domain."""
         return self._managers
 
     def update(self) -> None:
-        """Run a keeper for each domain of the shards held, and end those without use."""
+        """Run a manager for each domain of the shards held, and end those no longer needed."""
         placements = self._services.config().placements.values()
         domains = {placed.domain for placed in placements}
-        # and those that have groups still which the configuration names no more
+        # Domains may still have groups that the configuration no longer names.
         records = self._services.gossip.directory.under("group/")
         domains |= {str(record.body["domain"]) for record in records if not record.body.get("gone")}
         for domain in sorted(domains):
@@ -71,18 +71,18 @@
                 self._end(domain)
 
     def drop_lease(self, lease: HeldLease) -> None:
-        """Let the keepers of a lost lease go on without it."""
+        """Let the managers of a lost lease continue without it."""
         for manager in self._managers.values():
             if manager.lease is lease:
                 manager.drop_lease()
 
     def end_all(self) -> None:
-        """End all keepers that run."""
+        """End all running managers."""
         for domain in list(self._running):
             self._end(domain)
 
     def _is_unneeded(self, manager: DomainManager) -> bool:
-        """Return whether nobody has asked a keeper without a lease for a while."""
+        """Return whether a manager without a lease has had no permit request for a while."""
         idle = self._services.clock() - manager.last_request_at
         return manager.lease is None and idle > LEASELESS_IDLE_SECONDS
 
@@ -107,10 +107,10 @@
         for task in self._running.pop(domain, []):
             task.cancel()
 
-    # permits
+    # Permits
 
     async def _on_permit(self, sender: str, body: t.Any) -> t.Any:
-        """Answer for each group asked about; groups of others are passed over."""
+        """Return permits for the requested groups; groups managed elsewhere are omitted."""
         weights = self._services.config().configuration.shares
         answers = []
         for raw in body:
@@ -132,12 +132,10 @@
         return manager
 
     def _can_stand_in(self, domain: str) -> bool:
-        """Return whether to keep a domain without a lease.
+        """Return whether this daemon may issue permits for a domain without a lease.
 
-        A candidate is asked only by a daemon that got no answer from the holder: it has
-        died, or the store is away and its lease lapsed with it, or it can't be reached.
-        Standing in changes nothing, so it is safe whatever the reason; it saves the groups
-        from being closed until the shard is held again.
+        Another daemon asks a candidate only if the holder doesn't answer. A manager without a lease
+        changes nothing, so it is safe, and the groups stay open until the shard is held again.
         """
         shard = self._shards.shard_of(domain)
         return shard not in self._held and self._shards.rank(shard) is not None
--- a/packages/daemon/src/thorncleat_daemon/domain_state.py
+++ b/packages/daemon/src/thorncleat_daemon/domain_state.py
@@ -1,8 +1,8 @@
-"""What the keeper of a fabric domain knows of it, shared by the keeper's parts.
+"""State and services shared by the components that manage one fabric domain.
 
 Owns: a domain's assignments with their revision in the store, the lease under which they are
-changed, and the domain's rows of the platform's list.
-Relies on: the one keeper that reads and replaces them; no two keepers share a state.
+changed, and the domain's instances.
+Relies on: one manager that reads and replaces them; no two managers share a state.
 """
 
 import dataclasses
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass
 class DomainServices:
-    """What a keeper uses.
+    """The services and settings that a domain manager uses.
 
     :param config: returns the current configuration.
     :param group_tokens: tokens that a group can have in flight.
     :param poll: seconds between fetches of the platform's list.
-    :param late: whether this daemon's own loop is late, see :mod:`.lag`.
+    :param is_loop_late: returns whether this daemon's event loop is late, see :mod:`.lag`.
     """
 
     me: str
@@ -47,7 +47,7 @@
     gossip: Gossip
     config: t.Callable[[], State]
     control: Control
-    terms: LeaseTerms
+    lease_terms: LeaseTerms
     group_tokens: int
     poll: float
     clock: Clock = clock.now
@@ -55,18 +55,18 @@
 
     @property
     def takeover_wait_seconds(self) -> float:
-        """Seconds after which nothing counts any more that an earlier keeper has given."""
+        """Seconds after which all permits and orders of an earlier manager have expired."""
         return max(self.control.window, self.control.permit) * (1 + MAX_DRIFT)
 
 
 @dataclasses.dataclass
 class DomainState:
-    """One fabric domain as its keeper knows it.
+    """The state of one fabric domain.
 
-    :param epoch: of the keeper; it fences the keeper's orders.
-    :param lease: None once it is lost, or for a keeper that stands in.
-    :param loaded: whether the assignments are what the store has, as far as is known.
-    :param mod_revision: of the assignments in the store.
+    :param epoch: fencing token of the manager's orders.
+    :param lease: None if it was lost or never held.
+    :param is_loaded: whether the assignments are those last seen in the store.
+    :param mod_revision: revision of the assignments in the store.
     :param listed: the domain's instances as the platform lists them, by id.
     """
 
@@ -79,22 +79,22 @@
     listed: t.Mapping[str, Instance] = dataclasses.field(default_factory=dict)
 
     def address(self, instance: str) -> str | None:
-        """Return the address of an instance, if it is listed."""
+        """Return the address of an instance, or None if it isn't listed."""
         listed = self.listed.get(instance)
         return listed.address if listed else None
 
     def group_of(self, instance: str) -> Group | None:
-        """Return the group that an instance is assigned to."""
+        """Return the group that an instance is assigned to, or None."""
         for group in self.assignments.groups.values():
             if instance in group.members:
                 return group
         return None
 
     def checked_lease(self, now: float) -> HeldLease:
-        """Return the lease; called right before each act that needs it.
+        """Return the lease; call this right before each action that needs it.
 
-        :raises StoreUnavailableError: if there is none.
-        :raises LeaseError: if it may have lapsed.
+        :raises StoreUnavailableError: if there is no lease.
+        :raises LeaseError: if it may have expired.
         """
         if self.lease is None:
             raise StoreUnavailableError("no lease")
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -1,8 +1,8 @@
-"""Keeping the groups of one fabric domain: what is probed, ordered, changed and permitted.
+"""Managing the groups of one fabric domain: probes, orders, changes and permits.
 
-Owns: one domain's state (:mod:`.domain_state`) and the permits given for its groups.
-Relies on: its holder to step it and to take the lease away; the parts that do one job each
-(:mod:`.instance_probes`, :mod:`.open_groups`, :mod:`.order_giver`, :mod:`.group_changes`).
+Owns: one domain's state (:mod:`.domain_state`) and the permits issued for its groups.
+Relies on: its holder for running it and for withdrawing the lease; :mod:`.instance_probes`,
+:mod:`.open_groups`, :mod:`.order_giver` and :mod:`.group_changes` for the single steps.
 """
 
 import typing as t
@@ -26,11 +26,11 @@
 
 
 class DomainManager:
-    """Keeps one fabric domain, with a lease or without.
+    """Manages one fabric domain, with a lease or without.
 
-    Without a lease it goes on probing members and giving permits for the assignments that it
-    knows, which is safe because a permit rests on what the members say themselves; it gives
-    no order and changes nothing. It stops when any member names a later epoch.
+    Without a lease it only probes members and issues permits for the known assignments, which is
+    safe because a permit depends on the members' own reports. It is superseded when a member
+    reports a later epoch.
     """
 
     def __init__(
@@ -64,12 +64,12 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch that the keeper's orders name."""
+        """The epoch of the manager's orders."""
         return self._state.epoch
 
     @property
     def lease(self) -> HeldLease | None:
-        """The lease on the domain's shard; None while it stands in."""
+        """The lease on the domain's shard; None if it was lost or never held."""
         return self._state.lease
 
     @property
@@ -88,12 +88,12 @@
         return self._probes.reports
 
     def adopt(self, assignments: Assignments) -> None:
-        """Begin without a lease, from assignments known otherwise."""
+        """Start without a lease, from assignments taken from the directory."""
         self._state.assignments = assignments
         self._state.is_loaded = True
 
     def drop_lease(self) -> None:
-        """Go on without a lease: permits for what stands, until a later epoch shows."""
+        """Continue without a lease, issuing permits for the present assignments only."""
         self._state.lease = None
 
     async def load(self) -> None:
@@ -102,38 +102,40 @@
         :raises StoreUnavailableError: if it can't be read.
         """
         state = self._state
-        found = await self._services.store.read(
+        stored = await self._services.store.read(
             self._services.keys.domain(state.domain), Purpose.ASSIGN
         )
-        state.mod_revision = found.mod_revision if found else 0
-        state.assignments = Assignments.decode(found.value) if found else Assignments(state.domain)
+        state.mod_revision = stored.mod_revision if stored else 0
+        state.assignments = (
+            Assignments.decode(stored.value) if stored else Assignments(state.domain)
+        )
         state.is_loaded = True
         self._open_groups.publish_all()
 
     async def refresh(self) -> None:
         """Fetch the domain's part of the platform's list.
 
-        :raises PlatformError: if it can't be had; the part known stays in use.
+        :raises PlatformError: if that fails; the list fetched last stays in use.
         """
         rows = await self._services.instances.domain(self.domain)
         self._state.listed = {instance.id: instance for instance in rows}
 
     async def watch(self) -> None:
-        """Probe the instances once, and open or close groups by what they say."""
+        """Probe the instances once, and open or close groups by their reports."""
         if not self._state.is_loaded or not self.listed:
             return
         await self._probe_all()
         if self.is_superseded:
-            # the permits that were given end by themselves; the next holder waits for that
+            # Issued permits expire by themselves; the next holder waits for that.
             return
         self._has_probed = True
         self._open_groups.update()
         self.downtime.add(self.assignments.groups.values(), self._open_groups.ids, self.listed)
 
     async def repair(self) -> None:
-        """Give orders and change assignments once, where that is due.
+        """Send due orders and carry out due changes of the assignments once.
 
-        It runs beside :meth:`watch`, so that a slow store or engine delays no probe.
+        It runs concurrently with :meth:`watch`, so that a slow store or engine delays no probe.
         """
         if self.lease is None or self.is_superseded:
             return
@@ -147,7 +149,10 @@
     def permit(
         self, daemon: str, request: PermitRequest, weights: t.Mapping[str, float]
     ) -> Permit | None:
-        """Answer a daemon that wants to use a group; None if another one has to answer."""
+        """Return a permit for a daemon to use a group; None if this manager can't decide.
+
+        :param weights: share of each workspace.
+        """
         if self.is_superseded or not self._has_probed:
             return None
         group = self.assignments.groups.get(request.group)
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -1,7 +1,7 @@
-"""What the groups of a domain have cost so far: downtime, and accelerators stranded by it.
+"""Downtime of a domain's groups and the accelerators stranded by it.
 
-Owns: seconds of downtime since this daemon began to keep the domain.
-Relies on: being called once for each round of probes.
+Owns: seconds of downtime since this daemon began to manage the domain.
+Relies on: one call after each round of probes.
 """
 
 import collections
@@ -13,7 +13,7 @@
 
 
 class Downtime:
-    """Adds up the time in which assigned groups could not answer."""
+    """Accumulates the time in which assigned groups could not answer."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -23,12 +23,12 @@
 
     @property
     def group_seconds(self) -> t.Mapping[str, float]:
-        """Seconds for each group."""
+        """Seconds of downtime, by group."""
         return self._group_seconds
 
     @property
     def stranded_seconds(self) -> float:
-        """Accelerators times the seconds in which their group could not answer."""
+        """Accelerator-seconds in which their group could not answer."""
         return self._stranded
 
     def add(
@@ -37,7 +37,7 @@
         open_groups: t.Container[str],
         listed: t.Mapping[str, Instance],
     ) -> None:
-        """Account for the time since the last call.
+        """Add the time since the last call for each group that is not open.
 
         :param listed: the domain's instances, for their accelerators.
         """
--- a/packages/daemon/src/thorncleat_daemon/engines.py
+++ b/packages/daemon/src/thorncleat_daemon/engines.py
@@ -1,4 +1,4 @@
-"""Adapter to the control side of the model engines.
+"""Adapter to the control interface of the model engines.
 
 Owns: nothing.
 Relies on: engines that refuse orders of an earlier epoch.
@@ -19,9 +19,9 @@
 
 
 class HttpEngines:
-    """Probes engines and gives them orders over HTTP.
+    """Probes engines and sends them orders over HTTP.
 
-    :param timeout: seconds for a call; an order that takes longer counts as lost.
+    :param timeout: seconds for a call; an order that takes longer counts as failed.
     """
 
     def __init__(self, session: aiohttp.ClientSession, timeout: float) -> None:
@@ -29,9 +29,10 @@
         self._timeout = aiohttp.ClientTimeout(total=timeout)
 
     async def probe(self, address: str) -> InstanceReport:
-        """Ask an engine what it is.
+        """Return an engine's report of itself.
 
-        :raises EndpointError: if it doesn't answer, or not as an engine.
+        :raises EndpointSilentError: if it doesn't answer in time.
+        :raises EndpointError: if it can't be reached or its answer is invalid.
         """
         url = f"http://{address}/v1/state"
         try:
@@ -44,10 +45,10 @@
             raise EndpointError(f"probe of {address!r}: {error!r}") from error
 
     async def order(self, address: str, order: Order) -> None:
-        """Give an engine an order.
+        """Send an engine an order.
 
-        :raises StaleOrderError: if it follows a later epoch.
-        :raises EndpointError: if it doesn't answer.
+        :raises StaleOrderError: if the engine follows a later epoch.
+        :raises EndpointError: if the engine doesn't answer or fails.
         """
         url = f"http://{address}/v1/orders"
         body = dataclasses.asdict(order)
--- a/packages/daemon/src/thorncleat_daemon/entry.py
+++ b/packages/daemon/src/thorncleat_daemon/entry.py
@@ -1,7 +1,7 @@
-"""The callers' side: the HTTP application that takes requests.
+"""The HTTP application for callers.
 
-Owns: the gate for callers' requests.
-Relies on: the balancer asking ``/readyz`` before it sends requests.
+Owns: the gate that limits how many requests start at the same time.
+Relies on: a load balancer that checks ``/readyz``.
 """
 
 import typing as t
@@ -28,11 +28,11 @@
 
 
 class Entry:
-    """Takes the callers' requests.
+    """Handles the callers' requests.
 
-    :param ready: whether this daemon should get requests.
+    :param not_ready_reason: returns why this daemon is not ready, or None if it is.
     :param body_limit: largest body in bytes.
-    :param deadline: seconds for a request that doesn't say.
+    :param deadline: default deadline in seconds.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         app.router.add_post(PATH, self._complete)
         app.router.add_get("/v1/models", self._models)
         app.router.add_route("*", "/v1/services/{service}/{tail:.*}", self._call)
-        app.router.add_get("/healthz", self._healthy)
+        app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
         app.router.add_get("/metrics", self._show_metrics)
         return app
@@ -105,7 +105,7 @@
     ) -> web.Response:
         request_id = caller.id if caller else "none"
         workspace = caller.workspace.name if caller else "unknown"
-        # a caller's own mistake doesn't count against the objective
+        # A caller's mistake doesn't count against the service level.
         if error.cause in ("bad_request", "unauthorized", "repeat"):
             self._metrics.requests.labels(workspace, error.cause).inc()
         else:
@@ -141,7 +141,7 @@
         ]
         return web.json_response({"object": "list", "data": rows})
 
-    async def _healthy(self, request: web.Request) -> web.Response:
+    async def _healthz(self, request: web.Request) -> web.Response:
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.Response:
--- a/packages/daemon/src/thorncleat_daemon/events.py
+++ b/packages/daemon/src/thorncleat_daemon/events.py
@@ -1,7 +1,7 @@
-"""Numbered log events. The catalogue in ``docs/LOGS.md`` is checked against this module.
+"""Numbered log events; a test compares them with ``docs/LOGS.md``.
 
 Owns: the catalogue of this program's events.
-Relies on: numbers that are never given a second meaning.
+Relies on: numbers that are never reused.
 """
 
 import logging
--- a/packages/daemon/src/thorncleat_daemon/exceptions.py
+++ b/packages/daemon/src/thorncleat_daemon/exceptions.py
@@ -1,30 +1,30 @@
-"""Errors of the daemon's layers; each adapter turns those of its library into these.
+"""Exceptions of the daemon; adapters convert those of their libraries into these.
 
 Owns: nothing.
-Relies on: adapters that let no error of a library through.
+Relies on: adapters that let no exception of a library through.
 """
 
 from thorncleat_core.exceptions import ThorncleatError
 
 
 class StoreError(ThorncleatError):
-    """Base class of errors of the platform's key-value service."""
+    """Base class of errors of the store."""
 
 
 class StoreUnavailableError(StoreError):
-    """The call was not carried out; it may be made again later."""
+    """The call was not carried out and may be retried."""
 
 
 class StoreOutcomeUnknownError(StoreError):
-    """A write may or may not have taken effect; it has to be read back."""
+    """A write may or may not have taken effect; it must be read back."""
 
 
 class StoreRefusedError(StoreError):
-    """The store understood the call and will never carry it out."""
+    """The store rejected the call; a retry can't succeed."""
 
 
 class PlatformError(ThorncleatError):
-    """The platform's list of instances can't be had."""
+    """The platform's list of instances can't be fetched."""
 
 
 class PeerError(ThorncleatError):
@@ -32,11 +32,11 @@
 
 
 class EndpointError(ThorncleatError):
-    """An endpoint did not answer a probe or an order."""
+    """An endpoint did not answer a probe or an order correctly."""
 
 
 class EndpointSilentError(EndpointError):
-    """An endpoint did not answer in time; nothing else is known of it."""
+    """An endpoint did not answer in time."""
 
 
 class StaleOrderError(EndpointError):
@@ -47,11 +47,11 @@
     """A request can't be answered.
 
     :param status: HTTP status.
-    :param title: what is wrong, the same for all of a kind.
-    :param detail: what is wrong with this request.
-    :param executed: ``no``, ``yes`` or ``unknown``.
-    :param retry_after: seconds after which coming back helps; None if it doesn't.
-    :param cause: the name under which it is counted.
+    :param title: summary of the problem type.
+    :param detail: explanation of this occurrence.
+    :param executed: whether the request ran: ``no``, ``yes`` or ``unknown``.
+    :param retry_after: seconds after which a retry may succeed; None if it can't.
+    :param cause: label of the error in metrics and logs.
     """
 
     def __init__(
--- a/packages/daemon/src/thorncleat_daemon/gate.py
+++ b/packages/daemon/src/thorncleat_daemon/gate.py
@@ -1,12 +1,9 @@
-"""Letting requests in a few at a turn of the loop.
+"""Limiting how many requests start in one iteration of the event loop.
 
-Starting a request costs milliseconds of processor time. When hundreds come at once and all
-start in the same turn, the loop gets to nothing else for a second: probes come late, permits
-end, and the daemon closes its own groups. The gate keeps each turn short; the rush takes as
-long as before, and the control work goes on in between.
+A burst of requests would otherwise block the loop so long that probes and permits expire.
 
-Owns: the requests that wait for their turn.
-Relies on: a turn of the loop being short once few requests start in it.
+Owns: the requests that wait to start.
+Relies on: a short loop iteration if few requests start in it.
 """
 
 import asyncio
@@ -14,26 +11,26 @@
 
 
 class Gate:
-    """Lets a bounded number of requests start in each turn of the loop.
+    """Lets a bounded number of requests start in each iteration of the event loop.
 
-    :param per_turn: how many.
-    :param limit: how many may wait; more are refused.
+    :param per_iteration: requests started in an iteration.
+    :param limit: requests that may wait; more are refused.
     """
 
-    def __init__(self, per_turn: int = 2, limit: int = 5000) -> None:
-        self._per_turn = per_turn
+    def __init__(self, per_iteration: int = 2, limit: int = 5000) -> None:
+        self._per_iteration = per_iteration
         self._limit = limit
-        self._left = per_turn
+        self._starts_left = per_iteration
         self._waiting: collections.deque[asyncio.Future[None]] = collections.deque()
         self._scheduled = False
 
     async def enter(self) -> bool:
-        """Wait for this request's turn; False if too many wait already."""
+        """Wait until the request may start; return False if too many wait already."""
         if len(self._waiting) >= self._limit:
             return False
         self._schedule()
-        if self._left > 0 and not self._waiting:
-            self._left -= 1
+        if self._starts_left > 0 and not self._waiting:
+            self._starts_left -= 1
             return True
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
@@ -43,15 +40,15 @@
     def _schedule(self) -> None:
         if not self._scheduled:
             self._scheduled = True
-            asyncio.get_running_loop().call_soon(self._next_turn)
+            asyncio.get_running_loop().call_soon(self._start_waiting)
 
-    def _next_turn(self) -> None:
+    def _start_waiting(self) -> None:
         self._scheduled = False
-        self._left = self._per_turn
-        while self._waiting and self._left > 0:
+        self._starts_left = self._per_iteration
+        while self._waiting and self._starts_left > 0:
             future = self._waiting.popleft()
             if not future.done():
                 future.set_result(None)
-                self._left -= 1
+                self._starts_left -= 1
         if self._waiting:
             self._schedule()
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -1,7 +1,7 @@
-"""Passing records on among the daemons, and probing the neighbours.
+"""Gossip: spreading records among the daemons and probing overlay neighbours.
 
 Owns: the directory and the membership.
-Relies on: the platform's list for addresses; peers for everything newer.
+Relies on: the platform's list for addresses; neighbours for all newer records.
 """
 
 import asyncio
@@ -22,18 +22,17 @@
 from .ports import InstanceList
 from .ports import Peers
 
-# for which records wait for others to go out with
+# Records wait this long to be batched with others.
 FLUSH_DELAY_SECONDS = 0.02
-# records in one message
 MAX_RECORDS_PER_MESSAGE = 500
 Listener = t.Callable[[Record, str], None]
 
 
 class Gossip(mode.Service):
-    """Keeps the directory and the membership.
+    """Maintains the directory and the membership.
 
     :param me: this daemon's id.
-    :param probe: seconds between probes; each goes to the next neighbour in turn.
+    :param probe: seconds between probes; neighbours are probed in rotation.
     :param poll: seconds between fetches of the platform's list.
     """
 
@@ -64,23 +63,23 @@
         peers.handle("ping", self._on_ping)
 
     def listen(self, prefix: str, listener: Listener) -> None:
-        """Call a function for each new record under a prefix; it gets the sender too."""
+        """Register a function to call with each new record under a prefix and its sender."""
         self._listeners[prefix] = listener
 
     def on_listed(self, listener: t.Callable[[int], None]) -> None:
-        """Call a function with the number of daemons whenever the list was fetched."""
+        """Register a function to call with the number of daemons after each fetch of the list."""
         self._list_listeners.append(listener)
 
     def publish(self, record: Record) -> None:
-        """Put a record into the directory and pass it on."""
+        """Put a record into the directory and send it to the neighbours."""
         self._apply_record(record, self._me)
 
     async def on_start(self) -> None:
-        """Fetch the list once before anything else needs it."""
+        """Fetch the list before other services start."""
         await self.fetch()
 
     async def fetch(self) -> None:
-        """Fetch the platform's list."""
+        """Fetch the platform's list; a failure is logged."""
         try:
             entries = await self._instances.entries()
         except PlatformError as error:
@@ -116,7 +115,7 @@
     async def _on_sync(self, sender: str, body: t.Any) -> t.Any:
         versions = {key: tuple(version) for key, version in body.items()}
         own_versions = self.directory.versions()
-        # what the other one has newer is asked for in the same answer
+        # The answer also requests the records that the sender has newer.
         older_keys = [
             key for key, version in versions.items() if own_versions.get(key, ()) < version
         ]
@@ -136,13 +135,13 @@
     async def _flush_task(self) -> None:
         while not self.should_stop:
             await self._has_outgoing.wait()
-            # records that come together go out together
+            # Records that arrive together are sent together.
             await asyncio.sleep(FLUSH_DELAY_SECONDS)
             self._has_outgoing.clear()
             await self.flush()
 
     async def flush(self) -> None:
-        """Pass on to the neighbours what is new."""
+        """Send new records to all neighbours except the one that sent them."""
         outbox, self._outbox = self._outbox, []
         for neighbour in self.members.neighbours:
             records = [record for record, sender in outbox if sender != neighbour]
@@ -151,7 +150,7 @@
             try:
                 await self._peers.send(neighbour, "records", records[:MAX_RECORDS_PER_MESSAGE])
             except PeerError:
-                # the comparison with one neighbour a second brings what was lost
+                # The next probe compares checksums and repairs the loss.
                 continue
 
     @mode.Service.task
@@ -159,7 +158,7 @@
         await background.repeat("probe", self.probe_next, self._probe, lambda: self.should_stop)
 
     async def probe_next(self) -> None:
-        """Probe the next neighbour, and exchange records if it has others."""
+        """Probe the next neighbour, and synchronise if its checksum differs."""
         neighbours = self.members.neighbours
         if not neighbours:
             return
@@ -178,19 +177,19 @@
             await self.synchronise(neighbour)
 
     async def synchronise(self, peer: str) -> None:
-        """Exchange with a peer what either lacks.
+        """Exchange with a peer the records that either lacks.
 
-        :raises PeerError: if it doesn't answer.
+        :raises PeerError: if the peer doesn't answer.
         """
         answer = await self._peers.ask(peer, "sync", self.directory.versions())
         for raw in answer["records"]:
             self._apply_record(directory.decode(raw), peer)
-        wanted = [self.directory.get(key) for key in answer["wanted"]]
-        records = [record for record in wanted if record]
+        requested = [self.directory.get(key) for key in answer["wanted"]]
+        records = [record for record in requested if record]
         if records:
             await self._peers.send(peer, "records", records)
 
     def sample_peers(self, count: int) -> list[str]:
-        """Return some other daemons, chosen at random."""
+        """Return up to ``count`` other daemons chosen at random."""
         others = [name for name in self.members.alive if name != self._me]
         return random.sample(others, min(count, len(others)))
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -1,8 +1,8 @@
-"""Carrying out what :mod:`thorncleat_core.daemon.repair` decides for a domain.
+"""Carrying out the changes that :mod:`thorncleat_core.daemon.repair` decides for a domain.
 
-Owns: the changes that are decided and not yet carried out.
-Relies on: the permits given out being over, or the group's work done, before members change;
-the lease, by which the store refuses assignments of an earlier holder.
+Owns: the pending changes.
+Relies on: permits that have expired, or work that has finished, before members change; the lease,
+by which the store refuses assignments of an earlier holder.
 """
 
 from thorncleat_core.daemon import repair
@@ -24,12 +24,12 @@
 from .ports import Unchanged
 from .ports import Write
 
-# seconds of silence after which an instance that is listed no more counts as gone
+# An unlisted instance counts as removed after this time without an answer.
 REMOVED_AFTER_SECONDS = 30.0
 
 
 class GroupChanges:
-    """Decides and carries out the changes of one domain's groups."""
+    """Decides on changes of one domain's groups and carries them out."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._pending: dict[str, repair.Change] = {}
 
     def decide(self) -> None:
-        """Decide anew what to change: a member that came back makes its replacement moot."""
+        """Recompute the pending changes; a member that returned is no longer replaced."""
         changes = repair.decide(
             self._state.assignments,
             self._desired_state(),
@@ -63,10 +63,10 @@
         self._pending = decided
 
     async def carry_out(self) -> None:
-        """Carry out the first change that is ready; prepare replacements on the way to it.
+        """Carry out the first change that is ready, and prepare replacements before it.
 
         :raises StoreUnavailableError: if there is no lease.
-        :raises LeaseError: if the lease may have lapsed.
+        :raises LeaseError: if the lease may have expired.
         """
         for subject, change in list(self._pending.items()):
             if isinstance(change, repair.Prepare):
@@ -119,7 +119,7 @@
         return repair.Wanted(placements, state.configuration.intents, seconds)
 
     def _is_ready(self, change: repair.Change) -> bool:
-        """Return whether a change may be written now; drain or suspend its group until then."""
+        """Return whether a change may be written now; if not, drain or suspend its group."""
         now, lease = self._services.clock(), self._state.lease
         if lease is None or not lease.held(now):
             return False
@@ -135,7 +135,10 @@
         return now > self._desk.last_end(group_id)
 
     async def _write(self, changed: Assignments) -> bool:
-        """Write assignments under the lease; read them again if it isn't sure what stands."""
+        """Write assignments under the lease and return whether that succeeded.
+
+        If the outcome is unknown or the assignments were changed, they are read again.
+        """
         changed.check()
         state, services = self._state, self._services
         lease = state.checked_lease(services.clock())
--- a/packages/daemon/src/thorncleat_daemon/group_publisher.py
+++ b/packages/daemon/src/thorncleat_daemon/group_publisher.py
@@ -1,7 +1,7 @@
-"""Publishing to all daemons the groups of a domain, by records of the directory.
+"""Publishing a domain's groups to all daemons as directory records.
 
-Owns: the sequence of this keeper's records.
-Relies on: the epoch, by which records of an earlier holder lose.
+Owns: the sequence number of the records.
+Relies on: the epoch, by which records of a later holder win.
 """
 
 import typing as t
@@ -16,7 +16,7 @@
 class GroupPublisher:
     """Publishes the groups of one domain under one epoch.
 
-    :param config: the current configuration; a group that was placed anew beats its past.
+    :param config: returns the current configuration; a group's newest placement outranks others.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self._sequence = 0
 
     def publish(self, group: Group, *, is_open: bool) -> None:
-        """Publish what a group is."""
+        """Publish the state of a group."""
         body = {
             "domain": self._domain,
             "intent": group.intent,
@@ -43,7 +43,7 @@
         self._publish(group, body)
 
     def publish_removed(self, group: Group) -> None:
-        """Publish that a group is gone."""
+        """Publish that a group was removed."""
         self._publish(group, {"gone": True, "domain": self._domain})
 
     def _publish(self, group: Group, body: dict[str, t.Any]) -> None:
--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -1,8 +1,8 @@
-"""Holding shards of the control work under leases.
+"""Holding shards of the control work under a lease.
 
 Owns: this daemon's lease in the store and the shards held under it.
 Relies on: the store's compare-and-swap on a shard's holder and epoch, which lets one daemon
-hold a shard at a time; the keepers (:mod:`.domain_keepers`) for the work in the shards' domains.
+hold a shard at a time; :mod:`.domain_keepers` for the work in the shards' domains.
 """
 
 import random
@@ -30,21 +30,19 @@
 from .ports import Write
 from .shard_map import ShardMap
 
-# between looks at a shard that another daemon holds
+# Interval of reading the holder of a shard that another daemon holds.
 POLL_INTERVAL_SECONDS = 2.0
-# part by which they vary
 POLL_JITTER_SHARE = 0.2
-# between two shards given away
 BALANCE_INTERVAL_SECONDS = 5.0
-# shards beyond an even part that a daemon keeps
+# Shards beyond the even share that a daemon keeps.
 MAX_EXTRA_SHARDS = 1
 
 
 class ShardHolder(mode.Service):
-    """Acquires, renews and gives up shards.
+    """Acquires, renews and releases shards.
 
-    :param shards: which shards there are, and whose they may be.
-    :param spawns: whether keepers run by themselves; tests step them instead.
+    :param shards: the shards and their candidates.
+    :param runs_tasks: whether domain managers run as tasks; False if a test steps them.
     """
 
     def __init__(
@@ -56,9 +54,9 @@
         self._clock = services.clock
         self._lease_id = 0
         self._deadline = 0.0
-        self._renewed_at = 0.0
+        self._last_renewal_at = 0.0
         self._held: dict[int, HeldLease] = {}
-        self._balanced_at = 0.0
+        self._last_balance_at = 0.0
         self._next_poll_at: dict[int, float] = {}
         self._free_since: dict[int, float] = {}
         self._on_lost: t.Callable[[int], None] = lambda shard: None
@@ -73,42 +71,45 @@
 
     @property
     def held(self) -> t.Mapping[int, HeldLease]:
-        """The leases that are held, by shard."""
+        """The leases held, by shard."""
         return self._held
 
     @property
     def managers(self) -> t.Mapping[str, DomainManager]:
-        """The keepers, by fabric domain."""
+        """The domain managers, by fabric domain."""
         return self._managers.by_domain
 
     def on_change(
         self, acquired: t.Callable[[HeldLease], None], lost: t.Callable[[int], None]
     ) -> None:
-        """Call functions when a shard is acquired or lost."""
+        """Set the functions to call when a shard is acquired or lost."""
         self._on_acquired = acquired
         self._on_lost = lost
 
     async def on_stop(self) -> None:
-        """Give the shards up, so that others need not wait for the lease to lapse."""
+        """Release all shards, so that others need not wait for the lease to expire."""
         self._managers.end_all()
         if self._lease_id:
             try:
                 await self._services.store.revoke(self._lease_id)
             except StoreError:
-                # the lease lapses instead, a few seconds later
+                # The lease expires by itself instead.
                 return
 
-    # leases
+    # Leases
 
     @mode.Service.task
     async def _renew_task(self) -> None:
-        seconds = self._services.terms.renew_every / 2
+        seconds = self._services.lease_terms.renew_every / 2
         await background.repeat("renew", self.renew, seconds, lambda: self.should_stop)
 
     async def renew(self) -> None:
-        """Renew the lease if it is due, or note that it has lapsed."""
+        """Renew the lease if a renewal is due, and drop the shards of an expired one."""
         now = self._clock()
-        if not self._lease_id or now < self._renewed_at + self._services.terms.renew_every:
+        if (
+            not self._lease_id
+            or now < self._last_renewal_at + self._services.lease_terms.renew_every
+        ):
             self._drop_expired(now)
             return
         try:
@@ -123,8 +124,8 @@
         self._extend(now)
 
     def _extend(self, sent_at: float) -> None:
-        self._renewed_at = sent_at
-        self._deadline = leases.deadline_of(sent_at, self._services.terms)
+        self._last_renewal_at = sent_at
+        self._deadline = leases.deadline_of(sent_at, self._services.lease_terms)
         for lease in self._held.values():
             lease.deadline = self._deadline
 
@@ -150,9 +151,9 @@
         await background.repeat("acquire", self.poll_shards, seconds, lambda: self.should_stop)
 
     async def poll_shards(self) -> None:
-        """Look for shards to take, and keep the domains of those held."""
+        """Acquire free shards, update the domain managers and balance the shards."""
         if self._services.me not in self._services.gossip.members.addresses:
-            # a daemon that isn't listed could not be asked for permits
+            # Other daemons can't request permits from an unlisted one.
             return
         now = self._clock()
         for shard in range(self.shards.count):
@@ -165,17 +166,16 @@
         await self._balance()
 
     async def _balance(self) -> None:
-        """Give one shard to a daemon that is preferred for it, if this one holds too many.
+        """Release one shard for which another daemon is preferred, if too many are held.
 
-        The keeper goes on without the lease until the next holder's epoch shows, so that
-        the groups stay open meanwhile.
+        Its manager keeps issuing permits until a later epoch appears, so the groups stay open.
         """
         alive = len(self._services.gossip.members.alive)
         max_held = -(-self.shards.count // alive) + MAX_EXTRA_SHARDS
         now = self._clock()
-        if len(self._held) <= max_held or now < self._balanced_at + BALANCE_INTERVAL_SECONDS:
+        if len(self._held) <= max_held or now < self._last_balance_at + BALANCE_INTERVAL_SECONDS:
             return
-        self._balanced_at = now
+        self._last_balance_at = now
         for shard, lease in self._held.items():
             if self.shards.rank(shard) != 0:
                 await self._release_shard(shard, lease)
@@ -189,7 +189,7 @@
         await self._services.store.transact([condition], [Erase(key)], Purpose.LEASE)
 
     async def _try_acquire(self, shard: int) -> None:
-        """Take a shard that is free; those less preferred leave it to the others at first."""
+        """Acquire a shard if it is free, later the lower this daemon ranks among its candidates."""
         rank = self.shards.rank(shard)
         if rank is None:
             self._free_since.pop(shard, None)
@@ -198,20 +198,20 @@
         try:
             await self._acquire(shard, delay)
         except StoreError:
-            # the next look tries again; the watch of the configuration logs a lost store
+            # The next poll retries; the store adapter logs the outage.
             return
 
     async def _acquire(self, shard: int, delay: float) -> None:
         keys, store = self._services.keys, self._services.store
-        found = {row.key: row for row in await store.read_under(keys.shard(shard), Purpose.LEASE)}
-        if keys.holder(shard) in found:
-            self._publish_holder(shard, found)
+        stored = {row.key: row for row in await store.read_under(keys.shard(shard), Purpose.LEASE)}
+        if keys.holder(shard) in stored:
+            self._publish_holder(shard, stored)
             self._free_since.pop(shard, None)
             return
         now = self._clock()
         if now < self._free_since.setdefault(shard, now) + delay:
             return
-        epoch_row = found.get(keys.epoch(shard))
+        epoch_row = stored.get(keys.epoch(shard))
         epoch = int(codec.unpack(epoch_row.value)) + 1 if epoch_row else 1
         await self._ensure_lease()
         holder_value = codec.pack({"holder": self._services.me, "epoch": epoch})
@@ -231,16 +231,16 @@
             self._add_held(HeldLease(shard, epoch, revision, self._clock(), self._deadline))
 
     async def _read_back(self, shard: int, holder_value: bytes) -> int | None:
-        found = await self._services.store.read(self._services.keys.holder(shard), Purpose.LEASE)
-        own = found is not None and found.value == holder_value
+        stored = await self._services.store.read(self._services.keys.holder(shard), Purpose.LEASE)
+        own = stored is not None and stored.value == holder_value
         events.STORE_READ_BACK.log(shard=shard, own=own)
-        return found.create_revision if found and own else None
+        return stored.create_revision if stored and own else None
 
     async def _ensure_lease(self) -> None:
         if self._lease_id and self._clock() < self._deadline:
             return
         sent_at = self._clock()
-        self._lease_id = await self._services.store.grant(self._services.terms.ttl)
+        self._lease_id = await self._services.store.grant(self._services.lease_terms.ttl)
         self._extend(sent_at)
 
     def _add_held(self, lease: HeldLease) -> None:
@@ -251,8 +251,8 @@
         self._on_acquired(lease)
         self._managers.update()
 
-    def _publish_holder(self, shard: int, found: t.Mapping[str, Stored]) -> None:
-        holder_value = codec.unpack(found[self._services.keys.holder(shard)].value)
+    def _publish_holder(self, shard: int, stored: t.Mapping[str, Stored]) -> None:
+        holder_value = codec.unpack(stored[self._services.keys.holder(shard)].value)
         record = Record(
             f"shard/{shard}", (holder_value["epoch"],), {"holder": holder_value["holder"]}
         )
--- a/packages/daemon/src/thorncleat_daemon/instance_probes.py
+++ b/packages/daemon/src/thorncleat_daemon/instance_probes.py
@@ -1,7 +1,7 @@
-"""What the keeper of a fabric domain sees of its instances by probing them.
+"""Probing the instances of a fabric domain.
 
-Owns: the newest report of each instance, and since when each is silent.
-Relies on: probes that are sent oftener than a confirmation lasts.
+Owns: the newest report of each instance, and since when each has not answered.
+Relies on: probes at shorter intervals than the window of a confirmation.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 
 
 class InstanceProbes:
-    """Probes instances and remembers what they said.
+    """Probes instances and keeps their reports.
 
-    :param window: seconds for which a member's confirmation counts.
-    :param group_of: the group that an instance is assigned to.
-    :param late: whether this daemon's own loop is late, see :mod:`.lag`.
+    :param window: seconds for which a member's confirmation is valid.
+    :param group_of: returns the group that an instance is assigned to.
+    :param is_loop_late: returns whether this daemon's event loop is late, see :mod:`.lag`.
     """
 
     def __init__(
@@ -51,19 +51,22 @@
 
     @property
     def missing_since(self) -> t.Mapping[str, float]:
-        """Since when each instance has not answered."""
+        """The time since which each instance has not answered."""
         return self._missing_since
 
     def silence_seconds(self, instance: str) -> float:
-        """Return for how many seconds nothing was heard of an instance."""
+        """Return the seconds since an instance last answered; infinite if it never did."""
         return self._clock() - self._last_answer_at.get(instance, float("-inf"))
 
     async def probe(self, targets: t.Mapping[str, str]) -> None:
-        """Probe instances at their addresses, all at once."""
+        """Probe instances concurrently.
+
+        :param targets: addresses by instance.
+        """
         await asyncio.gather(*(self._probe(name, where) for name, where in targets.items()))
 
     def record_missed(self, instance: str) -> None:
-        """Note that an instance did not answer: its group is in doubt from now on."""
+        """Record that an instance did not answer, which revokes its confirmation."""
         self._reports.pop(instance, None)
         self.confirmations.doubt(instance)
         self._missing_since.setdefault(instance, self._clock())
@@ -80,7 +83,7 @@
             self.record_missed(instance)
             return
         if report.instance != instance:
-            # the address was given to another instance
+            # The address now belongs to another instance.
             self.record_missed(instance)
             return
         self._reports[instance] = report
@@ -92,5 +95,5 @@
         if group is None or self.confirmations.confirm(group, report, sent_at):
             self._missing_since.pop(instance, None)
         elif (report.group, report.generation) != (group.id, group.generation):
-            # alive, but it has yet to follow: that isn't a loss
+            # The instance is alive but has not followed its order yet, so it isn't missing.
             self._missing_since.pop(instance, None)
--- a/packages/daemon/src/thorncleat_daemon/invariants.py
+++ b/packages/daemon/src/thorncleat_daemon/invariants.py
@@ -1,7 +1,7 @@
-"""What must always hold, checked inside the running daemon and counted when it does not.
+"""Invariants checked at run time.
 
-Owns: how often each invariant was broken.
-Relies on: checks that stand where the thing happens.
+Owns: the number of violations of each invariant.
+Relies on: the modules that check an invariant where it could break.
 """
 
 import collections
@@ -12,7 +12,7 @@
 
 
 class Invariant(enum.StrEnum):
-    """The invariants that are checked."""
+    """The checked invariants."""
 
     ANSWER_FROM_CLOSED_GROUP = "answer_from_closed_group"
     INSTANCE_IN_TWO_GROUPS = "instance_in_two_groups"
@@ -21,13 +21,13 @@
 
 
 class Invariants:
-    """Counts broken invariants; any count but 0 is a fault of the program."""
+    """Counts violations; any count but 0 is a bug."""
 
     def __init__(self) -> None:
         self.broken: collections.Counter[Invariant] = collections.Counter()
 
     def check(self, holds: bool, which: Invariant, **fields: t.Any) -> None:
-        """Count and log an invariant unless it holds."""
+        """Count and log a violation unless the invariant holds."""
         if not holds:
             self.broken[which] += 1
             events.INVARIANT_BROKEN.log(invariant=str(which), **fields)
--- a/packages/daemon/src/thorncleat_daemon/keyspace.py
+++ b/packages/daemon/src/thorncleat_daemon/keyspace.py
@@ -1,7 +1,7 @@
-"""The keys under which the daemons keep what must last in the platform's store.
+"""The keys of the daemons' durable data in the platform's store.
 
 Owns: nothing.
-Relies on: all daemons of a cluster naming it alike; a key that changes is data lost.
+Relies on: the same cluster name on all daemons; a changed key would lose its data.
 """
 
 import dataclasses
@@ -18,17 +18,17 @@
 
     @property
     def head(self) -> str:
-        """The newest configuration's revision and digest."""
+        """The key of the newest configuration's revision and digest."""
         return f"{self._root}/config/head"
 
     @property
     def snapshot(self) -> str:
-        """A whole configuration, from which later entries go on."""
+        """The key of a snapshot of the configuration, which later entries extend."""
         return f"{self._root}/config/snapshot"
 
     @property
     def entries(self) -> str:
-        """Prefix of all journal entries."""
+        """The prefix of all journal entries."""
         return f"{self._root}/config/entry/"
 
     def entry(self, revision: int) -> str:
@@ -40,7 +40,7 @@
         return f"{self._root}/shard/{number:04d}/"
 
     def holder(self, number: int) -> str:
-        """Return the key that a shard's holder keeps under its lease."""
+        """Return the key that a shard's holder writes under its lease."""
         return self.shard(number) + "holder"
 
     def epoch(self, number: int) -> str:
--- a/packages/daemon/src/thorncleat_daemon/logs.py
+++ b/packages/daemon/src/thorncleat_daemon/logs.py
@@ -1,7 +1,7 @@
 """Logging as JSON lines on standard error.
 
-Owns: the handler of the process.
-Relies on: a reader of standard error; a write waits for it.
+Owns: the process's log handler.
+Relies on: a reader of standard error, since writes block.
 """
 
 import logging
@@ -12,10 +12,10 @@
 
 
 def setup(level: str, daemon: str) -> None:
-    """Send all logging to standard error, a JSON object a line.
+    """Send all logging to standard error, one JSON object a line.
 
-    :param level: the lowest level that is written.
-    :param daemon: this daemon's id, put into each line.
+    :param level: the lowest level to write.
+    :param daemon: this daemon's id, added to each line.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(json_formatter("%(asctime)s", daemon))
--- a/packages/daemon/src/thorncleat_daemon/main.py
+++ b/packages/daemon/src/thorncleat_daemon/main.py
@@ -1,7 +1,7 @@
 """The program ``thorncleatd``.
 
 Owns: the process.
-Relies on: signals to stop; standard output for the ports that were taken.
+Relies on: signals to stop; standard output for the listening addresses.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from . import logs
 from .daemon import Daemon
 
-# exit code for settings that are not usable, as the client's for documents
+# Exit code for invalid settings; the client uses the same for documents.
 EXIT_SETTINGS = 2
 
 
@@ -34,11 +34,11 @@
 async def _run(daemon: Daemon) -> None:
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     await daemon.start()
     try:
-        # whoever started the daemon learns its ports from this line
+        # The starting process reads the ports from this line.
         print(json.dumps(daemon.addresses), flush=True)
         await stopped.wait()
     finally:
@@ -53,13 +53,13 @@
 
         :param path: settings file.
         """
-        loaded = _load(path)
-        logs.setup(loaded.log_level, loaded.daemon.id)
+        daemon_settings = _load(path)
+        logs.setup(daemon_settings.log_level, daemon_settings.daemon.id)
         with asyncio.Runner(loop_factory=clock.BootClockLoop) as runner:
-            runner.run(_run(Daemon(loaded)))
+            runner.run(_run(Daemon(daemon_settings)))
 
     def check(self, path: str) -> None:
-        """Check a settings file and list everything that is wrong with it.
+        """Check a settings file and list all its faults.
 
         :param path: settings file.
         """
--- a/packages/daemon/src/thorncleat_daemon/metrics.py
+++ b/packages/daemon/src/thorncleat_daemon/metrics.py
@@ -1,7 +1,7 @@
-"""Counts and distributions that the daemon shows at ``/metrics``.
+"""The daemon's metrics, exported at ``/metrics``.
 
-Owns: the daemon's counters, the counts behind the report on burn, and the broken invariants.
-Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text form.
+Owns: the daemon's counters, the counts of the error budget report, and the invariants.
+Relies on: :mod:`thorncleat_core.metrics_registry` for the registry and its text format.
 """
 
 import functools
@@ -17,7 +17,7 @@
 
 
 class Metrics(MetricsRegistry):
-    """All that one daemon counts."""
+    """The metrics of one daemon."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -28,7 +28,7 @@
         self.dropped = self._counter("dropped_pieces", "Pieces that were not their own", "reason")
         self.retries = self._counter("retries", "Requests sent again", "reason")
         self.in_flight = self._gauge("in_flight", "Requests being answered")
-        # all are shown as 0 from the start: an alert needs the series to be there
+        # All series exist from the start, since alerts need them at 0.
         broken = self._gauge("broken_invariants", "What must hold and did not", "name")
         for which in Invariant:
             broken.labels(str(which)).set_function(
@@ -36,13 +36,16 @@
             )
 
     def distribution(self, what: str, target: str) -> Distribution:
-        """Return the distribution of a kind of duration for a model or service."""
+        """Return the distribution of a duration for a model or service.
+
+        :param what: kind of duration.
+        """
         return self._distributions.of(what, target)
 
     def record_ended(self, workspace: str, target: str, cause: str) -> None:
-        """Count how a request ended.
+        """Record the outcome of a request.
 
-        :param cause: ``good``, or why it counts against the objective.
+        :param cause: ``good``, or why it counts against the service level.
         """
         self.requests.labels(workspace, cause).inc()
         self.burn.note(Subject(workspace, target), cause, time.time())
--- a/packages/daemon/src/thorncleat_daemon/once.py
+++ b/packages/daemon/src/thorncleat_daemon/once.py
@@ -1,7 +1,7 @@
-"""Running a request that may not be repeated: at most once, with a true report of how it ended.
+"""At-most-once execution of requests by their idempotency keys.
 
 Owns: nothing.
-Relies on: the owner of a key's shard to grant it once (:mod:`.claims`).
+Relies on: the owner of a key's shard, which grants a claim once (:mod:`.claims`).
 """
 
 import dataclasses
@@ -20,15 +20,15 @@
 from .claims import stored_outcome
 from .exceptions import RequestError
 
-# of randomness that tell attempts apart
+# Random bytes in the id of an attempt.
 ATTEMPT_BYTES = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class WholeAnswer:
-    """A whole answer.
+    """A complete, unstreamed answer.
 
-    :param repeated: whether it is the answer of an earlier run.
+    :param repeated: whether it is the stored answer of an earlier run.
     """
 
     status: int
@@ -41,7 +41,10 @@
 
 
 def _answer_from_claim(reply: Reply) -> WholeAnswer:
-    """Return the answer of an earlier run, or raise what is known of it."""
+    """Return the stored answer of an earlier run.
+
+    :raises RequestError: if there is none; it says whether the earlier run happened.
+    """
     outcome = reply.outcome
     if reply.answer is ClaimAnswer.DONE and outcome and outcome.body is not None:
         return WholeAnswer(outcome.status, outcome.content_type, outcome.body, repeated=True)
@@ -76,7 +79,8 @@
 ) -> WholeAnswer:
     """Run a request unless its key was claimed before.
 
-    :raises RequestError: that says whether the request ran.
+    :param run: sends the request.
+    :raises RequestError: if there is no answer; it says whether the request ran.
     """
     key = require_key(caller)
     workspace = caller.workspace.name
@@ -95,5 +99,5 @@
         ran = error.executed
         raise
     finally:
-        # also when the caller has gone: then the fate is unknown and stays so
+        # Also reported if the caller disconnects: the outcome then stays unknown.
         await claims.report(workspace, key, attempt, ran, outcome)
--- a/packages/daemon/src/thorncleat_daemon/open_groups.py
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -1,8 +1,8 @@
-"""Which groups of a domain may answer, and whom to inform when that changes.
+"""Opening and closing the groups of a domain, and notifying daemons of it.
 
 Owns: the set of open groups.
-Relies on: the confirmations that probing has collected (:mod:`.instance_probes`); a permit ends by
-itself, so a message that is lost only makes daemons learn later of a closed group.
+Relies on: the confirmations collected by :mod:`.instance_probes`; the expiry of permits, which
+limits the effect of a lost notification.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class OpenGroups:
-    """Opens and closes the groups of one domain by what their members say."""
+    """Opens and closes the groups of one domain by the reports of their members."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
 
     @property
     def ids(self) -> t.AbstractSet[str]:
-        """The groups that may answer."""
+        """The ids of the groups that may answer."""
         return self._open
 
     def update(self) -> None:
@@ -57,7 +57,7 @@
                 self._close(group, self._probes.confirmations.missing(group, now))
 
     def on_assignments_replaced(self, old: Assignments, new: Assignments) -> None:
-        """Close and publish what differs between two assignments."""
+        """Close and publish the groups that differ between two assignments."""
         for group_id, group in old.groups.items():
             if new.groups.get(group_id) == group:
                 continue
@@ -70,7 +70,7 @@
                 self._publish(group)
 
     def publish_all(self) -> None:
-        """Publish every group as it is now."""
+        """Publish the present state of every group."""
         for group in self._state.assignments.groups.values():
             self._publish(group)
 
@@ -88,7 +88,7 @@
             task.add_done_callback(self._notifications.discard)
 
     async def _notify(self, daemon: str, body: dict[str, t.Any]) -> None:
-        # only to be quicker than the end of the permit, which needs no message
+        # The notification only takes effect sooner than the permit's expiry.
         try:
             await self._services.peers.send(daemon, "closed", body)
         except Exception as error:
--- a/packages/daemon/src/thorncleat_daemon/operator_access.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_access.py
@@ -1,7 +1,7 @@
-"""Which operator asks, and whether the operator may do so.
+"""Authentication and authorisation of operators.
 
-Owns: nothing; operators stand in the configuration, and in the settings until it names any.
-Relies on: keys being known by their digests alone.
+Owns: nothing; operators are named by the configuration and by the bootstrap settings.
+Relies on: digests of keys; the keys themselves are not stored.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ActingOperator:
-    """An operator who was recognised."""
+    """An authenticated operator."""
 
     name: str
     rights: str
@@ -30,19 +30,19 @@
 
 
 def problem(status: int, detail: str, **more: t.Any) -> web.Response:
-    """Return the problem document for an operator.
+    """Return a problem document as the response to an operator.
 
-    :param more: further members of the document.
+    :param more: additional members of the document.
     """
     body = {"status": status, "detail": detail, **more}
     return web.json_response(body, status=status, content_type="application/problem+json")
 
 
 class OperatorAccess:
-    """Recognises operators by their keys.
+    """Authenticates operators by their keys.
 
     :param configuration: returns the current configuration.
-    :param bootstrap: operators from the settings, with the right to change.
+    :param bootstrap: operators from the settings, all with the right to change.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
     def require_right(
         self, right: Right, handler: Handler
     ) -> t.Callable[[web.Request], t.Awaitable[web.Response]]:
-        """Return a handler that answers operators who have a right, and refuses all others."""
+        """Return a handler that refuses operators without a right."""
 
         async def answer(request: web.Request) -> web.Response:
             operator = self._identify(request)
@@ -73,11 +73,11 @@
         key = keys.bearer(request.headers.get("Authorization"))
         if key is None:
             return None
-        key_digest_value = keys.digest(key)
+        digest = keys.digest(key)
         for operator in self._configuration().operators.values():
-            if keys.same(operator.key_digest, key_digest_value):
+            if keys.same(operator.key_digest, digest):
                 return ActingOperator(operator.name, operator.rights)
         for bootstrap in self._bootstrap:
-            if keys.same(bootstrap.key_digest, key_digest_value):
+            if keys.same(bootstrap.key_digest, digest):
                 return ActingOperator(bootstrap.name, "change")
         return None
--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -1,8 +1,8 @@
-"""Operators' changes: a plan is shown first and carried out once it is confirmed.
+"""Changes by operators: a plan is shown, then carried out after its confirmation.
 
-Owns: nothing; a plan comes back whole and is computed again from what is known now.
-Relies on: :mod:`thorncleat_core.daemon.plans` giving the same plan from the same state on every
-daemon; the journal (:mod:`.config`), which takes an entry once.
+Owns: nothing; a confirmed plan is recomputed and compared with the one that was shown.
+Relies on: :mod:`thorncleat_core.daemon.plans`, which gives every daemon the same plan for the same
+state; the journal (:mod:`.config`), which accepts an entry once.
 """
 
 import dataclasses
@@ -35,9 +35,9 @@
 
 
 class OperatorPlans:
-    """Makes plans for operators and carries out those that they confirm.
+    """Makes plans for operators and carries out confirmed ones.
 
-    :param load_seconds: estimate for loading a model.
+    :param load_seconds: estimated time to load a model.
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         self._load_seconds = load_seconds
 
     async def plan(self, request: web.Request, operator: ActingOperator) -> web.Response:
-        """Show what a change would do."""
+        """Return the plan for a change."""
         try:
             raw = await request.json()
             document = jsonc.parse(str(raw["document"]), str(raw.get("name", "intent")))
             change = jsonc.validate(document, Change)
-            # a plan from a revision that has just been overtaken could not be confirmed
+            # A plan that is based on an outdated revision could not be confirmed.
             await self._config.try_catch_up()
             plan = await self._make_current_plan(change)
         except DocumentError as error:
@@ -76,14 +76,14 @@
         except PlatformError as error:
             return problem(503, str(error), accepted="no")
         state, occupied = self._current_state()
-        times = plans.Estimates(load=self._load_seconds)
-        result = plans.make(change, state, fleet, occupied, times)
+        estimates = plans.Estimates(load=self._load_seconds)
+        result = plans.make(change, state, fleet, occupied, estimates)
         if isinstance(result, Failure):
             return problem(422, str(result.failure()), problems=[])
         return result.unwrap()
 
     def _current_state(self) -> tuple[State, set[str]]:
-        """Return the state with placements as they stand after repairs, and what is taken."""
+        """Return the state with the placements after repairs, and the occupied instances."""
         state = self._config.current
         placements = dict(state.placements)
         for group, placed in state.placements.items():
@@ -95,7 +95,7 @@
         return dataclasses.replace(state, placements=placements), occupied
 
     async def confirm(self, request: web.Request, operator: ActingOperator) -> web.Response:
-        """Carry a plan out, if it is still what would be planned now."""
+        """Carry out a plan if it still equals the plan for the present state."""
         try:
             plan = codec.validated(Plan, (await request.json())["plan"])
         except (ValueError, KeyError, TypeError, DecodeError) as error:
@@ -133,7 +133,7 @@
     ) -> web.Response:
         accepted_revision = self._find_accepted_revision(plan)
         if accepted_revision is not None:
-            # this very plan was accepted meanwhile, at another daemon
+            # Another daemon has accepted the same plan meanwhile.
             return web.json_response({"revision": accepted_revision, "repeated": True})
         events.PLAN_REFUSED.log(operator=operator.name, plan=plan.digest, reason=str(error))
         try:
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -1,7 +1,7 @@
-"""The operators' side: what the system is doing, over all daemons.
+"""The HTTP application for operators.
 
-Owns: nothing; it reads the daemon's parts and asks the other daemons.
-Relies on: :mod:`.operator_access` for who may ask; :mod:`.operator_plans` for changes.
+Owns: nothing; it reads this daemon's services and queries the other daemons.
+Relies on: :mod:`.operator_access` for authorisation; :mod:`.operator_plans` for changes.
 """
 
 import asyncio
@@ -35,15 +35,13 @@
 from .recent import RecentRequests
 
 PREFIX = "/operators/v1"
-# daemons asked at the same time
 MAX_CONCURRENT_QUESTIONS = 32
-# for each daemon's answer
 GATHER_TIMEOUT_SECONDS = 2.0
 
 
 @dataclasses.dataclass
 class OperatorServices:
-    """The daemon's parts that operators look at."""
+    """The daemon's services that operators can inspect."""
 
     me: str
     config: ConfigManager
@@ -59,17 +57,21 @@
 
 
 class Operators:
-    """Takes the operators' requests.
+    """Handles the operators' requests.
 
-    :param bootstrap: operators from the settings, with the right to change.
+    :param bootstrap: operators from the settings, all with the right to change.
     """
 
-    def __init__(self, parts: OperatorServices, bootstrap: t.Sequence[BootstrapOperator]) -> None:
-        self._parts = parts
-        self._access = OperatorAccess(lambda: parts.config.current.configuration, bootstrap)
-        self._plans = OperatorPlans(parts.config, parts.gossip, parts.instances, parts.load_seconds)
-        parts.peers.handle("burn", self._on_burn)
-        parts.peers.handle("explain", self._on_explain)
+    def __init__(
+        self, services: OperatorServices, bootstrap: t.Sequence[BootstrapOperator]
+    ) -> None:
+        self._services = services
+        self._access = OperatorAccess(lambda: services.config.current.configuration, bootstrap)
+        self._plans = OperatorPlans(
+            services.config, services.gossip, services.instances, services.load_seconds
+        )
+        services.peers.handle("burn", self._on_burn)
+        services.peers.handle("explain", self._on_explain)
 
     def application(self) -> web.Application:
         """Return the HTTP application."""
@@ -83,24 +85,24 @@
         app.router.add_get(f"{PREFIX}/burn", require_right("read", self._burn))
         return app
 
-    # looking
+    # Status
 
     async def _status(self, request: web.Request, operator: ActingOperator) -> web.Response:
-        parts = self._parts
-        configuration = parts.config.current.configuration
+        services = self._services
+        configuration = services.config.current.configuration
         body = {
-            "daemon": parts.me,
-            "revision": parts.config.journal.head.revision,
-            "loaded": parts.config.is_loaded,
-            "store_reachable": parts.store_reachable(),
-            "daemons": list(parts.gossip.members.alive),
-            "listed_daemons": len(parts.gossip.members.addresses),
-            "shards_held": sorted(parts.holder.held),
+            "daemon": services.me,
+            "revision": services.config.journal.head.revision,
+            "loaded": services.config.is_loaded,
+            "store_reachable": services.store_reachable(),
+            "daemons": list(services.gossip.members.alive),
+            "listed_daemons": len(services.gossip.members.addresses),
+            "shards_held": sorted(services.holder.held),
             "workspaces": sorted(configuration.workspaces),
             "intents": sorted(configuration.intents),
             "services": sorted(configuration.services),
             "draining": sorted(configuration.draining),
-            "waiting": parts.dispatcher.waiting,
+            "waiting": services.dispatcher.waiting,
             "groups": self._counts(),
         }
         return web.json_response(body)
@@ -112,10 +114,10 @@
         return dict(counts)
 
     def _group_rows(self) -> list[dict[str, t.Any]]:
-        state = self._parts.config.current
+        state = self._services.config.current
         rows = []
         for group, placed in sorted(state.placements.items()):
-            record = self._parts.gossip.directory.get(f"group/{group}")
+            record = self._services.gossip.directory.get(f"group/{group}")
             body = record.body if record and not record.body.get("gone") else None
             rows.append(
                 {
@@ -146,33 +148,33 @@
         return web.json_response({"kind": "request", **records[0]})
 
     def _explained(self, row: dict[str, t.Any]) -> dict[str, t.Any]:
-        shard = self._parts.holder.shards.shard_of(row["domain"])
-        keeper = self._parts.holder.managers.get(row["domain"])
+        shard = self._services.holder.shards.shard_of(row["domain"])
+        manager = self._services.holder.managers.get(row["domain"])
         return {
             **row,
-            "members": [_member(member, keeper) for member in row["members"]],
+            "members": [_member(member, manager) for member in row["members"]],
             "shard": shard,
-            "holder": self._parts.holder.shards.holder_of(shard),
-            "candidates": self._parts.holder.shards.candidates(shard),
+            "holder": self._services.holder.shards.holder_of(shard),
+            "candidates": self._services.holder.shards.candidates(shard),
         }
 
     async def _on_explain(self, sender: str, body: t.Any) -> t.Any:
-        found = self._parts.recent.get(str(body))
+        found = self._services.recent.get(str(body))
         return dataclasses.asdict(found) if found else None
 
-    # service levels
+    # Service levels
 
     async def _on_burn(self, sender: str, body: t.Any) -> t.Any:
-        managers = self._parts.holder.managers.values()
+        managers = self._services.holder.managers.values()
         down = {
             group: seconds
-            for keeper in managers
-            for group, seconds in keeper.downtime.group_seconds.items()
+            for manager in managers
+            for group, seconds in manager.downtime.group_seconds.items()
         }
         return {
-            "counts": self._parts.metrics.burn.export(),
+            "counts": self._services.metrics.burn.export(),
             "down_seconds": down,
-            "stranded_seconds": sum(keeper.downtime.stranded_seconds for keeper in managers),
+            "stranded_seconds": sum(manager.downtime.stranded_seconds for manager in managers),
         }
 
     async def _burn(self, request: web.Request, operator: ActingOperator) -> web.Response:
@@ -188,7 +190,7 @@
         rows = merged.rows(self._objective, time.time())
         body = {
             "daemons": sorted(gathered),
-            "silent": sorted(set(self._parts.gossip.members.alive) - set(gathered)),
+            "silent": sorted(set(self._services.gossip.members.alive) - set(gathered)),
             "rows": [json.loads(json.dumps(dataclasses.asdict(row))) for row in rows],
             "down_seconds": dict(down),
             "stranded_accelerator_seconds": stranded,
@@ -196,25 +198,25 @@
         return web.json_response(body)
 
     def _objective(self, subject: Subject) -> float:
-        workspace = self._parts.config.current.configuration.workspaces.get(subject.workspace)
+        workspace = self._services.config.current.configuration.workspaces.get(subject.workspace)
         return workspace.availability if workspace else DEFAULT_AVAILABILITY
 
     async def _gather(self, kind: str, body: t.Any) -> dict[str, t.Any]:
-        """Ask all daemons and return the answers of those that gave one."""
+        """Query all daemons and return the received answers by daemon."""
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUESTIONS)
         answers: dict[str, t.Any] = {}
 
         async def ask(peer: str) -> None:
             async with semaphore:
                 try:
-                    answers[peer] = await self._parts.peers.ask(
+                    answers[peer] = await self._services.peers.ask(
                         peer, kind, body, GATHER_TIMEOUT_SECONDS
                     )
                 except PeerError:
-                    # the report names how many daemons answered
+                    # The report lists the daemons without an answer.
                     return
 
-        await asyncio.gather(*(ask(peer) for peer in self._parts.gossip.members.alive))
+        await asyncio.gather(*(ask(peer) for peer in self._services.gossip.members.alive))
         return answers
 
 
@@ -224,11 +226,11 @@
     return "open" if body["open"] else "closed"
 
 
-def _member(name: str, keeper: DomainManager | None) -> dict[str, str]:
-    """Return what this daemon knows of a member; only its holder knows more than the name."""
-    if keeper is None:
+def _member(name: str, manager: DomainManager | None) -> dict[str, str]:
+    """Return the known state of a member; only its domain's manager knows more than the id."""
+    if manager is None:
         return {"id": name}
-    listed, report = keeper.listed.get(name), keeper.reports.get(name)
+    listed, report = manager.listed.get(name), manager.reports.get(name)
     found = {"id": name, "listed": str(listed.state) if listed else "no"}
     if report is None:
         return {**found, "reports": "nothing"}
--- a/packages/daemon/src/thorncleat_daemon/order_giver.py
+++ b/packages/daemon/src/thorncleat_daemon/order_giver.py
@@ -1,9 +1,8 @@
-"""Orders to the engines of a domain: who serves in which group, and what to load ahead.
+"""Orders to the engines of a domain: which group to serve in, and which part to preload.
 
-Owns: the time from which each group may be changed, since its members have followed an order
-of this epoch long enough.
+Owns: the time from which each group may be changed, after permits of earlier epochs have expired.
 Relies on: a held lease, checked before each order; the epoch, by which engines refuse the
-orders of earlier keepers.
+orders of earlier managers.
 """
 
 import asyncio
@@ -20,7 +19,7 @@
 
 
 class OrderSender:
-    """Gives the engines of one domain the orders that their reports lack."""
+    """Sends the engines of one domain the orders that their reports don't show yet."""
 
     def __init__(
         self, state: DomainState, services: DomainServices, probes: InstanceProbes
@@ -31,17 +30,17 @@
         self._safe_at: dict[str, float] = {}
 
     def safe_at(self, group_id: str, acquired_at: float) -> float:
-        """Return from when a group may be changed.
+        """Return the time from which a group may be changed.
 
-        :param acquired_at: when the lease was acquired; it counts until an order is followed.
+        :param acquired_at: when the lease was acquired; used until a member has followed an order.
         """
         return self._safe_at.get(group_id, acquired_at + self._services.takeover_wait_seconds)
 
     async def send_due_orders(self) -> None:
-        """Give all orders that are due.
+        """Send all due orders.
 
         :raises StoreUnavailableError: if there is no lease.
-        :raises LeaseError: if the lease may have lapsed.
+        :raises LeaseError: if the lease may have expired.
         """
         state = self._state
         orders = [
@@ -59,7 +58,7 @@
         await asyncio.gather(*orders)
 
     async def prepare(self, change: repair.Prepare) -> None:
-        """Let an instance load a part ahead, unless it does already."""
+        """Order an instance to preload a model part, unless it already does."""
         report = self._probes.reports.get(change.instance)
         part = change.part
         is_loading = report and (report.model, report.version, report.rank) == (
@@ -80,8 +79,8 @@
         report = self._probes.reports.get(name)
         if report is None:
             return False
-        placed = (report.group, report.generation, report.epoch)
-        return placed != (group.id, group.generation, self._state.epoch)
+        reported = (report.group, report.generation, report.epoch)
+        return reported != (group.id, group.generation, self._state.epoch)
 
     async def _send_order(self, name: str, order: Order) -> None:
         address = self._state.address(name)
@@ -94,6 +93,6 @@
             events.ORDER_REFUSED.log(instance=name, reason=str(error))
             return
         if order.group:
-            # whoever kept the group before sees the new epoch from now on
+            # An earlier manager of the group sees the new epoch from now on.
             safe_at = self._services.clock() + self._services.takeover_wait_seconds
             self._safe_at.setdefault(order.group, safe_at)
--- a/packages/daemon/src/thorncleat_daemon/peers.py
+++ b/packages/daemon/src/thorncleat_daemon/peers.py
@@ -1,8 +1,7 @@
-"""Messages between daemons over ZeroMQ with CURVE; strangers get nothing.
+"""Messages between daemons over ZeroMQ, encrypted and authenticated by CURVE.
 
-Owns: the sockets, one to each peer in use, and the answers awaited.
-Relies on: CURVE keys that the settings accept; nothing is believed of a frame before its form
-is checked.
+Owns: the sockets, one to each peer in use, and the pending requests.
+Relies on: the CURVE keys accepted by the settings; every frame being validated before use.
 """
 
 import asyncio
@@ -23,30 +22,31 @@
 from .exceptions import PeerError
 from .ports import Handler
 
-# bytes
 MAX_FRAME_BYTES = 1_200_000
-# sockets to peers, the least lately used closed first
+# Beyond this the least recently used connection is closed.
 MAX_CONNECTIONS = 64
-# messages handled at the same time
 MAX_RUNNING_HANDLERS = 256
-# messages that wait in a socket
+# High-water mark of a socket.
 MAX_QUEUED_MESSAGES = 1000
 ZAP_DOMAIN = "thorncleat"
 
 
 class _AcceptedKeys:
-    """Tells the authenticator which public keys may connect."""
+    """Credentials callback with the public keys that may connect."""
 
     def __init__(self, accepted: t.Iterable[str]) -> None:
         self._accepted = {key.encode() for key in accepted}
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Return whether a key, in Z85, is accepted."""
+        """Return whether a public key is accepted.
+
+        :param key: in Z85.
+        """
         return key in self._accepted
 
 
 class _Connection:
-    """A socket to one peer and the answers awaited on it."""
+    """A socket to one peer and its pending requests."""
 
     def __init__(self, socket: zmq.asyncio.Socket, address: str) -> None:
         self.socket = socket
@@ -55,7 +55,7 @@
         self.reader: asyncio.Task[None] | None = None
 
     def close(self) -> None:
-        """Close the socket; what is still awaited fails."""
+        """Close the socket and fail the pending requests."""
         if self.reader:
             self.reader.cancel()
         for future in self.waiting.values():
@@ -65,10 +65,10 @@
 
 
 class ZmqPeers:
-    """Sends to peers by their listed addresses and answers them.
+    """Sends messages to peers at their listed addresses and answers theirs.
 
-    :param cluster: frames of other clusters are dropped.
-    :param addresses: current addresses of the daemons, by id.
+    :param cluster: name of the cluster; frames of others are dropped.
+    :param addresses: returns the current addresses of the daemons, by id.
     """
 
     def __init__(
@@ -86,18 +86,18 @@
         self._handlers: dict[str, Handler] = {}
         self._connections: collections.OrderedDict[str, _Connection] = collections.OrderedDict()
         self._key_index: collections.Counter[str] = collections.Counter()
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
         self._authenticator: AsyncioAuthenticator | None = None
         self._server: zmq.asyncio.Socket | None = None
         self.counts: collections.Counter[str] = collections.Counter()
 
     def handle(self, kind: str, handler: Handler) -> None:
-        """Let a coroutine answer messages of a kind."""
+        """Register a coroutine that answers messages of a kind."""
         self._handlers[kind] = handler
 
     async def start(self, listen: str) -> str:
-        """Listen; return the address with the port that was taken."""
+        """Start to listen and return the address with the actual port."""
         self._authenticator = AsyncioAuthenticator(self._context)
         self._authenticator.start()
         accepted = _AcceptedKeys(self._keys.accepted)
@@ -118,7 +118,7 @@
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all sockets and cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
         for connection in self._connections.values():
@@ -133,12 +133,13 @@
     async def ask(self, peer: str, kind: str, body: t.Any, timeout: float = 1.0) -> t.Any:
         """Send a message and return its answer.
 
-        :raises PeerError: if there is none in time, or it is an error.
+        :param timeout: in seconds.
+        :raises PeerError: if there is no answer in time, or the answer is an error.
         """
         if peer == self._me:
             return await self._run_handler(self._me, kind, body)
         connection = self._connection(peer)
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         future: asyncio.Future[t.Any] = asyncio.get_running_loop().create_future()
         connection.waiting[number] = future
         try:
@@ -180,10 +181,9 @@
         return connection
 
     def _try_another_key(self, peer: str) -> None:
-        """Use the next accepted key towards a peer, which may have another one already.
+        """Use the next accepted key for a peer.
 
-        While the daemons' keys are being changed, two are accepted and either may be a
-        peer's own.
+        During a key rotation two keys are accepted, and the peer may have either.
         """
         if len(self._keys.accepted) > 1 and peer in self._connections:
             self._key_index[peer] += 1
@@ -225,7 +225,7 @@
                 answer = codec.unpack(frame)
                 future = connection.waiting.get(answer["n"])
                 if future is None or future.done():
-                    # an answer that came after its time, or twice
+                    # A late or duplicate answer.
                     self.counts["late_answers"] += 1
                 elif answer.get("e") is not None:
                     future.set_exception(PeerError(str(answer["e"])))
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -1,8 +1,7 @@
-"""Keeping permits for the groups that this daemon uses.
+"""Renewing the permits of the groups that this daemon uses.
 
-Owns: the permits held, and the groups attached to for each model.
-Relies on: holders to answer within a quarter of a permit's life; this daemon's own clock for
-its end.
+Owns: the permits held, and the groups used for each model.
+Relies on: holders that answer well within a permit's validity; this daemon's own clock for its end.
 """
 
 import asyncio
@@ -28,31 +27,29 @@
 from .ports import Peers
 from .shard_map import ShardMap
 
-# least time between renewals out of turn
 MIN_EARLY_RENEWAL_INTERVAL_SECONDS = 0.05
-# after which a model that nobody asks for needs no permits
+# Permits of a model that isn't requested for this long are no longer renewed.
 MODEL_IDLE_SECONDS = 300.0
-# times that a permit is asked for again in its life
 RENEWALS_PER_PERMIT = 4
 
 
 class Usage(t.Protocol):
-    """What this daemon has in the groups, as the dispatcher knows it."""
+    """The dispatcher's view of this daemon's work in the groups."""
 
     def in_flight(self, group: str) -> int:
-        """Return the requests that run in a group."""
+        """Return the number of requests running in a group."""
         ...
 
     def demand(self, group: str) -> dict[str, int]:
-        """Return the tokens that run in a group or wait for one, for each workspace."""
+        """Return the tokens running in a group or queued for it, by workspace."""
         ...
 
 
 class PermitManager(mode.Service):
-    """Asks the holders for permits before the old ones end.
+    """Requests permits from the holders before the present ones expire.
 
-    :param seconds: validity that holders give; a permit is renewed four times in it.
-    :param attach: groups that are used for each model.
+    :param seconds: validity of a permit.
+    :param attach: number of groups used for each model.
     """
 
     def __init__(
@@ -76,39 +73,39 @@
         self._seconds = seconds
         self._attach = attach
         self._permits: dict[str, HeldPermit] = {}
-        self._models: dict[tuple[str, str], float] = {}
-        self._groups: dict[tuple[str, str], list[str]] = {}
+        self._model_used_at: dict[tuple[str, str], float] = {}
+        self._groups_by_model: dict[tuple[str, str], list[str]] = {}
         self._renewed_early_at = 0.0
         self._renewal_listeners: list[t.Callable[[], None]] = []
         self._close_listeners: list[t.Callable[[str], None]] = []
         self.usage: Usage | None = None
         peers.handle("closed", self._on_closed)
-        gossip.listen("group/", lambda record, sender: self._groups.clear())
+        gossip.listen("group/", lambda record, sender: self._groups_by_model.clear())
 
     def on_renewed(self, listener: t.Callable[[], None]) -> None:
-        """Call a function after permits were renewed."""
+        """Register a function to call after each renewal."""
         self._renewal_listeners.append(listener)
 
     def on_closed(self, listener: t.Callable[[str], None]) -> None:
-        """Call a function with each group that may not answer any more."""
+        """Register a function to call with each group that may no longer answer."""
         self._close_listeners.append(listener)
 
     def permit(self, group: str) -> HeldPermit | None:
-        """Return the permit for a group."""
+        """Return the permit of a group, or None."""
         return self._permits.get(group)
 
     def usable(self, intent: str, model: str) -> list[HeldPermit]:
-        """Return the permits under which work for an intent may be sent now."""
-        self._models[(intent, model)] = self._clock()
+        """Return the permits that accept work for an intent now."""
+        self._model_used_at[(intent, model)] = self._clock()
         now = self._clock()
         found = (self._permits.get(group) for group in self.groups(intent, model))
         return [permit for permit in found if permit and permit.takes_work(now)]
 
     def groups(self, intent: str, model: str) -> list[str]:
         """Return the groups of an intent that this daemon is attached to."""
-        found = self._groups.get((intent, model))
+        found = self._groups_by_model.get((intent, model))
         if found is None:
-            found = self._groups[(intent, model)] = self._find_groups(intent, model)
+            found = self._groups_by_model[(intent, model)] = self._find_groups(intent, model)
         return found
 
     def _find_groups(self, intent: str, model: str) -> list[str]:
@@ -120,7 +117,7 @@
         return routing.attached(self._me, current, self._attach)
 
     async def renew_early(self) -> None:
-        """Renew now instead of at the next turn, though not too often."""
+        """Renew before the next interval, at a limited rate."""
         now = self._clock()
         if now - self._renewed_early_at >= MIN_EARLY_RENEWAL_INTERVAL_SECONDS:
             self._renewed_early_at = now
@@ -132,12 +129,12 @@
         await background.repeat("permits", self.renew, seconds, lambda: self.should_stop)
 
     async def renew(self) -> None:
-        """Ask for all permits that are wanted or in use."""
+        """Request all permits that are needed or in use."""
         now = self._clock()
-        for key, used in list(self._models.items()):
+        for key, used in list(self._model_used_at.items()):
             if now - used > MODEL_IDLE_SECONDS:
-                del self._models[key]
-        needed = {group for key in self._models for group in self.groups(*key)}
+                del self._model_used_at[key]
+        needed = {group for key in self._model_used_at for group in self.groups(*key)}
         for group in set(self._permits) - needed:
             if not self._is_in_use(group):
                 del self._permits[group]
@@ -164,7 +161,7 @@
         return PermitRequest(group, self.usage.in_flight(group), demand)
 
     async def _request_permits(self, shard: int, groups: list[str]) -> None:
-        """Ask the holder, and while it is silent those who would follow it."""
+        """Request permits from the holder, and the unanswered ones from the other candidates."""
         holder = self._shards.holder_of(shard)
         others = [name for name in self._shards.candidates(shard) if name != holder]
         remaining = groups
@@ -183,7 +180,7 @@
             )
             permits = [codec.validated(Permit, raw) for raw in answer]
         except (PeerError, DecodeError, TypeError):
-            # no permit: the groups are not used, which is the safe side
+            # Without a permit the groups are not used, which is safe.
             return set()
         for permit in permits:
             if permit.group in groups:
@@ -192,8 +189,8 @@
 
     def _store_permit(self, permit: Permit, asked_at: float) -> None:
         current = self._permits.get(permit.group)
-        newer = (permit.epoch, permit.generation)
-        if current and newer < (current.permit.epoch, current.permit.generation):
+        version = (permit.epoch, permit.generation)
+        if current and version < (current.permit.epoch, current.permit.generation):
             return
         self._permits[permit.group] = held(permit, asked_at)
         if permit.valid_for <= 0:
@@ -206,7 +203,7 @@
                 self._notify_closed(group)
 
     def _check_disjoint(self) -> None:
-        """Make sure that no instance is in two groups that this daemon may use now."""
+        """Check the invariant that no instance is in two groups usable now."""
         now = self._clock()
         seen: dict[str, str] = {}
         for group, held_permit in self._permits.items():
--- a/packages/daemon/src/thorncleat_daemon/pieces.py
+++ b/packages/daemon/src/thorncleat_daemon/pieces.py
@@ -1,9 +1,8 @@
-"""Passing the pieces of a streamed answer on, and checking whose they are.
+"""Splitting a streamed answer into events and checking that they belong to the request.
 
-The events are not parsed: each must begin as the engine begins the events of this request,
-which costs one comparison, and anything else is looked at more closely.
+The usual event is recognised by its first bytes, without parsing it.
 
-Owns: half an event that has come, and what was dropped.
+Owns: the incomplete event received last, and the counts of dropped events.
 Relies on: engines that name the request in each event.
 """
 
@@ -17,9 +16,9 @@
 
 
 class Pieces:
-    """Checks the bytes of one answer and cuts them into whole events.
+    """Checks the bytes of one answer and splits them into complete events.
 
-    :param request_id: the request whose answer this is.
+    :param request_id: the request that is answered.
     """
 
     def __init__(self, request_id: str) -> None:
@@ -27,7 +26,7 @@
         self._prefix = (DATA_PREFIX + b"{" + identity.encode()).rstrip()
         self._identities = (identity.encode(), identity.replace(":", ": ", 1).encode())
         self._partial_event = b""
-        # two: the event that counts the tokens may come after the one that finishes
+        # The usage event may follow the one with the finish reason, so two events are checked.
         self._last_event = b""
         self._previous_event = b""
         self.events = 0
@@ -35,14 +34,14 @@
         self.dropped: collections.Counter[str] = collections.Counter()
 
     def feed(self, chunk: bytes) -> bytes:
-        """Check what arrived and return what may be passed on: whole, own events."""
+        """Check received bytes and return the complete events that belong to the request."""
         if (
             not self._partial_event
             and not self.is_done
             and chunk.startswith(self._prefix)
             and chunk.find(EVENT_SEPARATOR) == len(chunk) - 2
         ):
-            # the usual case: one whole event of this request
+            # Fast path: exactly one complete event of this request.
             self.events += 1
             self._previous_event, self._last_event = self._last_event, chunk
             return chunk
@@ -57,7 +56,7 @@
             self.dropped["after_end"] += 1
             return b""
         if event == DONE:
-            # it names no request, so it counts only after an own event that finishes
+            # The end marker names no request, so it needs a preceding finish event of this one.
             self.is_done = self.has_finish_event
             if not self.is_done:
                 self.dropped["end_of_another"] += 1
@@ -76,23 +75,23 @@
 
     @property
     def has_finish_event(self) -> bool:
-        """Whether one of the last own events says that the answer ends."""
+        """Whether one of the last two events has a finish reason."""
         return any(mark in self._last_event + self._previous_event for mark in FINISH_MARKERS)
 
     def drop_partial_event(self) -> None:
-        """Drop half an event, before the answer goes on in another group."""
+        """Drop an incomplete event before the answer is resumed in another group."""
         if self._partial_event:
             self.dropped["half_event"] += 1
         self._partial_event = b""
 
     @property
     def is_truncated(self) -> bool:
-        """Whether the answer lacks its end; the end marker alone may be missing."""
+        """Whether the answer has neither its end marker nor a finish reason."""
         return not self.is_done and not self.has_finish_event
 
 
 def find_answer_fault(answer: t.Any, request_id: str) -> str | None:
-    """Return what is wrong with an answer that came as a whole, or None."""
+    """Return what is wrong with a whole answer, or None."""
     if not isinstance(answer, dict):
         return "not an object"
     if answer.get("id") != f"chatcmpl-{request_id}":
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -1,7 +1,7 @@
-"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through.
+"""Reverse proxy for ``/v1/services/{service}/…``, the calls to plain services.
 
-Owns: the retries left and the endpoints left out.
-Relies on: a service's own list of what may be repeated.
+Owns: the retry budget and the endpoints ejected after failures.
+Relies on: each service's configured list of calls that may not be repeated.
 """
 
 import dataclasses
@@ -26,16 +26,15 @@
 from .once import WholeAnswer
 from .once import run_once
 from .upstream import Upstream
-from .upstream import answer_lost
-from .upstream import end_to_end
+from .upstream import answer_lost_error
+from .upstream import end_to_end_headers
 
-# endpoints that a call is tried at
 MAX_ATTEMPTS = 3
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class PlainServices:
-    """Serves calls to plain services."""
+    """Forwards calls to plain services."""
 
     def __init__(
         self,
@@ -52,9 +51,9 @@
         self._ejection = Ejection()
 
     async def answer(self, request: web.Request, caller: Caller, body: bytes) -> web.Response:
-        """Answer a call.
+        """Forward a call and return its answer.
 
-        :raises RequestError: if it can't be answered; it says whether the call ran.
+        :raises RequestError: if there is no answer; it says whether the call ran.
         """
         service = self._find_service(request.match_info["service"], caller)
         path = "/" + request.match_info["tail"]
@@ -62,7 +61,7 @@
         if request.rel_url.raw_query_string:
             target += f"?{request.rel_url.raw_query_string}"
         repeatable = caller.repeatable and service.may_repeat(request.method, path)
-        headers = end_to_end(request.headers) | {"X-Request-Id": caller.id}
+        headers = end_to_end_headers(request.headers) | {"X-Request-Id": caller.id}
         call = _ForwardedCall(request.method, target, body, headers, repeatable)
         if repeatable:
             answered = await self._run(service, caller, call)
@@ -86,7 +85,7 @@
         return service
 
     async def _run(self, service: Service, caller: Caller, call: "_ForwardedCall") -> WholeAnswer:
-        """Call endpoints in turn, as long as that is safe and within the retry budget."""
+        """Try endpoints in turn, as long as a retry is safe and within the retry budget."""
         now = clock.now()
         order = rendezvous.ranked(caller.id, self._ejection.usable(service.endpoints, now))
         for attempt, endpoint in enumerate(order[:MAX_ATTEMPTS], start=1):
@@ -122,14 +121,17 @@
             try:
                 body = await response.read()
             except (aiohttp.ClientError, TimeoutError) as error:
-                raise answer_lost(url, error) from error
+                raise answer_lost_error(url, error) from error
             content_type = response.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
             return WholeAnswer(response.status, content_type, body)
 
 
 @dataclasses.dataclass(frozen=True)
 class _ForwardedCall:
-    """A call as it is passed on."""
+    """A call as it is forwarded.
+
+    :param target: path and query.
+    """
 
     method: str
     target: str
--- a/packages/daemon/src/thorncleat_daemon/platform.py
+++ b/packages/daemon/src/thorncleat_daemon/platform.py
@@ -1,7 +1,7 @@
 """Adapter to the platform's list of instances.
 
-Owns: the parts of the list that were fetched, by tag.
-Relies on: the platform's servers, tried one after the other.
+Owns: the cached parts of the list with their entity tags.
+Relies on: the platform's servers; the next one is used after a failure.
 """
 
 import typing as t
@@ -15,27 +15,22 @@
 from .exceptions import PlatformError
 
 PATH = "/platform/instances"
-# for a whole call
 TIMEOUT_SECONDS = 3.0
-# HTTP status: the part has the tag that was named
 NOT_MODIFIED = 304
 _ROWS = pydantic.TypeAdapter(list[ListedInstance])
 
 
 class _CachedList(t.NamedTuple):
-    """A part of the list and the tag that the platform gave it."""
+    """A cached part of the list and its entity tag."""
 
     tag: str
     rows: list[Instance]
 
 
 class HttpInstanceList:
-    """Fetches parts of the list over HTTP.
+    """Fetches parts of the list over HTTP, with conditional requests for unchanged parts.
 
-    A part that did not change since is answered with its tag alone, so that asking often
-    costs little. At the planned size the whole list is two megabytes.
-
-    :param endpoints: ``host:port`` of each server; the next one is tried after a failure.
+    :param endpoints: ``host:port`` of each server; the next one is used after a failure.
     """
 
     def __init__(self, session: aiohttp.ClientSession, endpoints: t.Sequence[str]) -> None:
--- a/packages/daemon/src/thorncleat_daemon/ports.py
+++ b/packages/daemon/src/thorncleat_daemon/ports.py
@@ -1,7 +1,7 @@
-"""The ports: what the daemon needs from outside, for adapters and fakes to provide.
+"""Interfaces to external systems, implemented by adapters and test fakes.
 
 Owns: nothing.
-Relies on: adapters to keep what each method promises, errors too.
+Relies on: adapters that raise only the documented errors.
 """
 
 import dataclasses
@@ -16,8 +16,8 @@
 class Stored:
     """A value in the store.
 
-    :param create_revision: of the key's present life.
-    :param mod_revision: of its newest write.
+    :param create_revision: revision at which the key was last created.
+    :param mod_revision: revision of its newest write.
     """
 
     key: str
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unchanged:
-    """A condition: a key's newest write is the one known; 0 for a key that isn't there."""
+    """Condition that a key's newest write has this revision; 0 for an absent key."""
 
     key: str
     mod_revision: int
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeyNotRecreated:
-    """A condition: a key has been there ever since it was created at this revision."""
+    """Condition that a key has existed since its creation at this revision."""
 
     key: str
     create_revision: int
@@ -46,7 +46,7 @@
 class Write:
     """A write of one key.
 
-    :param lease: lease that takes the key along; 0 for none.
+    :param lease: the lease whose end deletes the key; 0 for none.
     """
 
     key: str
@@ -70,11 +70,11 @@
     """The platform's key-value service.
 
     Every method raises :class:`StoreUnavailableError` if the call was not carried
-    out, and writes raise :class:`StoreOutcomeUnknownError` if that isn't known.
+    out, and writes raise :class:`StoreOutcomeUnknownError` if that is unknown.
     """
 
     async def read(self, key: str, purpose: Purpose) -> Stored | None:
-        """Return a value, or None."""
+        """Return the value of a key, or None."""
         ...
 
     async def read_under(self, prefix: str, purpose: Purpose) -> list[Stored]:
@@ -88,26 +88,29 @@
         ...
 
     async def grant(self, ttl: float) -> int:
-        """Return a new lease; ``ttl`` in seconds."""
+        """Create a lease and return its id.
+
+        :param ttl: in seconds.
+        """
         ...
 
     async def renew(self, lease: int) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has expired."""
         ...
 
     async def revoke(self, lease: int) -> None:
-        """End a lease."""
+        """Revoke a lease, which deletes its keys."""
         ...
 
     def watch(self, key: str) -> t.AsyncIterator[Stored | None]:
-        """Yield each new value of a key, None once when the watch begins."""
+        """Yield None when the watch is established, then each new value of a key."""
         ...
 
 
 class InstanceList(t.Protocol):
-    """The platform's lagging list of instances.
+    """The platform's eventually consistent list of instances.
 
-    Every method raises :class:`PlatformError` if the list can't be had.
+    Every method raises :class:`PlatformError` if the list can't be fetched.
     """
 
     async def entries(self) -> list[Instance]:
@@ -119,7 +122,7 @@
         ...
 
     async def everything(self) -> list[Instance]:
-        """Return all instances; large, for plans only."""
+        """Return all instances; the answer is large, so use it for plans only."""
         ...
 
 
@@ -127,8 +130,8 @@
 class Order:
     """A fenced order to an engine.
 
-    :param epoch: of the lease under which it is given.
-    :param group: empty to follow no group.
+    :param epoch: fencing token of the lease under which it is sent.
+    :param group: empty to serve in no group.
     """
 
     epoch: int
@@ -140,20 +143,20 @@
 
 
 class Engines(t.Protocol):
-    """The control side of the model engines."""
+    """The control interface of the model engines."""
 
     async def probe(self, address: str) -> InstanceReport:
-        """Ask an engine what it is.
+        """Return an engine's report of itself.
 
         :raises EndpointError: if it doesn't answer.
         """
         ...
 
     async def order(self, address: str, order: Order) -> None:
-        """Give an engine an order.
+        """Send an engine an order.
 
-        :raises StaleOrderError: if it follows a later epoch.
-        :raises EndpointError: if it doesn't answer.
+        :raises StaleOrderError: if the engine follows a later epoch.
+        :raises EndpointError: if the engine doesn't answer.
         """
         ...
 
@@ -165,16 +168,17 @@
     """The other daemons."""
 
     def handle(self, kind: str, handler: Handler) -> None:
-        """Let a coroutine answer messages of a kind; it gets the sender and the body."""
+        """Register a coroutine that answers messages of a kind, given the sender and the body."""
         ...
 
     async def ask(self, peer: str, kind: str, body: t.Any, timeout: float = 1.0) -> t.Any:
         """Send a message and return its answer.
 
-        :raises PeerError: if there is none in time.
+        :param timeout: in seconds.
+        :raises PeerError: if there is no answer in time.
         """
         ...
 
     async def send(self, peer: str, kind: str, body: t.Any) -> None:
-        """Send a message that needs no answer; it may be lost."""
+        """Send a message without an answer; it may be lost."""
         ...
--- a/packages/daemon/src/thorncleat_daemon/problems.py
+++ b/packages/daemon/src/thorncleat_daemon/problems.py
@@ -1,4 +1,4 @@
-"""Errors as callers see them: problem documents after RFC 9457.
+"""Problem documents (RFC 9457) for callers.
 
 Owns: nothing.
 Relies on: errors that say whether the request ran.
@@ -18,7 +18,7 @@
 def document(error: RequestError, request_id: str) -> dict[str, t.Any]:
     """Return the problem document of an error.
 
-    The member ``error`` repeats it in the form that clients of the OpenAI interface read.
+    The member ``error`` repeats it in the format that OpenAI clients read.
     """
     return {
         "type": "about:blank",
@@ -32,15 +32,15 @@
 
 
 def headers(error: RequestError, request_id: str) -> dict[str, str]:
-    """Return the headers that go with an error."""
-    found = {"X-Request-Id": request_id}
+    """Return the headers of an error's response."""
+    result = {"X-Request-Id": request_id}
     if error.retry_after is not None:
-        found["Retry-After"] = str(math.ceil(error.retry_after))
-    return found
+        result["Retry-After"] = str(math.ceil(error.retry_after))
+    return result
 
 
 def response(error: RequestError, request_id: str) -> web.Response:
-    """Return the response of an error."""
+    """Return the response for an error."""
     return web.Response(
         status=error.status,
         text=json.dumps(document(error, request_id)),
@@ -50,6 +50,6 @@
 
 
 def stream_event(error: RequestError, request_id: str) -> bytes:
-    """Return the event that ends a stream which can't be continued."""
+    """Return the event that ends a stream after an unrecoverable error."""
     body = json.dumps(document(error, request_id), separators=(",", ":"))
     return b"data: " + body.encode() + b"\n\n"
--- a/packages/daemon/src/thorncleat_daemon/recent.py
+++ b/packages/daemon/src/thorncleat_daemon/recent.py
@@ -1,7 +1,7 @@
-"""The latest requests of this daemon, for operators who ask what became of one.
+"""Records of this daemon's latest requests, for operators.
 
-Owns: the latest requests, in memory alone.
-Relies on: nothing; a daemon that restarts has none.
+Owns: the records, in memory only.
+Relies on: nothing.
 """
 
 import collections
@@ -9,16 +9,15 @@
 import time
 import typing as t
 
-# requests
 MAX_RECORDS = 5000
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestRecord:
-    """What became of a request.
+    """The outcome of a request.
 
-    :param at: wall clock seconds at its end.
-    :param seconds: how long it took.
+    :param at: end of the request in seconds since the epoch.
+    :param seconds: duration.
     """
 
     id: str
@@ -34,18 +33,21 @@
 
 
 class RecentRequests:
-    """A bounded record of requests, the oldest dropped first."""
+    """A bounded collection of records that drops the oldest first."""
 
     def __init__(self, daemon: str) -> None:
         self._daemon = daemon
         self._records: collections.OrderedDict[str, RequestRecord] = collections.OrderedDict()
 
     def get(self, request_id: str) -> RequestRecord | None:
-        """Return the record of a request."""
+        """Return the record of a request, or None."""
         return self._records.get(request_id)
 
     def record_request(self, request_id: str, seconds: float, **fields: t.Any) -> None:
-        """Record a request."""
+        """Add the record of a request.
+
+        :param seconds: duration of the request.
+        """
         record = RequestRecord(
             id=request_id, daemon=self._daemon, at=time.time(), seconds=seconds, **fields
         )
--- a/packages/daemon/src/thorncleat_daemon/shard_map.py
+++ b/packages/daemon/src/thorncleat_daemon/shard_map.py
@@ -1,19 +1,19 @@
-"""Which shard a key belongs to, which daemons may hold it, and which one says it does.
+"""Mapping of keys to shards, and of shards to their candidates and holders.
 
-Owns: nothing; it is computed from the membership and the directory's records.
-Relies on: all daemons having the same number of shards in their settings.
+Owns: nothing; it is computed from the membership and the directory.
+Relies on: the same number of shards in all daemons' settings.
 """
 
 from thorncleat_core import rendezvous
 
 from .gossip import Gossip
 
-# daemons that may take a shard
+# Number of daemons that may acquire a shard.
 CANDIDATE_COUNT = 3
 
 
 class ShardMap:
-    """The shards of the control work, as one daemon sees them.
+    """The control shards as seen by one daemon.
 
     :param me: this daemon's id.
     :param count: number of control shards.
@@ -29,16 +29,16 @@
         return rendezvous.shard_of(key, self.count)
 
     def candidates(self, shard: int) -> list[str]:
-        """Return the daemons that may take a shard, the preferred one first."""
+        """Return the daemons that may acquire a shard, the preferred one first."""
         alive = self._gossip.members.alive
         return rendezvous.ranked(f"shard/{shard}", alive)[:CANDIDATE_COUNT]
 
     def rank(self, shard: int) -> int | None:
-        """Return this daemon's place among a shard's candidates; None if it is none."""
+        """Return this daemon's rank among a shard's candidates, or None."""
         alive = self._gossip.members.alive
         return rendezvous.place(f"shard/{shard}", self._me, alive, CANDIDATE_COUNT)
 
     def holder_of(self, shard: int) -> str | None:
-        """Return the daemon that last said it holds a shard."""
+        """Return the daemon last published as the holder of a shard, or None."""
         record = self._gossip.directory.get(f"shard/{shard}")
         return str(record.body["holder"]) if record and record.body.get("holder") else None
--- a/packages/daemon/src/thorncleat_daemon/splice.py
+++ b/packages/daemon/src/thorncleat_daemon/splice.py
@@ -1,13 +1,8 @@
-"""Copying a streamed answer from the engine's socket to the caller's, event by event.
+"""Copying a streamed answer from the engine's transport to the caller's without a task switch.
 
-The HTTP libraries read and write the heads; after that a protocol of our own stands on the
-engine's connection and writes to the caller's transport in the same turn of the loop. A
-profile showed that waking a task for each token, the library's stream reader and its chunk
-framing cost as much as the sockets themselves. Only public interfaces are used: the engine
-is asked in HTTP/1.0, so that its body comes without chunks and ends with the connection.
-
-Owns: one engine's connection and one caller's transport while an answer lasts.
-Relies on: :mod:`.pieces` to say which bytes may pass; the permit's end, read before each write.
+Owns: one engine's connection and one caller's transport for the duration of an answer.
+Relies on: HTTP libraries for the heads of both sides; an HTTP/1.0 answer, whose body has no chunks;
+:mod:`.pieces` for which bytes may pass; the permit's end, checked before each write.
 """
 
 import asyncio
@@ -17,18 +12,17 @@
 
 from .pieces import Pieces
 
-# bytes that may wait for a slow caller before the engine is read no further
+# Reading from the engine pauses while more than this waits for a slow caller.
 HIGH_WATER_BYTES = 262_144
-# bytes at which a paused engine is read again
+# Reading from the engine resumes at this backlog.
 LOW_WATER_BYTES = 65_536
-# between looks at what a slow caller has yet to read
 DRAIN_POLL_INTERVAL_SECONDS = 0.02
 
 
 class Sink:
-    """The caller's side: its transport.
+    """The caller's transport.
 
-    :param chunked: whether the caller's head announced chunks.
+    :param chunked: whether the response uses chunked transfer encoding.
     """
 
     def __init__(self, transport: asyncio.Transport, *, chunked: bool) -> None:
@@ -42,24 +36,24 @@
 
     @property
     def waiting(self) -> int:
-        """Bytes that the caller has yet to read."""
+        """Bytes buffered for the caller."""
         return self._transport.get_write_buffer_size()
 
     def write(self, data: bytes) -> None:
-        """Send whole events."""
+        """Write complete events to the caller."""
         if self._chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         self._transport.write(data)
 
 
 class Splice(asyncio.Protocol):
-    """Stands on an engine's connection and passes its events on.
+    """Protocol on an engine's connection that forwards its events to a caller.
 
-    :param pieces: checks whose events they are.
-    :param until: until when the group may answer, on :func:`clock.now`.
-    ``is_group_closed`` says whether it ended because the group may not answer any more.
+    ``is_group_closed`` says whether it ended because the group may no longer answer.
 
-    :param renewed: returns a later ``until``, or 0 if the group may not answer any more.
+    :param pieces: checks which request the events belong to.
+    :param until: end of the group's permit, on :func:`clock.now`.
+    :param permit_end: returns the permit's present end, or 0 if the group may no longer answer.
     """
 
     def __init__(
@@ -78,13 +72,13 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether the engine is not read because the caller is slow."""
+        """Whether reading from the engine is paused for a slow caller."""
         return self._drain_timer is not None
 
     def take_over(self, transport: asyncio.Transport, buffered: bytes) -> None:
-        """Begin on a connection whose head was read.
+        """Take over a connection whose head was read.
 
-        :param early: what had come of the body by then.
+        :param buffered: the part of the body that was already received.
         """
         self._transport = transport
         transport.set_protocol(self)
@@ -93,7 +87,7 @@
             self.data_received(buffered)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on what is whole and the request's own."""
+        """Forward the complete events that belong to the request."""
         now = self.last_event_at = clock.now()
         if now >= self.until:
             permit_end = self._read_permit_end()
@@ -115,11 +109,11 @@
             self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End; the pieces know whether the answer was whole."""
+        """End; the pieces tell whether the answer is complete."""
         self._end()
 
     def stop(self) -> None:
-        """Break the engine's connection, by which it cancels what is left."""
+        """Abort the engine's connection, which makes the engine cancel the request."""
         if self._drain_timer:
             self._drain_timer.cancel()
         if self._transport:
@@ -131,7 +125,7 @@
             self.ended.set_result(None)
 
     def _pause_engine(self) -> None:
-        """Read no further until the caller has caught up."""
+        """Pause reading from the engine until the caller has caught up."""
         if self._transport is None or self._drain_timer is not None:
             return
         self._transport.pause_reading()
--- a/packages/daemon/src/thorncleat_daemon/store.py
+++ b/packages/daemon/src/thorncleat_daemon/store.py
@@ -1,8 +1,8 @@
-"""Adapter to the platform's key-value service, by the JSON form of the etcd v3 interface.
+"""Adapter to the platform's key-value service through etcd's v3 JSON gateway.
 
-Owns: which server is asked, and whether the store answered last.
-Relies on: the budget (:mod:`thorncleat_core.daemon.budget`); every call saying whether it may
-have taken effect.
+Owns: the server in use, and whether the newest call was answered.
+Relies on: the rate budget (:mod:`thorncleat_core.daemon.budget`); statuses and connection errors
+that tell whether a call may have taken effect.
 """
 
 import asyncio
@@ -26,8 +26,8 @@
 from .ports import Operation
 from .ports import Stored
 
+# HTTP statuses of calls that the store did not carry out.
 REFUSED_STATUSES = frozenset({429, 503})
-# seconds that a call may wait for the budget
 MAX_BUDGET_WAIT_SECONDS = 2.0
 Json = dict[str, t.Any]
 
@@ -37,7 +37,7 @@
 
 
 def _prefix_end(prefix: str) -> bytes:
-    """Return the first key after all that begin with a prefix."""
+    """Return the first key after all keys that begin with a prefix."""
     raw = prefix.encode()
     return raw[:-1] + bytes([raw[-1] + 1])
 
@@ -70,9 +70,9 @@
 
 
 class EtcdStore:
-    """Calls the store within the daemon's budget.
+    """Calls the store within the daemon's rate budget.
 
-    :param endpoints: ``host:port`` of each server; the next one is tried after a failure.
+    :param endpoints: ``host:port`` of each server; the next one is used after a failure.
     :param timeout: seconds for a call.
     """
 
@@ -99,11 +99,11 @@
 
     @property
     def budget(self) -> StoreBudget:
-        """The limiter before the store."""
+        """The rate limiter of the calls."""
         return self._budget
 
     async def read(self, key: str, purpose: Purpose) -> Stored | None:
-        """Return a value, or None."""
+        """Return the value of a key, or None."""
         body = {"key": _encoded(key.encode())}
         rows = (await self._read("/v3/kv/range", body, purpose)).get("kvs", [])
         return _stored(rows[0]) if rows else None
@@ -126,22 +126,25 @@
         return int(answer["header"]["revision"]) if answer.get("succeeded") else None
 
     async def grant(self, ttl: float) -> int:
-        """Return a new lease."""
+        """Create a lease and return its id.
+
+        :param ttl: in seconds.
+        """
         answer = await self._call("/v3/lease/grant", {"TTL": ttl}, Purpose.LEASE, write=True)
         return int(answer["ID"])
 
     async def renew(self, lease: int) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has expired."""
         body = {"ID": str(lease)}
         answer = await self._call("/v3/lease/keepalive", body, Purpose.LEASE, write=True)
         return float(answer["result"].get("TTL", 0)) > 0
 
     async def revoke(self, lease: int) -> None:
-        """End a lease."""
+        """Revoke a lease, which deletes its keys."""
         await self._call("/v3/lease/revoke", {"ID": str(lease)}, Purpose.LEASE, write=True)
 
     async def watch(self, key: str) -> t.AsyncIterator[Stored | None]:
-        """Yield each new value of a key, None once when the watch begins."""
+        """Yield None when the watch is established, then each new value of a key."""
         await self._wait_for_budget(False, Purpose.CONFIG)
         url = f"http://{self._endpoints[self._endpoint_index]}/v3/watch"
         body = {"create_request": {"key": _encoded(key.encode())}}
@@ -170,7 +173,7 @@
         try:
             return await self._call(path, body, purpose, write=False)
         except StoreOutcomeUnknownError as error:
-            # a read that was lost changed nothing
+            # A lost read has no effect, so it may be retried.
             raise StoreUnavailableError(str(error)) from error
 
     async def _call(self, path: str, body: Json, purpose: Purpose, *, write: bool) -> Json:
--- a/packages/daemon/src/thorncleat_daemon/streams.py
+++ b/packages/daemon/src/thorncleat_daemon/streams.py
@@ -1,8 +1,7 @@
-"""Streamed answers: from the engine to the caller, whole, in one group or several.
+"""Streaming answers from engines to callers, resumed in another group after a failure.
 
-Owns: one caller's answer while it lasts.
-Relies on: :mod:`.attempts` to move it to another group; engines that go on from an event's
-number.
+Owns: the state of each stream while it is open.
+Relies on: :mod:`.attempts` for moving to another group; engines that resume from an event number.
 """
 
 import asyncio
@@ -34,7 +33,7 @@
 from .splice import Sink
 from .splice import Splice
 from .upstream import Upstream
-from .upstream import answer_lost
+from .upstream import answer_lost_error
 
 HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 CHUNKED = "chunked"
@@ -42,7 +41,7 @@
 
 
 class _CallerStream:
-    """The caller's side of a stream; its head is sent with the first piece."""
+    """The caller's side of a stream; the response's head is sent with the first event."""
 
     def __init__(self, request: web.Request, caller: Caller) -> None:
         self.request = request
@@ -54,9 +53,9 @@
         self.last_event_at = 0.0
 
     async def write(self, data: bytes) -> None:
-        """Send a piece by the library.
+        """Send events through the HTTP library.
 
-        :raises RequestError: if the caller has gone.
+        :raises RequestError: if the caller has closed its connection.
         """
         try:
             if not self.response.prepared:
@@ -64,7 +63,7 @@
                 self.first_event_at = clock.now()
             await self.response.write(data)
         except ConnectionError as error:
-            # of the caller's connection: an engine's is never written to here
+            # Only the caller's connection is written to here.
             raise caller_gone_error() from error
         self.last_event_at = clock.now()
 
@@ -74,7 +73,7 @@
         return self.request.transport is None or self.request.transport.is_closing()
 
     def sink(self) -> Sink | None:
-        """Return the caller's transport to write to, or None if it has gone."""
+        """Return a sink on the caller's transport, or None if the connection is closed."""
         transport = self.request.transport
         if transport is None or not isinstance(transport, asyncio.Transport):
             return None
@@ -85,7 +84,7 @@
 class Streams:
     """Answers requests for streams.
 
-    :param stall: seconds of silence after which an engine's answer is given up.
+    :param stall: seconds without an event after which an attempt fails.
     """
 
     def __init__(
@@ -111,7 +110,7 @@
     ) -> web.StreamResponse:
         """Answer with a stream.
 
-        :raises RequestError: if it can't be begun; a later failure is an event in the stream.
+        :raises RequestError: if it can't be started; a later failure becomes an error event.
         """
         caller_stream = _CallerStream(request, caller)
 
@@ -134,12 +133,12 @@
     async def _copy_answer(
         self, caller_stream: _CallerStream, slot: Slot, completion: Completion
     ) -> None:
-        """Copy one engine's answer to the caller, from where the caller's copy ends."""
+        """Copy one engine's answer to the caller, resuming after the events already sent."""
         url = engine_url(slot)
         body = completion.body(caller_stream.caller.priority, caller_stream.pieces.events)
-        left = caller_stream.caller.timeout()
+        call_timeout = caller_stream.caller.timeout()
         async with self._upstream.stream(
-            url, body, engine_headers(caller_stream.caller), left
+            url, body, engine_headers(caller_stream.caller), call_timeout
         ) as response:
             if response.status != 200:
                 check_status(response.status, await response.read())
@@ -147,19 +146,19 @@
                 await self._copy_first_events(caller_stream, slot, response)
                 await self._splice_connections(caller_stream, slot, response)
             except (aiohttp.ClientError, TimeoutError) as error:
-                raise answer_lost(url, error) from error
+                raise answer_lost_error(url, error) from error
         if caller_stream.pieces.is_truncated:
             raise caller_gone_error() if caller_stream.is_closed else _truncated_error()
 
     async def _copy_first_events(
         self, caller_stream: _CallerStream, slot: Slot, response: aiohttp.ClientResponse
     ) -> None:
-        """Pass on the first pieces by the library, which sends the caller's head with them."""
+        """Send the first events through the HTTP library, which writes the response's head."""
         while not caller_stream.response.prepared and not caller_stream.pieces.is_done:
             chunk = await response.content.readany()
             if not chunk:
                 return
-            # before the events are counted: what isn't passed on must be asked for again
+            # Checked before the events are counted, since unsent events must be requested again.
             self._attempts.check_permit(slot)
             own_events = caller_stream.pieces.feed(chunk)
             if own_events:
@@ -168,7 +167,7 @@
     async def _splice_connections(
         self, caller_stream: _CallerStream, slot: Slot, response: aiohttp.ClientResponse
     ) -> None:
-        """Join the engine's connection to the caller's until the answer ends."""
+        """Connect the engine's transport to the caller's until the answer ends."""
         connection, sink = response.connection, caller_stream.sink()
         transport = connection.transport if connection else None
         if caller_stream.pieces.is_done or sink is None or sink.is_closed:
@@ -181,7 +180,7 @@
             lambda: self._attempts.permitted_until(slot),
         )
         if transport is None:
-            # all of it had come already
+            # The whole answer was already buffered.
             splice.data_received(buffered)
             return
         splice.take_over(transport, buffered)
@@ -200,9 +199,9 @@
             raise group_closed_error(slot)
 
     async def _wait_for_end(self, caller_stream: _CallerStream, splice: Splice) -> None:
-        """Wait for the end, and give up on silence or at the deadline.
+        """Wait for the end of the answer.
 
-        :raises TimeoutError: then.
+        :raises TimeoutError: if the engine stalls or the deadline passes.
         """
         while not splice.ended.done():
             previous_event_at = splice.last_event_at
@@ -217,11 +216,11 @@
     async def _end_with_error(
         self, caller_stream: _CallerStream, error: RequestError, model: str
     ) -> None:
-        """End the stream with an error event instead of DONE: the answer is not whole."""
+        """End an incomplete stream with an error event instead of ``[DONE]``."""
         if error.cause != CALLER_GONE:
             caller = caller_stream.caller.id
             events.REQUEST_FAILED.log(request=caller, cause=error.cause, detail=error.detail)
-            # the caller may have left as well; the failure itself is logged above
+            # The caller may have disconnected too; the failure is already logged.
             with contextlib.suppress(RequestError, ConnectionError):
                 await caller_stream.write(problems.stream_event(error, caller))
                 await caller_stream.response.write_eof()
@@ -244,14 +243,14 @@
             if cause == GOOD and seconds > workspace.first_token_seconds:
                 cause = "late"
         if cause == CALLER_GONE:
-            # the caller's own doing: it says nothing of the service
+            # A caller's disconnect doesn't count against the service level.
             self._metrics.requests.labels(workspace.name, cause).inc()
         else:
             self._metrics.record_ended(workspace.name, model, cause)
 
 
 def caller_gone_error() -> RequestError:
-    """Return what ends a request whose caller has closed its connection."""
+    """Return the error of a request whose caller has closed its connection."""
     return RequestError(
         499, "Caller gone", "the caller left", executed="unknown", cause=CALLER_GONE
     )
--- a/packages/daemon/src/thorncleat_daemon/upstream.py
+++ b/packages/daemon/src/thorncleat_daemon/upstream.py
@@ -1,7 +1,7 @@
-"""Calls to endpoints for callers, with what is known of their fate when they fail.
+"""Calls to endpoints on behalf of callers; errors say whether the call may have run.
 
-Owns: the sessions towards endpoints.
-Relies on: the client library raising a connector error only while nothing was sent.
+Owns: the HTTP sessions for endpoints.
+Relies on: an HTTP client that raises connector errors only if nothing was sent.
 """
 
 import contextlib
@@ -14,7 +14,6 @@
 from . import retry_after
 from .exceptions import RequestError
 
-# until a connection to an endpoint stands
 CONNECT_SECONDS = 1.0
 HOP_BY_HOP = frozenset(
     {
@@ -35,7 +34,7 @@
 
 
 def single_session() -> aiohttp.ClientSession:
-    """Return a session for calls that may run once: each has a connection of its own."""
+    """Return a session for calls that may run at most once; each uses a new connection."""
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     return aiohttp.ClientSession(
         connector=connector, auto_decompress=False, middlewares=(never_again,)
@@ -43,7 +42,7 @@
 
 
 def stream_session() -> aiohttp.ClientSession:
-    """Return a session whose answers come without chunks and end with their connection."""
+    """Return a session for HTTP/1.0, whose answers are unchunked and end with the connection."""
     connector = aiohttp.TCPConnector(limit=0, force_close=True, happy_eyeballs_delay=None)
     return aiohttp.ClientSession(
         connector=connector, auto_decompress=False, version=aiohttp.HttpVersion10
@@ -51,11 +50,11 @@
 
 
 class Upstream:
-    """The sessions towards endpoints.
+    """The HTTP sessions for endpoints.
 
-    :param shared: keeps connections.
-    :param single: of :func:`single_session`.
-    :param streams: of :func:`stream_session`.
+    :param shared: reuses connections.
+    :param single: from :func:`single_session`.
+    :param streams: from :func:`stream_session`.
     """
 
     def __init__(
@@ -70,13 +69,13 @@
 
     @property
     def sessions(self) -> list[aiohttp.ClientSession]:
-        """All sessions, to be closed in the end."""
+        """All sessions; the owner closes them."""
         return [self._shared, self._single, self._streams]
 
     def stream(
         self, url: str, body: bytes, headers: t.Mapping[str, str], timeout: float
     ) -> t.AsyncContextManager[aiohttp.ClientResponse]:
-        """Send a request whose answer is a stream; as :meth:`call`."""
+        """Send a request whose answer is a stream; otherwise like :meth:`call`."""
         return self._call(self._streams, "POST", url, body, headers, timeout)
 
     def call(
@@ -89,7 +88,7 @@
         repeatable: bool,
         timeout: float,
     ) -> t.AsyncContextManager[aiohttp.ClientResponse]:
-        """Send a request and yield the response once its head is there.
+        """Send a request and yield the response after its head was received.
 
         :param timeout: seconds for the whole call.
         :raises RequestError: if there is no answer; it says whether the request ran.
@@ -108,20 +107,20 @@
         timeout: float,
     ) -> t.AsyncIterator[aiohttp.ClientResponse]:
         limits = aiohttp.ClientTimeout(total=timeout, sock_connect=CONNECT_SECONDS)
-        sent = session.request(
+        request = session.request(
             method, url, data=body, headers=headers, timeout=limits, allow_redirects=False
         )
         async with contextlib.AsyncExitStack() as stack:
             try:
-                response = await stack.enter_async_context(sent)
+                response = await stack.enter_async_context(request)
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-                raise not_sent(url, error) from error
+                raise not_sent_error(url, error) from error
             except (aiohttp.ClientError, TimeoutError) as error:
-                raise answer_lost(url, error) from error
+                raise answer_lost_error(url, error) from error
             yield response
 
 
-def not_sent(url: str, error: BaseException) -> RequestError:
+def not_sent_error(url: str, error: BaseException) -> RequestError:
     """Return the error of a call that did not reach its endpoint."""
     detail = f"no connection to the endpoint: {type(error).__name__}"
     return RequestError(
@@ -133,12 +132,12 @@
     )
 
 
-def answer_lost(url: str, error: BaseException) -> RequestError:
+def answer_lost_error(url: str, error: BaseException) -> RequestError:
     """Return the error of a call that may have run."""
     detail = f"the endpoint's answer was lost: {type(error).__name__}"
     return RequestError(502, "Answer lost", detail, executed="unknown", cause="answer_lost")
 
 
-def end_to_end(headers: t.Mapping[str, str]) -> dict[str, str]:
-    """Return the headers that are passed on."""
+def end_to_end_headers(headers: t.Mapping[str, str]) -> dict[str, str]:
+    """Return the headers to forward."""
     return {name: value for name, value in headers.items() if name.lower() not in HOP_BY_HOP}
