--- a/packages/daemon/src/thorncleat_daemon/holder.py
+++ b/packages/daemon/src/thorncleat_daemon/holder.py
@@ -232,9 +232,9 @@
 
     async def _read_back(self, shard: int, holder_value: bytes) -> int | None:
         stored = await self._services.store.read(self._services.keys.holder(shard), Purpose.LEASE)
-        own = stored is not None and stored.value == holder_value
-        events.STORE_READ_BACK.log(shard=shard, own=own)
-        return stored.create_revision if stored and own else None
+        is_own = stored is not None and stored.value == holder_value
+        events.STORE_READ_BACK.log(shard=shard, own=is_own)
+        return stored.create_revision if stored and is_own else None
 
     async def _ensure_lease(self) -> None:
         if self._lease_id and self._clock() < self._deadline:
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -141,8 +141,8 @@
         for row in self._group_rows():
             if row["group"] == name:
                 return web.json_response({"kind": "group", **self._explained(row)})
-        found = await self._gather("explain", name)
-        records = [record for record in found.values() if record]
+        answers = await self._gather("explain", name)
+        records = [record for record in answers.values() if record]
         if not records:
             return problem(404, f"no group and no recent request {name!r}")
         return web.json_response({"kind": "request", **records[0]})
@@ -159,8 +159,8 @@
         }
 
     async def _on_explain(self, sender: str, body: t.Any) -> t.Any:
-        found = self._services.recent.get(str(body))
-        return dataclasses.asdict(found) if found else None
+        record = self._services.recent.get(str(body))
+        return dataclasses.asdict(record) if record else None
 
     # Service levels
 
@@ -231,8 +231,8 @@
     if manager is None:
         return {"id": name}
     listed, report = manager.listed.get(name), manager.reports.get(name)
-    found = {"id": name, "listed": str(listed.state) if listed else "no"}
+    known = {"id": name, "listed": str(listed.state) if listed else "no"}
     if report is None:
-        return {**found, "reports": "nothing"}
+        return {**known, "reports": "nothing"}
     follows = f"{report.group or 'no group'} at {report.generation}"
-    return {**found, "reports": follows if report.ready else f"{follows}, loading"}
+    return {**known, "reports": follows if report.ready else f"{follows}, loading"}
--- a/packages/daemon/src/thorncleat_daemon/permits.py
+++ b/packages/daemon/src/thorncleat_daemon/permits.py
@@ -98,23 +98,23 @@
         """Return the permits that accept work for an intent now."""
         self._model_used_at[(intent, model)] = self._clock()
         now = self._clock()
-        found = (self._permits.get(group) for group in self.groups(intent, model))
-        return [permit for permit in found if permit and permit.takes_work(now)]
+        permits = (self._permits.get(group) for group in self.groups(intent, model))
+        return [permit for permit in permits if permit and permit.takes_work(now)]
 
     def groups(self, intent: str, model: str) -> list[str]:
-        """Return the groups of an intent that this daemon is attached to."""
-        found = self._groups_by_model.get((intent, model))
-        if found is None:
-            found = self._groups_by_model[(intent, model)] = self._find_groups(intent, model)
-        return found
+        """Return the groups of an intent that this daemon uses."""
+        groups = self._groups_by_model.get((intent, model))
+        if groups is None:
+            groups = self._groups_by_model[(intent, model)] = self._find_groups(intent, model)
+        return groups
 
     def _find_groups(self, intent: str, model: str) -> list[str]:
-        current = {
+        shard_by_group = {
             record.key.removeprefix("group/"): self._shards.shard_of(str(record.body["domain"]))
             for record in self._gossip.directory.under(f"group/{intent}-")
             if record.body.get("model") == model and record.body.get("intent") == intent
         }
-        return routing.attached(self._me, current, self._attach)
+        return routing.attached(self._me, shard_by_group, self._attach)
 
     async def renew_early(self) -> None:
         """Renew before the next interval, at a limited rate."""
@@ -131,8 +131,8 @@
     async def renew(self) -> None:
         """Request all permits that are needed or in use."""
         now = self._clock()
-        for key, used in list(self._model_used_at.items()):
-            if now - used > MODEL_IDLE_SECONDS:
+        for key, used_at in list(self._model_used_at.items()):
+            if now - used_at > MODEL_IDLE_SECONDS:
                 del self._model_used_at[key]
         needed = {group for key in self._model_used_at for group in self.groups(*key)}
         for group in set(self._permits) - needed:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who gets in: daemons by CURVE keys, callers over TLS; broken frames and slow clients."""
+"""Guards against unauthenticated peers, malformed frames and slow clients."""
 
 import asyncio
 import datetime
@@ -23,7 +23,7 @@
 from thorncleat_standins.cluster import Site
 
 
-def _pair() -> tuple[str, str]:
+def _key_pair() -> tuple[str, str]:
     public, secret = zmq.curve_keypair()
     return public.decode(), secret.decode()
 
@@ -32,15 +32,15 @@
     return PeerKeys.model_validate({"public": pair[0], "secret": pair[1], "accepted": accepted})
 
 
-class Pair:
-    """A daemon that answers echoes, and another one that asks it."""
+class ConnectedPair:
+    """Two connected daemons; the server echoes requests of the client."""
 
     def __init__(self, keys: PeerKeys, others: PeerKeys, cluster: str = "c") -> None:
         self.addresses: dict[str, str] = {}
         self.server = ZmqPeers("c", "server", keys, lambda: self.addresses)
         self.client = ZmqPeers(cluster, "client", others, lambda: self.addresses)
 
-    async def __aenter__(self) -> "Pair":
+    async def __aenter__(self) -> "ConnectedPair":
         async def echo(sender, body):
             return [sender, body]
 
@@ -56,48 +56,48 @@
         return await self.client.ask("server", kind, {"n": 1}, 0.5)
 
 
-class TestDaemonsAmongThemselves:
+class TestPeers:
     async def test_known_key_is_answered(self):
-        pair = _pair()
+        pair = _key_pair()
         keys = _keys(pair, [pair[0]])
-        async with Pair(keys, keys) as both:
-            assert await both.ask() == ["client", {"n": 1}]
+        async with ConnectedPair(keys, keys) as daemons:
+            assert await daemons.ask() == ["client", {"n": 1}]
 
-    async def test_stranger_gets_nothing(self):
-        pair, stranger = _pair(), _pair()
-        # it knows the server's public key, but its own isn't accepted
+    async def test_unaccepted_key_is_ignored(self):
+        pair, stranger = _key_pair(), _key_pair()
+        # It knows the server's public key, but its own key isn't accepted.
         known = _keys(pair, [pair[0]])
         other = _keys(stranger, [pair[0]])
-        async with Pair(known, other) as both:
+        async with ConnectedPair(known, other) as daemons:
             with pytest.raises(PeerError, match="did not answer"):
-                await both.ask()
-            assert both.server.counts["received"] == 0
+                await daemons.ask()
+            assert daemons.server.counts["received"] == 0
 
     @pytest.mark.parametrize("server_is_changed", [False, True])
-    async def test_old_and_new_keys_meet_while_they_are_changed(self, server_is_changed):
-        old, new = _pair(), _pair()
+    async def test_both_keys_work_during_a_rotation(self, server_is_changed):
+        old, new = _key_pair(), _key_pair()
         before, after = _keys(old, [old[0], new[0]]), _keys(new, [new[0], old[0]])
         server, client = (after, before) if server_is_changed else (before, after)
-        async with Pair(server, client) as both:
+        async with ConnectedPair(server, client) as daemons:
             with pytest.raises(PeerError):
-                await both.ask()
-            assert await both.ask() == ["client", {"n": 1}]
+                await daemons.ask()
+            assert await daemons.ask() == ["client", {"n": 1}]
 
     async def test_frame_for_another_cluster_is_dropped(self):
-        pair = _pair()
+        pair = _key_pair()
         keys = _keys(pair, [pair[0]])
-        async with Pair(keys, keys, cluster="other") as both:
+        async with ConnectedPair(keys, keys, cluster="other") as daemons:
             with pytest.raises(PeerError):
-                await both.ask()
-            assert both.server.counts["rejected"] == 1
+                await daemons.ask()
+            assert daemons.server.counts["rejected"] == 1
 
     async def test_unknown_kind_is_dropped(self):
-        pair = _pair()
+        pair = _key_pair()
         keys = _keys(pair, [pair[0]])
-        async with Pair(keys, keys) as both:
+        async with ConnectedPair(keys, keys) as daemons:
             with pytest.raises(PeerError):
-                await both.ask("nonsense")
-            assert both.server.counts["rejected"] == 1
+                await daemons.ask("nonsense")
+            assert daemons.server.counts["rejected"] == 1
 
     @pytest.mark.parametrize(
         "frame",
@@ -111,20 +111,20 @@
         ],
     )
     async def test_broken_frame_is_dropped_and_the_next_is_answered(self, frame):
-        pair = _pair()
+        pair = _key_pair()
         keys = _keys(pair, [pair[0]])
-        async with Pair(keys, keys) as both:
-            connection = both.client._connection("server")
+        async with ConnectedPair(keys, keys) as daemons:
+            connection = daemons.client._connection("server")
             await connection.socket.send(frame)
-            assert await both.ask() == ["client", {"n": 1}]
-            assert both.server.counts["rejected"] == 1
+            assert await daemons.ask() == ["client", {"n": 1}]
+            assert daemons.server.counts["rejected"] == 1
 
 
 def _certificate(directory) -> dict[str, str]:
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "localhost")])
     now = datetime.datetime.now(datetime.UTC)
-    made = (
+    certificate = (
         x509.CertificateBuilder()
         .subject_name(name)
         .issuer_name(name)
@@ -138,7 +138,7 @@
         )
         .sign(key, hashes.SHA256())
     )
-    (directory / "tls.crt").write_bytes(made.public_bytes(serialization.Encoding.PEM))
+    (directory / "tls.crt").write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
     (directory / "tls.key").write_bytes(
         key.private_bytes(
             serialization.Encoding.PEM,
@@ -150,28 +150,28 @@
 
 
 class TestListeners:
-    async def test_tls_and_a_client_that_sends_slowly(self, tmp_path):
+    async def test_tls_and_a_slow_client(self, tmp_path):
         tls = _certificate(tmp_path)
         listen = {"callers_tls": tls, "operators_tls": tls}
         cluster = Cluster(tmp_path / "c", Site(daemons=1, instances=4), listen=listen)
         context = ssl.create_default_context(cafile=tls["certificate"])
         try:
             await cluster.start(shared_engines=True)
-            said = cluster.processes["daemon-0"].said
-            host, _, port = said["callers"].rpartition(":")
-            # one that never finishes its head holds up nobody
+            addresses = cluster.processes["daemon-0"].said
+            host, _, port = addresses["callers"].rpartition(":")
+            # A client that never finishes its request must not block others.
             _, slow = await asyncio.open_connection(host, int(port), ssl=context)
             slow.write(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Le")
             async with aiohttp.ClientSession() as session:
-                url = f"https://{said['callers']}/healthz"
+                url = f"https://{addresses['callers']}/healthz"
                 async with session.get(url, ssl=context) as response:
                     assert response.status == 200
-                url = f"https://{said['operators']}/operators/v1/status"
+                url = f"https://{addresses['operators']}/operators/v1/status"
                 headers = {"Authorization": f"Bearer {cluster.operator_key}"}
                 async with session.get(url, ssl=context, headers=headers) as response:
                     assert response.status == 200
                 with pytest.raises(aiohttp.ClientError):
-                    await session.get(f"http://{said['callers']}/healthz")
+                    await session.get(f"http://{addresses['callers']}/healthz")
             slow.close()
         finally:
             await cluster.stop()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Catching up with the accepted configuration."""
+"""Guards against a daemon that misses or reverts accepted configurations."""
 
 from thorncleat_core.daemon.budget import Purpose
 from thorncleat_core.daemon.directory import Record
@@ -15,12 +15,12 @@
 
 
 class _Store:
-    """Holds the first entries of the chain; a hook runs before each read is answered."""
+    """Holds the first entries of the chain and calls a hook before each answer to a read."""
 
     def __init__(self, count: int) -> None:
         self.is_reachable = True
         self.before_answer = lambda key: None
-        self._values = {KEYS.entry(one.revision): one.encode() for one in ENTRIES[:count]}
+        self._values = {KEYS.entry(entry.revision): entry.encode() for entry in ENTRIES[:count]}
         self._values[KEYS.head] = CHAIN[count].head.encode()
 
     async def read(self, key: str, purpose: Purpose) -> Stored | None:
@@ -29,56 +29,56 @@
         return Stored(key, value, 1, 1) if value else None
 
 
-def _keeper(store: _Store) -> ConfigManager:
+def _manager(store: _Store) -> ConfigManager:
     daemon = World(daemons=1).daemons["d0"]
     return ConfigManager("d0", store, KEYS, daemon.gossip, daemon.peers)
 
 
 class TestCatchingUp:
-    async def test_reads_all_that_is_newer(self):
-        keeper = _keeper(_Store(9))
-        await keeper.catch_up()
-        assert keeper.current == CHAIN[9]
-        assert keeper.is_loaded
+    async def test_reads_all_newer_entries(self):
+        manager = _manager(_Store(9))
+        await manager.catch_up()
+        assert manager.current == CHAIN[9]
+        assert manager.is_loaded
 
-    async def test_goes_on_when_a_peer_brings_the_next_entry_meanwhile(self):
+    async def test_continues_if_a_peer_delivers_the_next_entry(self):
         store = _Store(3)
-        keeper = _keeper(store)
+        manager = _manager(store)
 
-        def from_a_peer(key: str) -> None:
+        def deliver_from_peer(key: str) -> None:
             if key == KEYS.entry(1):
-                keeper.journal.append(ENTRIES[0])
+                manager.journal.append(ENTRIES[0])
 
-        store.before_answer = from_a_peer
-        await keeper.catch_up()
-        assert keeper.journal.head.revision == 3
+        store.before_answer = deliver_from_peer
+        await manager.catch_up()
+        assert manager.journal.head.revision == 3
 
-    async def test_missing_entry_without_a_snapshot_ends_it(self):
+    async def test_stops_at_a_missing_entry_without_a_snapshot(self):
         store = _Store(3)
         del store._values[KEYS.entry(2)]
-        keeper = _keeper(store)
-        await keeper.catch_up()
-        assert keeper.current == CHAIN[1]
+        manager = _manager(store)
+        await manager.catch_up()
+        assert manager.current == CHAIN[1]
 
-    async def test_erased_entries_come_with_the_snapshot(self):
+    async def test_deleted_entries_are_read_from_the_snapshot(self):
         store = _Store(9)
         for number in range(1, 6):
             del store._values[KEYS.entry(number)]
         store._values[KEYS.snapshot] = CHAIN[5].encode()
-        keeper = _keeper(store)
-        await keeper.catch_up()
-        assert keeper.current == CHAIN[9]
-
-    async def test_goes_after_what_was_announced_by_one_it_cannot_reach(self):
-        keeper = _keeper(_Store(3))
-        keeper._gossip.directory.put(Record("config", (3,), {"digest": "x"}))
-        await keeper.fetch_announced()
-        assert keeper.current == CHAIN[3]
-
-    async def test_never_goes_back(self):
-        keeper = _keeper(_Store(9))
-        await keeper.catch_up()
-        keeper._store = _Store(4)
-        await keeper.catch_up()
-        assert keeper.current == CHAIN[9]
-        assert State() != keeper.current
+        manager = _manager(store)
+        await manager.catch_up()
+        assert manager.current == CHAIN[9]
+
+    async def test_fetches_a_revision_announced_by_an_unreachable_daemon(self):
+        manager = _manager(_Store(3))
+        manager._gossip.directory.put(Record("config", (3,), {"digest": "x"}))
+        await manager.fetch_announced()
+        assert manager.current == CHAIN[3]
+
+    async def test_never_reverts(self):
+        manager = _manager(_Store(9))
+        await manager.catch_up()
+        manager._store = _Store(4)
+        await manager.catch_up()
+        assert manager.current == CHAIN[9]
+        assert State() != manager.current
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Shards, groups and permits together, under kills, pauses, cuts and store outages."""
+"""Guards against wrong permits and lost groups under kills, partitions and store outages."""
 
 import asyncio
 import contextlib
@@ -17,55 +17,55 @@
 from .world import World
 
 
-def _opened(world: World) -> World:
+def _open(world: World) -> World:
     world.run(12)
     assert {group for _, group, _ in world.usable()} == set(world.state.placements)
     return world
 
 
 def _holder(world: World) -> str:
-    (name,) = [one.name for one in world.daemons.values() if one.holder.held]
+    (name,) = [daemon.name for daemon in world.daemons.values() if daemon.holder.held]
     return name
 
 
 def _holder_of(daemons) -> str:
-    (name,) = [one.name for one in daemons if one.holder.held]
+    (name,) = [daemon.name for daemon in daemons if daemon.holder.held]
     return name
 
 
-def _closed_within(world: World, seconds: float) -> None:
+def _assert_closed_within(world: World, seconds: float) -> None:
     world.run(seconds, step=0.05)
     assert not world.usable()
 
 
 class TestGroupDowntime:
     def test_group_opens_on_every_daemon(self):
-        assert len(_opened(World()).usable()) == 3
+        assert len(_open(World()).usable()) == 3
 
     @pytest.mark.parametrize("name", ["i0", "i3"])
     def test_death_of_a_member_closes_everywhere_within_the_window(self, name):
-        world = _opened(World(instances=4))
+        world = _open(World(instances=4))
         world.kill(name)
-        _closed_within(world, world.control.window * 1.02)
+        _assert_closed_within(world, world.control.window * 1.02)
 
     def test_closes_though_no_message_gets_through(self):
-        world = _opened(World(instances=4))
+        world = _open(World(instances=4))
         world.cut_peers = {(a, b) for a in world.daemons for b in world.daemons}
         world.kill("i1")
         holder = _holder(world)
         world.run(world.control.window * 1.02, step=0.05)
         assert {name for name, _, _ in world.usable()} <= {holder}
-        _closed_within(world, 0.5)
+        _assert_closed_within(world, 0.5)
 
     def test_spare_takes_over(self):
-        world = _opened(World())
+        world = _open(World())
         world.kill("i0")
         world.run(10)
         assert world.assignments().groups["narrator-0"].members[0] in ("i4", "i5")
         assert len(world.usable()) == 3
 
     def test_without_spares_it_waits_and_opens_again(self):
-        world = _opened(World(instances=4))
+        world = _open(World(instances=4))
         world.kill("i2")
         world.run(20)
         assert not world.usable()
@@ -74,7 +74,7 @@
         assert len(world.usable()) == 3
 
     def test_two_groups_short_of_a_member_make_one_that_serves(self):
-        world = _opened(World(instances=8, replicas=2))
+        world = _open(World(instances=8, replicas=2))
         world.kill("i0")
         world.kill("i5")
         world.run(15)
@@ -83,16 +83,20 @@
 
 class TestHolders:
     def test_shard_is_held_again_after_its_holder_stopped(self):
-        world = _opened(World())
+        world = _open(World())
         old = _holder(world)
         world.daemons[old].paused = True
         world.run(world.control.lease + 8)
-        assert [one.name for one in world.daemons.values() if one.holder.held and not one.paused]
+        assert [
+            daemon.name
+            for daemon in world.daemons.values()
+            if daemon.holder.held and not daemon.paused
+        ]
         assert len(world.usable()) == 2
 
     @pytest.mark.parametrize("store_down", [False, True])
     def test_groups_stay_open_when_their_holder_dies(self, store_down):
-        world = _opened(World())
+        world = _open(World())
         old = _holder(world)
         world.store_down = store_down
         world.daemons[old].paused = True
@@ -100,15 +104,19 @@
             world.run(0.1, step=0.1)
             assert len(world.usable()) == 2, world.now
 
-    def test_stand_in_ends_when_the_shard_is_held_again(self):
-        world = _opened(World())
+    def test_manager_without_a_lease_ends_when_the_shard_is_held_again(self):
+        world = _open(World())
         world.daemons[_holder(world)].paused = True
         world.run(40)
-        kept = [one for one in world.daemons.values() if one.holder.managers and not one.paused]
-        assert [one.name for one in kept] == [_holder_of(kept)]
+        managing = [
+            daemon
+            for daemon in world.daemons.values()
+            if daemon.holder.managers and not daemon.paused
+        ]
+        assert [daemon.name for daemon in managing] == [_holder_of(managing)]
 
     def test_paused_holder_comes_back_and_changes_nothing(self):
-        world = _opened(World())
+        world = _open(World())
         old = _holder(world)
         world.daemons[old].paused = True
         world.run(20)
@@ -122,7 +130,7 @@
         assert len(world.usable()) == 3
 
     def test_order_from_before_a_pause_does_not_count(self):
-        world = _opened(World())
+        world = _open(World())
         old = _holder(world)
         world.orders_delayed.add(old)
         world.kill("i0")
@@ -138,13 +146,13 @@
         world = World()
         world.lose_answers = 1
         world.run(12)
-        assert len([one for one in world.daemons.values() if one.holder.held]) == 1
+        assert len([daemon for daemon in world.daemons.values() if daemon.holder.held]) == 1
         assert len(world.usable()) == 3
 
 
 class TestStoreOutage:
-    def test_groups_serve_on_for_an_hour(self):
-        world = _opened(World())
+    def test_groups_keep_serving_for_an_hour(self):
+        world = _open(World())
         world.store_down = True
         world.run(3600, step=1.0)
         assert len(world.usable()) == 3
@@ -152,15 +160,15 @@
         world.run(20)
         assert len(world.usable()) == 3
 
-    def test_death_of_a_member_closes_the_group_then_too(self):
-        world = _opened(World(instances=4))
+    def test_death_of_a_member_closes_the_group_during_an_outage(self):
+        world = _open(World(instances=4))
         world.store_down = True
         world.run(30)
         world.kill("i3")
-        _closed_within(world, world.control.window * 1.02)
+        _assert_closed_within(world, world.control.window * 1.02)
 
     def test_nothing_is_changed_without_the_store(self):
-        world = _opened(World())
+        world = _open(World())
         world.store_down = True
         world.run(20)
         orders = {name: engine.order for name, engine in world.engines.items()}
@@ -168,26 +176,26 @@
         world.run(30)
         assert {name: engine.order for name, engine in world.engines.items()} == orders
 
-    def test_another_daemon_stands_in_for_a_holder_that_dies(self):
-        world = _opened(World())
+    def test_another_daemon_issues_permits_when_the_holder_dies(self):
+        world = _open(World())
         world.store_down = True
         world.run(10)
-        world.daemons[_last_keeper(world)].paused = True
+        world.daemons[_managing_daemon(world)].paused = True
         world.run(10)
         assert len(world.usable()) == 2
 
-    def test_holder_cut_off_from_the_store_alone_gives_way(self):
-        world = _opened(World())
+    def test_holder_cut_off_from_the_store_is_replaced(self):
+        world = _open(World())
         old = _holder(world)
         world.cut_from_store.add(old)
         world.run(30)
         assert not world.daemons[old].holder.held
-        assert [one for one in world.daemons.values() if one.holder.held]
+        assert [daemon for daemon in world.daemons.values() if daemon.holder.held]
         assert len(world.usable()) == 3
 
 
-def _last_keeper(world: World) -> str:
-    (name,) = [one.name for one in world.daemons.values() if one.holder.managers]
+def _managing_daemon(world: World) -> str:
+    (name,) = [daemon.name for daemon in world.daemons.values() if daemon.holder.managers]
     return name
 
 
@@ -198,13 +206,13 @@
 
 
 class TestHandOver:
-    """Each of these fails when one mechanism is taken out; the world's check notices."""
+    """Each test fails through the world's check if one mechanism is removed."""
 
     def test_old_permits_are_waited_for_when_a_member_is_replaced(self):
-        world = _opened(World(repair_after=0.1))
+        world = _open(World(repair_after=0.1))
         holder = _holder(world)
         cut = next(name for name in world.daemons if name != holder)
-        # this daemon hears of nothing and holds on to its permit as long as it may
+        # This daemon receives nothing and uses its permit until it expires.
         world.cut_peers = {(cut, other) for other in world.daemons}
         world.kill("i0")
         world.run(8, step=0.05)
@@ -212,11 +220,11 @@
 
     @pytest.mark.parametrize("later", [0.0, 0.5, 1.0, 1.5, 2.0, 2.2, 2.4])
     def test_former_holder_stops_permitting_when_the_next_shows(self, later):
-        world = _opened(World())
+        world = _open(World())
         old = _holder(world)
         user, other = (name for name in world.daemons if name != old)
         world.cut_from_store.add(old)
-        # one daemon can only ask the former holder, and soon not even that one
+        # One daemon only reaches the former holder, and later not even that one.
         world.cut_peers = {(user, other), (old, other)}
         _drain(world, "i1")
         while not world.daemons[other].holder.held:
@@ -227,45 +235,45 @@
         assert "i1" not in world.assignments().taken()
 
     def test_order_is_not_given_after_the_lease_ended(self):
-        # on an engine without fences the holder's own clock is all there is
-        world = _opened(World(fenced=False))
+        # Engines without fencing depend on the holder's own clock.
+        world = _open(World(fenced=False))
         old = world.daemons[_holder(world)]
-        (keeper,) = old.holder.managers.values()
+        (manager,) = old.holder.managers.values()
         old.paused = True
-        # past the holder's own deadline, and before the store lets the lease lapse
+        # After the holder's own deadline and before the lease expires in the store.
         world.run(world.control.lease - 0.6, step=0.1)
         world.engines["i4"].order = dataclasses.replace(world.engines["i0"].order, group="x")
-        asyncio.run(keeper.watch())
+        asyncio.run(manager.watch())
         followed = {name: engine.order for name, engine in world.engines.items()}
         with contextlib.suppress(ThorncleatError):
-            asyncio.run(keeper.repair())
+            asyncio.run(manager.repair())
         assert {name: engine.order for name, engine in world.engines.items()} == followed
 
     def test_assignments_are_not_written_after_the_lease_ended(self):
-        world = _opened(World())
+        world = _open(World())
         old = world.daemons[_holder(world)]
-        (keeper,) = old.holder.managers.values()
+        (manager,) = old.holder.managers.values()
         world.run(0.25)
         old.paused = True
         world.run(world.control.lease + 8)
         before = world.assignments()
-        # a clock that stood still while the machine was suspended: only the store knows
-        keeper.lease.deadline = float("inf")
+        # A clock stopped during a suspension: only the store knows of the expired lease.
+        manager.lease.deadline = float("inf")
         _drain(world, "i1", "i2")
         for _ in range(5):
             with contextlib.suppress(ThorncleatError):
-                asyncio.run(keeper.repair())
+                asyncio.run(manager.repair())
         assert world.assignments() == before
 
 
 class TestDraining:
     def test_work_in_flight_is_finished_before_the_instance_is_free(self):
-        world = _opened(World())
+        world = _open(World())
         world.daemons["d1"].usage.flying["narrator-0"] = 1
         _drain(world, "i1")
         world.run(30)
         assert "i1" in world.assignments().groups["narrator-0"].members
-        # no new work within 3 s anywhere
+        # No daemon starts new work.
         for daemon in world.daemons.values():
             held = daemon.permits.permit("narrator-0")
             assert held.usable(daemon.clock())
@@ -276,7 +284,7 @@
         assert len(world.usable()) == 3
 
     def test_instance_that_the_platform_lists_as_leaving_is_emptied(self):
-        world = _opened(World())
+        world = _open(World())
         listed = world.listed["i2"]
         world.listed["i2"] = dataclasses.replace(listed, state=InstanceState.LEAVING)
         world.run(10, step=0.1)
@@ -285,11 +293,10 @@
 
 
 class ControlMachine(RuleBasedStateMachine):
-    """Any of the failures, at any moment, together or twice.
+    """Random sequences of failures.
 
-    The world's own check is the oracle: it knows which engine followed what and when, and
-    asserts that no daemon holds a usable permit for a group with a member missing, and that
-    no instance is in two groups that may answer.
+    The world's check asserts that no daemon has a usable permit for a group with a missing
+    member, and that no instance is in two usable groups.
     """
 
     names = st.sampled_from(["d0", "d1", "d2"])
@@ -350,7 +357,7 @@
 
     @rule()
     def heal_everything(self):
-        """All faults end: then every group must serve again on every daemon."""
+        """End all faults, after which every group must serve on every daemon."""
         world = self.world
         world.store_down = False
         world.lose_answers = 0
--- a/tests/test_forms_daemon_calls.py
+++ b/tests/test_forms_daemon_calls.py
@@ -1,4 +1,4 @@
-"""What the daemon of the product's own form sends and shows, as at b7c2758."""
+"""Guards the daemon's wire formats, metrics, settings and tables against changes."""
 
 import ast
 import asyncio
@@ -89,7 +89,7 @@
 
 def row(found):
     if isinstance(found, list):
-        return [row(one) for one in found]
+        return [row(stored) for stored in found]
     if found is None or isinstance(found, int):
         return found
     return [found.key, found.value.hex(), found.create_revision, found.mod_revision]
@@ -136,22 +136,22 @@
 
 
 async def test_order(snapshot):
-    _, calls = await ask_engine(lambda one, where: one.order(where, ORDER), Answer())
+    _, calls = await ask_engine(lambda engines, address: engines.order(address, ORDER), Answer())
     assert calls == snapshot
 
 
 @pytest.mark.parametrize(("status", "error"), [(409, StaleOrderError), (500, EndpointError)])
 async def test_order_that_fails(status, error):
     with pytest.raises(error):
-        await ask_engine(lambda one, where: one.order(where, ORDER), Answer(status))
+        await ask_engine(lambda engines, address: engines.order(address, ORDER), Answer(status))
 
 
 async def test_probe(snapshot):
     answer = Answer(document=REPORT, headers={"Content-Type": "application/json"})
-    found, calls = await ask_engine(lambda one, where: one.probe(where), answer)
+    found, calls = await ask_engine(lambda engines, address: engines.probe(address), answer)
     assert calls == snapshot(name="call")
     fields = ("instance", "boot", "ready", "epoch", "group", "generation", "rank", "running")
-    assert [getattr(found, one) for one in fields] == snapshot(name="result")
+    assert [getattr(found, field) for field in fields] == snapshot(name="result")
 
 
 async def test_list_of_instances(snapshot):
@@ -179,14 +179,14 @@
     assert server.calls == snapshot(name="calls")
     (found,) = first
     fields = ("id", "kind", "address", "fabric_domain", "failure_domain", "region", "state")
-    assert [str(getattr(found, one)) for one in fields] == snapshot(name="result")
+    assert [str(getattr(found, field)) for field in fields] == snapshot(name="result")
 
 
 class TestFrames:
-    """Frames between daemons; the other side is a bare socket."""
+    """Frames between a daemon and a plain socket."""
 
     async def _exchange(self, kind, body, answers):
-        public, secret = (one.decode() for one in zmq.curve_keypair())
+        public, secret = (key.decode() for key in zmq.curve_keypair())
         keys = PeerKeys(public=public, secret=secret, accepted=[public])
         context = zmq.asyncio.Context()
         other = context.socket(zmq.ROUTER)
@@ -196,19 +196,19 @@
         peers = ZmqPeers("c", "d-1", keys, lambda: {"d-2": f"127.0.0.1:{port}"})
         try:
             await peers.send("d-2", kind, body)
-            _, told = await other.recv_multipart()
+            _, sent = await other.recv_multipart()
             wait = asyncio.create_task(peers.ask("d-2", kind, body, 5.0))
             identity, asked = await other.recv_multipart()
             await other.send_multipart([identity, msgpack.packb(answers)])
-            return told, asked, await wait
+            return sent, asked, await wait
         finally:
             await peers.stop()
             context.destroy(linger=0)
 
     async def test_frames(self, snapshot):
         answer = {"v": 1, "d": {"n": 1, "b": {"x": 1}}}
-        told, asked, found = await self._exchange("ping", {"a": [1, b"\xff"]}, answer)
-        assert [told.hex(), asked.hex(), found] == snapshot
+        sent, asked, found = await self._exchange("ping", {"a": [1, b"\xff"]}, answer)
+        assert [sent.hex(), asked.hex(), found] == snapshot
 
     async def test_error(self):
         with pytest.raises(PeerError, match="no such shard"):
@@ -242,9 +242,9 @@
             family.documentation,
             family.type,
             sorted(
-                [one.name, sorted(map(list, one.labels.items()))]
-                for one in family.samples
-                if not one.name.endswith("_created")
+                [sample.name, sorted(map(list, sample.labels.items()))]
+                for sample in family.samples
+                if not sample.name.endswith("_created")
             ),
         ]
         for family in text_string_to_metric_families(metrics.text().decode())
@@ -253,7 +253,7 @@
 
 
 def test_gauges(snapshot):
-    # they are built only with a whole daemon, so their names are read from its source
+    # Gauges need a whole daemon, so their names are read from the source.
     found = [
         [argument.value for argument in node.args[:2]]
         for path in (ROOT / "packages/daemon/src").rglob("*.py")
@@ -269,7 +269,7 @@
 def test_settings(more, tmp_path, snapshot):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps({**GOOD, **more}))
-    # the keys of the file are those of the models
+    # The keys of the file are the fields of the models.
     assert settings.load(path).model_dump(mode="json") == snapshot
 
 
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -1,4 +1,4 @@
-"""Requests while daemons, engines and services are killed, and the store is away."""
+"""Guards against lost and repeated requests when processes are killed or the store is down."""
 
 import asyncio
 import random
@@ -23,22 +23,22 @@
 
 @pytest.fixture
 def lab(tmp_path):
-    made = Lab(tmp_path, Site(daemons=4, instances=4))
+    lab = Lab(tmp_path, Site(daemons=4, instances=4))
     try:
-        made.start()
-        yield made
+        lab.start()
+        yield lab
     finally:
-        made.close()
+        lab.close()
 
 
-class TestStoreAway:
-    def test_what_goes_on_and_what_stops(self, lab):
+class TestStoreOutage:
+    def test_streams_continue_and_changes_are_refused(self, lab):
         async def scenario():
             cluster = lab.cluster
             body = {"document": '{"workspaces": [{"name": "z", "key_digests": ["%s"]}]}'}
             body["document"] %= "9" * 64
             await cluster.store_faults(down=True)
-            # longer than every lease
+            # Longer than every lease.
             await asyncio.sleep(4.0)
             streamed = await lab.stream(completion("turbine", 20), "daemon-2")
             headers = {"Idempotency-Key": "away", "X-Call": "away"}
@@ -62,15 +62,15 @@
         assert (refused[0], refused[2]["executed"]) == (503, "no")
         assert int(refused[1]["Retry-After"]) >= 1
         assert confirmed[0] == 503
-        assert [one["id"] for one in models[2]["data"]] == ["m"]
+        assert [model["id"] for model in models[2]["data"]] == ["m"]
         assert "away" not in during
         assert after["away"] == 1
 
 
 class TestAtMostOnce:
     def test_no_call_runs_twice_through_kills_and_an_outage(self, lab):
-        """2,000 calls, repeated at random daemons, while things die around them."""
-        draw = random.Random(7)
+        """Calls repeated at random daemons while daemons and the service fail."""
+        rng = random.Random(7)
         callers = [
             RepeatingCaller(lab.cluster, CALLER_KEY, random.Random(n)) for n in range(CALLERS)
         ]
@@ -79,11 +79,11 @@
             for index in range(number, CALLS, CALLERS):
                 await callers[number].call(f"call-{index}")
 
-        async def trouble() -> None:
+        async def inject_faults() -> None:
             cluster = lab.cluster
             service = cluster.service
             for turn in range(6):
-                await asyncio.sleep(draw.uniform(0.4, 0.9))
+                await asyncio.sleep(rng.uniform(0.4, 0.9))
                 victim = f"daemon-{1 + turn % 3}"
                 await cluster.control_call("POST", service, "/behaviour", break_after=3)
                 if turn % 3 == 2:
@@ -101,14 +101,14 @@
                 await cluster.store_faults(lose_answers=1)
 
         async def scenario() -> dict[str, int]:
-            await asyncio.gather(trouble(), *(traffic(number) for number in range(CALLERS)))
+            await asyncio.gather(inject_faults(), *(traffic(number) for number in range(CALLERS)))
             return await lab.ledger()
 
         ledger = lab.run(scenario())
-        told = {key: found for one in callers for key, found in one.told.items()}
-        assert len(told) == CALLS
-        assert not ledger_faults(told, ledger)
+        reports = {key: results for caller in callers for key, results in caller.told.items()}
+        assert len(reports) == CALLS
+        assert not ledger_faults(reports, ledger)
         assert not log_faults(lab.cluster)
-        done = sum(found[-1] == "yes" for found in told.values())
-        print(f"{done} of {CALLS} done, {sum(map(len, told.values()))} attempts")
+        done = sum(results[-1] == "yes" for results in reports.values())
+        print(f"{done} of {CALLS} done, {sum(map(len, reports.values()))} attempts")
         assert done > CALLS * 0.5
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Pieces of answers: whole, in order, and nobody else's."""
+"""Guards against incomplete streams and events of other requests in an answer."""
 
 import json
 
@@ -55,7 +55,7 @@
         assert pieces.feed(_event("late")) == b""
         assert pieces.dropped == {"after_end": 1}
 
-    def test_end_that_may_be_anothers_does_not_count(self):
+    def test_end_marker_after_a_foreign_finish_is_dropped(self):
         pieces = Pieces(ID)
         pieces.feed(_event("a") + _event("", "other", finish="stop") + DONE)
         assert pieces.is_truncated
@@ -66,7 +66,7 @@
         pieces.feed(_event("a", finish="length") + _event("usage") + DONE)
         assert pieces.is_done
 
-    def test_other_spacing_is_known(self):
+    def test_other_json_spacing_is_accepted(self):
         assert Pieces(ID).feed(_event("a", spaced=True)) == _event("a", spaced=True)
 
     def test_end_without_done_is_truncated(self):
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through real processes: answers, errors and who may do what."""
+"""Guards the answers, errors and access rights of callers and operators, with real processes."""
 
 import asyncio
 import json
@@ -24,12 +24,12 @@
 
 @pytest.fixture(scope="module")
 def lab(tmp_path_factory):
-    made = Lab(tmp_path_factory.mktemp("requests"), Site(), body=20_000)
+    lab = Lab(tmp_path_factory.mktemp("requests"), Site(), body=20_000)
     try:
-        made.start()
-        yield made
+        lab.start()
+        yield lab
     finally:
-        made.close()
+        lab.close()
 
 
 class TestCompletions:
@@ -44,8 +44,8 @@
         found = lab.run(lab.stream(completion("turbine 7", 12), daemon))
         assert (found.text, found.done) == (expected("turbine 7", 12), True)
 
-    def test_many_callers_each_get_their_own(self, lab):
-        async def all_of_them():
+    def test_concurrent_callers_get_their_own_answers(self, lab):
+        async def call_concurrently():
             texts = [f"turbine {number}" for number in range(60)]
             daemons = [f"daemon-{number % 3}" for number in range(60)]
             calls = [
@@ -54,13 +54,13 @@
             ]
             return texts, await asyncio.gather(*calls)
 
-        texts, answers = lab.run(all_of_them())
-        assert [one.text for one in answers] == [expected(text, 10) for text in texts]
-        assert all(one.done for one in answers)
+        texts, answers = lab.run(call_concurrently())
+        assert [answer.text for answer in answers] == [expected(text, 10) for text in texts]
+        assert all(answer.done for answer in answers)
 
     def test_models(self, lab):
         _, _, body = lab.call("GET", "/v1/models")
-        assert [one["id"] for one in body["data"]] == ["m"]
+        assert [model["id"] for model in body["data"]] == ["m"]
         _, _, body = lab.call("GET", "/v1/models", key="other-key")
         assert body["data"] == []
 
@@ -74,7 +74,7 @@
 
 
 class TestBadRequests:
-    def _refused(self, answer, status: int, text: str) -> None:
+    def _assert_refused(self, answer, status: int, text: str) -> None:
         assert answer[0] == status
         assert answer[1]["Content-Type"].startswith("application/problem+json")
         assert text in answer[2]["detail"]
@@ -91,10 +91,10 @@
         ],
     )
     def test_body(self, lab, body, text):
-        self._refused(lab.call("POST", CHAT, data=body), 400, text)
+        self._assert_refused(lab.call("POST", CHAT, data=body), 400, text)
 
     def test_oversize_body(self, lab):
-        self._refused(lab.call("POST", CHAT, data=b"x" * 30_000), 413, "20000 bytes")
+        self._assert_refused(lab.call("POST", CHAT, data=b"x" * 30_000), 413, "20000 bytes")
 
     @pytest.mark.parametrize(
         ("headers", "text"),
@@ -110,18 +110,20 @@
     )
     def test_header(self, lab, headers, text):
         answer = lab.call("POST", CHAT, headers=headers, json=completion())
-        self._refused(answer, 400, text)
+        self._assert_refused(answer, 400, text)
 
     @pytest.mark.parametrize("key", ["", "wrong"])
     def test_key(self, lab, key):
-        self._refused(lab.call("POST", CHAT, key=key, json=completion()), 401, "workspace's key")
+        self._assert_refused(
+            lab.call("POST", CHAT, key=key, json=completion()), 401, "workspace's key"
+        )
 
     def test_model_of_another_workspace(self, lab):
         answer = lab.call("POST", CHAT, key="other-key", json=completion())
-        self._refused(answer, 404, "no model 'm' for workspace 'b'")
+        self._assert_refused(answer, 404, "no model 'm' for workspace 'b'")
 
     def test_service_of_another_workspace(self, lab):
-        self._refused(lab.call("GET", ACK, key="other-key"), 404, "no service 'telemetry'")
+        self._assert_refused(lab.call("GET", ACK, key="other-key"), 404, "no service 'telemetry'")
 
     def test_injected_header_does_not_pass(self, lab):
         host, _, port = lab.cluster.callers("daemon-0").removeprefix("http://").rpartition(":")
@@ -174,7 +176,7 @@
 
     @pytest.mark.parametrize("method", ["POST", "PUT"])
     def test_lost_answer_is_unknown_and_never_run_again(self, lab, method):
-        # PUT too: the client library would repeat it by itself on a kept connection
+        # PUT too, which the HTTP client would retry by itself on a reused connection.
         call = f"lost-{method}"
         headers = {"Idempotency-Key": call, "X-Call": call}
 
@@ -194,16 +196,16 @@
 
 class TestOperators:
     def test_reader_may_not_change(self, lab):
-        keep, lab.cluster.operator_key = lab.cluster.operator_key, "reader-key"
+        original_key, lab.cluster.operator_key = lab.cluster.operator_key, "reader-key"
         try:
             assert lab.run(lab.cluster.operate("daemon-1", "GET", "/status"))[0] == 200
             body = {"document": "{}"}
             assert lab.run(lab.cluster.operate("daemon-1", "POST", "/plans", body))[0] == 403
         finally:
-            lab.cluster.operator_key = keep
+            lab.cluster.operator_key = original_key
 
     def test_confirming_twice_acts_once(self, lab):
-        async def twice():
+        async def confirm_twice():
             cluster = lab.cluster
             change = {"workspaces": [{"name": "c", "key_digests": ["0" * 64]}]}
             body = {"document": json.dumps(change)}
@@ -213,7 +215,7 @@
             again = await cluster.operate("daemon-2", "POST", "/confirm", sent)
             return first, again
 
-        first, again = lab.run(twice())
+        first, again = lab.run(confirm_twice())
         assert first[0] == again[0] == 200
         assert first[1]["revision"] == again[1]["revision"]
 
@@ -247,21 +249,21 @@
                 {"workspaces": [{"name": "k", "key_digests": [digest("new-key")]}]}
             )
 
-            async def known() -> bool:
+            async def is_key_accepted() -> bool:
                 answers = [
                     await lab.acall("GET", "/v1/models", name, key="new-key")
                     for name in lab.cluster.daemons
                 ]
                 return all(status == 200 for status, _, _ in answers)
 
-            await lab.cluster.wait_for("the key to be in force", known, 6.0)
+            await lab.cluster.wait_for("the key to be in force", is_key_accepted, 6.0)
 
         lab.run(change_key())
 
     def test_no_secret_in_logs_or_answers(self, lab):
         lab.call("POST", CHAT, key="a-leaked-key", json=completion())
         _, body = lab.run(lab.cluster.operate("daemon-0", "GET", "/status"))
-        logs = "".join(one.read_text() for one in lab.cluster.directory.glob("*.log"))
+        logs = "".join(path.read_text() for path in lab.cluster.directory.glob("*.log"))
         for secret in ("a-leaked-key", "caller-key", lab.cluster.operator_key):
             assert secret not in logs + json.dumps(body)
 
@@ -300,7 +302,7 @@
         assert self._client(lab, tmp_path, "plan", "intent.json", "--out=p").returncode == 0
         assert "accepted" in self._client(lab, tmp_path, "confirm", "p").stdout
         lab.run(lab.cluster.apply({"remove": {"workspaces": ["k"]}}))
-        # confirmed again after another change: it was accepted once, and that stands
+        # A confirmation repeated after another change still finds the accepted plan.
         assert self._client(lab, tmp_path, "confirm", "p").returncode == 0
 
     def test_exit_codes(self, lab, tmp_path):
--- a/tests/test_splice.py
+++ b/tests/test_splice.py
@@ -1,4 +1,4 @@
-"""The joint of an engine's connection to a caller's, without sockets."""
+"""Guards against events forwarded after a permit or to a closed or slow caller."""
 
 import asyncio
 from types import SimpleNamespace
@@ -50,7 +50,7 @@
         self.closing = True
 
 
-class Joined:
+class SplicedPair:
     def __init__(self, until: float, renewed: float = 0.0):
         self.caller, self.engine = FakeTransport(), FakeTransport()
         self.pieces = Pieces(ID)
@@ -69,56 +69,58 @@
 
 
 class TestBeginning:
-    async def test_event_that_came_as_its_group_closed_is_not_counted(self):
-        flow = SimpleNamespace(
+    async def test_event_received_when_the_group_closes_is_not_counted(self):
+        caller_stream = SimpleNamespace(
             response=SimpleNamespace(prepared=False), pieces=Pieces(ID), write=None
         )
         slot = Slot("g-0", 1, "", "a", 1)
         streams = Streams(_ClosedGroup(), None, None, 1.0, Invariants())
         with pytest.raises(RequestError, match="lost a member"):
-            await streams._copy_first_events(flow, slot, SimpleNamespace(content=_Content()))
-        assert flow.pieces.events == 0
+            await streams._copy_first_events(
+                caller_stream, slot, SimpleNamespace(content=_Content())
+            )
+        assert caller_stream.pieces.events == 0
 
 
 class TestSplice:
-    async def test_events_are_passed_on_in_chunks(self):
-        joined = Joined(clock.now() + 60)
-        joined.splice.data_received(EVENT)
-        assert joined.caller.written == b"%x\r\n%b\r\n" % (len(EVENT), EVENT)
-
-    async def test_nothing_is_passed_on_or_counted_after_the_permit(self):
-        joined = Joined(clock.now() - 1)
-        joined.splice.data_received(EVENT)
-        assert joined.splice.is_group_closed
-        assert joined.splice.ended.done()
-        assert joined.caller.written == b""
-        # an event that was not passed on must be asked for again
-        assert joined.pieces.events == 0
-
-    async def test_renewed_permit_goes_on(self):
-        joined = Joined(clock.now() - 1, renewed=clock.now() + 60)
-        joined.splice.data_received(EVENT)
-        assert joined.caller.written
-        assert joined.splice.last_write_at <= joined.splice.until
-
-    async def test_slow_caller_holds_the_engine_up(self):
-        joined = Joined(clock.now() + 60)
-        joined.caller.waiting = HIGH_WATER_BYTES + 1
-        joined.splice.data_received(EVENT)
-        assert joined.engine.paused
-        assert joined.splice.is_paused
-        joined.caller.waiting = 0
+    async def test_events_are_forwarded_in_chunks(self):
+        pair = SplicedPair(clock.now() + 60)
+        pair.splice.data_received(EVENT)
+        assert pair.caller.written == b"%x\r\n%b\r\n" % (len(EVENT), EVENT)
+
+    async def test_nothing_is_forwarded_or_counted_after_the_permit(self):
+        pair = SplicedPair(clock.now() - 1)
+        pair.splice.data_received(EVENT)
+        assert pair.splice.is_group_closed
+        assert pair.splice.ended.done()
+        assert pair.caller.written == b""
+        # An event that was not forwarded must be requested again.
+        assert pair.pieces.events == 0
+
+    async def test_forwarding_continues_under_a_renewed_permit(self):
+        pair = SplicedPair(clock.now() - 1, renewed=clock.now() + 60)
+        pair.splice.data_received(EVENT)
+        assert pair.caller.written
+        assert pair.splice.last_write_at <= pair.splice.until
+
+    async def test_slow_caller_pauses_the_engine(self):
+        pair = SplicedPair(clock.now() + 60)
+        pair.caller.waiting = HIGH_WATER_BYTES + 1
+        pair.splice.data_received(EVENT)
+        assert pair.engine.paused
+        assert pair.splice.is_paused
+        pair.caller.waiting = 0
         await asyncio.sleep(0.05)
-        assert not joined.engine.paused
+        assert not pair.engine.paused
 
     @pytest.mark.parametrize("how", ["lost", "gone"])
     async def test_ends_when_a_side_ends(self, how):
-        joined = Joined(clock.now() + 60)
+        pair = SplicedPair(clock.now() + 60)
         if how == "lost":
-            joined.splice.connection_lost(None)
+            pair.splice.connection_lost(None)
         else:
-            joined.caller.closing = True
-            joined.splice.data_received(EVENT)
-        assert joined.splice.ended.done()
-        joined.splice.stop()
-        assert joined.engine.closing
+            pair.caller.closing = True
+            pair.splice.data_received(EVENT)
+        assert pair.splice.ended.done()
+        pair.splice.stop()
+        assert pair.engine.closing
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams under failure, through real processes."""
+"""Guards against broken, truncated and foreign streams when engines or daemons fail."""
 
 import asyncio
 import re
@@ -19,20 +19,20 @@
 
 @pytest.fixture
 def lab(tmp_path):
-    made = Lab(tmp_path, Site(domains=2, instances=5), stall=1.0)
+    lab = Lab(tmp_path, Site(domains=2, instances=5), stall=1.0)
     try:
-        made.start(replicas=2)
-        yield made
+        lab.start(replicas=2)
+        yield lab
     finally:
-        made.close()
+        lab.close()
 
 
 def _engines(lab: Lab) -> list[str]:
-    """All engines: a group that was repaired is led by another one than at its start."""
+    """Return all engines, since a repaired group may have another leader."""
     return [name for name in lab.cluster.instances if re.fullmatch(r"d\d+-i\d+", name)]
 
 
-async def _behave(lab: Lab, **changes) -> None:
+async def _set_behaviour(lab: Lab, **changes) -> None:
     for name in _engines(lab):
         address = lab.cluster.instances[name]
         await lab.cluster.control_call("POST", address, "/behaviour", **changes)
@@ -40,7 +40,7 @@
 
 class TestFailingEngines:
     def test_death_of_the_engine_is_not_seen_by_the_caller(self, lab):
-        async def kill_the_server(found):
+        async def kill_serving_engine(found):
             if found.text.count(" ") != 5:
                 return
             for name in _engines(lab):
@@ -50,40 +50,42 @@
                         lab.cluster.processes[name].send(signal.SIGKILL)
                         return
 
-        found = lab.run(lab.stream(completion("turbine 7", 60), on_event=kill_the_server))
+        found = lab.run(lab.stream(completion("turbine 7", 60), on_event=kill_serving_engine))
         assert (found.text, found.done, found.error) == (expected("turbine 7", 60), True, None)
 
     def test_death_of_another_member_moves_the_stream_too(self, lab):
-        async def kill_members(found):
+        async def kill_member(found):
             if found.text.count(" ") == 5:
                 lab.cluster.processes["d0-i2"].send(signal.SIGKILL)
 
-        async def several():
+        async def stream_concurrently():
             calls = [
-                lab.stream(completion(f"turbine {n}", 80), on_event=kill_members) for n in range(8)
+                lab.stream(completion(f"turbine {n}", 80), on_event=kill_member) for n in range(8)
             ]
             return await asyncio.gather(*calls)
 
-        answers = lab.run(several())
-        assert [one.text for one in answers] == [expected(f"turbine {n}", 80) for n in range(8)]
-        assert all(one.done for one in answers)
+        answers = lab.run(stream_concurrently())
+        assert [answer.text for answer in answers] == [
+            expected(f"turbine {n}", 80) for n in range(8)
+        ]
+        assert all(answer.done for answer in answers)
 
     def test_clean_end_of_a_truncated_answer_is_noticed(self, lab):
-        lab.run(_behave(lab, truncate_after=4))
+        lab.run(_set_behaviour(lab, truncate_after=4))
         found = lab.run(lab.stream(completion("turbine", 10)))
-        # each attempt brings four more
+        # Each attempt adds four events.
         assert found.text == expected("turbine", 10)
         assert found.done
         status, _, body = lab.call("POST", CHAT, json=completion("turbine", 10))
         assert (status, body["executed"]) == (502, "yes")
 
     def test_half_an_answer_and_then_silence(self, lab):
-        lab.run(_behave(lab, stall_after=3))
+        lab.run(_set_behaviour(lab, stall_after=3))
         found = lab.run(lab.stream(completion("turbine", 9)))
         assert (found.text, found.done) == (expected("turbine", 9), True)
 
     def test_answers_of_another_request_are_never_passed_on(self, lab):
-        lab.run(_behave(lab, foreign_identity=True))
+        lab.run(_set_behaviour(lab, foreign_identity=True))
         found = lab.run(lab.stream(completion("turbine", 5)))
         assert found.status == 502
         assert found.text == ""
@@ -103,21 +105,21 @@
                     await response.content.readline()
                     response.close()
 
-            async def idle() -> bool:
+            async def are_engines_idle() -> bool:
                 states = [
                     await lab.cluster.control_call("GET", address, "/v1/state")
                     for address in lab.cluster.instances.values()
                 ]
                 return not any(state["running"] for state in states)
 
-            await lab.cluster.wait_for("the engines to be idle", idle, 5.0)
+            await lab.cluster.wait_for("the engines to be idle", are_engines_idle, 5.0)
 
         lab.run(leave())
         text = lab.call("GET", "/metrics")[2]
         assert 'thorncleat_requests_total{outcome="caller_gone",workspace="a"} 1.0' in text
 
     def test_slow_reader_gets_all_of_it(self, lab):
-        lab.run(_behave(lab, token_seconds=0.0001))
+        lab.run(_set_behaviour(lab, token_seconds=0.0001))
 
         async def read_slowly():
             body = completion("turbine", 20_000, stream=True)
@@ -153,12 +155,12 @@
         found = lab.run(lab.stream(completion("turbine", 60), on_event=drain_midway))
         assert (found.text, found.done) == (expected("turbine", 60), True)
 
-        async def moved() -> bool:
+        async def have_groups_moved() -> bool:
             _, body = await lab.cluster.operate("daemon-0", "GET", "/groups")
-            used = {one for group in body["groups"] for one in group["members"]}
-            open_ones = [group["state"] == "open" for group in body["groups"]]
-            return not used & {"d0-i1", "d1-i1"} and all(open_ones)
+            used = {member for group in body["groups"] for member in group["members"]}
+            are_open = [group["state"] == "open" for group in body["groups"]]
+            return not used & {"d0-i1", "d1-i1"} and all(are_open)
 
-        lab.run(lab.cluster.wait_for("the groups to have moved", moved))
+        lab.run(lab.cluster.wait_for("the groups to have moved", have_groups_moved))
         text = lab.call("GET", "/metrics")[2]
         assert "thorncleat_retries_total{" not in text
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,6 @@
-"""Fakes at the daemon's ports, and a small world of daemons that is stepped by hand.
+"""Fakes of the daemon's ports, and a simulation of daemons that a test steps.
 
-Time stands still unless a test moves it; each daemon reads it on a clock of its own that
-drifts. Nothing sleeps, and no socket is opened.
+Simulated time only advances by steps; the daemons' clocks drift. No sockets and no sleeping.
 """
 
 import asyncio
@@ -55,64 +54,66 @@
 
 
 class FakeStore:
-    """One daemon's way to the store."""
+    """The store as reached by one daemon."""
 
     def __init__(self, world: "World", me: str) -> None:
         self._world = world
         self._me = me
         self.is_reachable = True
 
-    def _admit(self) -> None:
+    def _check_reachable(self) -> None:
         self.is_reachable = not (self._world.store_down or self._me in self._world.cut_from_store)
         if not self.is_reachable:
             raise StoreUnavailableError("down")
 
-    def _answer(self) -> None:
+    def _lose_answer(self) -> None:
         if self._world.lose_answers > 0:
             self._world.lose_answers -= 1
             raise StoreOutcomeUnknownError("answer lost")
 
     async def read(self, key: str, purpose: Purpose) -> Stored | None:
-        self._admit()
+        self._check_reachable()
         found = self._world.kv.get(key.encode())
         return _stored(found[0]) if found else None
 
     async def read_under(self, prefix: str, purpose: Purpose) -> list[Stored]:
-        self._admit()
-        return [_stored(one) for one in self._world.kv.get(prefix.encode(), _end(prefix))]
+        self._check_reachable()
+        return [_stored(record) for record in self._world.kv.get(prefix.encode(), _end(prefix))]
 
     async def transact(self, conditions, operations, purpose: Purpose) -> int | None:
-        self._admit()
+        self._check_reachable()
         compares = [
-            kv.Compare(one.key.encode(), "create_revision", one.create_revision)
-            if isinstance(one, KeyNotRecreated)
-            else kv.Compare(one.key.encode(), "mod_revision", one.mod_revision)
-            for one in conditions
+            kv.Compare(condition.key.encode(), "create_revision", condition.create_revision)
+            if isinstance(condition, KeyNotRecreated)
+            else kv.Compare(condition.key.encode(), "mod_revision", condition.mod_revision)
+            for condition in conditions
         ]
-        made: list[kv.Operation] = []
-        for one in operations:
-            if isinstance(one, Erase):
-                end = _end(one.key) if one.prefix else b""
-                made.append(kv.Delete(one.key.encode(), end))
+        kv_operations: list[kv.Operation] = []
+        for operation in operations:
+            if isinstance(operation, Erase):
+                end = _end(operation.key) if operation.prefix else b""
+                kv_operations.append(kv.Delete(operation.key.encode(), end))
             else:
-                made.append(kv.Put(one.key.encode(), one.value, one.lease))
+                kv_operations.append(
+                    kv.Put(operation.key.encode(), operation.value, operation.lease)
+                )
         try:
-            done = self._world.kv.transact(compares, made)
+            done = self._world.kv.transact(compares, kv_operations)
         except kv.LeaseNotFoundError:
             raise StoreUnavailableError("no lease") from None
-        self._answer()
+        self._lose_answer()
         return self._world.kv.revision if done else None
 
     async def grant(self, ttl: float) -> int:
-        self._admit()
+        self._check_reachable()
         return self._world.kv.grant(ttl).id
 
     async def renew(self, lease: int) -> bool:
-        self._admit()
+        self._check_reachable()
         return self._world.kv.renew(lease) is not None
 
     async def revoke(self, lease: int) -> None:
-        self._admit()
+        self._check_reachable()
         self._world.kv.revoke(lease)
 
     async def watch(self, key: str) -> t.AsyncIterator[Stored | None]:
@@ -122,7 +123,7 @@
 
 @dataclasses.dataclass
 class FakeEngine:
-    """An engine: what it follows, and whether it is there."""
+    """An engine: the order that it follows, and whether it runs."""
 
     id: str
     fenced: bool = True
@@ -152,32 +153,32 @@
 
 
 class FakeEngines:
-    """One daemon's way to the engines."""
+    """The engines as reached by one daemon."""
 
     def __init__(self, world: "World", me: str) -> None:
         self._world = world
         self._me = me
 
-    def _reach(self, address: str) -> FakeEngine:
+    def _get_running(self, address: str) -> FakeEngine:
         engine = self._world.engines[address]
         if not engine.alive or (self._me, engine.id) in self._world.cut_from_engines:
             raise EndpointError(f"{address!r} does not answer")
         return engine
 
     async def probe(self, address: str) -> InstanceReport:
-        return self._reach(address).report()
+        return self._get_running(address).report()
 
     async def order(self, address: str, order: Order) -> None:
-        engine = self._reach(address)
+        engine = self._get_running(address)
         if self._me in self._world.orders_delayed:
-            # the daemon was paused after its check: the order leaves much later
+            # The daemon was paused after checking its lease, so the order is sent much later.
             self._world.delayed.append((engine, order))
             raise EndpointError("no answer in time")
         engine.take(order)
 
 
 class FakePeers:
-    """One daemon's way to the others."""
+    """The other daemons as reached by one daemon."""
 
     def __init__(self, world: "World", me: str) -> None:
         self._world = world
@@ -200,30 +201,36 @@
 
 
 def _plain(value: t.Any) -> t.Any:
-    """Return a value as it is after a message."""
+    """Return a value as a receiver of a message decodes it."""
     from thorncleat_core import codec
 
     return codec.unpack(codec.pack(value))
 
 
 class FakeList:
-    """The platform's list."""
+    """The platform's list of instances."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
 
     async def entries(self) -> list[Instance]:
-        return [one for one in self._world.listed.values() if one.kind is InstanceKind.ENTRY]
+        return [
+            instance
+            for instance in self._world.listed.values()
+            if instance.kind is InstanceKind.ENTRY
+        ]
 
     async def domain(self, name: str) -> list[Instance]:
-        return [one for one in self._world.listed.values() if one.fabric_domain == name]
+        return [
+            instance for instance in self._world.listed.values() if instance.fabric_domain == name
+        ]
 
     async def everything(self) -> list[Instance]:
         return list(self._world.listed.values())
 
 
 class Usage:
-    """What a daemon has in flight, set by the test."""
+    """A daemon's requests in flight, set by a test."""
 
     def __init__(self) -> None:
         self.flying: dict[str, int] = {}
@@ -236,7 +243,7 @@
 
 
 class FakeDaemon:
-    """The control half of a daemon, stepped by hand."""
+    """The control services of a daemon, stepped by a test."""
 
     def __init__(self, world: "World", name: str, rate: float) -> None:
         self.name = name
@@ -279,25 +286,25 @@
         return 1000.0 + self._rate * self.world.now
 
     async def step(self) -> None:
-        """Do once all that the daemon does at intervals."""
+        """Run each periodic task of the daemon once."""
         steps = [self.gossip.fetch, self.holder.renew, self.holder.poll_shards]
-        for keeper in list(self.holder.managers.values()):
-            steps += [keeper.refresh, keeper.watch, keeper.repair]
+        for manager in list(self.holder.managers.values()):
+            steps += [manager.refresh, manager.watch, manager.repair]
         self.permits.usable("narrator", "m")
         steps += [self.gossip.flush, self.gossip.probe_next, self.permits.renew]
-        for one in steps:
-            # as in the daemon, a step that fails is tried again at the next turn
+        for run_step in steps:
+            # As in the daemon, a failed step is retried in the next round.
             with contextlib.suppress(ThorncleatError):
-                await one()
+                await run_step()
         await asyncio.sleep(0)
 
 
 class World:
-    """Daemons, engines and a store, with all the faults that a test wants.
+    """Daemons, engines and a store with injectable faults.
 
-    :param daemons: how many daemons.
-    :param instances: how many engines, in one fabric domain.
-    :param replicas: groups wanted, of four instances each.
+    :param daemons: number of daemons.
+    :param instances: number of engines, all in one fabric domain.
+    :param replicas: number of configured groups, of four instances each.
     """
 
     def __init__(
@@ -321,8 +328,8 @@
         self.delayed: list[tuple[FakeEngine, Order]] = []
         self.engines: dict[str, FakeEngine] = {}
         self.listed: dict[str, Instance] = {}
-        self.followed: dict[tuple[str, str, int], float] = {}
-        self.known_members: dict[tuple[str, int], tuple[str, ...]] = {}
+        self.last_followed_at: dict[tuple[str, str, int], float] = {}
+        self.members_of_generation: dict[tuple[str, int], tuple[str, ...]] = {}
         for number in range(instances):
             self._add_engine(f"i{number}", fenced)
         self.state = self._configured(replicas)
@@ -351,56 +358,56 @@
         }
         return State(Head(1, "x"), configuration, placements)
 
-    # moving on
+    # Steps and faults
 
     def run(self, seconds: float, step: float = 0.25, order: t.Sequence[str] = ()) -> None:
-        """Let time pass while all daemons that are not paused do their work."""
+        """Advance the time and step all daemons that are not paused."""
         asyncio.run(self._run(seconds, step, order or sorted(self.daemons)))
 
     async def _run(self, seconds: float, step: float, order: t.Sequence[str]) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += step
-            self._remember()
+            self._record_state()
             for name in order:
                 if not self.daemons[name].paused:
                     await self.daemons[name].step()
-                    self._remember()
+                    self._record_state()
                     self.check()
 
     def kill(self, name: str) -> None:
         """Kill an engine."""
-        self._remember()
+        self._record_state()
         self.engines[name].alive = False
 
     def revive(self, name: str) -> None:
-        """Start a killed engine with empty memory."""
+        """Restart a killed engine without state."""
         engine = self.engines[name]
         if not engine.alive:
             self.engines[name] = FakeEngine(name, engine.fenced, boot=engine.boot + 1)
 
     def deliver(self) -> None:
-        """Let delayed orders arrive."""
+        """Deliver delayed orders."""
         delayed, self.delayed = self.delayed, []
         for engine, order in delayed:
             with contextlib.suppress(StaleOrderError):
                 engine.take(order)
-        self._remember()
+        self._record_state()
 
-    # what is true
+    # State and invariants
 
     def assignments(self) -> Assignments:
-        """Return the assignments as they stand in the store."""
+        """Return the assignments in the store."""
         found = self.kv.get(Keyspace("test").domain(DOMAIN).encode())
         return Assignments.decode(found[0].value) if found else Assignments(DOMAIN)
 
-    def _remember(self) -> None:
+    def _record_state(self) -> None:
         for engine in self.engines.values():
             if engine.alive:
                 order = engine.order
-                self.followed[(engine.id, order.group, order.generation)] = self.now
+                self.last_followed_at[(engine.id, order.group, order.generation)] = self.now
         for group in self.assignments().groups.values():
-            self.known_members[(group.id, group.generation)] = group.members
+            self.members_of_generation[(group.id, group.generation)] = group.members
 
     def usable(self) -> list[tuple[str, str, int]]:
         """Return daemon, group and generation of each permit that is usable now."""
@@ -413,12 +420,12 @@
         return found
 
     def check(self) -> None:
-        """Assert what must always hold."""
+        """Assert the invariants of permits and groups."""
         allowed = self.control.window * 1.011 + 1e-6
         holders: dict[str, tuple[str, int]] = {}
         for daemon, group, generation in self.usable():
-            for member in self.known_members[(group, generation)]:
-                last = self.followed.get((member, group, generation), float("-inf"))
+            for member in self.members_of_generation[(group, generation)]:
+                last = self.last_followed_at.get((member, group, generation), float("-inf"))
                 assert self.now - last <= allowed, (
                     f"{daemon} uses {group}/{generation} though {member} is missing"
                 )
