--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -97,7 +97,7 @@
         return 0.0
 
     def check_permit(self, slot: Slot) -> None:
-        """Check that a group may answer; call this right before its answer is passed on.
+        """Check that a group may answer; call this right before its answer is forwarded.
 
         :raises RequestError: if the group may not answer.
         """
--- a/packages/daemon/src/thorncleat_daemon/claims.py
+++ b/packages/daemon/src/thorncleat_daemon/claims.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass
-class _Pending:
+class _PendingWrite:
     claim: Claim
     done: "asyncio.Future[bool] | None"
 
@@ -68,7 +68,7 @@
         self.lease = lease
         self.book = book
         self.is_restored = False
-        self.pending: list[_Pending] = []
+        self.pending: list[_PendingWrite] = []
         self.wake = asyncio.Event()
         self.last_batch_number = 0
         self.hours: set[int] = set()
@@ -211,7 +211,7 @@
         reply, claim = owned.book.ask(workspace, key, request, now, wall, attempt)
         if claim is not None:
             done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-            owned.pending.append(_Pending(claim, done))
+            owned.pending.append(_PendingWrite(claim, done))
             owned.wake.set()
             if await done:
                 owned.book.written(claim)
@@ -239,7 +239,7 @@
         if claim is not None and ran == "no":
             owned.granted.discard((workspace, key))
         if claim is not None:
-            owned.pending.append(_Pending(claim, None))
+            owned.pending.append(_PendingWrite(claim, None))
             owned.wake.set()
         return claim is not None
 
--- a/packages/daemon/src/thorncleat_daemon/completions.py
+++ b/packages/daemon/src/thorncleat_daemon/completions.py
@@ -70,7 +70,7 @@
         :raises RequestError: if it can't be answered.
         """
         completion = parse(body)
-        slot_request_factory = self._slot_request_of(caller, completion)
+        slot_request_factory = self._make_slot_request_factory(caller, completion)
         if completion.stream and caller.repeatable:
             return await self._streams.answer(request, caller, completion, slot_request_factory)
         started = clock.now()
@@ -83,11 +83,11 @@
             )
 
         if caller.repeatable:
-            answered = await run_attempts()
+            whole_answer = await run_attempts()
         else:
-            answered = await run_once(self._claims, caller, "POST", PATH, body, run_attempts)
+            whole_answer = await run_once(self._claims, caller, "POST", PATH, body, run_attempts)
         self._record_metrics(caller, completion, clock.now() - started)
-        return _response(answered, caller, completion)
+        return _response(whole_answer, caller, completion)
 
     def _record_metrics(self, caller: Caller, completion: Completion, seconds: float) -> None:
         self._metrics.distribution("whole_answer", completion.model).note(seconds)
@@ -100,7 +100,9 @@
             raise RequestError(404, "Unknown model", detail, cause="bad_request")
         return intents[0]
 
-    def _slot_request_of(self, caller: Caller, completion: Completion) -> SlotRequestFactory:
+    def _make_slot_request_factory(
+        self, caller: Caller, completion: Completion
+    ) -> SlotRequestFactory:
         """Return a function from the groups to avoid to the request's requirements."""
         intent = self._find_intent(caller, completion)
         cost = prompt_cost(len(completion.text), completion.max_tokens)
@@ -154,18 +156,21 @@
         )
 
 
-def _response(answered: WholeAnswer, caller: Caller, completion: Completion) -> web.Response:
+def _response(whole_answer: WholeAnswer, caller: Caller, completion: Completion) -> web.Response:
     """Return the response for a whole answer; as a stream if the caller asked for one."""
     headers = {"X-Request-Id": caller.id}
-    if answered.repeated:
+    if whole_answer.repeated:
         headers["X-Repeated"] = "yes"
-    body = answered.body
+    body = whole_answer.body
     if completion.stream:
         body = _as_stream(body)
         headers["Cache-Control"] = "no-cache"
         return web.Response(body=body, content_type="text/event-stream", headers=headers)
     return web.Response(
-        status=answered.status, body=body, content_type=answered.content_type, headers=headers
+        status=whole_answer.status,
+        body=body,
+        content_type=whole_answer.content_type,
+        headers=headers,
     )
 
 
--- a/packages/daemon/src/thorncleat_daemon/daemon.py
+++ b/packages/daemon/src/thorncleat_daemon/daemon.py
@@ -65,7 +65,7 @@
         self._settings = settings
         self._runners: list[web.AppRunner] = []
         self._sessions: list[aiohttp.ClientSession] = []
-        self._stopping = False
+        self._is_stopping = False
         self.addresses: dict[str, str] = {}
         self.metrics = Metrics()
 
@@ -95,7 +95,7 @@
 
     async def on_stop(self) -> None:
         """Stop accepting requests and finish the running ones."""
-        self._stopping = True
+        self._is_stopping = True
         events.DAEMON_STOPPING.log()
         for runner in reversed(self._runners):
             await runner.cleanup()
@@ -109,7 +109,7 @@
 
     def not_ready_reason(self) -> str | None:
         """Return why this daemon is not ready for requests, or None if it is."""
-        if self._stopping:
+        if self._is_stopping:
             return "stopping"
         if not self._config.is_loaded:
             return "no configuration yet"
@@ -269,9 +269,9 @@
         )
 
     async def _listen(
-        self, app: web.Application, address: str, tls: Tls | None, finish: float
+        self, app: web.Application, address: str, tls: Tls | None, shutdown_timeout: float
     ) -> str:
-        runner = web.AppRunner(app, access_log=None, shutdown_timeout=finish)
+        runner = web.AppRunner(app, access_log=None, shutdown_timeout=shutdown_timeout)
         await runner.setup()
         self._runners.append(runner)
         host, _, port = address.rpartition(":")
--- a/packages/daemon/src/thorncleat_daemon/domain_keepers.py
+++ b/packages/daemon/src/thorncleat_daemon/domain_keepers.py
@@ -43,7 +43,7 @@
         self._services = services
         self._shards = shards
         self._held = held
-        self._spawns = runs_tasks
+        self._runs_tasks = runs_tasks
         self._should_stop = should_stop
         self._managers: dict[str, DomainManager] = {}
         self._running: dict[str, list[asyncio.Task[None]]] = {}
@@ -89,7 +89,7 @@
     def _start(self, manager: DomainManager) -> None:
         self._end(manager.domain)
         self._managers[manager.domain] = manager
-        if self._spawns:
+        if self._runs_tasks:
             probe = self._services.control.probe
             self._running[manager.domain] = [
                 self._spawn(f"list {manager.domain}", manager.refresh, self._services.poll),
@@ -127,11 +127,11 @@
             return None
         domain = str(record.body["domain"])
         manager = self._managers.get(domain)
-        if manager is None and self._can_stand_in(domain):
+        if manager is None and self._can_serve_without_lease(domain):
             manager = self._start_without_lease(domain)
         return manager
 
-    def _can_stand_in(self, domain: str) -> bool:
+    def _can_serve_without_lease(self, domain: str) -> bool:
         """Return whether this daemon may issue permits for a domain without a lease.
 
         Another daemon asks a candidate only if the holder doesn't answer. A manager without a lease
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -177,7 +177,7 @@
         targets = {instance.id: instance.address for instance in self.listed.values()}
         members = self.assignments.taken()
         if self.lease is None:
-            targets = {name: where for name, where in targets.items() if name in members}
+            targets = {name: address for name, address in targets.items() if name in members}
         await self._probes.probe(targets)
         for name in members - set(targets):
             self._probes.record_missed(name)
--- a/packages/daemon/src/thorncleat_daemon/gate.py
+++ b/packages/daemon/src/thorncleat_daemon/gate.py
@@ -22,7 +22,7 @@
         self._limit = limit
         self._starts_left = per_iteration
         self._waiting: collections.deque[asyncio.Future[None]] = collections.deque()
-        self._scheduled = False
+        self._is_scheduled = False
 
     async def enter(self) -> bool:
         """Wait until the request may start; return False if too many wait already."""
@@ -38,12 +38,12 @@
         return True
 
     def _schedule(self) -> None:
-        if not self._scheduled:
-            self._scheduled = True
+        if not self._is_scheduled:
+            self._is_scheduled = True
             asyncio.get_running_loop().call_soon(self._start_waiting)
 
     def _start_waiting(self) -> None:
-        self._scheduled = False
+        self._is_scheduled = False
         self._starts_left = self._per_iteration
         while self._waiting and self._starts_left > 0:
             future = self._waiting.popleft()
--- a/packages/daemon/src/thorncleat_daemon/instance_probes.py
+++ b/packages/daemon/src/thorncleat_daemon/instance_probes.py
@@ -63,7 +63,7 @@
 
         :param targets: addresses by instance.
         """
-        await asyncio.gather(*(self._probe(name, where) for name, where in targets.items()))
+        await asyncio.gather(*(self._probe(name, address) for name, address in targets.items()))
 
     def record_missed(self, instance: str) -> None:
         """Record that an instance did not answer, which revokes its confirmation."""
--- a/packages/daemon/src/thorncleat_daemon/lag.py
+++ b/packages/daemon/src/thorncleat_daemon/lag.py
@@ -25,7 +25,7 @@
     def __init__(self, clock: Clock) -> None:
         super().__init__()
         self._clock = clock
-        self._due: float | None = None
+        self._due_at: float | None = None
         self._late_until = 0.0
         self.worst_seconds = 0.0
 
@@ -33,8 +33,8 @@
     def is_late(self) -> bool:
         """Whether the loop is late or was so recently."""
         now = self._clock()
-        overdue = self._due is not None and now - self._due > LATE_THRESHOLD_SECONDS
-        return overdue or now < self._late_until
+        is_overdue = self._due_at is not None and now - self._due_at > LATE_THRESHOLD_SECONDS
+        return is_overdue or now < self._late_until
 
     def record(self, seconds: float) -> None:
         """Record the delay of a timer in seconds."""
@@ -45,6 +45,6 @@
     @mode.Service.task
     async def _tick_task(self) -> None:
         while not self.should_stop:
-            self._due = self._clock() + TIMER_INTERVAL_SECONDS
+            self._due_at = self._clock() + TIMER_INTERVAL_SECONDS
             await asyncio.sleep(TIMER_INTERVAL_SECONDS)
-            self.record(self._clock() - self._due)
+            self.record(self._clock() - self._due_at)
--- a/packages/daemon/src/thorncleat_daemon/open_groups.py
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -36,24 +36,24 @@
         self._publisher = GroupPublisher(
             state.domain, state.epoch, services.gossip, services.config
         )
-        self._open: set[str] = set()
+        self._open_ids: set[str] = set()
         self._notifications: set[asyncio.Task[None]] = set()
 
     @property
     def ids(self) -> t.AbstractSet[str]:
         """The ids of the groups that may answer."""
-        return self._open
+        return self._open_ids
 
     def update(self) -> None:
         """Open or close each group by its members' confirmations."""
         now = self._services.clock()
         for group in self._state.assignments.groups.values():
             is_open = self._probes.confirmations.is_open(group, now)
-            if is_open and group.id not in self._open:
-                self._open.add(group.id)
+            if is_open and group.id not in self._open_ids:
+                self._open_ids.add(group.id)
                 events.GROUP_OPENED.log(group=group.id, generation=group.generation)
                 self._publish(group)
-            elif not is_open and group.id in self._open:
+            elif not is_open and group.id in self._open_ids:
                 self._close(group, self._probes.confirmations.missing(group, now))
 
     def on_assignments_replaced(self, old: Assignments, new: Assignments) -> None:
@@ -61,7 +61,7 @@
         for group_id, group in old.groups.items():
             if new.groups.get(group_id) == group:
                 continue
-            if group_id in self._open:
+            if group_id in self._open_ids:
                 self._close(group, [])
             if group_id not in new.groups:
                 self._publisher.publish_removed(group)
@@ -75,10 +75,10 @@
             self._publish(group)
 
     def _publish(self, group: Group) -> None:
-        self._publisher.publish(group, is_open=group.id in self._open)
+        self._publisher.publish(group, is_open=group.id in self._open_ids)
 
     def _close(self, group: Group, missing: list[str]) -> None:
-        self._open.discard(group.id)
+        self._open_ids.discard(group.id)
         events.GROUP_CLOSED.log(group=group.id, generation=group.generation, missing=missing)
         self._publish(group)
         body = {"group": group.id, "generation": group.generation}
--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -111,10 +111,10 @@
 
     async def _accept(self, plan: Plan, operator: ActingOperator) -> web.Response:
         try:
-            fresh = await self._make_current_plan(plan.change)
-            if isinstance(fresh, web.Response):
-                return fresh
-            plans.verify(plan, fresh)
+            current_plan = await self._make_current_plan(plan.change)
+            if isinstance(current_plan, web.Response):
+                return current_plan
+            plans.verify(plan, current_plan)
             revision = await self._config.accept(plan.entry(operator.name))
         except ConflictError as error:
             return await self._conflict(plan, operator, error)
@@ -137,12 +137,12 @@
             return web.json_response({"revision": accepted_revision, "repeated": True})
         events.PLAN_REFUSED.log(operator=operator.name, plan=plan.digest, reason=str(error))
         try:
-            fresh = await self._make_current_plan(plan.change)
+            current_plan = await self._make_current_plan(plan.change)
         except DocumentError as unusable:
             return problem(422, "the change contradicts itself", problems=_problems(unusable))
-        if isinstance(fresh, web.Response):
+        if isinstance(current_plan, web.Response):
             return problem(409, str(error))
-        return problem(409, str(error), fresh=_plan_json(fresh))
+        return problem(409, str(error), fresh=_plan_json(current_plan))
 
 
 def _problems(error: DocumentError) -> list[dict[str, t.Any]]:
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -35,7 +35,7 @@
 from .recent import RecentRequests
 
 PREFIX = "/operators/v1"
-MAX_CONCURRENT_QUESTIONS = 32
+MAX_CONCURRENT_QUERIES = 32
 GATHER_TIMEOUT_SECONDS = 2.0
 
 
@@ -103,11 +103,11 @@
             "services": sorted(configuration.services),
             "draining": sorted(configuration.draining),
             "waiting": services.dispatcher.waiting,
-            "groups": self._counts(),
+            "groups": self._count_group_states(),
         }
         return web.json_response(body)
 
-    def _counts(self) -> dict[str, int]:
+    def _count_group_states(self) -> dict[str, int]:
         counts: collections.Counter[str] = collections.Counter()
         for row in self._group_rows():
             counts[row["state"]] += 1
@@ -203,7 +203,7 @@
 
     async def _gather(self, kind: str, body: t.Any) -> dict[str, t.Any]:
         """Query all daemons and return the received answers by daemon."""
-        semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUESTIONS)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         answers: dict[str, t.Any] = {}
 
         async def ask(peer: str) -> None:
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -64,9 +64,9 @@
         headers = end_to_end_headers(request.headers) | {"X-Request-Id": caller.id}
         call = _ForwardedCall(request.method, target, body, headers, repeatable)
         if repeatable:
-            answered = await self._run(service, caller, call)
+            whole_answer = await self._run(service, caller, call)
         else:
-            answered = await run_once(
+            whole_answer = await run_once(
                 self._claims,
                 caller,
                 request.method,
@@ -75,7 +75,7 @@
                 lambda: self._run(service, caller, call),
             )
         self._metrics.record_ended(caller.workspace.name, service.name, GOOD)
-        return _response(answered, caller)
+        return _response(whole_answer, caller)
 
     def _find_service(self, name: str, caller: Caller) -> Service:
         service = self._configuration().services.get(name)
@@ -90,10 +90,10 @@
         order = rendezvous.ranked(caller.id, self._ejection.usable(service.endpoints, now))
         for attempt, endpoint in enumerate(order[:MAX_ATTEMPTS], start=1):
             try:
-                answered = await self._call(endpoint, caller, call)
+                whole_answer = await self._call(endpoint, caller, call)
                 self._ejection.succeeded(endpoint)
                 self._retries.succeeded()
-                return answered
+                return whole_answer
             except RequestError as error:
                 self._ejection.failed(endpoint, clock.now())
                 is_retryable = may_send_again(
@@ -140,8 +140,8 @@
     repeatable: bool
 
 
-def _response(answered: WholeAnswer, caller: Caller) -> web.Response:
-    headers = {"X-Request-Id": caller.id, "Content-Type": answered.content_type}
-    if answered.repeated:
+def _response(whole_answer: WholeAnswer, caller: Caller) -> web.Response:
+    headers = {"X-Request-Id": caller.id, "Content-Type": whole_answer.content_type}
+    if whole_answer.repeated:
         headers["X-Repeated"] = "yes"
-    return web.Response(status=answered.status, body=answered.body, headers=headers)
+    return web.Response(status=whole_answer.status, body=whole_answer.body, headers=headers)
--- a/packages/daemon/src/thorncleat_daemon/retry_after.py
+++ b/packages/daemon/src/thorncleat_daemon/retry_after.py
@@ -16,15 +16,15 @@
 # The owner of a key is unreachable or can't write.
 CLAIMS_UNAVAILABLE = 2.0
 # Range for requests refused in a burst, so that their retries are spread.
-MIN_OVERLOAD = 1.0
-MAX_OVERLOAD = 3.0
+MIN_OVERLOAD_DELAY = 1.0
+MAX_OVERLOAD_DELAY = 3.0
 # Largest share added to a queue's value.
 JITTER_SHARE = 0.5
 
 
 def random_overload_delay() -> float:
     """Return a random delay in seconds for a request refused in a burst."""
-    return random.uniform(MIN_OVERLOAD, MAX_OVERLOAD)
+    return random.uniform(MIN_OVERLOAD_DELAY, MAX_OVERLOAD_DELAY)
 
 
 def with_jitter(seconds: float) -> float:
--- a/packages/daemon/src/thorncleat_daemon/upstream.py
+++ b/packages/daemon/src/thorncleat_daemon/upstream.py
@@ -14,7 +14,7 @@
 from . import retry_after
 from .exceptions import RequestError
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -106,7 +106,7 @@
         headers: t.Mapping[str, str],
         timeout: float,
     ) -> t.AsyncIterator[aiohttp.ClientResponse]:
-        limits = aiohttp.ClientTimeout(total=timeout, sock_connect=CONNECT_SECONDS)
+        limits = aiohttp.ClientTimeout(total=timeout, sock_connect=CONNECT_TIMEOUT_SECONDS)
         request = session.request(
             method, url, data=body, headers=headers, timeout=limits, allow_redirects=False
         )
