--- a/packages/daemon/src/thorncleat_daemon/platform.py
+++ b/packages/daemon/src/thorncleat_daemon/platform.py
@@ -36,7 +36,7 @@
     def __init__(self, session: aiohttp.ClientSession, endpoints: t.Sequence[str]) -> None:
         self._session = session
         self._endpoints = list(endpoints)
-        self._current = 0
+        self._endpoint_index = 0
         self._cache: dict[str, _CachedList] = {}
 
     async def entries(self) -> list[Instance]:
@@ -54,7 +54,7 @@
         return rows
 
     async def _fetch(self, query: str) -> list[Instance]:
-        url = f"http://{self._endpoints[self._current]}{PATH}{query}"
+        url = f"http://{self._endpoints[self._endpoint_index]}{PATH}{query}"
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
         cached = self._cache.get(query)
         headers = {"If-None-Match": cached.tag} if cached else {}
@@ -67,7 +67,7 @@
                 tag = response.headers.get("ETag", "")
             listed = _ROWS.validate_python(raw["instances"])
         except (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError) as error:
-            self._current = (self._current + 1) % len(self._endpoints)
+            self._endpoint_index = (self._endpoint_index + 1) % len(self._endpoints)
             raise PlatformError(f"list of instances: {error!r}") from error
         rows = [Instance.from_listed(row) for row in listed]
         if tag:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -57,7 +57,7 @@
 
 
 class TestPeers:
-    async def test_known_key_is_answered(self):
+    async def test_accepted_key_is_answered(self):
         pair = _key_pair()
         keys = _keys(pair, [pair[0]])
         async with ConnectedPair(keys, keys) as daemons:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -269,7 +269,7 @@
 class TestDraining:
     def test_work_in_flight_is_finished_before_the_instance_is_free(self):
         world = _open(World())
-        world.daemons["d1"].usage.flying["narrator-0"] = 1
+        world.daemons["d1"].usage.running_by_group["narrator-0"] = 1
         _drain(world, "i1")
         world.run(30)
         assert "i1" in world.assignments().groups["narrator-0"].members
@@ -278,7 +278,7 @@
             held = daemon.permits.permit("narrator-0")
             assert held.usable(daemon.clock())
             assert not held.takes_work(daemon.clock())
-        world.daemons["d1"].usage.flying.clear()
+        world.daemons["d1"].usage.running_by_group.clear()
         world.run(10)
         assert "i1" not in world.assignments().taken()
         assert len(world.usable()) == 3
--- a/tests/world.py
+++ b/tests/world.py
@@ -233,10 +233,10 @@
     """A daemon's requests in flight, set by a test."""
 
     def __init__(self) -> None:
-        self.flying: dict[str, int] = {}
+        self.running_by_group: dict[str, int] = {}
 
     def in_flight(self, group: str) -> int:
-        return self.flying.get(group, 0)
+        return self.running_by_group.get(group, 0)
 
     def demand(self, group: str) -> dict[str, int]:
         return {}
