--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -26,9 +26,9 @@
 from thorncleat_core.daemon.permits import PermitRequest
 from thorncleat_core.daemon.queues import FairQueue
 from thorncleat_core.daemon.queues import QueuedRequest
-from thorncleat_daemon.dispatch import Ledger
+from thorncleat_daemon.dispatch import OutstandingWork
 from thorncleat_daemon.dispatch import Slot
-from thorncleat_daemon.permits import NUDGE_SECONDS
+from thorncleat_daemon.permits import MIN_EARLY_RENEWAL_INTERVAL_SECONDS
 
 from .report import print_target
 from .report import quantile
@@ -177,7 +177,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.queue: FairQueue[Request] = FairQueue(QUEUE_LIMIT_TOKENS)
-        self.ledger = Ledger()
+        self.ledger = OutstandingWork()
         self.permit: HeldPermit | None = None
         self.requested_at = float("-inf")
         self.is_nudge_scheduled = False
@@ -248,7 +248,7 @@
 
     def _nudge(self, daemon: _Daemon, now: float) -> None:
         """Request a permit at once, or as soon as the interval between requests is over."""
-        next_request_at = daemon.requested_at + NUDGE_SECONDS
+        next_request_at = daemon.requested_at + MIN_EARLY_RENEWAL_INTERVAL_SECONDS
         if now >= next_request_at:
             self._request_permit(daemon, now)
         elif not daemon.is_nudge_scheduled:
@@ -257,7 +257,7 @@
 
     def _nudge_later(self, daemon: _Daemon, now: float) -> None:
         daemon.is_nudge_scheduled = False
-        if len(daemon.queue) and now >= daemon.requested_at + NUDGE_SECONDS:
+        if len(daemon.queue) and now >= daemon.requested_at + MIN_EARLY_RENEWAL_INTERVAL_SECONDS:
             self._request_permit(daemon, now)
 
     def _start_waiting(self, daemon: _Daemon, now: float) -> None:
@@ -266,7 +266,7 @@
             return
         while True:
             found = daemon.queue.pop(
-                lambda name, cost: daemon.ledger.room(permit, name) >= cost, {}, now
+                lambda name, cost: daemon.ledger.available_tokens(permit, name) >= cost, {}, now
             )
             if found is None:
                 return
--- a/packages/daemon/src/thorncleat_daemon/attempts.py
+++ b/packages/daemon/src/thorncleat_daemon/attempts.py
@@ -1,7 +1,7 @@
-"""Trying a request in one group after another, where that is safe.
+"""Running a request in a group and retrying it in others where that is safe.
 
-Owns: the calls that run in each group, and the retries left.
-Relies on: permits (:mod:`.permits`) to say whether a group may answer; errors to say whether a
+Owns: the running calls of each group, and the retry budget.
+Relies on: permits (:mod:`.permits`) for whether a group may answer; errors that say whether a
 request ran.
 """
 
@@ -20,11 +20,11 @@
 from .dispatch import SlotRequest
 from .exceptions import RequestError
 from .metrics import Metrics
-from .permits import PermitKeeper
+from .permits import PermitManager
 
-# groups that a request is tried in
 MAX_ATTEMPTS = 4
-RETRIED = frozenset(
+# Causes of failures after which another group is tried.
+RETRIED_CAUSES = frozenset(
     {
         "endpoint_unreachable",
         "answer_lost",
@@ -34,14 +34,14 @@
         "group_closed",
     }
 )
-_CLOSED = "group closed"
+_GROUP_CLOSED_MESSAGE = "group closed"
 Answer = t.TypeVar("Answer")
-SlotRequestOf = t.Callable[[frozenset[str]], SlotRequest]
-Work = t.Callable[[Slot], t.Coroutine[t.Any, t.Any, Answer]]
+SlotRequestFactory = t.Callable[[frozenset[str]], SlotRequest]
+SendToGroup = t.Callable[[Slot], t.Coroutine[t.Any, t.Any, Answer]]
 
 
-def group_closed(slot: Slot) -> RequestError:
-    """Return what ends a call in a group that may not answer any more."""
+def group_closed_error(slot: Slot) -> RequestError:
+    """Return the error of a call whose group may no longer answer."""
     return RequestError(
         503,
         "Group closed",
@@ -53,36 +53,36 @@
 
 
 class Attempts:
-    """Runs requests in groups; ends a call at once when its group is closed."""
+    """Runs requests in groups and cancels the calls of a group as soon as it closes."""
 
-    def __init__(self, dispatcher: Dispatcher, permits: PermitKeeper, metrics: Metrics) -> None:
+    def __init__(self, dispatcher: Dispatcher, permits: PermitManager, metrics: Metrics) -> None:
         self._dispatcher = dispatcher
         self._permits = permits
         self._metrics = metrics
         self._retries = RetryThrottle()
         self._running: dict[str, set[asyncio.Task[t.Any]]] = {}
-        permits.on_closed(self._cut)
+        permits.on_closed(self._cancel_calls)
 
     async def run(
-        self, caller: Caller, slot_request_of: SlotRequestOf, work: Work[Answer]
+        self, caller: Caller, slot_request_factory: SlotRequestFactory, work: SendToGroup[Answer]
     ) -> Answer:
-        """Run a request until it is answered or may not be tried again.
+        """Run a request until it is answered or can't be retried.
 
-        :param slot_request_of: what the request needs, given the groups that failed it.
-        :param work: sends it to a group.
-        :raises RequestError: of the last attempt; it says whether the request ran.
+        :param slot_request_factory: returns the request's requirements, given the groups to avoid.
+        :param work: sends the request to the group of a slot.
+        :raises RequestError: the error of the last attempt; it says whether the request ran.
         """
         failed: set[str] = set()
         for attempt in range(1, MAX_ATTEMPTS + 1):
-            slot = await self._dispatcher.acquire(slot_request_of(frozenset(failed)))
+            slot = await self._dispatcher.acquire(slot_request_factory(frozenset(failed)))
             try:
-                answer = await self._guarded(slot, work(slot))
+                answer = await self._run_until_closed(slot, work(slot))
                 self._dispatcher.ejection.record_success(slot.group)
                 self._retries.record_success()
                 return answer
             except RequestError as error:
-                self._note_failure(slot, error, failed)
-                if not self._may_retry(caller, error, attempt):
+                self._record_failure(slot, error, failed)
+                if not self._reserve_retry(caller, error, attempt):
                     raise
                 events.REQUEST_MOVED.log(request=caller.id, cause=error.cause)
             finally:
@@ -90,51 +90,53 @@
         raise AssertionError("the last attempt returns or raises")
 
     def permitted_until(self, slot: Slot) -> float:
-        """Return until when the group of a call may answer; 0 if it may not now."""
+        """Return the end of the permit of a call's group; 0 if the group may not answer now."""
         held = self._permits.permit(slot.group)
         if held and held.permit.generation == slot.generation and held.is_usable(clock.now()):
             return held.until
         return 0.0
 
     def check_permit(self, slot: Slot) -> None:
-        """Make sure that a group may answer, right before its answer is passed on.
+        """Check that a group may answer; call this right before its answer is forwarded.
 
-        :raises RequestError: if it may not.
+        :raises RequestError: if the group may not answer.
         """
         if not self.permitted_until(slot):
-            raise group_closed(slot)
+            raise group_closed_error(slot)
 
-    def _cut(self, group: str) -> None:
-        """End the calls that run in a group which may not answer any more."""
+    def _cancel_calls(self, group: str) -> None:
+        """Cancel the running calls of a group that may no longer answer."""
         for task in self._running.pop(group, set()):
-            task.cancel(_CLOSED)
+            task.cancel(_GROUP_CLOSED_MESSAGE)
 
-    async def _guarded(self, slot: Slot, work: t.Coroutine[t.Any, t.Any, Answer]) -> Answer:
+    async def _run_until_closed(
+        self, slot: Slot, work: t.Coroutine[t.Any, t.Any, Answer]
+    ) -> Answer:
         task = asyncio.ensure_future(work)
         self._running.setdefault(slot.group, set()).add(task)
         try:
             return await task
         except asyncio.CancelledError as error:
             current = asyncio.current_task()
-            if _CLOSED in error.args and not (current and current.cancelling()):
-                raise group_closed(slot) from None
+            if _GROUP_CLOSED_MESSAGE in error.args and not (current and current.cancelling()):
+                raise group_closed_error(slot) from None
             task.cancel()
             raise
         finally:
             self._running.get(slot.group, set()).discard(task)
 
-    def _note_failure(self, slot: Slot, error: RequestError, failed: set[str]) -> None:
+    def _record_failure(self, slot: Slot, error: RequestError, failed: set[str]) -> None:
         failed.add(slot.group)
-        if error.cause in RETRIED:
+        if error.cause in RETRIED_CAUSES:
             self._dispatcher.ejection.record_failure(slot.group, clock.now())
 
-    def _may_retry(self, caller: Caller, error: RequestError, attempt: int) -> bool:
-        if error.cause not in RETRIED or not can_retry(
+    def _reserve_retry(self, caller: Caller, error: RequestError, attempt: int) -> bool:
+        if error.cause not in RETRIED_CAUSES or not can_retry(
             error.executed,
             repeatable=caller.repeatable,
             attempt=attempt,
             max_attempts=MAX_ATTEMPTS,
-            seconds_left=caller.left(),
+            seconds_left=caller.seconds_left(),
         ):
             return False
         if not self._retries.try_acquire():
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -1,7 +1,7 @@
-"""Deciding when and where each request is sent: queue, credits, choice of group.
+"""Admission and group selection of requests, by the credits of the permits held.
 
-Owns: the queue of each intent, and what is outstanding in each group.
-Relies on: permits and their credits (:mod:`.permits`); each slot being given back once.
+Owns: the queue of each intent, and the outstanding work of each group.
+Relies on: permits and their credits (:mod:`.permits`); each slot being released once.
 """
 
 import asyncio
@@ -22,24 +22,23 @@
 
 from . import retry_after
 from .exceptions import RequestError
-from .permits import PermitKeeper
+from .permits import PermitManager
 
-# between looks at what waits
-TICK_SECONDS = 0.05
-# of a prompt, for its estimated cost
+QUEUE_POLL_INTERVAL_SECONDS = 0.05
+# Estimates a prompt's tokens from its length.
 CHARACTERS_PER_TOKEN = 4
-# in which a new group comes up to full weight
-WARM_SECONDS = 5.0
-# weight of a group that has just come up
-COLD_WARMTH = 0.2
+# Time until a new group is chosen as often as the others.
+WARM_UP_SECONDS = 5.0
+INITIAL_WARMTH = 0.2
 
 
 @dataclasses.dataclass
 class Slot:
-    """Room for one request in one group.
+    """A reservation for one request in one group.
 
-    :param generation: of the group when the room was given.
+    :param generation: the group's generation when the slot was assigned.
     :param leader: address to send the request to.
+    :param cost: tokens charged.
     """
 
     group: str
@@ -51,10 +50,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class SlotRequest:
-    """What a request needs.
+    """The requirements of a request that waits for a slot.
 
-    :param prefix: identity of the prompt's beginning.
-    :param avoid: groups that have just failed it.
+    :param cost: tokens charged.
+    :param deadline: on the monotonic clock, in seconds.
+    :param prefix: identity of the prompt's beginning, for cache affinity.
+    :param avoid: groups in which an earlier attempt failed.
     """
 
     intent: Intent
@@ -67,46 +68,52 @@
 
 
 @dataclasses.dataclass
-class _Place:
+class _SlotWaiter:
     request: SlotRequest
     future: "asyncio.Future[Slot]"
 
 
 def prompt_cost(characters: int, max_tokens: int) -> int:
-    """Return the tokens that a request is charged with."""
+    """Return the tokens that a request is charged.
+
+    :param characters: length of the prompt.
+    """
     return characters // CHARACTERS_PER_TOKEN + max_tokens + 1
 
 
-class Ledger:
-    """What this daemon has outstanding in each group, in tokens and requests."""
+class OutstandingWork:
+    """Counts this daemon's outstanding tokens and requests in each group."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, collections.Counter[str]] = {}
         self._requests: collections.Counter[str] = collections.Counter()
 
     def requests(self, group: str) -> int:
-        """Return the requests outstanding in a group."""
+        """Return the number of outstanding requests of a group."""
         return self._requests[group]
 
     def tokens(self, group: str) -> collections.Counter[str]:
-        """Return the tokens outstanding in a group, for each workspace."""
+        """Return the outstanding tokens of a group by workspace."""
         return self._tokens.setdefault(group, collections.Counter())
 
     def add(self, slot: Slot) -> None:
-        """Count a request in."""
+        """Add a request that was sent."""
         self._requests[slot.group] += 1
         self.tokens(slot.group)[slot.workspace] += slot.cost
 
     def remove(self, slot: Slot) -> None:
-        """Count a request out."""
+        """Remove a request that ended."""
         self._requests[slot.group] -= 1
         tokens = self.tokens(slot.group)
         tokens[slot.workspace] -= slot.cost
         if tokens[slot.workspace] <= 0:
             del tokens[slot.workspace]
 
-    def room(self, held: HeldPermit, workspace: str) -> int:
-        """Return the tokens that a workspace may still send to a group."""
+    def available_tokens(self, held: HeldPermit, workspace: str) -> int:
+        """Return the tokens that a workspace may still send to a group.
+
+        The spare credits of a permit are shared by all workspaces that exceed their own.
+        """
         permit = held.permit
         tokens = self.tokens(permit.group)
         own = max(0, permit.credits.get(workspace, 0) - tokens[workspace])
@@ -117,15 +124,15 @@
 
 
 class Dispatcher(mode.Service):
-    """Gives out room in the groups, fairly and in time.
+    """Assigns slots in groups to waiting requests, fairly across workspaces.
 
-    :param routing_choice: how a group is chosen.
-    :param queue_tokens: tokens that may wait for each workspace and intent.
+    :param routing_choice: name of the routing policy.
+    :param queue_tokens: limit of queued tokens for each workspace and intent.
     """
 
     def __init__(
         self,
-        permits: PermitKeeper,
+        permits: PermitManager,
         configuration: t.Callable[[], Configuration],
         routing_choice: str,
         queue_tokens: int,
@@ -135,106 +142,108 @@
         self._clock = now
         self._permits = permits
         self._configuration = configuration
-        self._choose = routing.routing_policies.get(routing_choice)
+        self._choose_group = routing.routing_policies.get(routing_choice)
         self._queue_tokens = queue_tokens
-        self._queues: dict[str, FairQueue[_Place]] = {}
-        self._ledger = Ledger()
-        self._since: dict[tuple[str, int], float] = {}
+        self._queues: dict[str, FairQueue[_SlotWaiter]] = {}
+        self._outstanding = OutstandingWork()
+        self._first_used_at: dict[tuple[str, int], float] = {}
         self.ejection = Ejection()
         permits.usage = self
-        permits.on_renewed(self._pump_all)
+        permits.on_renewed(self._serve_all_queues)
 
     def in_flight(self, group: str) -> int:
-        """Return the requests that run in a group."""
-        return self._ledger.requests(group)
+        """Return the number of requests running in a group."""
+        return self._outstanding.requests(group)
 
     def demand(self, group: str) -> dict[str, int]:
-        """Return the tokens that run in a group or wait for one, for each workspace."""
-        wanted = collections.Counter(self._ledger.tokens(group))
+        """Return the tokens running in a group or queued for it, by workspace."""
+        demand = collections.Counter(self._outstanding.tokens(group))
         intent = group.rsplit("-", 1)[0]
         queue = self._queues.get(intent)
         if queue:
-            found = self._configuration().intents.get(intent)
-            groups = self._permits.groups(intent, found.model) if found else []
+            configured_intent = self._configuration().intents.get(intent)
+            groups = (
+                self._permits.groups(intent, configured_intent.model) if configured_intent else []
+            )
             for workspace, waiting in queue.queued_tokens.items():
-                wanted[workspace] += -(-waiting // max(1, len(groups)))
-        return {name: amount for name, amount in wanted.items() if amount > 0}
+                demand[workspace] += -(-waiting // max(1, len(groups)))
+        return {name: amount for name, amount in demand.items() if amount > 0}
 
     @property
     def waiting(self) -> int:
-        """Requests in all queues."""
+        """The number of requests in all queues."""
         return sum(len(queue) for queue in self._queues.values())
 
     async def acquire(self, request: SlotRequest) -> Slot:
-        """Wait for room and return it; it has to be given back with :meth:`release`.
+        """Wait for a slot and return it; the caller must :meth:`release` it.
 
-        :raises RequestError: if there will be none in time. The request was not run.
+        :raises RequestError: if the queue is full or the deadline passes. The request was not run.
         """
         queue = self._queues.setdefault(request.intent.name, FairQueue(self._queue_tokens))
         future: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
         waiting = QueuedRequest(
-            _Place(request, future),
+            _SlotWaiter(request, future),
             request.workspace,
             request.cost,
             request.priority,
             request.deadline,
         )
-        refused = queue.retry_after(waiting, self._clock())
-        if refused is not None:
-            raise _overloaded(request, refused)
+        retry_seconds = queue.retry_after(waiting, self._clock())
+        if retry_seconds is not None:
+            raise _overload_error(request, retry_seconds)
         ticket = queue.add(waiting)
-        self._pump(request.intent.name)
+        self._serve_queue(request.intent.name)
         if not future.done():
-            await self._permits.nudge()
-            self._pump(request.intent.name)
+            await self._permits.renew_early()
+            self._serve_queue(request.intent.name)
         try:
             return await future
         except asyncio.CancelledError:
-            self._withdraw(queue, ticket, waiting)
+            self._cancel_wait(queue, ticket, waiting)
             raise
 
-    def _withdraw(
-        self, queue: FairQueue[_Place], ticket: int, waiting: QueuedRequest[_Place]
+    def _cancel_wait(
+        self, queue: FairQueue[_SlotWaiter], ticket: int, waiting: QueuedRequest[_SlotWaiter]
     ) -> None:
         future = waiting.item.future
         if future.done() and not future.cancelled() and future.exception() is None:
-            # the room was given at the same moment as the caller went
+            # The slot was assigned just before the cancellation.
             self.release(future.result())
         else:
             queue.remove(ticket, waiting)
 
     def release(self, slot: Slot) -> None:
-        """Give room back."""
-        self._ledger.remove(slot)
-        self._pump(slot.group.rsplit("-", 1)[0])
+        """Release a slot and serve the queue of its intent."""
+        self._outstanding.remove(slot)
+        self._serve_queue(slot.group.rsplit("-", 1)[0])
 
     @mode.Service.task
     async def _tick_task(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(TICK_SECONDS)
-            self._expire()
-            self._pump_all()
+            await asyncio.sleep(QUEUE_POLL_INTERVAL_SECONDS)
+            self._fail_expired()
+            self._serve_all_queues()
             if self.waiting:
-                # the credits may have been given out anew
-                await self._permits.nudge()
+                # A renewal may bring more credits.
+                await self._permits.renew_early()
 
-    def _expire(self) -> None:
+    def _fail_expired(self) -> None:
         now = self._clock()
         for queue in self._queues.values():
             for waiting in queue.pop_expired(now):
                 if not waiting.item.future.done():
-                    error = _overloaded(
+                    error = _overload_error(
                         waiting.item.request,
                         retry_after.EXPIRED_IN_QUEUE,
                         "deadline passed in the queue",
                     )
                     waiting.item.future.set_exception(error)
 
-    def _pump_all(self) -> None:
+    def _serve_all_queues(self) -> None:
         for name in self._queues:
-            self._pump(name)
+            self._serve_queue(name)
 
-    def _pump(self, name: str) -> None:
+    def _serve_queue(self, name: str) -> None:
         queue = self._queues.get(name)
         intent = self._configuration().intents.get(name)
         if not queue or intent is None:
@@ -243,50 +252,54 @@
         usable = self._permits.usable(name, intent.model)
         while usable:
             waiting = queue.pop(
-                lambda workspace, cost: bool(self._with_room(usable, workspace, cost)),
+                lambda workspace, cost: bool(self._permits_with_capacity(usable, workspace, cost)),
                 self._configuration().shares,
                 now,
             )
             if waiting is None:
                 return
             if not waiting.item.future.done():
-                self._give(waiting.item, usable, now)
+                self._assign_slot(waiting.item, usable, now)
 
-    def _with_room(self, usable: list[HeldPermit], workspace: str, cost: int) -> list[HeldPermit]:
+    def _permits_with_capacity(
+        self, usable: list[HeldPermit], workspace: str, cost: int
+    ) -> list[HeldPermit]:
         return [
             held
             for held in usable
-            if self._ledger.room(held, workspace) >= cost
-            # a request larger than any credit must get through some time
-            or (not self._ledger.requests(held.permit.group) and held.permit.spare > 0)
+            if self._outstanding.available_tokens(held, workspace) >= cost
+            # A request that exceeds any credit runs alone instead of waiting forever.
+            or (not self._outstanding.requests(held.permit.group) and held.permit.spare > 0)
         ]
 
-    def _give(self, place: _Place, usable: list[HeldPermit], now: float) -> None:
-        request = place.request
-        with_room = self._with_room(usable, request.workspace, request.cost)
-        names = self.ejection.usable_endpoints([held.permit.group for held in with_room], now)
+    def _assign_slot(self, waiter: _SlotWaiter, usable: list[HeldPermit], now: float) -> None:
+        request = waiter.request
+        with_capacity = self._permits_with_capacity(usable, request.workspace, request.cost)
+        names = self.ejection.usable_endpoints([held.permit.group for held in with_capacity], now)
         preferred = [name for name in names if name not in request.avoid] or names
-        by_name = {held.permit.group: held.permit for held in with_room}
-        candidates = [self._candidate(name, by_name[name].generation, now) for name in preferred]
-        permit = by_name[self._choose(request.prefix, request.cost, candidates)]
+        by_name = {held.permit.group: held.permit for held in with_capacity}
+        candidates = [
+            self._routing_candidate(name, by_name[name].generation, now) for name in preferred
+        ]
+        permit = by_name[self._choose_group(request.prefix, request.cost, candidates)]
         slot = Slot(permit.group, permit.generation, permit.leader, request.workspace, request.cost)
-        self._ledger.add(slot)
-        place.future.set_result(slot)
+        self._outstanding.add(slot)
+        waiter.future.set_result(slot)
 
-    def _candidate(self, group: str, generation: int, now: float) -> routing.Candidate:
-        since = self._since.setdefault((group, generation), now)
-        # the first group ever seen is as warm as any other
-        warmth = min(1.0, COLD_WARMTH + (now - since) / WARM_SECONDS)
-        return routing.Candidate(group, self._ledger.tokens(group).total(), warmth=warmth)
+    def _routing_candidate(self, group: str, generation: int, now: float) -> routing.Candidate:
+        since = self._first_used_at.setdefault((group, generation), now)
+        # Groups first used together are equally warm, so their order doesn't change.
+        warmth = min(1.0, INITIAL_WARMTH + (now - since) / WARM_UP_SECONDS)
+        return routing.Candidate(group, self._outstanding.tokens(group).total(), warmth=warmth)
 
 
-def _overloaded(
+def _overload_error(
     request: SlotRequest, seconds: float, reason: str = "no room in time"
 ) -> RequestError:
     return RequestError(
         503,
         "No room",
         f"{reason} for model {request.intent.model!r}",
-        retry_after=retry_after.spread(seconds),
+        retry_after=retry_after.with_jitter(seconds),
         cause="overload",
     )
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -1,7 +1,7 @@
-"""What the groups of a domain have cost so far: downtime, and accelerators stranded by it.
+"""Downtime of a domain's groups and the accelerators stranded by it.
 
-Owns: seconds of downtime since this daemon began to keep the domain.
-Relies on: being called once for each round of probes.
+Owns: seconds of downtime since this daemon began to manage the domain.
+Relies on: one call after each round of probes.
 """
 
 import collections
@@ -13,22 +13,22 @@
 
 
 class Downtime:
-    """Adds up the time in which assigned groups could not answer."""
+    """Accumulates the time in which assigned groups could not answer."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._at = clock()
+        self._last_added_at = clock()
         self._group_seconds: collections.defaultdict[str, float] = collections.defaultdict(float)
         self._stranded = 0.0
 
     @property
     def group_seconds(self) -> t.Mapping[str, float]:
-        """Seconds for each group."""
+        """Seconds of downtime, by group."""
         return self._group_seconds
 
     @property
     def stranded_seconds(self) -> float:
-        """Accelerators times the seconds in which their group could not answer."""
+        """Accelerator-seconds in which their group could not answer."""
         return self._stranded
 
     def add(
@@ -37,12 +37,12 @@
         open_groups: t.Container[str],
         listed: t.Mapping[str, Instance],
     ) -> None:
-        """Account for the time since the last call.
+        """Add the time since the last call for each group that is not open.
 
         :param listed: the domain's instances, for their accelerators.
         """
         now = self._clock()
-        elapsed, self._at = now - self._at, now
+        elapsed, self._last_added_at = now - self._last_added_at, now
         for group in groups:
             if group.id in open_groups:
                 continue
--- a/packages/daemon/src/thorncleat_daemon/entry.py
+++ b/packages/daemon/src/thorncleat_daemon/entry.py
@@ -1,7 +1,7 @@
-"""The callers' side: the HTTP application that takes requests.
+"""The HTTP application for callers.
 
-Owns: the gate for callers' requests.
-Relies on: the balancer asking ``/readyz`` before it sends requests.
+Owns: the gate that limits how many requests start at the same time.
+Relies on: a load balancer that checks ``/readyz``.
 """
 
 import typing as t
@@ -24,15 +24,15 @@
 from .plain import PlainServices
 from .recent import RecentRequests
 
-Answerer = t.Callable[[web.Request, Caller, bytes], t.Awaitable[web.StreamResponse]]
+AnswerFunction = t.Callable[[web.Request, Caller, bytes], t.Awaitable[web.StreamResponse]]
 
 
 class Entry:
-    """Takes the callers' requests.
+    """Handles the callers' requests.
 
-    :param ready: whether this daemon should get requests.
+    :param not_ready_reason: returns why this daemon is not ready, or None if it is.
     :param body_limit: largest body in bytes.
-    :param deadline: seconds for a request that doesn't say.
+    :param deadline: default deadline in seconds.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         services: PlainServices,
         metrics: Metrics,
         recent: RecentRequests,
-        ready: t.Callable[[], str | None],
+        not_ready_reason: t.Callable[[], str | None],
         body_limit: int,
         deadline: float,
     ) -> None:
@@ -51,7 +51,7 @@
         self._services = services
         self._metrics = metrics
         self._recent = recent
-        self._ready = ready
+        self._not_ready_reason = not_ready_reason
         self._body_limit = body_limit
         self._deadline = deadline
         self._gate = Gate()
@@ -62,7 +62,7 @@
         app.router.add_post(PATH, self._complete)
         app.router.add_get("/v1/models", self._models)
         app.router.add_route("*", "/v1/services/{service}/{tail:.*}", self._call)
-        app.router.add_get("/healthz", self._healthy)
+        app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
         app.router.add_get("/metrics", self._show_metrics)
         return app
@@ -75,20 +75,20 @@
         return await self._answer(request, self._services.answer, name)
 
     async def _answer(
-        self, request: web.Request, answerer: Answerer, target: str
+        self, request: web.Request, answer_request: AnswerFunction, target: str
     ) -> web.StreamResponse:
         started = clock.now()
         caller: Caller | None = None
         try:
             if not await self._gate.enter():
-                raise _rush()
+                raise _overload_error()
             caller = callers.identify(request, self._configuration(), self._deadline)
             body = await callers.read_body(request, self._body_limit)
             with self._metrics.in_flight.track_inprogress():
-                response = await answerer(request, caller, body)
+                response = await answer_request(request, caller, body)
         except RequestError as error:
-            return self._refused(error, caller, target, started)
-        self._recent.note(
+            return self._error_response(error, caller, target, started)
+        self._recent.record_request(
             caller.id,
             clock.now() - started,
             workspace=caller.workspace.name,
@@ -100,18 +100,18 @@
         )
         return response
 
-    def _refused(
+    def _error_response(
         self, error: RequestError, caller: Caller | None, target: str, started: float
     ) -> web.Response:
         request_id = caller.id if caller else "none"
         workspace = caller.workspace.name if caller else "unknown"
-        # a caller's own mistake doesn't count against the objective
+        # A caller's mistake doesn't count against the service level.
         if error.cause in ("bad_request", "unauthorized", "repeat"):
             self._metrics.requests.labels(workspace, error.cause).inc()
         else:
-            self._metrics.ended(workspace, target, error.cause)
+            self._metrics.record_ended(workspace, target, error.cause)
             events.REQUEST_FAILED.log(request=request_id, cause=error.cause, detail=error.detail)
-        self._recent.note(
+        self._recent.record_request(
             request_id,
             clock.now() - started,
             workspace=workspace,
@@ -141,11 +141,11 @@
         ]
         return web.json_response({"object": "list", "data": rows})
 
-    async def _healthy(self, request: web.Request) -> web.Response:
+    async def _healthz(self, request: web.Request) -> web.Response:
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.Response:
-        reason = self._ready()
+        reason = self._not_ready_reason()
         if reason is None:
             return web.Response(text="ready\n")
         return web.Response(status=503, text=f"not ready: {reason}\n")
@@ -156,11 +156,11 @@
         )
 
 
-def _rush() -> RequestError:
+def _overload_error() -> RequestError:
     return RequestError(
         503,
         "No room",
         "too many requests came at once",
-        retry_after=retry_after.rush(),
+        retry_after=retry_after.random_overload_delay(),
         cause="overload",
     )
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -1,7 +1,7 @@
-"""Passing records on among the daemons, and probing the neighbours.
+"""Gossip: spreading records among the daemons and probing overlay neighbours.
 
 Owns: the directory and the membership.
-Relies on: the platform's list for addresses; peers for everything newer.
+Relies on: the platform's list for addresses; neighbours for all newer records.
 """
 
 import asyncio
@@ -22,18 +22,17 @@
 from .ports import InstanceList
 from .ports import Peers
 
-# for which records wait for others to go out with
-FLUSH_SECONDS = 0.02
-# records in one message
-MAX_RECORDS = 500
+# Records wait this long to be batched with others.
+FLUSH_DELAY_SECONDS = 0.02
+MAX_RECORDS_PER_MESSAGE = 500
 Listener = t.Callable[[Record, str], None]
 
 
 class Gossip(mode.Service):
-    """Keeps the directory and the membership.
+    """Maintains the directory and the membership.
 
     :param me: this daemon's id.
-    :param probe: seconds between probes; each goes to the next neighbour in turn.
+    :param probe: seconds between probes; neighbours are probed in rotation.
     :param poll: seconds between fetches of the platform's list.
     """
 
@@ -51,51 +50,51 @@
         self._instances = instances
         self._probe = probe
         self._poll = poll
-        self._turn = 0
+        self._probe_index = 0
         self._outbox: list[tuple[Record, str]] = []
         self._listeners: dict[str, Listener] = {}
-        self._listed: list[t.Callable[[int], None]] = []
-        self._flushing = asyncio.Event()
+        self._list_listeners: list[t.Callable[[int], None]] = []
+        self._has_outgoing = asyncio.Event()
         self.directory = Directory()
         self.members = Members(me, self.directory)
-        self.listed = False
+        self.has_list = False
         peers.handle("records", self._on_records)
         peers.handle("sync", self._on_sync)
         peers.handle("ping", self._on_ping)
 
     def listen(self, prefix: str, listener: Listener) -> None:
-        """Call a function for each new record under a prefix; it gets the sender too."""
+        """Register a function to call with each new record under a prefix and its sender."""
         self._listeners[prefix] = listener
 
     def on_listed(self, listener: t.Callable[[int], None]) -> None:
-        """Call a function with the number of daemons whenever the list was fetched."""
-        self._listed.append(listener)
+        """Register a function to call with the number of daemons after each fetch of the list."""
+        self._list_listeners.append(listener)
 
     def publish(self, record: Record) -> None:
-        """Put a record into the directory and pass it on."""
-        self._take(record, self._me)
+        """Put a record into the directory and send it to the neighbours."""
+        self._apply_record(record, self._me)
 
     async def on_start(self) -> None:
-        """Fetch the list once before anything else needs it."""
+        """Fetch the list before other services start."""
         await self.fetch()
 
     async def fetch(self) -> None:
-        """Fetch the platform's list."""
+        """Fetch the platform's list; a failure is logged."""
         try:
             entries = await self._instances.entries()
         except PlatformError as error:
             events.PLATFORM_LOST.log(reason=str(error))
             return
-        self.listed = True
+        self.has_list = True
         self.members.update_list({entry.id: entry.address for entry in entries})
-        for listener in self._listed:
+        for listener in self._list_listeners:
             listener(len(self.members.addresses))
 
-    def _take(self, record: Record, sender: str) -> None:
+    def _apply_record(self, record: Record, sender: str) -> None:
         if not self.directory.put(record):
             return
         self._outbox.append((record, sender))
-        self._flushing.set()
+        self._has_outgoing.set()
         for prefix, listener in self._listeners.items():
             if record.key.startswith(prefix):
                 listener(record, sender)
@@ -110,17 +109,19 @@
             self.publish(refutation)
 
     async def _on_records(self, sender: str, body: t.Any) -> None:
-        for raw in body[:MAX_RECORDS]:
-            self._take(directory.decode(raw), sender)
+        for raw in body[:MAX_RECORDS_PER_MESSAGE]:
+            self._apply_record(directory.decode(raw), sender)
 
     async def _on_sync(self, sender: str, body: t.Any) -> t.Any:
         versions = {key: tuple(version) for key, version in body.items()}
-        mine = self.directory.versions()
-        # what the other one has newer is asked for in the same answer
-        lacking = [key for key, version in versions.items() if mine.get(key, ()) < version]
+        own_versions = self.directory.versions()
+        # The answer also requests the records that the sender has newer.
+        older_keys = [
+            key for key, version in versions.items() if own_versions.get(key, ()) < version
+        ]
         return {
-            "records": self.directory.newer_than(versions)[:MAX_RECORDS],
-            "wanted": lacking[:MAX_RECORDS],
+            "records": self.directory.newer_than(versions)[:MAX_RECORDS_PER_MESSAGE],
+            "wanted": older_keys[:MAX_RECORDS_PER_MESSAGE],
         }
 
     async def _on_ping(self, sender: str, body: t.Any) -> t.Any:
@@ -133,23 +134,23 @@
     @mode.Service.task
     async def _flush_task(self) -> None:
         while not self.should_stop:
-            await self._flushing.wait()
-            # records that come together go out together
-            await asyncio.sleep(FLUSH_SECONDS)
-            self._flushing.clear()
+            await self._has_outgoing.wait()
+            # Records that arrive together are sent together.
+            await asyncio.sleep(FLUSH_DELAY_SECONDS)
+            self._has_outgoing.clear()
             await self.flush()
 
     async def flush(self) -> None:
-        """Pass on to the neighbours what is new."""
+        """Send new records to all neighbours except the one that sent them."""
         outbox, self._outbox = self._outbox, []
         for neighbour in self.members.neighbours:
             records = [record for record, sender in outbox if sender != neighbour]
             if not records:
                 continue
             try:
-                await self._peers.tell(neighbour, "records", records[:MAX_RECORDS])
+                await self._peers.send(neighbour, "records", records[:MAX_RECORDS_PER_MESSAGE])
             except PeerError:
-                # the comparison with one neighbour a second brings what was lost
+                # The next probe compares checksums and repairs the loss.
                 continue
 
     @mode.Service.task
@@ -157,12 +158,12 @@
         await background.repeat("probe", self.probe_next, self._probe, lambda: self.should_stop)
 
     async def probe_next(self) -> None:
-        """Probe the next neighbour, and exchange records if it has others."""
+        """Probe the next neighbour, and synchronise if its checksum differs."""
         neighbours = self.members.neighbours
         if not neighbours:
             return
-        self._turn = (self._turn + 1) % len(neighbours)
-        neighbour = neighbours[self._turn]
+        self._probe_index = (self._probe_index + 1) % len(neighbours)
+        neighbour = neighbours[self._probe_index]
         try:
             checksum = await self._peers.ask(neighbour, "ping", None, self._probe)
         except PeerError:
@@ -176,19 +177,19 @@
             await self.synchronise(neighbour)
 
     async def synchronise(self, peer: str) -> None:
-        """Exchange with a peer what either lacks.
+        """Exchange with a peer the records that either lacks.
 
-        :raises PeerError: if it doesn't answer.
+        :raises PeerError: if the peer doesn't answer.
         """
         answer = await self._peers.ask(peer, "sync", self.directory.versions())
         for raw in answer["records"]:
-            self._take(directory.decode(raw), peer)
-        wanted = [self.directory.get(key) for key in answer["wanted"]]
-        records = [record for record in wanted if record]
+            self._apply_record(directory.decode(raw), peer)
+        requested = [self.directory.get(key) for key in answer["wanted"]]
+        records = [record for record in requested if record]
         if records:
-            await self._peers.tell(peer, "records", records)
+            await self._peers.send(peer, "records", records)
 
-    def some_peers(self, count: int) -> list[str]:
-        """Return some other daemons, chosen at random."""
+    def sample_peers(self, count: int) -> list[str]:
+        """Return up to ``count`` other daemons chosen at random."""
         others = [name for name in self.members.alive if name != self._me]
         return random.sample(others, min(count, len(others)))
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -1,8 +1,8 @@
-"""Carrying out what :mod:`thorncleat_core.daemon.repair` decides for a domain.
+"""Carrying out the changes that :mod:`thorncleat_core.daemon.repair` decides for a domain.
 
-Owns: the changes that are decided and not yet carried out.
-Relies on: the permits given out being over, or the group's work done, before members change;
-the lease, by which the store refuses assignments of an earlier holder.
+Owns: the pending changes.
+Relies on: permits that have expired, or work that has finished, before members change; the lease,
+by which the store refuses assignments of an earlier holder.
 """
 
 from thorncleat_core.daemon import repair
@@ -12,32 +12,32 @@
 from thorncleat_core.daemon.permits import PermitIssuer
 
 from . import events
+from .domain_state import DomainServices
 from .domain_state import DomainState
-from .domain_state import KeeperServices
 from .exceptions import StoreError
 from .exceptions import StoreOutcomeUnknownError
 from .instance_probes import InstanceProbes
 from .open_groups import OpenGroups
-from .order_giver import OrderGiver
+from .order_giver import OrderSender
 from .ports import Condition
-from .ports import SameLife
+from .ports import KeyNotRecreated
 from .ports import Unchanged
 from .ports import Write
 
-# seconds of silence after which an instance that is listed no more counts as gone
-GONE_AFTER = 30.0
+# An unlisted instance counts as removed after this time without an answer.
+REMOVED_AFTER_SECONDS = 30.0
 
 
 class GroupChanges:
-    """Decides and carries out the changes of one domain's groups."""
+    """Decides on changes of one domain's groups and carries them out."""
 
     def __init__(
         self,
         state: DomainState,
-        services: KeeperServices,
+        services: DomainServices,
         desk: PermitIssuer,
         probes: InstanceProbes,
-        orders: OrderGiver,
+        orders: OrderSender,
         open_groups: OpenGroups,
     ) -> None:
         self._state = state
@@ -49,24 +49,24 @@
         self._pending: dict[str, repair.Change] = {}
 
     def decide(self) -> None:
-        """Decide anew what to change: a member that came back makes its replacement moot."""
+        """Recompute the pending changes; a member that returned is no longer replaced."""
         changes = repair.decide_changes(
             self._state.assignments,
-            self._wanted(),
-            self._view(),
+            self._desired_state(),
+            self._observe(),
             self._services.clock(),
             self._services.control.repair,
         )
-        fresh = {repair.affected_group(change): change for change in changes}
-        for group_id in set(self._pending) - set(fresh):
+        decided = {repair.affected_group(change): change for change in changes}
+        for group_id in set(self._pending) - set(decided):
             self._desk.resume(group_id)
-        self._pending = fresh
+        self._pending = decided
 
     async def carry_out(self) -> None:
-        """Carry out the first change that is ready; prepare replacements on the way to it.
+        """Carry out the first change that is ready, and prepare replacements before it.
 
         :raises StoreUnavailableError: if there is no lease.
-        :raises LeaseError: if the lease may have lapsed.
+        :raises LeaseError: if the lease may have expired.
         """
         for subject, change in list(self._pending.items()):
             if isinstance(change, repair.Prepare):
@@ -74,23 +74,24 @@
                 continue
             if not self._is_ready(change):
                 continue
-            if await self._write(_applied(self._state.assignments, change)):
+            if await self._write(_apply_change(self._state.assignments, change)):
                 self._desk.resume(subject)
                 self._pending.pop(subject, None)
                 self._log(change)
             return
 
-    def _view(self) -> repair.ObservedDomain:
+    def _observe(self) -> repair.ObservedDomain:
         state, reports = self._state, self._probes.reports
         leaving = {
             instance.id
             for instance in state.listed.values()
             if instance.state is InstanceState.LEAVING
         }
-        gone = {
+        removed = {
             name
             for name in state.assignments.occupied_instances()
-            if name not in state.listed and self._probes.silence(name) > GONE_AFTER
+            if name not in state.listed
+            and self._probes.silence_seconds(name) > REMOVED_AFTER_SECONDS
         }
         idle = {name for name, report in reports.items() if not report.group}
         prepared = {
@@ -101,13 +102,13 @@
         draining = self._services.config().configuration.draining | leaving
         return repair.ObservedDomain(
             frozenset(idle),
-            frozenset(gone),
+            frozenset(removed),
             dict(self._probes.missing_since),
             frozenset(draining),
             prepared,
         )
 
-    def _wanted(self) -> repair.DesiredState:
+    def _desired_state(self) -> repair.DesiredState:
         state = self._services.config()
         placements = {
             name: placed
@@ -118,7 +119,7 @@
         return repair.DesiredState(placements, state.configuration.intents, seconds)
 
     def _is_ready(self, change: repair.Change) -> bool:
-        """Return whether a change may be written now; drain or suspend its group until then."""
+        """Return whether a change may be written now; if not, drain or suspend its group."""
         now, lease = self._services.clock(), self._state.lease
         if lease is None or not lease.is_held(now):
             return False
@@ -134,30 +135,33 @@
         return now > self._desk.latest_expiry(group_id)
 
     async def _write(self, changed: Assignments) -> bool:
-        """Write assignments under the lease; read them again if it isn't sure what stands."""
+        """Write assignments under the lease and return whether that succeeded.
+
+        If the outcome is unknown or the assignments were changed, they are read again.
+        """
         changed.check()
         state, services = self._state, self._services
         lease = state.checked_lease(services.clock())
         key = services.keys.domain(state.domain)
         conditions: list[Condition] = [
             Unchanged(key, state.mod_revision),
-            SameLife(services.keys.holder(lease.shard), lease.create_revision),
+            KeyNotRecreated(services.keys.holder(lease.shard), lease.create_revision),
         ]
         try:
             write = [Write(key, changed.encode())]
             revision = await services.store.transact(conditions, write, Purpose.ASSIGN)
         except StoreOutcomeUnknownError:
-            state.loaded = False
+            state.is_loaded = False
             return False
         except StoreError as error:
             events.TASK_FAILED.log(task="assign", reason=str(error), expected=True)
             return False
         if revision is None:
-            state.loaded = False
+            state.is_loaded = False
             return False
         state.mod_revision = revision
         old, state.assignments = state.assignments, changed
-        self._open_groups.replaced(old, changed)
+        self._open_groups.on_assignments_replaced(old, changed)
         return True
 
     def _log(self, change: repair.Change) -> None:
@@ -172,7 +176,7 @@
         events.GROUP_CHANGED.log(group=repair.affected_group(change), change=kind, members=members)
 
 
-def _applied(assignments: Assignments, change: repair.Change) -> Assignments:
+def _apply_change(assignments: Assignments, change: repair.Change) -> Assignments:
     if isinstance(change, repair.Release):
         return assignments.with_released(change.instances)
     if isinstance(change, repair.Dissolve):
--- a/packages/daemon/src/thorncleat_daemon/once.py
+++ b/packages/daemon/src/thorncleat_daemon/once.py
@@ -1,7 +1,7 @@
-"""Running a request that may not be repeated: at most once, with a true report of how it ended.
+"""At-most-once execution of requests by their idempotency keys.
 
 Owns: nothing.
-Relies on: the owner of a key's shard to grant it once (:mod:`.claims`).
+Relies on: the owner of a key's shard, which grants a claim once (:mod:`.claims`).
 """
 
 import dataclasses
@@ -17,18 +17,18 @@
 from .callers import Caller
 from .callers import require_key
 from .claims import ClaimClient
-from .claims import kept_outcome
+from .claims import stored_outcome
 from .exceptions import RequestError
 
-# of randomness that tell attempts apart
+# Random bytes in the id of an attempt.
 ATTEMPT_BYTES = 8
 
 
 @dataclasses.dataclass(frozen=True)
-class Answered:
-    """A whole answer.
+class WholeAnswer:
+    """A complete, unstreamed answer.
 
-    :param repeated: whether it is the answer of an earlier run.
+    :param repeated: whether it is the stored answer of an earlier run.
     """
 
     status: int
@@ -37,14 +37,17 @@
     repeated: bool = False
 
 
-Run = t.Callable[[], t.Awaitable[Answered]]
+Run = t.Callable[[], t.Awaitable[WholeAnswer]]
 
 
-def _from_earlier(reply: Reply) -> Answered:
-    """Return the answer of an earlier run, or raise what is known of it."""
+def _answer_from_claim(reply: Reply) -> WholeAnswer:
+    """Return the stored answer of an earlier run.
+
+    :raises RequestError: if there is none; it says whether the earlier run happened.
+    """
     outcome = reply.outcome
     if reply.answer is ClaimAnswer.DONE and outcome and outcome.body is not None:
-        return Answered(outcome.status, outcome.content_type, outcome.body, repeated=True)
+        return WholeAnswer(outcome.status, outcome.content_type, outcome.body, repeated=True)
     if reply.answer is ClaimAnswer.MISMATCH:
         raise RequestError(
             422, "Key reused", "the key was used with another request", cause="bad_request"
@@ -73,27 +76,28 @@
 
 async def run_once(
     claims: ClaimClient, caller: Caller, method: str, path: str, body: bytes, run: Run
-) -> Answered:
+) -> WholeAnswer:
     """Run a request unless its key was claimed before.
 
-    :raises RequestError: that says whether the request ran.
+    :param run: sends the request.
+    :raises RequestError: if there is no answer; it says whether the request ran.
     """
     key = require_key(caller)
     workspace = caller.workspace.name
     attempt = secrets.token_hex(ATTEMPT_BYTES)
     reply = await claims.ask(workspace, key, request_digest(method, path, body), attempt)
     if reply.answer is not ClaimAnswer.GRANTED:
-        return _from_earlier(reply)
+        return _answer_from_claim(reply)
     ran = "unknown"
     outcome: Outcome | None = None
     try:
         answered = await run()
         ran = "yes"
-        outcome = kept_outcome(answered.status, answered.content_type, answered.body)
+        outcome = stored_outcome(answered.status, answered.content_type, answered.body)
         return answered
     except RequestError as error:
         ran = error.executed
         raise
     finally:
-        # also when the caller has gone: then the fate is unknown and stays so
-        await claims.tell(workspace, key, attempt, ran, outcome)
+        # Also reported if the caller disconnects: the outcome then stays unknown.
+        await claims.report(workspace, key, attempt, ran, outcome)
--- a/packages/daemon/src/thorncleat_daemon/operator_plans.py
+++ b/packages/daemon/src/thorncleat_daemon/operator_plans.py
@@ -1,8 +1,8 @@
-"""Operators' changes: a plan is shown first and carried out once it is confirmed.
+"""Changes by operators: a plan is shown, then carried out after its confirmation.
 
-Owns: nothing; a plan comes back whole and is computed again from what is known now.
-Relies on: :mod:`thorncleat_core.daemon.plans` giving the same plan from the same state on every
-daemon; the journal (:mod:`.config`), which takes an entry once.
+Owns: nothing; a confirmed plan is recomputed and compared with the one that was shown.
+Relies on: :mod:`thorncleat_core.daemon.plans`, which gives every daemon the same plan for the same
+state; the journal (:mod:`.config`), which accepts an entry once.
 """
 
 import dataclasses
@@ -24,7 +24,7 @@
 from thorncleat_core.exceptions import DocumentError
 
 from . import events
-from .config import ConfigKeeper
+from .config import ConfigManager
 from .exceptions import PlatformError
 from .exceptions import StoreOutcomeUnknownError
 from .exceptions import StoreUnavailableError
@@ -35,14 +35,14 @@
 
 
 class OperatorPlans:
-    """Makes plans for operators and carries out those that they confirm.
+    """Makes plans for operators and carries out confirmed ones.
 
-    :param load_seconds: estimate for loading a model.
+    :param load_seconds: estimated time to load a model.
     """
 
     def __init__(
         self,
-        config: ConfigKeeper,
+        config: ConfigManager,
         gossip: Gossip,
         instances: InstanceList,
         load_seconds: float,
@@ -53,14 +53,14 @@
         self._load_seconds = load_seconds
 
     async def plan(self, request: web.Request, operator: ActingOperator) -> web.Response:
-        """Show what a change would do."""
+        """Return the plan for a change."""
         try:
             raw = await request.json()
             document = jsonc.parse(str(raw["document"]), str(raw.get("name", "intent")))
             change = jsonc.validate(document, Change)
-            # a plan from a revision that has just been overtaken could not be confirmed
-            await self._config.catch_up_if_possible()
-            plan = await self._fresh(change)
+            # A plan that is based on an outdated revision could not be confirmed.
+            await self._config.try_catch_up()
+            plan = await self._make_current_plan(change)
         except DocumentError as error:
             return problem(422, "the document is unusable", problems=_problems(error))
         except (ValueError, KeyError, TypeError) as error:
@@ -70,20 +70,20 @@
         events.PLAN_MADE.log(operator=operator.name, plan=plan.digest, revision=plan.base_revision)
         return web.json_response(_plan_json(plan))
 
-    async def _fresh(self, change: Change) -> Plan | web.Response:
+    async def _make_current_plan(self, change: Change) -> Plan | web.Response:
         try:
             fleet = Fleet.from_instances(await self._instances.everything())
         except PlatformError as error:
             return problem(503, str(error), accepted="no")
-        state, taken = self._actual()
-        times = plans.Estimates(load=self._load_seconds)
-        made = plans.make_plan(change, state, fleet, taken, times)
-        if isinstance(made, Failure):
-            return problem(422, str(made.failure()), problems=[])
-        return made.unwrap()
-
-    def _actual(self) -> tuple[State, set[str]]:
-        """Return the state with placements as they stand after repairs, and what is taken."""
+        state, occupied = self._current_state()
+        estimates = plans.Estimates(load=self._load_seconds)
+        result = plans.make_plan(change, state, fleet, occupied, estimates)
+        if isinstance(result, Failure):
+            return problem(422, str(result.failure()), problems=[])
+        return result.unwrap()
+
+    def _current_state(self) -> tuple[State, set[str]]:
+        """Return the state with the placements after repairs, and the occupied instances."""
         state = self._config.current
         placements = dict(state.placements)
         for group, placed in state.placements.items():
@@ -91,30 +91,30 @@
             if record and not record.body.get("gone"):
                 members = tuple(record.body["members"])
                 placements[group] = dataclasses.replace(placed, members=members)
-        taken = {member for placed in placements.values() for member in placed.members}
-        return dataclasses.replace(state, placements=placements), taken
+        occupied = {member for placed in placements.values() for member in placed.members}
+        return dataclasses.replace(state, placements=placements), occupied
 
     async def confirm(self, request: web.Request, operator: ActingOperator) -> web.Response:
-        """Carry a plan out, if it is still what would be planned now."""
+        """Carry out a plan if it still equals the plan for the present state."""
         try:
             plan = codec.validate(Plan, (await request.json())["plan"])
         except (ValueError, KeyError, TypeError, DecodeError) as error:
             return problem(400, f"a plan is wanted: {error}")
-        done = self._accepted_before(plan)
-        if done is not None:
-            return web.json_response({"revision": done, "repeated": True})
+        accepted_revision = self._find_accepted_revision(plan)
+        if accepted_revision is not None:
+            return web.json_response({"revision": accepted_revision, "repeated": True})
         return await self._accept(plan, operator)
 
-    def _accepted_before(self, plan: Plan) -> int | None:
+    def _find_accepted_revision(self, plan: Plan) -> int | None:
         entry = self._config.journal.entry(plan.base_revision + 1)
         return entry.revision if entry and entry.plan == plan.digest else None
 
     async def _accept(self, plan: Plan, operator: ActingOperator) -> web.Response:
         try:
-            fresh = await self._fresh(plan.change)
-            if isinstance(fresh, web.Response):
-                return fresh
-            plans.verify(plan, fresh)
+            current_plan = await self._make_current_plan(plan.change)
+            if isinstance(current_plan, web.Response):
+                return current_plan
+            plans.verify(plan, current_plan)
             revision = await self._config.accept(plan.to_entry(operator.name))
         except ConflictError as error:
             return await self._conflict(plan, operator, error)
@@ -131,18 +131,18 @@
     async def _conflict(
         self, plan: Plan, operator: ActingOperator, error: ConflictError
     ) -> web.Response:
-        done = self._accepted_before(plan)
-        if done is not None:
-            # this very plan was accepted meanwhile, at another daemon
-            return web.json_response({"revision": done, "repeated": True})
+        accepted_revision = self._find_accepted_revision(plan)
+        if accepted_revision is not None:
+            # Another daemon has accepted the same plan meanwhile.
+            return web.json_response({"revision": accepted_revision, "repeated": True})
         events.PLAN_REFUSED.log(operator=operator.name, plan=plan.digest, reason=str(error))
         try:
-            fresh = await self._fresh(plan.change)
+            current_plan = await self._make_current_plan(plan.change)
         except DocumentError as unusable:
             return problem(422, "the change contradicts itself", problems=_problems(unusable))
-        if isinstance(fresh, web.Response):
+        if isinstance(current_plan, web.Response):
             return problem(409, str(error))
-        return problem(409, str(error), fresh=_plan_json(fresh))
+        return problem(409, str(error), fresh=_plan_json(current_plan))
 
 
 def _problems(error: DocumentError) -> list[dict[str, t.Any]]:
--- a/packages/daemon/src/thorncleat_daemon/order_giver.py
+++ b/packages/daemon/src/thorncleat_daemon/order_giver.py
@@ -1,9 +1,8 @@
-"""Orders to the engines of a domain: who serves in which group, and what to load ahead.
+"""Orders to the engines of a domain: which group to serve in, and which part to preload.
 
-Owns: the time from which each group may be changed, since its members have followed an order
-of this epoch long enough.
+Owns: the time from which each group may be changed, after permits of earlier epochs have expired.
 Relies on: a held lease, checked before each order; the epoch, by which engines refuse the
-orders of earlier keepers.
+orders of earlier managers.
 """
 
 import asyncio
@@ -12,18 +11,18 @@
 from thorncleat_core.daemon.groups import Group
 
 from . import events
+from .domain_state import DomainServices
 from .domain_state import DomainState
-from .domain_state import KeeperServices
 from .exceptions import EndpointError
 from .instance_probes import InstanceProbes
 from .ports import Order
 
 
-class OrderGiver:
-    """Gives the engines of one domain the orders that their reports lack."""
+class OrderSender:
+    """Sends the engines of one domain the orders that their reports don't show yet."""
 
     def __init__(
-        self, state: DomainState, services: KeeperServices, probes: InstanceProbes
+        self, state: DomainState, services: DomainServices, probes: InstanceProbes
     ) -> None:
         self._state = state
         self._services = services
@@ -31,46 +30,46 @@
         self._safe_at: dict[str, float] = {}
 
     def safe_at(self, group_id: str, acquired_at: float) -> float:
-        """Return from when a group may be changed.
+        """Return the time from which a group may be changed.
 
-        :param acquired_at: when the lease was acquired; it counts until an order is followed.
+        :param acquired_at: when the lease was acquired; used until a member has followed an order.
         """
-        return self._safe_at.get(group_id, acquired_at + self._services.outlived)
+        return self._safe_at.get(group_id, acquired_at + self._services.takeover_wait_seconds)
 
-    async def give(self) -> None:
-        """Give all orders that are due.
+    async def send_due_orders(self) -> None:
+        """Send all due orders.
 
         :raises StoreUnavailableError: if there is no lease.
-        :raises LeaseError: if the lease may have lapsed.
+        :raises LeaseError: if the lease may have expired.
         """
         state = self._state
         orders = [
-            self._order(name, self._order_for(group, rank))
+            self._send_order(name, self._order_for(group, rank))
             for group in state.assignments.groups.values()
             for rank, name in enumerate(group.members)
             if self._needs_order(name, group)
         ]
         generation = state.assignments.generation
         orders += [
-            self._order(name, Order(state.epoch, "", generation, -1, "", ""))
+            self._send_order(name, Order(state.epoch, "", generation, -1, "", ""))
             for name, report in self._probes.reports.items()
             if report.group and state.group_of(name) is None
         ]
         await asyncio.gather(*orders)
 
     async def prepare(self, change: repair.Prepare) -> None:
-        """Let an instance load a part ahead, unless it does already."""
+        """Order an instance to preload a model part, unless it already does."""
         report = self._probes.reports.get(change.instance)
         part = change.part
-        loading = report and (report.model, report.version, report.rank) == (
+        is_loading = report and (report.model, report.version, report.rank) == (
             part.model,
             part.version,
             part.rank,
         )
-        if not loading:
+        if not is_loading:
             generation = self._state.assignments.generation
             order = Order(self._state.epoch, "", generation, part.rank, part.model, part.version)
-            await self._order(change.instance, order)
+            await self._send_order(change.instance, order)
 
     def _order_for(self, group: Group, rank: int) -> Order:
         epoch = self._state.epoch
@@ -80,10 +79,10 @@
         report = self._probes.reports.get(name)
         if report is None:
             return False
-        placed = (report.group, report.generation, report.epoch)
-        return placed != (group.id, group.generation, self._state.epoch)
+        reported = (report.group, report.generation, report.epoch)
+        return reported != (group.id, group.generation, self._state.epoch)
 
-    async def _order(self, name: str, order: Order) -> None:
+    async def _send_order(self, name: str, order: Order) -> None:
         address = self._state.address(name)
         if address is None:
             return
@@ -94,6 +93,6 @@
             events.ORDER_REFUSED.log(instance=name, reason=str(error))
             return
         if order.group:
-            # whoever kept the group before sees the new epoch from now on
-            safe_at = self._services.clock() + self._services.outlived
+            # An earlier manager of the group sees the new epoch from now on.
+            safe_at = self._services.clock() + self._services.takeover_wait_seconds
             self._safe_at.setdefault(order.group, safe_at)
--- a/packages/daemon/src/thorncleat_daemon/peers.py
+++ b/packages/daemon/src/thorncleat_daemon/peers.py
@@ -1,8 +1,7 @@
-"""Messages between daemons over ZeroMQ with CURVE; strangers get nothing.
+"""Messages between daemons over ZeroMQ, encrypted and authenticated by CURVE.
 
-Owns: the sockets, one to each peer in use, and the answers awaited.
-Relies on: CURVE keys that the settings accept; nothing is believed of a frame before its form
-is checked.
+Owns: the sockets, one to each peer in use, and the pending requests.
+Relies on: the CURVE keys accepted by the settings; every frame being validated before use.
 """
 
 import asyncio
@@ -23,30 +22,31 @@
 from .exceptions import PeerError
 from .ports import Handler
 
-# bytes
-MAX_FRAME = 1_200_000
-# sockets to peers, the least lately used closed first
+MAX_FRAME_BYTES = 1_200_000
+# Beyond this the least recently used connection is closed.
 MAX_CONNECTIONS = 64
-# messages handled at the same time
-MAX_HANDLING = 256
-# messages that wait in a socket
-HIGH_WATER = 1000
+MAX_RUNNING_HANDLERS = 256
+# High-water mark of a socket.
+MAX_QUEUED_MESSAGES = 1000
 ZAP_DOMAIN = "thorncleat"
 
 
-class _Accepted:
-    """Tells the authenticator which public keys may connect."""
+class _AcceptedKeys:
+    """Credentials callback with the public keys that may connect."""
 
     def __init__(self, accepted: t.Iterable[str]) -> None:
         self._accepted = {key.encode() for key in accepted}
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Return whether a key, in Z85, is accepted."""
+        """Return whether a public key is accepted.
+
+        :param key: in Z85.
+        """
         return key in self._accepted
 
 
 class _Connection:
-    """A socket to one peer and the answers awaited on it."""
+    """A socket to one peer and its pending requests."""
 
     def __init__(self, socket: zmq.asyncio.Socket, address: str) -> None:
         self.socket = socket
@@ -55,7 +55,7 @@
         self.reader: asyncio.Task[None] | None = None
 
     def close(self) -> None:
-        """Close the socket; what is still awaited fails."""
+        """Close the socket and fail the pending requests."""
         if self.reader:
             self.reader.cancel()
         for future in self.waiting.values():
@@ -65,10 +65,10 @@
 
 
 class ZmqPeers:
-    """Sends to peers by their listed addresses and answers them.
+    """Sends messages to peers at their listed addresses and answers theirs.
 
-    :param cluster: frames of other clusters are dropped.
-    :param addresses: current addresses of the daemons, by id.
+    :param cluster: name of the cluster; frames of others are dropped.
+    :param addresses: returns the current addresses of the daemons, by id.
     """
 
     def __init__(
@@ -85,25 +85,25 @@
         self._context: zmq.asyncio.Context = zmq.asyncio.Context()
         self._handlers: dict[str, Handler] = {}
         self._connections: collections.OrderedDict[str, _Connection] = collections.OrderedDict()
-        self._key_of: collections.Counter[str] = collections.Counter()
-        self._numbers = itertools.count(1)
+        self._key_index: collections.Counter[str] = collections.Counter()
+        self._request_numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
         self._authenticator: AsyncioAuthenticator | None = None
         self._server: zmq.asyncio.Socket | None = None
         self.counts: collections.Counter[str] = collections.Counter()
 
     def handle(self, kind: str, handler: Handler) -> None:
-        """Let a coroutine answer messages of a kind."""
+        """Register a coroutine that answers messages of a kind."""
         self._handlers[kind] = handler
 
     async def start(self, listen: str) -> str:
-        """Listen; return the address with the port that was taken."""
+        """Start to listen and return the address with the actual port."""
         self._authenticator = AsyncioAuthenticator(self._context)
         self._authenticator.start()
-        accepted = _Accepted(self._keys.accepted)
+        accepted = _AcceptedKeys(self._keys.accepted)
         self._authenticator.configure_curve_callback(ZAP_DOMAIN, accepted)
         server = self._context.socket(zmq.ROUTER)
-        self._harden(server)
+        self._set_limits(server)
         server.curve_server = True
         server.curve_publickey = self._keys.public.encode()
         server.curve_secretkey = self._keys.secret.get_secret_value().encode()
@@ -118,7 +118,7 @@
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all sockets and cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
         for connection in self._connections.values():
@@ -133,12 +133,13 @@
     async def ask(self, peer: str, kind: str, body: t.Any, timeout: float = 1.0) -> t.Any:
         """Send a message and return its answer.
 
-        :raises PeerError: if there is none in time, or it is an error.
+        :param timeout: in seconds.
+        :raises PeerError: if there is no answer in time, or the answer is an error.
         """
         if peer == self._me:
-            return await self._handled(self._me, kind, body)
+            return await self._run_handler(self._me, kind, body)
         connection = self._connection(peer)
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         future: asyncio.Future[t.Any] = asyncio.get_running_loop().create_future()
         connection.waiting[number] = future
         try:
@@ -150,28 +151,28 @@
         finally:
             connection.waiting.pop(number, None)
 
-    async def tell(self, peer: str, kind: str, body: t.Any) -> None:
+    async def send(self, peer: str, kind: str, body: t.Any) -> None:
         """Send a message that needs no answer."""
         if peer == self._me:
-            await self._handled(self._me, kind, body)
+            await self._run_handler(self._me, kind, body)
             return
         await self._send(self._connection(peer).socket, kind, body, 0)
 
-    def _harden(self, socket: zmq.asyncio.Socket) -> None:
-        socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME)
-        socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
-        socket.setsockopt(zmq.RCVHWM, HIGH_WATER)
+    def _set_limits(self, socket: zmq.asyncio.Socket) -> None:
+        socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
+        socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
+        socket.setsockopt(zmq.RCVHWM, MAX_QUEUED_MESSAGES)
         socket.setsockopt(zmq.LINGER, 0)
 
     def _connection(self, peer: str) -> _Connection:
         address = self._addresses().get(peer)
         if address is None:
             raise PeerError(f"no address of daemon {peer!r}")
-        known = self._connections.get(peer)
-        if known and known.address == address:
+        existing = self._connections.get(peer)
+        if existing and existing.address == address:
             self._connections.move_to_end(peer)
-            return known
-        if known:
+            return existing
+        if existing:
             self._connections.pop(peer).close()
         while len(self._connections) >= MAX_CONNECTIONS:
             self._connections.popitem(last=False)[1].close()
@@ -180,20 +181,19 @@
         return connection
 
     def _try_another_key(self, peer: str) -> None:
-        """Use the next accepted key towards a peer, which may have another one already.
+        """Use the next accepted key for a peer.
 
-        While the daemons' keys are being changed, two are accepted and either may be a
-        peer's own.
+        During a key rotation two keys are accepted, and the peer may have either.
         """
         if len(self._keys.accepted) > 1 and peer in self._connections:
-            self._key_of[peer] += 1
+            self._key_index[peer] += 1
             self._connections.pop(peer).close()
 
     def _connect(self, peer: str, address: str) -> _Connection:
         socket = self._context.socket(zmq.DEALER)
-        self._harden(socket)
+        self._set_limits(socket)
         accepted = self._keys.accepted
-        socket.curve_serverkey = accepted[self._key_of[peer] % len(accepted)].encode()
+        socket.curve_serverkey = accepted[self._key_index[peer] % len(accepted)].encode()
         socket.curve_publickey = self._keys.public.encode()
         socket.curve_secretkey = self._keys.secret.get_secret_value().encode()
         socket.connect(f"tcp://{address}")
@@ -225,30 +225,30 @@
                 answer = codec.unpack(frame)
                 future = connection.waiting.get(answer["n"])
                 if future is None or future.done():
-                    # an answer that came after its time, or twice
+                    # A late or duplicate answer.
                     self.counts["late_answers"] += 1
                 elif answer.get("e") is not None:
                     future.set_exception(PeerError(str(answer["e"])))
                 else:
                     future.set_result(answer.get("b"))
             except (DecodeError, KeyError, TypeError) as error:
-                self._reject(str(error))
+                self._record_rejected(str(error))
 
     async def _serve(self, server: zmq.asyncio.Socket) -> None:
         while True:
             frames = await server.recv_multipart()
             self._count_received(frames[-1])
-            if len(self._tasks) > MAX_HANDLING:
+            if len(self._tasks) > MAX_RUNNING_HANDLERS:
                 self.counts["overrun"] += 1
                 continue
             try:
-                message = self._checked(codec.unpack(frames[-1]))
+                message = self._validate(codec.unpack(frames[-1]))
             except DecodeError as error:
-                self._reject(str(error))
+                self._record_rejected(str(error))
                 continue
             self._spawn(self._answer(server, frames[0], message))
 
-    def _checked(self, message: t.Any) -> dict[str, t.Any]:
+    def _validate(self, message: t.Any) -> dict[str, t.Any]:
         if not isinstance(message, dict) or set(message) != {"c", "f", "k", "n", "b"}:
             raise DecodeError("a frame without the fields of one")
         if message["c"] != self._cluster:
@@ -257,7 +257,7 @@
             raise DecodeError(f"a frame of unknown kind {message['k']!r}")
         return message
 
-    def _reject(self, reason: str) -> None:
+    def _record_rejected(self, reason: str) -> None:
         self.counts["rejected"] += 1
         events.PEER_REJECTED.log(reason=reason)
 
@@ -265,7 +265,7 @@
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(frame)
 
-    async def _handled(self, sender: str, kind: str, body: t.Any) -> t.Any:
+    async def _run_handler(self, sender: str, kind: str, body: t.Any) -> t.Any:
         return await self._handlers[kind](sender, body)
 
     async def _answer(
@@ -273,11 +273,11 @@
     ) -> None:
         answer: dict[str, t.Any] = {"n": message["n"]}
         try:
-            answer["b"] = await self._handled(message["f"], message["k"], message["b"])
+            answer["b"] = await self._run_handler(message["f"], message["k"], message["b"])
         except ThorncleatError as error:
             answer["e"] = str(error)
         except (KeyError, TypeError, ValueError) as error:
-            self._reject(f"{message['k']!r}: {error!r}")
+            self._record_rejected(f"{message['k']!r}: {error!r}")
             answer["e"] = "malformed body"
         if not message["n"]:
             return
--- a/packages/daemon/src/thorncleat_daemon/pieces.py
+++ b/packages/daemon/src/thorncleat_daemon/pieces.py
@@ -1,96 +1,97 @@
-"""Passing the pieces of a streamed answer on, and checking whose they are.
+"""Splitting a streamed answer into events and checking that they belong to the request.
 
-The events are not parsed: each must begin as the engine begins the events of this request,
-which costs one comparison, and anything else is looked at more closely.
+The usual event is recognised by its first bytes, without parsing it.
 
-Owns: half an event that has come, and what was dropped.
+Owns: the incomplete event received last, and the counts of dropped events.
 Relies on: engines that name the request in each event.
 """
 
 import collections
 import typing as t
 
-BOUNDARY = b"\n\n"
-DATA = b"data: "
+EVENT_SEPARATOR = b"\n\n"
+DATA_PREFIX = b"data: "
 DONE = b"data: [DONE]\n\n"
-FINISHED = (b'"finish_reason":"', b'"finish_reason": "')
+FINISH_MARKERS = (b'"finish_reason":"', b'"finish_reason": "')
 
 
 class Pieces:
-    """Checks the bytes of one answer and cuts them into whole events.
+    """Checks the bytes of one answer and splits them into complete events.
 
-    :param request_id: the request whose answer this is.
+    :param request_id: the request that is answered.
     """
 
     def __init__(self, request_id: str) -> None:
         identity = f'"id":"chatcmpl-{request_id}"'
-        self._prefix = (DATA + b"{" + identity.encode()).rstrip()
+        self._prefix = (DATA_PREFIX + b"{" + identity.encode()).rstrip()
         self._identities = (identity.encode(), identity.replace(":", ": ", 1).encode())
-        self._rest = b""
-        # two: the event that counts the tokens may come after the one that finishes
-        self._last = b""
-        self._before = b""
+        self._partial_event = b""
+        # The usage event may follow the one with the finish reason, so two events are checked.
+        self._last_event = b""
+        self._previous_event = b""
         self.events = 0
-        self.done = False
+        self.is_done = False
         self.dropped: collections.Counter[str] = collections.Counter()
 
     def feed(self, chunk: bytes) -> bytes:
-        """Check what arrived and return what may be passed on: whole, own events."""
+        """Check received bytes and return the complete events that belong to the request."""
         if (
-            not self._rest
-            and not self.done
+            not self._partial_event
+            and not self.is_done
             and chunk.startswith(self._prefix)
-            and chunk.find(BOUNDARY) == len(chunk) - 2
+            and chunk.find(EVENT_SEPARATOR) == len(chunk) - 2
         ):
-            # the usual case: one whole event of this request
+            # Fast path: exactly one complete event of this request.
             self.events += 1
-            self._before, self._last = self._last, chunk
+            self._previous_event, self._last_event = self._last_event, chunk
             return chunk
-        return self._feed_slowly(chunk)
+        return self._feed_partial(chunk)
 
-    def _feed_slowly(self, chunk: bytes) -> bytes:
-        *whole, self._rest = (self._rest + chunk).split(BOUNDARY)
-        return b"".join(self._checked(event + BOUNDARY) for event in whole if event)
+    def _feed_partial(self, chunk: bytes) -> bytes:
+        *whole, self._partial_event = (self._partial_event + chunk).split(EVENT_SEPARATOR)
+        return b"".join(self._check_event(event + EVENT_SEPARATOR) for event in whole if event)
 
-    def _checked(self, event: bytes) -> bytes:
-        if self.done:
+    def _check_event(self, event: bytes) -> bytes:
+        if self.is_done:
             self.dropped["after_end"] += 1
             return b""
         if event == DONE:
-            # it names no request, so it counts only after an own event that finishes
-            self.done = self.finished
-            if not self.done:
+            # The end marker names no request, so it needs a preceding finish event of this one.
+            self.is_done = self.has_finish_event
+            if not self.is_done:
                 self.dropped["end_of_another"] += 1
             return b""
         if event.startswith(self._prefix) or self._is_own(event):
             self.events += 1
-            self._before, self._last = self._last, event
+            self._previous_event, self._last_event = self._last_event, event
             return event
-        self.dropped["foreign" if event.startswith(DATA) else "not_an_event"] += 1
+        self.dropped["foreign" if event.startswith(DATA_PREFIX) else "not_an_event"] += 1
         return b""
 
     def _is_own(self, event: bytes) -> bool:
-        return event.startswith(DATA) and any(identity in event for identity in self._identities)
+        return event.startswith(DATA_PREFIX) and any(
+            identity in event for identity in self._identities
+        )
 
     @property
-    def finished(self) -> bool:
-        """Whether one of the last own events says that the answer ends."""
-        return any(mark in self._last + self._before for mark in FINISHED)
+    def has_finish_event(self) -> bool:
+        """Whether one of the last two events has a finish reason."""
+        return any(mark in self._last_event + self._previous_event for mark in FINISH_MARKERS)
 
-    def forget_rest(self) -> None:
-        """Drop half an event, before the answer goes on in another group."""
-        if self._rest:
+    def drop_partial_event(self) -> None:
+        """Drop an incomplete event before the answer is resumed in another group."""
+        if self._partial_event:
             self.dropped["half_event"] += 1
-        self._rest = b""
+        self._partial_event = b""
 
     @property
-    def truncated(self) -> bool:
-        """Whether the answer lacks its end; the end marker alone may be missing."""
-        return not self.done and not self.finished
+    def is_truncated(self) -> bool:
+        """Whether the answer has neither its end marker nor a finish reason."""
+        return not self.is_done and not self.has_finish_event
 
 
-def whole_answer_fault(answer: t.Any, request_id: str) -> str | None:
-    """Return what is wrong with an answer that came as a whole, or None."""
+def find_answer_fault(answer: t.Any, request_id: str) -> str | None:
+    """Return what is wrong with a whole answer, or None."""
     if not isinstance(answer, dict):
         return "not an object"
     if answer.get("id") != f"chatcmpl-{request_id}":
--- a/packages/daemon/src/thorncleat_daemon/plain.py
+++ b/packages/daemon/src/thorncleat_daemon/plain.py
@@ -1,7 +1,7 @@
-"""Answering ``/v1/services/{service}/…``: calls to plain services, passed through.
+"""Reverse proxy for ``/v1/services/{service}/…``, the calls to plain services.
 
-Owns: the retries left and the endpoints left out.
-Relies on: a service's own list of what may be repeated.
+Owns: the retry budget and the endpoints ejected after failures.
+Relies on: each service's configured list of calls that may not be repeated.
 """
 
 import dataclasses
@@ -23,19 +23,18 @@
 from .claims import ClaimClient
 from .exceptions import RequestError
 from .metrics import Metrics
-from .once import Answered
+from .once import WholeAnswer
 from .once import run_once
 from .upstream import Upstream
-from .upstream import answer_lost
-from .upstream import end_to_end
+from .upstream import answer_lost_error
+from .upstream import end_to_end_headers
 
-# endpoints that a call is tried at
 MAX_ATTEMPTS = 3
-DEFAULT_TYPE = "application/octet-stream"
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class PlainServices:
-    """Serves calls to plain services."""
+    """Forwards calls to plain services."""
 
     def __init__(
         self,
@@ -52,22 +51,22 @@
         self._ejection = Ejection()
 
     async def answer(self, request: web.Request, caller: Caller, body: bytes) -> web.Response:
-        """Answer a call.
+        """Forward a call and return its answer.
 
-        :raises RequestError: if it can't be answered; it says whether the call ran.
+        :raises RequestError: if there is no answer; it says whether the call ran.
         """
-        service = self._service(request.match_info["service"], caller)
+        service = self._find_service(request.match_info["service"], caller)
         path = "/" + request.match_info["tail"]
         target = request.rel_url.raw_path.split(f"/{service.name}", 1)[1] or "/"
         if request.rel_url.raw_query_string:
             target += f"?{request.rel_url.raw_query_string}"
         repeatable = caller.repeatable and service.can_repeat(request.method, path)
-        headers = end_to_end(request.headers) | {"X-Request-Id": caller.id}
-        call = _Call(request.method, target, body, headers, repeatable)
+        headers = end_to_end_headers(request.headers) | {"X-Request-Id": caller.id}
+        call = _ForwardedCall(request.method, target, body, headers, repeatable)
         if repeatable:
-            answered = await self._run(service, caller, call)
+            whole_answer = await self._run(service, caller, call)
         else:
-            answered = await run_once(
+            whole_answer = await run_once(
                 self._claims,
                 caller,
                 request.method,
@@ -75,41 +74,41 @@
                 body,
                 lambda: self._run(service, caller, call),
             )
-        self._metrics.ended(caller.workspace.name, service.name, GOOD)
-        return _response(answered, caller)
+        self._metrics.record_ended(caller.workspace.name, service.name, GOOD)
+        return _response(whole_answer, caller)
 
-    def _service(self, name: str, caller: Caller) -> Service:
+    def _find_service(self, name: str, caller: Caller) -> Service:
         service = self._configuration().services.get(name)
         if service is None or caller.workspace.name not in service.workspaces:
             detail = f"no service {name!r} for workspace {caller.workspace.name!r}"
             raise RequestError(404, "Unknown service", detail, cause="bad_request")
         return service
 
-    async def _run(self, service: Service, caller: Caller, call: "_Call") -> Answered:
-        """Call endpoints in turn, as long as that is safe and within the retry budget."""
+    async def _run(self, service: Service, caller: Caller, call: "_ForwardedCall") -> WholeAnswer:
+        """Try endpoints in turn, as long as a retry is safe and within the retry budget."""
         now = clock.now()
         order = rendezvous.rank(caller.id, self._ejection.usable_endpoints(service.endpoints, now))
         for attempt, endpoint in enumerate(order[:MAX_ATTEMPTS], start=1):
             try:
-                answered = await self._call(endpoint, caller, call)
+                whole_answer = await self._call(endpoint, caller, call)
                 self._ejection.record_success(endpoint)
                 self._retries.record_success()
-                return answered
+                return whole_answer
             except RequestError as error:
                 self._ejection.record_failure(endpoint, clock.now())
-                may = can_retry(
+                is_retryable = can_retry(
                     error.executed,
                     repeatable=call.repeatable,
                     attempt=attempt,
                     max_attempts=min(len(order), MAX_ATTEMPTS),
-                    seconds_left=caller.left(),
+                    seconds_left=caller.seconds_left(),
                 )
-                if not may or not self._retries.try_acquire():
+                if not is_retryable or not self._retries.try_acquire():
                     raise
                 self._metrics.retries.labels(error.cause).inc()
         raise RequestError(503, "No endpoint", f"service {service.name!r} has none to use")
 
-    async def _call(self, endpoint: str, caller: Caller, call: "_Call") -> Answered:
+    async def _call(self, endpoint: str, caller: Caller, call: "_ForwardedCall") -> WholeAnswer:
         url = f"http://{endpoint}{call.target}"
         async with self._upstream.call(
             call.method,
@@ -122,14 +121,17 @@
             try:
                 body = await response.read()
             except (aiohttp.ClientError, TimeoutError) as error:
-                raise answer_lost(url, error) from error
-            kind = response.headers.get("Content-Type", DEFAULT_TYPE)
-            return Answered(response.status, kind, body)
+                raise answer_lost_error(url, error) from error
+            content_type = response.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
+            return WholeAnswer(response.status, content_type, body)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Call:
-    """A call as it is passed on."""
+class _ForwardedCall:
+    """A call as it is forwarded.
+
+    :param target: path and query.
+    """
 
     method: str
     target: str
@@ -138,8 +140,8 @@
     repeatable: bool
 
 
-def _response(answered: Answered, caller: Caller) -> web.Response:
-    headers = {"X-Request-Id": caller.id, "Content-Type": answered.content_type}
-    if answered.repeated:
+def _response(whole_answer: WholeAnswer, caller: Caller) -> web.Response:
+    headers = {"X-Request-Id": caller.id, "Content-Type": whole_answer.content_type}
+    if whole_answer.repeated:
         headers["X-Repeated"] = "yes"
-    return web.Response(status=answered.status, body=answered.body, headers=headers)
+    return web.Response(status=whole_answer.status, body=whole_answer.body, headers=headers)
--- a/packages/daemon/src/thorncleat_daemon/platform.py
+++ b/packages/daemon/src/thorncleat_daemon/platform.py
@@ -1,7 +1,7 @@
 """Adapter to the platform's list of instances.
 
-Owns: the parts of the list that were fetched, by tag.
-Relies on: the platform's servers, tried one after the other.
+Owns: the cached parts of the list with their entity tags.
+Relies on: the platform's servers; the next one is used after a failure.
 """
 
 import typing as t
@@ -15,34 +15,29 @@
 from .exceptions import PlatformError
 
 PATH = "/platform/instances"
-# for a whole call
 TIMEOUT_SECONDS = 3.0
-# HTTP status: the part has the tag that was named
 NOT_MODIFIED = 304
 _ROWS = pydantic.TypeAdapter(list[ListedInstance])
 
 
-class _Kept(t.NamedTuple):
-    """A part of the list and the tag that the platform gave it."""
+class _CachedList(t.NamedTuple):
+    """A cached part of the list and its entity tag."""
 
     tag: str
     rows: list[Instance]
 
 
 class HttpInstanceList:
-    """Fetches parts of the list over HTTP.
+    """Fetches parts of the list over HTTP, with conditional requests for unchanged parts.
 
-    A part that did not change since is answered with its tag alone, so that asking often
-    costs little. At the planned size the whole list is two megabytes.
-
-    :param endpoints: ``host:port`` of each server; the next one is tried after a failure.
+    :param endpoints: ``host:port`` of each server; the next one is used after a failure.
     """
 
     def __init__(self, session: aiohttp.ClientSession, endpoints: t.Sequence[str]) -> None:
         self._session = session
         self._endpoints = list(endpoints)
-        self._current = 0
-        self._kept: dict[str, _Kept] = {}
+        self._endpoint_index = 0
+        self._cache: dict[str, _CachedList] = {}
 
     async def entries(self) -> list[Instance]:
         """Return the instances that run daemons."""
@@ -55,26 +50,26 @@
     async def everything(self) -> list[Instance]:
         """Return all instances."""
         rows = await self._fetch("")
-        self._kept.pop("", None)
+        self._cache.pop("", None)
         return rows
 
     async def _fetch(self, query: str) -> list[Instance]:
-        url = f"http://{self._endpoints[self._current]}{PATH}{query}"
+        url = f"http://{self._endpoints[self._endpoint_index]}{PATH}{query}"
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
-        kept = self._kept.get(query)
-        headers = {"If-None-Match": kept.tag} if kept else {}
+        cached = self._cache.get(query)
+        headers = {"If-None-Match": cached.tag} if cached else {}
         try:
             async with self._session.get(url, timeout=timeout, headers=headers) as response:
-                if response.status == NOT_MODIFIED and kept:
-                    return kept.rows
+                if response.status == NOT_MODIFIED and cached:
+                    return cached.rows
                 response.raise_for_status()
                 raw = await response.json()
                 tag = response.headers.get("ETag", "")
             listed = _ROWS.validate_python(raw["instances"])
         except (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError) as error:
-            self._current = (self._current + 1) % len(self._endpoints)
+            self._endpoint_index = (self._endpoint_index + 1) % len(self._endpoints)
             raise PlatformError(f"list of instances: {error!r}") from error
         rows = [Instance.from_listed(row) for row in listed]
         if tag:
-            self._kept[query] = _Kept(tag, rows)
+            self._cache[query] = _CachedList(tag, rows)
         return rows
