--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -116,7 +116,7 @@
     for process in list(cluster.processes.values()):
         process.send(signal.SIGCONT)
     for name, process in list(cluster.processes.items()):
-        if process.running:
+        if process.is_running:
             continue
         if name.startswith("daemon-"):
             await cluster.start_daemon(name)
--- a/bench/soaks/gateway.py
+++ b/bench/soaks/gateway.py
@@ -114,7 +114,7 @@
     """Wait until the groups are open and the daemons have read the store."""
     leader_count = 0
     while leader_count < 2:
-        leader_count = sum(worker.leads for worker in site.workers.values())
+        leader_count = sum(worker.is_serving_leader for worker in site.workers.values())
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
     await asyncio.sleep(STORE_READ_SECONDS)
 
--- a/bench/soaks/gateway_daemons.py
+++ b/bench/soaks/gateway_daemons.py
@@ -82,7 +82,7 @@
     @property
     def is_running(self) -> bool:
         """Whether the process is running."""
-        return self.process is not None and self.process.running
+        return self.process is not None and self.process.is_running
 
     async def start(self, log: pathlib.Path) -> None:
         """Start the program.
--- a/bench/soaks/gateway_limits.py
+++ b/bench/soaks/gateway_limits.py
@@ -113,7 +113,11 @@
 
 
 def _can_announce_limit(worker: "SoakWorker") -> bool:
-    return worker.is_available and worker.limit is None and (worker.leads or not worker.domain)
+    return (
+        worker.is_available
+        and worker.limit is None
+        and (worker.is_serving_leader or not worker.domain)
+    )
 
 
 async def _announce_limit(
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -113,7 +113,7 @@
         if exchange is not None:
             daemon = self._site.find_daemon(exchange.daemon)
             self._site.notices.check_arrival(self, daemon, exchange.id, exchange.sent_at)
-            if self.leads or not self.domain:
+            if self.is_serving_leader or not self.domain:
                 self._site.limits.check_arrival(self, daemon, exchange.id)
             if self.leaving:
                 self._site.notices.record_leaving(self, daemon)
--- a/packages/standins/src/thorncleat_standins/cluster.py
+++ b/packages/standins/src/thorncleat_standins/cluster.py
@@ -306,7 +306,7 @@
 
         async def have_open_groups() -> bool:
             for name in self.daemons:
-                if not self.processes[name].running:
+                if not self.processes[name].is_running:
                     continue
                 _, response_body = await self.call_operator_api(name, "GET", "/groups")
                 if sum(group["state"] == "open" for group in response_body["groups"]) < groups:
--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -52,7 +52,7 @@
     :param service: name of the service.
     :param domain: fabric domain; empty for a plain service.
     :ivar events: number of events in a stream.
-    :ivar silent_after: number of events after which streams stall; None for never.
+    :ivar stall_after: number of events after which streams stall; None for never.
     :ivar cut_after: number of events after which streams are cut, except resumed ones.
     :ivar reset_body: whether connections are reset in the middle of an answer without a length.
     :ivar failure_status: HTTP status for all requests; 0 to serve them.
@@ -78,7 +78,7 @@
         self.address = ""
         self.draining = False
         self.events = 5
-        self.silent_after: int | None = None
+        self.stall_after: int | None = None
         self.cut_after: int | None = None
         self.reset_body = False
         self.failure_status = 0
@@ -103,7 +103,7 @@
         return self._group is not None and self._group["state"] in ("open", "closing")
 
     @property
-    def leads(self) -> bool:
+    def is_serving_leader(self) -> bool:
         """Whether the worker leads an open group."""
         return self._group is not None and self._group["state"] == "open"
 
@@ -279,7 +279,7 @@
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         attempt = request.headers[ATTEMPT_ID]
         body = await request.read()
-        if self.domain and not self.leads:
+        if self.domain and not self.is_serving_leader:
             return web.Response(status=421, headers=self.common_headers())
         refusal = self.refusal_for(request)
         if refusal is not None:
@@ -329,7 +329,7 @@
         await response.prepare(request)
         first = int(request.headers.get(LAST_EVENT_ID, "0"))
         for number in range(first + 1, self.events + 1):
-            if self.silent_after is not None and number - first > self.silent_after:
+            if self.stall_after is not None and number - first > self.stall_after:
                 await asyncio.sleep(STALL_SECONDS)
             if self.cut_after is not None and first == 0 and number > self.cut_after:
                 assert request.transport is not None
--- a/packages/standins/src/thorncleat_standins/processes.py
+++ b/packages/standins/src/thorncleat_standins/processes.py
@@ -40,13 +40,13 @@
         return self.process.pid
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process has not ended."""
         return self.process.returncode is None
 
     def send(self, signal_number: signal.Signals) -> None:
         """Send a signal if the process is running."""
-        if self.running:
+        if self.is_running:
             self.process.send_signal(signal_number)
 
     async def stop(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -93,7 +93,9 @@
             await self.add(f"desk{number}", "desk")
         for number in range(daemons):
             await self._start_gateway(address, metrics, number + 1)
-        await self.until(lambda: sum(worker.leads for worker in self.workers) == domains)
+        await self.until(
+            lambda: sum(worker.is_serving_leader for worker in self.workers) == domains
+        )
         await self.until(lambda: self._listed_leaders() == domains * daemons)
 
     async def _start_gateway(self, address: str, metrics: str, number: int) -> None:
@@ -218,7 +220,7 @@
 
 
 def _group_leaders(cluster):
-    return [worker for worker in cluster.workers if worker.domain and worker.leads]
+    return [worker for worker in cluster.workers if worker.domain and worker.is_serving_leader]
 
 
 async def test_stream_is_served_by_another_group_after_a_failure_status(tmp_path):
@@ -287,7 +289,7 @@
 async def test_stream_resumes_on_another_group_when_its_own_is_silent(tmp_path):
     async with site(tmp_path) as cluster:
         for worker in cluster.workers:
-            worker.silent_after = 3
+            worker.stall_after = 3
         _, _, body = await cluster.chat()
         assert body == events(1, 2, 3, 4, 5)
 
