--- a/packages/standins/src/thorncleat_standins/completions.py
+++ b/packages/standins/src/thorncleat_standins/completions.py
@@ -36,7 +36,7 @@
         body = {**self._head, "object": "chat.completion.chunk", "choices": [choice]}
         return b"data: " + json.dumps(body, separators=(",", ":")).encode() + b"\n\n"
 
-    def whole(self, text: str, count: int, finish_reason: str | None) -> dict[str, t.Any]:
+    def completion(self, text: str, count: int, finish_reason: str | None) -> dict[str, t.Any]:
         """Return the body of an answer that is not streamed."""
         message = {"role": "assistant", "content": text}
         choice = {"index": 0, "message": message, "finish_reason": finish_reason}
--- a/packages/standins/src/thorncleat_standins/engine.py
+++ b/packages/standins/src/thorncleat_standins/engine.py
@@ -3,7 +3,7 @@
 Unlike a real engine it answers while members of its group are missing, which is the worst case
 for the daemon.
 
-Owns: the current assignment and the switched faults.
+Owns: the current assignment and the injected faults.
 Relies on: only tests and benchmarks calling ``/behaviour``.
 """
 
@@ -36,7 +36,7 @@
     :param stall_after: number of tokens after which answers stall; 0 for never.
     :param foreign_identity: whether answers carry another request's id.
     :param stamp: whether each token is replaced by its sending time, for benchmarks.
-    :param spread: whether requests run independently of the batch.
+    :param spread: whether requests run independently of each other instead of in a batch.
     """
 
     token_seconds: float = 0.01
@@ -146,7 +146,7 @@
         try:
             if body.get("stream"):
                 return await self._stream(request, job, answer)
-            return await self._whole(job, answer)
+            return await self._complete(job, answer)
         finally:
             self._batch.cancel(job)
 
@@ -178,7 +178,7 @@
             pass
         return response
 
-    async def _whole(self, job: Job, answer: Answer) -> web.Response:
+    async def _complete(self, job: Job, answer: Answer) -> web.Response:
         texts: list[str] = []
         finish_reason = "stop"
         try:
@@ -186,7 +186,9 @@
                 texts.append(token_text(job.prompt, index))
         except EOFError:
             finish_reason = ""
-        return web.json_response(answer.whole("".join(texts), len(texts), finish_reason or None))
+        return web.json_response(
+            answer.completion("".join(texts), len(texts), finish_reason or None)
+        )
 
 
 async def serve(engine: Engine, host: str = "127.0.0.1", port: int = 0) -> Served:
--- a/packages/standins/src/thorncleat_standins/kv.py
+++ b/packages/standins/src/thorncleat_standins/kv.py
@@ -74,7 +74,7 @@
 
 
 class LeaseNotFoundError(Exception):
-    """A write names a lease that has expired."""
+    """A write names a lease that does not exist or has expired."""
 
 
 class Store:
--- a/packages/standins/src/thorncleat_standins/platform_store.py
+++ b/packages/standins/src/thorncleat_standins/platform_store.py
@@ -19,7 +19,7 @@
 LEASE_POLL_INTERVAL_SECONDS = 0.2
 SHUTDOWN_TIMEOUT_SECONDS = 0.1
 LEASE_ID_OFFSET = 1000
-# Its value increases each time the store is restored from a backup.
+# The store's era, which increases each time the store is restored from a backup.
 ERA_HEADER = "Store-Era"
 
 
@@ -38,7 +38,7 @@
 class PlatformStore:
     """A store that serves ``/thorncleat/kv-*``.
 
-    :ivar refuse: whether all calls are answered with 503.
+    :ivar refuse: whether all calls are answered with status 503.
     :ivar lose_answers: number of further writes that take effect but whose connection is cut.
     :ivar era: increases with each :meth:`restore`.
     :ivar calls: paths of all calls.
@@ -68,7 +68,7 @@
             ("POST", "kv-txn"): self._handle_transaction,
             ("POST", "kv-lease"): self._handle_grant,
             ("POST", "kv-keep/{id}"): self._handle_renewal,
-            ("DELETE", "kv-lease-end/{id}"): self._handle_lease_end,
+            ("DELETE", "kv-lease-end/{id}"): self._handle_revocation,
         }
         for (method, path), handler in routes.items():
             app.router.add_route(method, f"/thorncleat/{path}", self._wrap_handler(path, handler))
@@ -96,7 +96,7 @@
             self._record_change({"private_key": key, "revision": self.revision, "deleted": True})
 
     def compact(self) -> None:
-        """Discard the history, so that watches of earlier revisions fail with 410."""
+        """Discard the history, so that watches of earlier revisions fail with status 410."""
         self._compacted_revision = self.revision
         self._history.clear()
         self._wake_watches()
@@ -251,6 +251,6 @@
         self._leases[lease] = (time.monotonic() + ttl, ttl)
         return web.json_response({"ttl_ms": int(ttl * 1000)})
 
-    async def _handle_lease_end(self, request: web.Request) -> web.Response:
+    async def _handle_revocation(self, request: web.Request) -> web.Response:
         self._end_lease(int(request.match_info["id"]))
         return web.Response()
--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -23,7 +23,7 @@
 SERVER_LIMIT = "Server-Limit"
 NOT_EXECUTED = "X-Thorncleat-Not-Executed"
 RETRY_AFTER = "Retry-After"
-# From the acceptance of an order to the change of the group's state.
+# Delay between the acceptance of an order and the change of the group's state.
 ORDER_DELAY_SECONDS = 0.02
 EVENT_INTERVAL_SECONDS = 0.02
 # How long a stalled stream stays silent.
@@ -31,7 +31,7 @@
 # Lets the first half of an answer reach the client before the reset.
 RESET_DELAY_SECONDS = 0.05
 SHUTDOWN_TIMEOUT_SECONDS = 0.1
-# From the start of a fatal request to the crash.
+# Delay between the start of a fatal request and the crash.
 CRASH_DELAY_SECONDS = 0.15
 
 
@@ -64,6 +64,8 @@
     :ivar events_before_crash: number of events that such a request receives.
     :ivar restart_after_seconds: delay of the restart after such a crash; None for never.
     :ivar crashes: number of such crashes.
+    :ivar born: increases with each restart; None before the first.
+    :ivar runs: the executed requests.
     """
 
     def __init__(self, store: PlatformStore, name: str, service: str, domain: str = "") -> None:
@@ -303,7 +305,7 @@
     async def _run_into_crash(
         self, request: web.BaseRequest, headers: dict[str, str]
     ) -> web.StreamResponse:
-        """Send the events before the crash, and crash."""
+        """Send the events that precede the crash, then crash."""
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         if self.events_before_crash:
             response.enable_chunked_encoding()
--- a/packages/standins/src/thorncleat_standins/service.py
+++ b/packages/standins/src/thorncleat_standins/service.py
@@ -17,8 +17,8 @@
 class Behaviour:
     """Faults of the service.
 
-    :param break_before: number of further calls whose connection breaks before they run.
-    :param break_after: number of further calls whose connection breaks after they ran.
+    :param break_before: number of further calls whose connection breaks before execution.
+    :param break_after: number of further calls whose connection breaks after execution.
     """
 
     break_before: int = 0
--- a/packages/standins/src/thorncleat_standins/store.py
+++ b/packages/standins/src/thorncleat_standins/store.py
@@ -92,7 +92,7 @@
     return {"kv": _record_json(event.record)}
 
 
-def _compare(raw: dict[str, t.Any]) -> kv.Compare:
+def _parse_compare(raw: dict[str, t.Any]) -> kv.Compare:
     field = {
         "MOD": "mod_revision",
         "CREATE": "create_revision",
@@ -103,7 +103,7 @@
     return kv.Compare(_decode(raw["key"]), field, expected)
 
 
-def _operation(raw: dict[str, t.Any]) -> kv.Operation:
+def _parse_operation(raw: dict[str, t.Any]) -> kv.Operation:
     if "request_put" in raw:
         put = raw["request_put"]
         return kv.Put(_decode(put["key"]), _decode(put["value"]), int(put.get("lease", 0)))
@@ -135,12 +135,12 @@
         app = web.Application(client_max_size=2 * MAX_VALUE_BYTES)
         app.add_routes(
             [
-                web.post("/v3/kv/range", self._range),
-                web.post("/v3/kv/txn", self._txn),
-                web.post("/v3/lease/grant", self._grant),
-                web.post("/v3/lease/keepalive", self._keepalive),
-                web.post("/v3/lease/revoke", self._revoke),
-                web.post("/v3/watch", self._watch),
+                web.post("/v3/kv/range", self._handle_range),
+                web.post("/v3/kv/txn", self._handle_transaction),
+                web.post("/v3/lease/grant", self._handle_grant),
+                web.post("/v3/lease/keepalive", self._handle_renewal),
+                web.post("/v3/lease/revoke", self._handle_revocation),
+                web.post("/v3/watch", self._handle_watch),
                 web.get("/platform/instances", self._list_instances),
                 web.put("/platform/instances", self._set_instances),
                 web.post("/faults", self._set_faults),
@@ -172,7 +172,7 @@
     def _header(self) -> dict[str, str]:
         return {"revision": str(self.store.revision)}
 
-    async def _range(self, request: web.Request) -> web.Response:
+    async def _handle_range(self, request: web.Request) -> web.Response:
         raw = await request.json()
         await self._admit_call(request, self._read_rate)
         records = self.store.get(_decode(raw["key"]), _decode(raw.get("range_end")))
@@ -184,42 +184,42 @@
         }
         return web.json_response(body)
 
-    async def _txn(self, request: web.Request) -> web.Response:
+    async def _handle_transaction(self, request: web.Request) -> web.Response:
         raw = await request.json()
         await self._admit_call(request, self._write_rate)
-        operations = [_operation(operation) for operation in raw.get("success", [])]
+        operations = [_parse_operation(operation) for operation in raw.get("success", [])]
         for operation in operations:
             if isinstance(operation, kv.Put) and len(operation.value) > MAX_VALUE_BYTES:
                 raise web.HTTPBadRequest(text='{"message": "value too large"}')
         try:
-            compares = [_compare(compare) for compare in raw["compare"]]
+            compares = [_parse_compare(compare) for compare in raw["compare"]]
             succeeded = self.store.transact(compares, operations)
         except kv.LeaseNotFoundError:
             raise web.HTTPNotFound(text='{"message": "requested lease not found"}') from None
         self._lose_answer(request)
         return web.json_response({"header": self._header(), "succeeded": succeeded})
 
-    async def _grant(self, request: web.Request) -> web.Response:
+    async def _handle_grant(self, request: web.Request) -> web.Response:
         raw = await request.json()
         await self._admit_call(request, self._write_rate)
         lease = self.store.grant(float(raw["TTL"]))
         self._lose_answer(request)
         return web.json_response({"ID": str(lease.id), "TTL": str(lease.ttl)})
 
-    async def _keepalive(self, request: web.Request) -> web.Response:
+    async def _handle_renewal(self, request: web.Request) -> web.Response:
         raw = await request.json()
         await self._admit_call(request, self._write_rate)
         lease = self.store.renew(int(raw["ID"]))
         result = {"ID": raw["ID"], "TTL": str(lease.ttl if lease else 0)}
         return web.json_response({"result": result})
 
-    async def _revoke(self, request: web.Request) -> web.Response:
+    async def _handle_revocation(self, request: web.Request) -> web.Response:
         raw = await request.json()
         await self._admit_call(request, self._write_rate)
         self.store.revoke(int(raw["ID"]))
         return web.json_response({"header": self._header()})
 
-    async def _watch(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_watch(self, request: web.Request) -> web.StreamResponse:
         raw = (await request.json())["create_request"]
         await self._admit_call(request, self._read_rate)
         key, end = _decode(raw["key"]), _decode(raw.get("range_end"))
--- a/packages/standins/src/thorncleat_standins/traffic.py
+++ b/packages/standins/src/thorncleat_standins/traffic.py
@@ -1,4 +1,4 @@
-"""Callers that retry at random daemons, and checks of what they received.
+"""Callers that retry at random daemons, and checks of the answers that they received.
 
 Owns: the outcomes that each caller received.
 Relies on: all engines returning the same tokens for the same prompt.
@@ -28,7 +28,8 @@
     """Makes calls that must not run twice, and retries until one succeeds.
 
     :param key: the workspace's key.
-    :ivar reported_outcomes: for each call whether it was executed, according to each attempt.
+    :ivar reported_outcomes: for each call, whether each attempt reported that it was executed:
+        ``yes``, ``no`` or ``unknown``.
     """
 
     def __init__(self, cluster: Cluster, key: str, rng: random.Random) -> None:
@@ -73,14 +74,14 @@
 ) -> list[str]:
     """Return the contradictions between the reported outcomes and the service's ledger."""
     faults = []
-    for name, answers in reported_outcomes.items():
+    for name, outcomes in reported_outcomes.items():
         runs = ledger.get(name, 0)
         if runs > 1:
-            faults.append(f"{name} ran {runs} times: {answers}")
-        if "yes" in answers and runs == 0:
-            faults.append(f"{name} never ran, but was answered: {answers}")
-        if set(answers) == {"no"} and runs:
-            faults.append(f"{name} ran, but was always denied: {answers}")
+            faults.append(f"{name} ran {runs} times: {outcomes}")
+        if "yes" in outcomes and runs == 0:
+            faults.append(f"{name} never ran, but was answered: {outcomes}")
+        if set(outcomes) == {"no"} and runs:
+            faults.append(f"{name} ran, but was always denied: {outcomes}")
     return faults
 
 
--- a/tests/test_forms_orders.py
+++ b/tests/test_forms_orders.py
@@ -85,7 +85,7 @@
         await call_engines(work, answer)
 
 
-async def test_refused_connection_is_not_silence():
+async def test_refused_connection_is_not_a_timeout():
     engines = WorkerEngines()
     unreachable = wire_forms.with_address(PLAIN_ENDPOINT, f"127.0.0.1:{free_port()}")
     with pytest.raises(EndpointRefusedError):
@@ -124,6 +124,6 @@
     "answer",
     [Answer(body=b"{"), Answer(body=b"[]"), Answer(document={"group": {"name": "x"}})],
 )
-async def test_invalid_report_counts_as_silence(answer):
+async def test_invalid_report_counts_as_a_timeout(answer):
     with pytest.raises(EndpointTimeoutError):
         await call_engines(fetch_report, answer)
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -143,7 +143,7 @@
 class FixedFeed:
     """A feed with a fixed snapshot and no later changes but those put into ``next``.
 
-    :param proven: the value of the snapshot's ``proven_seconds`` field.
+    :param proven_seconds: the value of this field of the snapshot.
     """
 
     def __init__(self, changes: t.Sequence[Change], revision: int = 9, proven_seconds: float = 0.0):
