--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -362,7 +362,7 @@
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         transport.write(f"HTTP/1.1 200 OK\r\nConnection: close\r\n{head}\r\nhalf".encode())
         await asyncio.sleep(RESET_DELAY_SECONDS)
-        # Makes the close send a reset.
+        # With a linger time of 0, closing the socket sends a reset.
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )
--- a/packages/standins/src/thorncleat_standins/processes.py
+++ b/packages/standins/src/thorncleat_standins/processes.py
@@ -56,7 +56,7 @@
 
         :param seconds: time between the signal and SIGKILL.
         """
-        # A suspended process would handle no other signal.
+        # Resumes a suspended process, which would not handle other signals.
         self.send(signal.SIGCONT)
         self.send(signal_number)
         try:
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -13,7 +13,7 @@
 from .makers import CALLER_KEY
 from .makers import digest
 
-QUICK = {
+QUICK_CONTROL = {
     "probe": 0.15,
     "window": 1.0,
     "permit": 1.0,
@@ -29,7 +29,7 @@
 
     def __init__(self, directory: pathlib.Path, site: Site, **requests: t.Any) -> None:
         self._runner = asyncio.Runner()
-        self.cluster = Cluster(directory, site, control=QUICK, requests=requests)
+        self.cluster = Cluster(directory, site, control=QUICK_CONTROL, requests=requests)
 
     def run(self, coroutine: t.Coroutine[t.Any, t.Any, t.Any]) -> t.Any:
         return self._runner.run(coroutine)
@@ -74,40 +74,40 @@
             except ValueError:
                 return response.status, response.headers, text
 
-    async def stream(self, body: t.Any, daemon: str = "daemon-0", on_event=None) -> "Streamed":
+    async def stream(self, body: t.Any, daemon: str = "daemon-0", on_event=None) -> "StreamResult":
         """Read a streamed completion to its end.
 
         :param on_event: coroutine function that is called after each event.
         """
-        streamed = Streamed()
+        result = StreamResult()
         url = self.cluster.callers(daemon) + "/v1/chat/completions"
         headers = {"Authorization": f"Bearer {CALLER_KEY}"}
         async with (
             aiohttp.ClientSession(headers=headers) as session,
             session.post(url, json={**body, "stream": True}) as response,
         ):
-            streamed.status = response.status
+            result.status = response.status
             async for line in response.content:
                 if not line.startswith(b"data: "):
                     continue
                 if line.startswith(b"data: [DONE]"):
-                    streamed.done = True
+                    result.done = True
                     continue
                 event = json.loads(line[6:])
                 if "error" in event:
-                    streamed.error = event
+                    result.error = event
                     continue
-                streamed.text += event["choices"][0]["delta"].get("content", "")
+                result.text += event["choices"][0]["delta"].get("content", "")
                 if on_event:
-                    await on_event(streamed)
-        return streamed
+                    await on_event(result)
+        return result
 
     async def ledger(self) -> dict[str, int]:
         """Return how often the plain service executed each call."""
         return await self.cluster.call_standin("GET", self.cluster.service, "/ledger")
 
 
-class Streamed:
+class StreamResult:
     """The result of a stream."""
 
     def __init__(self) -> None:
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The gateway's program, started like in the deploy file."""
+"""The gateway's program, started as in the deploy file."""
 
 import asyncio
 import os
