--- a/packages/standins/src/thorncleat_standins/platform_worker.py
+++ b/packages/standins/src/thorncleat_standins/platform_worker.py
@@ -23,7 +23,7 @@
 SERVER_LIMIT = "Server-Limit"
 NOT_EXECUTED = "X-Thorncleat-Not-Executed"
 RETRY_AFTER = "Retry-After"
-# From the acceptance of an order to the change of the group's state.
+# Delay between the acceptance of an order and the change of the group's state.
 ORDER_DELAY_SECONDS = 0.02
 EVENT_INTERVAL_SECONDS = 0.02
 # How long a stalled stream stays silent.
@@ -31,7 +31,7 @@
 # Lets the first half of an answer reach the client before the reset.
 RESET_DELAY_SECONDS = 0.05
 SHUTDOWN_TIMEOUT_SECONDS = 0.1
-# From the start of a fatal request to the crash.
+# Delay between the start of a fatal request and the crash.
 CRASH_DELAY_SECONDS = 0.15
 
 
@@ -52,7 +52,7 @@
     :param service: name of the service.
     :param domain: fabric domain; empty for a plain service.
     :ivar events: number of events in a stream.
-    :ivar silent_after: number of events after which streams stall; None for never.
+    :ivar stall_after: number of events after which streams stall; None for never.
     :ivar cut_after: number of events after which streams are cut, except resumed ones.
     :ivar reset_body: whether connections are reset in the middle of an answer without a length.
     :ivar failure_status: HTTP status for all requests; 0 to serve them.
@@ -64,6 +64,8 @@
     :ivar events_before_crash: number of events that such a request receives.
     :ivar restart_after_seconds: delay of the restart after such a crash; None for never.
     :ivar crashes: number of such crashes.
+    :ivar born: increases with each restart; None before the first.
+    :ivar runs: the executed requests.
     """
 
     def __init__(self, store: PlatformStore, name: str, service: str, domain: str = "") -> None:
@@ -78,7 +80,7 @@
         self.address = ""
         self.draining = False
         self.events = 5
-        self.silent_after: int | None = None
+        self.stall_after: int | None = None
         self.cut_after: int | None = None
         self.reset_body = False
         self.failure_status = 0
@@ -103,7 +105,7 @@
         return self._group is not None and self._group["state"] in ("open", "closing")
 
     @property
-    def leads(self) -> bool:
+    def is_serving_leader(self) -> bool:
         """Whether the worker leads an open group."""
         return self._group is not None and self._group["state"] == "open"
 
@@ -279,7 +281,7 @@
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         attempt = request.headers[ATTEMPT_ID]
         body = await request.read()
-        if self.domain and not self.leads:
+        if self.domain and not self.is_serving_leader:
             return web.Response(status=421, headers=self.common_headers())
         refusal = self.refusal_for(request)
         if refusal is not None:
@@ -303,7 +305,7 @@
     async def _run_into_crash(
         self, request: web.BaseRequest, headers: dict[str, str]
     ) -> web.StreamResponse:
-        """Send the events before the crash, and crash."""
+        """Send the events that precede the crash, then crash."""
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         if self.events_before_crash:
             response.enable_chunked_encoding()
@@ -329,7 +331,7 @@
         await response.prepare(request)
         first = int(request.headers.get(LAST_EVENT_ID, "0"))
         for number in range(first + 1, self.events + 1):
-            if self.silent_after is not None and number - first > self.silent_after:
+            if self.stall_after is not None and number - first > self.stall_after:
                 await asyncio.sleep(STALL_SECONDS)
             if self.cut_after is not None and first == 0 and number > self.cut_after:
                 assert request.transport is not None
@@ -360,7 +362,7 @@
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         transport.write(f"HTTP/1.1 200 OK\r\nConnection: close\r\n{head}\r\nhalf".encode())
         await asyncio.sleep(RESET_DELAY_SECONDS)
-        # Makes the close send a reset.
+        # With a linger time of 0, closing the socket sends a reset.
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
         )
--- a/packages/standins/src/thorncleat_standins/processes.py
+++ b/packages/standins/src/thorncleat_standins/processes.py
@@ -40,13 +40,13 @@
         return self.process.pid
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process has not ended."""
         return self.process.returncode is None
 
     def send(self, signal_number: signal.Signals) -> None:
         """Send a signal if the process is running."""
-        if self.running:
+        if self.is_running:
             self.process.send_signal(signal_number)
 
     async def stop(
@@ -56,7 +56,7 @@
 
         :param seconds: time between the signal and SIGKILL.
         """
-        # A suspended process would handle no other signal.
+        # Resumes a suspended process, which would not handle other signals.
         self.send(signal.SIGCONT)
         self.send(signal_number)
         try:
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -53,8 +53,10 @@
 
 async def test_stream_of_a_draining_endpoint_is_passed_on_and_is_the_last_one(tmp_path):
     async with site(tmp_path) as made:
-        leader = next(worker for worker in made.workers if worker.leads)
-        other = next(worker for worker in made.workers if worker.leads and worker is not leader)
+        leader = next(worker for worker in made.workers if worker.is_serving_leader)
+        other = next(
+            worker for worker in made.workers if worker.is_serving_leader and worker is not leader
+        )
         leader.leaving = True
         while not leader.runs:
             status, headers, body = await made.chat(number="before")
