--- a/packages/gateway/src/thorncleat_gateway/groups/formation.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/formation.py
@@ -192,12 +192,12 @@
     name = model.name
     free = sorted(view.free, key=lambda spare: (_cost(spare, name, view.staging), spare.id))
     warm = [endpoint for endpoint in free if name in endpoint.staged]
-    cold_members = [endpoint for endpoint in free if name not in endpoint.staged]
+    cold = [endpoint for endpoint in free if name not in endpoint.staged]
     expiring = [endpoint for endpoint in view.expiring if name in endpoint.staged] if warm else []
     slow = sorted(view.slow, key=lambda spare: (_cost(spare, name, view.staging), spare.id))
     slow_warm = [endpoint for endpoint in slow if name in endpoint.staged]
     slow_cold = [endpoint for endpoint in slow if name not in endpoint.staged]
-    return [*warm, *expiring, *slow_warm, *cold_members, *slow_cold][: model.size]
+    return [*warm, *expiring, *slow_warm, *cold, *slow_cold][: model.size]
 
 
 def groups_to_form(
--- a/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
+++ b/packages/gateway/src/thorncleat_gateway/groups/group_steps.py
@@ -1,6 +1,6 @@
 """The steps of forming a group: its members join and get ready, and its leader opens it.
 
-Each step returns only whether it succeeded; :mod:`.forming_urgency` decides what follows.
+Each step returns only whether it succeeded; :mod:`.forming` decides what follows.
 
 Owns: no state.
 Relies on: the endpoints' own reports, since the list lags behind them.
--- a/tests/group_engines.py
+++ b/tests/group_engines.py
@@ -36,7 +36,7 @@
 ENGINE = Engine(13, MODELS, loads_per_second=4.0, loads_at_once=6)
 STALL_SECONDS = 5.0
 FORM_SECONDS = 0.3
-MAX_REPORT_LAG_SECONDS = 0.2
+REPORT_LAG_SECONDS = 0.2
 FIRST_BORN = 1_800_000_000_000
 
 
@@ -99,7 +99,7 @@
     @property
     def reported_count(self) -> int:
         """The number of orders begun as reported, which lags behind."""
-        is_lagging = self.world.now() - self.counted_at < MAX_REPORT_LAG_SECONDS
+        is_lagging = self.world.now() - self.counted_at < REPORT_LAG_SECONDS
         return self.former_count if is_lagging else self.order_count
 
     def entry(self) -> Endpoint:
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -220,14 +220,14 @@
     feed.list("one")
     view = await _view(feed)
     await asyncio.sleep(0.1)
-    settling_times = view.is_settled, view.settling_times().rewritten_in
+    settling = view.is_settled, view.settling_times().rewritten_in
     feed.remove("one")
     await asyncio.sleep(0.2)
     early = "one" in view.roster.endpoints
     await asyncio.sleep(0.4)
     late = "one" in view.roster.endpoints
     await view.stop()
-    return settling_times, early, late
+    return settling, early, late
 
 
 def test_starting_daemon_takes_over_the_settling_times_of_its_relay():
