--- a/packages/gateway/src/thorncleat_gateway/events.py
+++ b/packages/gateway/src/thorncleat_gateway/events.py
@@ -1,8 +1,7 @@
 """Numbered log events of the gateway, listed in docs/LOGS-GATEWAY.md.
 
 Numbers by topic: 70xx process, 71xx view of the store, 72xx group control, 73xx requests and
-suspicions, 74xx datagrams. Numbers, names and fields must not change, since operators search for
-them.
+suspicions, 74xx datagrams.
 
 Owns: the catalogue.
 Relies on: :mod:`thorncleat_core.log_events`.
@@ -12,6 +11,7 @@
 
 from thorncleat_core.log_events import Catalogue
 
+# Operators search for the numbers, names and fields of events, so these must not change.
 catalogue = Catalogue()
 _event = catalogue.add
 
--- a/packages/gateway/src/thorncleat_gateway/exceptions.py
+++ b/packages/gateway/src/thorncleat_gateway/exceptions.py
@@ -26,7 +26,7 @@
 
 
 class HistoryCompactedError(StoreError):
-    """The store no longer has the changes since a revision; everything has to be read again."""
+    """The store no longer has the changes since a revision; a snapshot has to be read."""
 
 
 class LeaseExpiredError(StoreError):
@@ -73,11 +73,11 @@
 class AttemptError(ThorncleatError):
     """An attempt at an endpoint produced no answer for the caller.
 
-    :param cause: as logged.
+    :param cause: the logged cause.
     :param ran: whether the request may have run.
     :param sent: whether any part of the request may have reached the endpoint.
     :param broken: when the endpoint closed the connection before the answer was complete; None if
-        it didn't.
+        it did not.
     :param retry_after: seconds for which the endpoint wants no requests of this daemon; None if it
         didn't say.
     """
@@ -100,10 +100,10 @@
 
 
 class RefusalError(ThorncleatError):
-    """The gateway itself answers a request with an error.
+    """Raised to answer a request with an error of the gateway itself.
 
     :param status: HTTP status.
-    :param cause: as logged.
+    :param cause: the logged cause.
     :param retry_after: seconds after which the caller may retry; None if a retry won't help.
     """
 
--- a/packages/gateway/src/thorncleat_gateway/gateway.py
+++ b/packages/gateway/src/thorncleat_gateway/gateway.py
@@ -191,7 +191,7 @@
     def _coalesce_seconds(self) -> float:
         """Return the delay in seconds between two calls for changes.
 
-        It is longer for a daemon that reads from the store although there are relays for it.
+        It is longer for a daemon that reads from the store although relays are available.
         """
         asks_store = self._feed.asks_store
         if asks_store and self._relays():
@@ -212,7 +212,10 @@
         return self._registration.listed_relays(await self._records.list_records(RELAYS))
 
     async def on_start(self) -> None:
-        """Start all services, then listen for callers."""
+        """Start the services and listeners.
+
+        Callers are accepted last among the listeners, after the wait for a configuration.
+        """
         self._frontend = self._build_frontend()
         for service in (
             self.view,
--- a/packages/gateway/src/thorncleat_gateway/listeners.py
+++ b/packages/gateway/src/thorncleat_gateway/listeners.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-# How long a caller's connection may be idle; longer than the idle timeouts of configurations.
+# How long a caller's connection may be idle.
 KEEP_ALIVE_TIMEOUT_SECONDS = 75.0
 # Limit of a request line and of one header.
 MAX_LINE_BYTES = 16_384
--- a/packages/gateway/src/thorncleat_gateway/metrics.py
+++ b/packages/gateway/src/thorncleat_gateway/metrics.py
@@ -17,12 +17,13 @@
 
 from . import events
 
-# Targets with a distribution of their own; all others share one, which limits the memory.
+# Beyond this number of distributions, new targets of a series share one, which limits memory.
 MAX_TARGETS = 64
 OTHER_TARGETS = "others"
 # Where the variable part of a cause begins: a number, a name or a repr.
 _VARIABLE_PART = re.compile(r"[:'\"(\d]")
-# The durations of an event, each as its field and the field that names the target.
+# Durations of each event: the field of the duration, and the field that names its target; empty for
+# a duration without a target.
 DURATIONS: t.Mapping[int, tuple[tuple[str, str], ...]] = {
     events.REQUEST_DONE.number: (
         ("first_event", "route"),
--- a/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/datagrams.py
@@ -67,9 +67,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Probe:
-    """A question of the controller: who has requests at an endpoint, and does it answer anyone?
+    """A question of the controller: which daemons have requests at an endpoint or get its answers.
 
-    Each daemon sends a load report at once, and another one if the endpoint answers it.
+    Each daemon sends a load report at once, and a second report if the endpoint answers it.
     """
 
     endpoint_id: str
@@ -122,7 +122,7 @@
     """A notice that an endpoint has not crashed, or that a request causes no crashes.
 
     :param endpoint_id: the endpoint that answered after the crash; empty for a request.
-    :param fingerprint: of a request that was served; empty for an endpoint.
+    :param fingerprint: fingerprint of the request that was served; empty for an endpoint.
     :param age: seconds since the endpoint answered, or the request was served.
     """
 
@@ -393,7 +393,7 @@
     def broadcast_to_domain(self, message: Message) -> None:
         """Send a message to the other daemons of the same failure domain."""
         addresses = self._addresses()
-        self._send_datagram(message, (addresses[name] for name in self._domain_peers()))
+        self._send_datagram(message, (addresses[daemon] for daemon in self._domain_peers()))
 
     def broadcast_to_other_domains(self, message: Message) -> None:
         """Send a message to all daemons of other failure domains."""
@@ -404,7 +404,7 @@
         self._send_datagram(message, remote)
 
     def send(self, daemon: str, message: Message) -> None:
-        """Send a message to one daemon, if it is registered."""
+        """Send a message to a daemon, if it is registered."""
         address = self._addresses().get(daemon)
         if address is not None:
             self._send_datagram(message, [address])
@@ -421,7 +421,7 @@
         if datagram is None or self._addresses().get(datagram.sender) != source:
             self.rejected_count += 1
             if self.rejected_count.bit_count() == 1:
-                # Log the first one, and then each time the count has doubled.
+                # Log the first rejection, and then each time the count has doubled.
                 events.PEER_REJECTED.log(
                     source=f"{source[0]}:{source[1]}", count=self.rejected_count
                 )
--- a/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/failure_detector.py
@@ -25,7 +25,6 @@
 from .own_lateness import OwnLateness
 from .suspicions import Suspicions
 
-# Seconds between two checks of the streams.
 POLL_INTERVAL_SECONDS = 0.02
 # Weight of the latest gap in the moving average of a stream's gaps.
 LATEST_GAP_WEIGHT = 0.3
@@ -45,7 +44,7 @@
     :param abort: ends the attempt, so that the stream leaves the group.
     :param last_at: time of the last event; 0 before the first one.
     :param gap: moving average of the seconds between two events.
-    :param abort_cause: why the attempt was aborted, as logged; empty if it wasn't.
+    :param abort_cause: logged cause of the abort; empty if the attempt wasn't aborted.
     :param is_blocked_by_caller: whether the caller has yet to read events; no further events are
         read from the leader meanwhile.
     """
@@ -60,14 +59,14 @@
     is_blocked_by_caller: bool = False
 
     def record_event(self, now: float) -> None:
-        """Record that an event arrived."""
+        """Update the time of the last event and the average gap."""
         if self.last_at:
             self.gap += LATEST_GAP_WEIGHT * (now - self.last_at - self.gap)
         self.last_at = now
 
 
 class FailureDetector(mode.Service):
-    """Watches this daemon's streams in all groups and tells which groups are suspected.
+    """Watches this daemon's streams in all groups and determines which groups are suspected.
 
     :param lateness: how late the event loop of this daemon runs the checks of the streams.
     """
@@ -145,7 +144,7 @@
     def suspect(self, leader: Endpoint, cause: str) -> None:
         """Suspect a leader's group and broadcast the suspicion.
 
-        :param cause: as logged.
+        :param cause: the logged cause.
         """
         now = self._clock()
         group = leader.membership.group if leader.membership else None
@@ -193,6 +192,7 @@
                     self._check_leader(leader_id, now)
 
     def _check_leader(self, leader_id: str, now: float) -> None:
+        """Suspect a silent group and abort its overdue attempts, or abort stalled attempts."""
         attempts = [
             attempt for attempt in self._attempts[leader_id] if not attempt.is_blocked_by_caller
         ]
@@ -212,17 +212,17 @@
             stalled = [
                 attempt for attempt in attempts if silence.is_stalled(attempt, latest_event_at)
             ]
-            _abort_attempts(stalled, silence.STREAM_SILENT)
+            _abort_attempts(stalled, silence.STREAM_SILENT_CAUSE)
             return
         self.suspect(leader, silence.SUSPICION_CAUSE)
         overdue = [
             attempt for attempt in attempts if silence.is_overdue(now, attempt, self._settings)
         ]
-        _abort_attempts(overdue, silence.GROUP_SILENT)
+        _abort_attempts(overdue, silence.GROUP_SILENT_CAUSE)
 
 
 def _abort_attempts(attempts: t.Iterable[StreamAttempt], cause: str) -> None:
-    """Abort those attempts whose stream can resume on another group."""
+    """Abort the running attempts whose streams can resume on another group."""
     for attempt in attempts:
         if not attempt.abort_cause and attempt.can_migrate():
             attempt.abort_cause = cause
--- a/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
@@ -16,11 +16,11 @@
 from .failure_detector import FailureDetector
 from .load_table import LoadTable
 
-# How long reports name an endpoint after its last answer: the longer of this time and
-# CONTACT_TTL_REPORTS report intervals, so that some reports may be lost.
+# Minimum time for which reports name an endpoint after its last answer.
 MIN_CONTACT_TTL_SECONDS = 0.3
+# The same in report intervals, so that a report may be lost.
 CONTACT_TTL_REPORTS = 2
-# Empty reports that are sent before a daemon stops sending them.
+# Number of successive empty reports that a daemon sends before it pauses its reports.
 MAX_EMPTY_REPORTS = 2
 
 
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -11,8 +11,9 @@
 
 from .datagrams import MIN_REPORT_INTERVAL_SECONDS
 
-# A report expires after the longer of these two times, so that two lost datagrams do no harm.
+# Minimum time after which a report expires.
 MIN_REPORT_TTL_SECONDS = 1.0
+# The same in report intervals, so that two successive reports may be lost.
 REPORT_TTL_INTERVALS = 3.0
 
 
@@ -34,9 +35,9 @@
 
     def __init__(self, clock: t.Callable[[], float], interval: t.Callable[[], float]) -> None:
         self._clock = clock
-        self._interval = interval
+        self._report_interval_seconds = interval
         self._daemon_reports: dict[str, _Report] = {}
-        # Failure domains whose daemons do not send their reports to this one.
+        # Totals of the failure domains whose daemons don't report to this one directly.
         self._domain_reports: dict[str, _Report] = {}
         self._remote_counts: collections.Counter[str] = collections.Counter()
         self.local_counts: collections.Counter[str] = collections.Counter()
@@ -62,24 +63,32 @@
         return total
 
     def reporters_since(self, since: float) -> set[str]:
-        """Return the daemons whose latest report arrived at or after an instant."""
-        return {name for name, report in self._daemon_reports.items() if report.at >= since}
+        """Return the ids of the daemons whose latest report arrived at or after an instant."""
+        return {
+            daemon_id for daemon_id, report in self._daemon_reports.items() if report.at >= since
+        }
 
     def remove_expired(self) -> None:
         """Remove the reports that have expired."""
         oldest = self._clock() - self._report_ttl_seconds()
         for reports in (self._daemon_reports, self._domain_reports):
-            for name in [name for name, report in reports.items() if report.at < oldest]:
-                self._subtract(reports, name)
-
-    def _replace(self, reports: dict[str, _Report], name: str, counts: t.Mapping[str, int]) -> None:
-        # An incremental update, whose cost does not grow with the number of daemons.
-        self._subtract(reports, name)
-        reports[name] = _Report(self._clock(), counts)
+            for sender in [sender for sender, report in reports.items() if report.at < oldest]:
+                self._subtract(reports, sender)
+
+    def _replace(
+        self, reports: dict[str, _Report], sender: str, counts: t.Mapping[str, int]
+    ) -> None:
+        """Replace the report of a daemon or failure domain.
+
+        The update is incremental, so its cost does not grow with the number of daemons.
+        """
+        self._subtract(reports, sender)
+        reports[sender] = _Report(self._clock(), counts)
         self._remote_counts.update(counts)
 
-    def _subtract(self, reports: dict[str, _Report], name: str) -> None:
-        report = reports.pop(name, None)
+    def _subtract(self, reports: dict[str, _Report], sender: str) -> None:
+        """Remove the report of a daemon or failure domain, if there is one."""
+        report = reports.pop(sender, None)
         if report is None:
             return
         for endpoint_id, count in report.counts.items():
@@ -88,12 +97,15 @@
                 del self._remote_counts[endpoint_id]
 
     def _report_ttl_seconds(self) -> float:
-        return max(MIN_REPORT_TTL_SECONDS, REPORT_TTL_INTERVALS * self._interval())
+        return max(MIN_REPORT_TTL_SECONDS, REPORT_TTL_INTERVALS * self._report_interval_seconds())
 
     @property
     def has_individual_reports(self) -> bool:
         """Whether each daemon sends its reports to this one at the shortest interval."""
-        return not self._domain_reports and self._interval() <= MIN_REPORT_INTERVAL_SECONDS
+        return (
+            not self._domain_reports
+            and self._report_interval_seconds() <= MIN_REPORT_INTERVAL_SECONDS
+        )
 
     @contextlib.contextmanager
     def track_request(self, endpoint_id: str) -> t.Iterator[None]:
--- a/packages/gateway/src/thorncleat_gateway/peers/silence.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/silence.py
@@ -1,4 +1,4 @@
-"""Rules that tell from the events of this daemon's streams whether a group is silent.
+"""Rules that decide from the events of this daemon's streams whether a group is silent.
 
 A group produces the events of all of its streams in step, so silence on all of them at once is
 stronger evidence than a pause of a single stream, whose connection alone may be broken.
@@ -14,15 +14,15 @@
 
 # Logged cause of a suspicion.
 SUSPICION_CAUSE = "silence"
-# Logged causes of an attempt that is aborted.
-GROUP_SILENT = "group silent"
-STREAM_SILENT = "stream silent, its group is not"
+# Logged causes of aborted attempts.
+GROUP_SILENT_CAUSE = "group silent"
+STREAM_SILENT_CAUSE = "stream silent, its group is not"
 # How far a stream may lag behind the others of its group. An engine that runs out of memory reads
 # a prompt again and sends no events for that stream meanwhile.
 STALL_TIMEOUT_SECONDS = 1.0
 # Timeout of a group that is suspected already, in average gaps between events.
 SUSPECTED_TIMEOUT_GAPS = 1.5
-# How long a contact that another daemon reports counts, which allows for one lost report.
+# How long a contact that another daemon reports counts. It covers one lost report.
 REMOTE_CONTACT_TTL_SECONDS = 0.15
 
 
@@ -44,12 +44,12 @@
 
     @property
     def started_at(self) -> float:
-        """Time at which its request was sent."""
+        """Time at which the stream's request was sent."""
         ...
 
     @property
     def last_at(self) -> float:
-        """Time of its last event; 0 before the first one."""
+        """Time of the stream's last event; 0 before the first one."""
         ...
 
     @property
@@ -67,7 +67,7 @@
     is_suspected: bool,
     remote_contact_at: float = float("-inf"),
 ) -> Liveness:
-    """Return whether a group is alive or silent.
+    """Return whether a group is alive, and otherwise how it is silent.
 
     As soon as any stream has events, the latest event of all streams counts. Before that, the
     oldest request counts, and a group that answers other daemons is busy reading prompts.
--- a/packages/gateway/src/thorncleat_gateway/peers/suspicions.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/suspicions.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass
 class _Entry:
-    """A suspicion of a group that has not answered since.
+    """A suspicion of a group whose leader has not answered since the suspicion began.
 
     :param ends_at: when the suspicion expires and the probation begins.
     :param seconds: duration of the suspicion.
@@ -36,7 +36,7 @@
 
 
 class Suspicions:
-    """The suspected groups that this daemon knows of.
+    """The suspected groups and those on probation, by leader.
 
     :param seconds: duration of the first suspicion of a group.
     """
--- a/packages/gateway/src/thorncleat_gateway/planned_stop.py
+++ b/packages/gateway/src/thorncleat_gateway/planned_stop.py
@@ -1,8 +1,5 @@
 """Drains the requests of this daemon before a planned stop.
 
-The daemon reports itself as not ready at once, serves requests until the load balancer has
-noticed, and refuses them from then on. It stops as soon as the running requests are answered.
-
 Owns: nothing.
 Relies on: the frontend to refuse requests, and on the deployment's grace period, after which the
 process is killed.
@@ -60,7 +57,11 @@
         self._clock = clock
 
     async def wait(self) -> None:
-        """Return as soon as the daemon may stop."""
+        """Drain the running requests; return when the daemon may stop.
+
+        The daemon reports itself as not ready at once, but serves requests until the load balancer
+        has noticed, and refuses them from then on.
+        """
         events.STOPPING.log(running=self._frontend.running)
         started_at = self._clock()
         self._frontend.stopping = True
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -145,7 +145,7 @@
         detector.record_contact("w0", detector.time[0])
         detector._check_leader("w0", detector.time[0])
     assert aborted == [silent]
-    assert silent.abort_cause == silence.STREAM_SILENT
+    assert silent.abort_cause == silence.STREAM_SILENT_CAUSE
     assert not detector.is_suspected(LEADER)
     assert detector._peers.sent == []
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Rules that tell whether a group is silent."""
+"""Rules that decide whether a group is silent."""
 
 import dataclasses
 
