--- a/packages/gateway/src/thorncleat_gateway/logs.py
+++ b/packages/gateway/src/thorncleat_gateway/logs.py
@@ -60,7 +60,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # A broken descriptor discards its lines, since nothing can report the error.
+            # Lines for a broken descriptor are discarded.
             written = len(data)
         self._unwritten = data[written:]
         return not self._unwritten
--- a/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_reporter.py
@@ -18,9 +18,9 @@
 
 # Minimum time for which reports name an endpoint after its last answer.
 MIN_CONTACT_TTL_SECONDS = 0.3
-# The same in report intervals, so that a report may be lost.
+# Minimum number of report intervals for which reports name an endpoint; one may be lost.
 CONTACT_TTL_REPORTS = 2
-# Number of successive empty reports that a daemon sends before it pauses its reports.
+# Number of successive empty reports or totals that a daemon sends before it pauses them.
 MAX_EMPTY_REPORTS = 2
 
 
--- a/packages/gateway/src/thorncleat_gateway/peers/load_table.py
+++ b/packages/gateway/src/thorncleat_gateway/peers/load_table.py
@@ -13,7 +13,7 @@
 
 # Minimum time after which a report expires.
 MIN_REPORT_TTL_SECONDS = 1.0
-# The same in report intervals, so that two successive reports may be lost.
+# Minimum number of report intervals after which a report expires, so that two may be lost.
 REPORT_TTL_INTERVALS = 3.0
 
 
--- a/packages/gateway/src/thorncleat_gateway/planned_stop.py
+++ b/packages/gateway/src/thorncleat_gateway/planned_stop.py
@@ -16,7 +16,6 @@
 ACCEPT_SECONDS = 2.5
 # How long before the kill the daemon stops, for closing its sockets.
 STOP_MARGIN_SECONDS = 0.7
-# Interval of the checks for running requests.
 POLL_INTERVAL_SECONDS = 0.05
 
 
@@ -28,7 +27,7 @@
     return elapsed > ACCEPT_SECONDS
 
 
-def must_end(elapsed: float, grace: float) -> bool:
+def must_stop(elapsed: float, grace: float) -> bool:
     """Return whether the daemon stops even if requests are still running.
 
     :param elapsed: seconds since the order to stop.
@@ -67,7 +66,7 @@
         self._frontend.stopping = True
         # Another daemon takes over as controller while this one still serves requests.
         self._election.stopping = True
-        while not must_end(self._clock() - started_at, self._grace):
+        while not must_stop(self._clock() - started_at, self._grace):
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             if refuses_requests(self._clock() - started_at):
                 self._frontend.closed = True
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -374,7 +374,7 @@
         assert (await cluster.call("POST", "/status/x"))[0] == 200
 
 
-async def test_snapshot_is_read_when_the_change_history_is_gone(tmp_path):
+async def test_snapshot_is_read_when_the_change_history_is_compacted(tmp_path):
     async with site(tmp_path) as cluster:
         cluster.store.write("op/config", configuration(version=7))
         cluster.store.compact()
@@ -409,7 +409,7 @@
         await stopping
 
 
-# Events of a stream that outlasts the time in which requests are accepted after the order to stop.
+# Number of events of a stream that is still running when requests are refused.
 LONG_EVENTS = 80
 
 
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -26,4 +26,4 @@
     ],
 )
 def test_daemon_stops_before_it_is_killed(elapsed, grace, ends):
-    assert planned_stop.must_end(elapsed, grace) is ends
+    assert planned_stop.must_stop(elapsed, grace) is ends
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,7 +1,6 @@
-"""Suspension of an instance for some seconds, as when its host moves it.
+"""Suspension of an instance for some seconds, during which its monotonic clock stops.
 
-The monotonic clock stops meanwhile, and the boot clock does not. With the monotonic clock, expired
-leases and revoked keys would still seem valid, and timers would be late.
+With that clock, expired leases and revoked keys would still seem valid, and timers would be late.
 """
 
 import asyncio
