--- a/packages/gateway/src/thorncleat_gateway/logs.py
+++ b/packages/gateway/src/thorncleat_gateway/logs.py
@@ -60,6 +60,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
+            # Lines for a broken descriptor are discarded.
             written = len(data)
         self._unwritten = data[written:]
         return not self._unwritten
--- a/packages/gateway/src/thorncleat_gateway/planned_stop.py
+++ b/packages/gateway/src/thorncleat_gateway/planned_stop.py
@@ -1,8 +1,5 @@
 """Drains the requests of this daemon before a planned stop.
 
-The daemon reports itself as not ready at once, serves requests until the load balancer has
-noticed, and refuses them from then on. It stops as soon as the running requests are answered.
-
 Owns: nothing.
 Relies on: the frontend to refuse requests, and on the deployment's grace period, after which the
 process is killed.
@@ -19,7 +16,6 @@
 ACCEPT_SECONDS = 2.5
 # How long before the kill the daemon stops, for closing its sockets.
 STOP_MARGIN_SECONDS = 0.7
-# Interval of the checks for running requests.
 POLL_INTERVAL_SECONDS = 0.05
 
 
@@ -31,7 +27,7 @@
     return elapsed > ACCEPT_SECONDS
 
 
-def must_end(elapsed: float, grace: float) -> bool:
+def must_stop(elapsed: float, grace: float) -> bool:
     """Return whether the daemon stops even if requests are still running.
 
     :param elapsed: seconds since the order to stop.
@@ -60,13 +56,17 @@
         self._clock = clock
 
     async def wait(self) -> None:
-        """Return as soon as the daemon may stop."""
+        """Drain the running requests; return when the daemon may stop.
+
+        The daemon reports itself as not ready at once, but serves requests until the load balancer
+        has noticed, and refuses them from then on.
+        """
         events.STOPPING.log(running=self._frontend.running)
         started_at = self._clock()
         self._frontend.stopping = True
         # Another daemon takes over as controller while this one still serves requests.
         self._election.stopping = True
-        while not must_end(self._clock() - started_at, self._grace):
+        while not must_stop(self._clock() - started_at, self._grace):
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             if refuses_requests(self._clock() - started_at):
                 self._frontend.closed = True
