--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -194,7 +194,7 @@
     def __init__(self) -> None:
         self.outcome = Outcome()
         self._event_queue = _EventQueue()
-        self._desk = PermitIssuer(PERMIT_TTL_SECONDS, CAPACITY_TOKENS)
+        self._permit_issuer = PermitIssuer(PERMIT_TTL_SECONDS, CAPACITY_TOKENS)
         self._daemons = [_Daemon(f"d{number}") for number in range(DAEMON_COUNT)]
         self._confirmations = Confirmations(1e9)
         report = InstanceReport("i0", "b", True, 1, GROUP.id, GROUP.generation, 0)
@@ -222,8 +222,8 @@
     def _request_permit(self, daemon: _Daemon, now: float) -> None:
         daemon.requested_at = now
         request = PermitRequest(GROUP.id, daemon.ledger.requests(GROUP.id), daemon.demand())
-        self._desk.issue(daemon.name, request, GROUP, self._confirmations, now)
-        grant = self._desk.grant(GROUP.id, daemon.name, {}, now)
+        self._permit_issuer.issue(daemon.name, request, GROUP, self._confirmations, now)
+        grant = self._permit_issuer.grant(GROUP.id, daemon.name, {}, now)
         permit = Permit(GROUP.id, 1, 1, PERMIT_TTL_SECONDS, False, "", grant.credits, grant.spare)
         self._event_queue.at(
             now + RTT_SECONDS, lambda at: self._accept_permit(daemon, permit, now, at)
--- a/packages/daemon/src/thorncleat_daemon/domains.py
+++ b/packages/daemon/src/thorncleat_daemon/domains.py
@@ -43,7 +43,7 @@
         self._services = services
         self._clock = services.clock
         self._state = state = DomainState(domain, epoch, lease, Assignments(domain))
-        self._desk = PermitIssuer(services.control.permit, services.group_tokens)
+        self._permit_issuer = PermitIssuer(services.control.permit, services.group_tokens)
         self._probes = InstanceProbes(
             services.engines,
             services.clock,
@@ -51,10 +51,10 @@
             state.group_of,
             services.is_loop_late,
         )
-        self._open_groups = OpenGroups(state, services, self._desk, self._probes)
+        self._open_groups = OpenGroups(state, services, self._permit_issuer, self._probes)
         self._orders = OrderSender(state, services, self._probes)
         self._changes = GroupChanges(
-            state, services, self._desk, self._probes, self._orders, self._open_groups
+            state, services, self._permit_issuer, self._probes, self._orders, self._open_groups
         )
 
     @property
@@ -160,14 +160,14 @@
         if group is None or leader is None:
             return Permit(request.group, self.epoch, 0, 0.0, True, "")
         now = self.last_request_at = self._clock()
-        seconds = self._desk.issue(daemon, request, group, self._probes.confirmations, now)
-        grant = self._desk.grant(group.id, daemon, weights, now)
+        seconds = self._permit_issuer.issue(daemon, request, group, self._probes.confirmations, now)
+        grant = self._permit_issuer.grant(group.id, daemon, weights, now)
         return Permit(
             group.id,
             self.epoch,
             group.generation,
             seconds,
-            group.id in self._desk.draining,
+            group.id in self._permit_issuer.draining,
             leader,
             grant.credits,
             grant.spare,
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -35,14 +35,14 @@
         self,
         state: DomainState,
         services: DomainServices,
-        desk: PermitIssuer,
+        permit_issuer: PermitIssuer,
         probes: InstanceProbes,
         orders: OrderSender,
         open_groups: OpenGroups,
     ) -> None:
         self._state = state
         self._services = services
-        self._desk = desk
+        self._permit_issuer = permit_issuer
         self._probes = probes
         self._orders = orders
         self._open_groups = open_groups
@@ -59,7 +59,7 @@
         )
         decided = {repair.affected_group(change): change for change in changes}
         for group_id in set(self._pending) - set(decided):
-            self._desk.resume(group_id)
+            self._permit_issuer.resume(group_id)
         self._pending = decided
 
     async def carry_out(self) -> None:
@@ -75,7 +75,7 @@
             if not self._is_ready(change):
                 continue
             if await self._write(_apply_change(self._state.assignments, change)):
-                self._desk.resume(subject)
+                self._permit_issuer.resume(subject)
                 self._pending.pop(subject, None)
                 self._log(change)
             return
@@ -129,10 +129,10 @@
         if now < self._orders.safe_at(group_id, lease.acquired_at):
             return False
         if change.graceful:
-            self._desk.drain(group_id)
-            return self._desk.is_unused(group_id, now)
-        self._desk.suspend(group_id)
-        return now > self._desk.latest_expiry(group_id)
+            self._permit_issuer.drain(group_id)
+            return self._permit_issuer.is_unused(group_id, now)
+        self._permit_issuer.suspend(group_id)
+        return now > self._permit_issuer.latest_expiry(group_id)
 
     async def _write(self, changed: Assignments) -> bool:
         """Write assignments under the lease and return whether that succeeded.
--- a/packages/daemon/src/thorncleat_daemon/open_groups.py
+++ b/packages/daemon/src/thorncleat_daemon/open_groups.py
@@ -26,12 +26,12 @@
         self,
         state: DomainState,
         services: DomainServices,
-        desk: PermitIssuer,
+        permit_issuer: PermitIssuer,
         probes: InstanceProbes,
     ) -> None:
         self._state = state
         self._services = services
-        self._desk = desk
+        self._permit_issuer = permit_issuer
         self._probes = probes
         self._publisher = GroupPublisher(
             state.domain, state.epoch, services.gossip, services.config
@@ -82,7 +82,7 @@
         events.GROUP_CLOSED.log(group=group.id, generation=group.generation, missing=missing)
         self._publish(group)
         body = {"group": group.id, "generation": group.generation}
-        for daemon in self._desk.daemons_with_permit(group.id, self._services.clock()):
+        for daemon in self._permit_issuer.daemons_with_permit(group.id, self._services.clock()):
             task = asyncio.create_task(self._notify(daemon, body))
             self._notifications.add(task)
             task.add_done_callback(self._notifications.discard)
