--- a/packages/core/src/thorncleat_core/daemon/permits.py
+++ b/packages/core/src/thorncleat_core/daemon/permits.py
@@ -148,8 +148,8 @@
         """Return the ids of the daemons that may have a valid permit."""
         issued = self._issued.get(group, {})
         return [
-            name
-            for name, permit in issued.items()
+            daemon
+            for daemon, permit in issued.items()
             if now <= permit.issued_at + self._expiry_seconds
         ]
 
--- a/packages/core/src/thorncleat_core/daemon/retries.py
+++ b/packages/core/src/thorncleat_core/daemon/retries.py
@@ -18,17 +18,17 @@
     def __init__(self, ratio: float = 0.1, reserve: float = 10.0) -> None:
         self._ratio = ratio
         self._reserve = reserve
-        self._level = reserve
+        self._available_retries = reserve
 
     def record_success(self) -> None:
         """Record a success."""
-        self._level = min(self._reserve, self._level + self._ratio)
+        self._available_retries = min(self._reserve, self._available_retries + self._ratio)
 
     def try_acquire(self) -> bool:
         """Consume a retry and return True, or return False if none is left."""
-        if self._level < 1:
+        if self._available_retries < 1:
             return False
-        self._level -= 1
+        self._available_retries -= 1
         return True
 
 
--- a/packages/daemon/src/thorncleat_daemon/dispatch.py
+++ b/packages/daemon/src/thorncleat_daemon/dispatch.py
@@ -165,6 +165,7 @@
             groups = (
                 self._permits.groups(intent, configured_intent.model) if configured_intent else []
             )
+            # Queued requests are assumed to spread evenly over the groups; rounded up.
             for workspace, waiting in queue.queued_tokens.items():
                 demand[workspace] += -(-waiting // max(1, len(groups)))
         return {name: amount for name, amount in demand.items() if amount > 0}
--- a/packages/daemon/src/thorncleat_daemon/downtime.py
+++ b/packages/daemon/src/thorncleat_daemon/downtime.py
@@ -28,7 +28,7 @@
 
     @property
     def stranded_seconds(self) -> float:
-        """Accelerator-seconds in which their group could not answer."""
+        """Accelerator-seconds of groups that could not answer."""
         return self._stranded
 
     def add(
--- a/packages/daemon/src/thorncleat_daemon/gossip.py
+++ b/packages/daemon/src/thorncleat_daemon/gossip.py
@@ -99,9 +99,9 @@
             if record.key.startswith(prefix):
                 listener(record, sender)
         if record.key.startswith("member/"):
-            self._on_member()
+            self._refresh_membership()
 
-    def _on_member(self) -> None:
+    def _refresh_membership(self) -> None:
         self.members.refresh_alive()
         refutation = self.members.create_refutation()
         if refutation:
@@ -115,7 +115,7 @@
     async def _on_sync(self, sender: str, body: t.Any) -> t.Any:
         versions = {key: tuple(version) for key, version in body.items()}
         own_versions = self.directory.versions()
-        # The answer also requests the records that the sender has newer.
+        # The answer also requests the records that are newer on the sender's side.
         older_keys = [
             key for key, version in versions.items() if own_versions.get(key, ()) < version
         ]
--- a/packages/daemon/src/thorncleat_daemon/group_changes.py
+++ b/packages/daemon/src/thorncleat_daemon/group_changes.py
@@ -2,7 +2,7 @@
 
 Owns: the pending changes.
 Relies on: permits that have expired, or work that has finished, before members change; the lease,
-by which the store refuses assignments of an earlier holder.
+which lets the store refuse assignments of an earlier holder.
 """
 
 from thorncleat_core.daemon import repair
--- a/packages/daemon/src/thorncleat_daemon/group_publisher.py
+++ b/packages/daemon/src/thorncleat_daemon/group_publisher.py
@@ -1,7 +1,7 @@
 """Publishing a domain's groups to all daemons as directory records.
 
 Owns: the sequence number of the records.
-Relies on: the epoch, by which records of a later holder win.
+Relies on: the epoch, which makes the records of a later holder win.
 """
 
 import typing as t
--- a/packages/daemon/src/thorncleat_daemon/operators.py
+++ b/packages/daemon/src/thorncleat_daemon/operators.py
@@ -231,8 +231,8 @@
     if manager is None:
         return {"id": name}
     listed, report = manager.listed.get(name), manager.reports.get(name)
-    known = {"id": name, "listed": str(listed.state) if listed else "no"}
+    summary = {"id": name, "listed": str(listed.state) if listed else "no"}
     if report is None:
-        return {**known, "reports": "nothing"}
+        return {**summary, "reports": "nothing"}
     follows = f"{report.group or 'no group'} at {report.generation}"
-    return {**known, "reports": follows if report.ready else f"{follows}, loading"}
+    return {**summary, "reports": follows if report.ready else f"{follows}, loading"}
--- a/packages/daemon/src/thorncleat_daemon/order_giver.py
+++ b/packages/daemon/src/thorncleat_daemon/order_giver.py
@@ -1,7 +1,7 @@
 """Orders to the engines of a domain: which group to serve in, and which part to preload.
 
 Owns: the time from which each group may be changed, after permits of earlier epochs have expired.
-Relies on: a held lease, checked before each order; the epoch, by which engines refuse the
+Relies on: a held lease, checked before each order; the epoch, which lets engines refuse the
 orders of earlier managers.
 """
 
