--- a/packages/gateway/src/thorncleat_gateway/requests/admission.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/admission.py
@@ -14,8 +14,8 @@
 from . import retry_after
 from .refusal import Refusal
 
-# Fraction of the deployment's bound for revoking a key during which a configuration is trusted; the
-# rest covers running requests.
+# Share of ``revoke_within`` during which the keys of a configuration are trusted; the rest covers
+# running requests.
 KEY_TRUST_FRACTION = 0.9
 
 
@@ -36,9 +36,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Admitted:
-    """A request that is admitted.
+    """The configuration, the route and the workspace of an admitted request.
 
-    :param workspace: the owner of the request's key; None if no key is required.
+    :param workspace: the owner of the caller's key; None if no key is required.
     """
 
     configuration: ServingConfiguration
@@ -49,7 +49,7 @@
 def is_current(age: float, revoke_within: float | None) -> bool:
     """Return whether a configuration is recent enough for its keys to be trusted.
 
-    :param age: seconds since the configuration was last confirmed as the newest.
+    :param age: seconds for which a newer configuration may have been in force.
     :param revoke_within: seconds after which a revoked key must not work; None to trust keys at
         any age.
     """
--- a/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/caller_response.py
@@ -1,6 +1,6 @@
 """The caller's side of an answer: its head, its body, its end, or a broken connection.
 
-Owns: one answer, as far as it was sent.
+Owns: the part of one answer that was sent.
 Relies on: aiohttp's server.
 """
 
@@ -29,7 +29,7 @@
 
     @property
     def sent(self) -> web.StreamResponse:
-        """The answer as far as it was sent; the head must have been sent."""
+        """The answer; at least its head must have been sent."""
         assert self._response is not None
         return self._response
 
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_reporter.py
@@ -1,10 +1,5 @@
 """Exchanges crashes with the other daemons.
 
-New crashes are broadcast in short batches, and at once if one of their requests has crashed an
-endpoint before, since its caller retries within milliseconds. Crashes of such requests are also
-repeated to a few random daemons, so that a daemon which has just started or has missed a datagram
-learns of them. Repeated reports of a crash are merged.
-
 Owns: the crashes that are still to be reported.
 Relies on: the datagrams of :mod:`..peers.datagrams`; an earlier build rejects these.
 """
@@ -58,10 +53,14 @@
     def report_crash(
         self, incarnation: Incarnation, at: float, requests: t.Mapping[Fingerprint, Involvement]
     ) -> None:
-        """Report that requests were under way at an endpoint when it crashed."""
+        """Report that requests were under way at an endpoint when it crashed.
+
+        Recurring crashes of these requests are broadcast at once, since a caller may retry within
+        milliseconds; the new crash follows in the next batch.
+        """
         recurring = self._quarantine.recurring_crashes(requests)
         if recurring:
-            # Includes earlier crashes, since the datagram with those may have been lost.
+            # Earlier crashes are included, since the datagram with those may have been lost.
             self._broadcast(recurring)
         crash = self._unreported.setdefault(incarnation, Crash(incarnation, at))
         crash.requests.update(requests)
@@ -129,6 +128,7 @@
             self._repeat()
 
     def _repeat(self) -> None:
+        """Send recurring crashes to a few random daemons, which may have missed their reports."""
         recurring = self._quarantine.recurring_crashes()
         others = sorted(self._peers.other_daemons)
         if not recurring or not others:
@@ -140,7 +140,7 @@
             self._peers.send(daemon, report)
 
     def _reports(self, crashes: t.Iterable[Crash]) -> t.Iterator[CrashReport]:
-        """Yield reports of some crashes, each small enough for a datagram."""
+        """Yield reports of the crashes, each small enough for a datagram."""
         now, size = self._clock(), 0
         report: list[ReportedCrash] = []
         for reported in (piece for crash in crashes for piece in _split(crash, now)):
--- a/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
@@ -1,7 +1,7 @@
 """Derives from this daemon's attempts which endpoints crashed and which are alive.
 
 Owns: nothing; what counts as a crash is a pure function.
-Relies on: :mod:`.quarantine` for what follows from the crashes, and a listener
+Relies on: :mod:`.quarantine` to quarantine their causes, and a listener
 (:mod:`.crash_reporter`) that reports them to the other daemons.
 """
 
@@ -20,8 +20,8 @@
 from .quarantine import Quarantine
 from .request import Request
 
-# An endpoint that was silent for this long before it failed was not crashed by a request: a group
-# that lacks a member stalls for seconds before its connections break.
+# A failure after this much silence is not taken for a crash: a group that lacks a member stalls for
+# seconds before its connections break.
 SILENCE_SECONDS = 1.0
 # How long bytes that an endpoint sent before it crashed may still arrive.
 ARRIVAL_SECONDS = 0.25
@@ -30,14 +30,14 @@
 def crash_points(
     broken: ConnectionBreak | None, *, streaming: bool, expected: bool, silent: bool
 ) -> int:
-    """Return what a failed attempt counts against its request; 0 if it shows no crash.
+    """Return the points of a failed attempt against its request; 0 if it shows no crash.
 
     An endpoint of a plain service sends the head together with the answer, so a request to it
     counts as running also without a head.
 
-    :param expected: whether the endpoint was about to leave. A group that is being ended is no
-        sign of that, since the controller ends it right after a crash of its leader.
-    :param silent: whether nothing had come from the endpoint for :data:`SILENCE_SECONDS`.
+    :param expected: whether the endpoint was draining or no longer listed. A group that is being
+        ended doesn't count, since the controller ends it right after a crash of its leader.
+    :param silent: whether the endpoint had sent nothing for :data:`SILENCE_SECONDS`.
     """
     if broken is None or expected or silent:
         return 0
@@ -47,7 +47,7 @@
 
 
 class CrashListener(t.Protocol):
-    """Receives what this daemon has seen of crashes."""
+    """Receives the crashes that this daemon detects, and what disproves earlier ones."""
 
     def report_crash(
         self, incarnation: Incarnation, at: float, requests: t.Mapping[Fingerprint, Involvement]
@@ -65,7 +65,7 @@
 
 
 class CrashWatch:
-    """Records what this daemon's attempts show of crashes.
+    """Detects crashes from the results of this daemon's attempts.
 
     :param clock: monotonic, in seconds.
     """
@@ -140,7 +140,7 @@
             self._listener.report_endpoint_alive(endpoint.incarnation, sent_at)
 
     def record_served(self, request: Request, endpoint: Endpoint) -> None:
-        """Record that an endpoint has answered a request completely, and so survived it."""
+        """Record that an endpoint has answered a request completely."""
         if self._quarantine.is_empty:
             return
         now = self._clock()
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_client.py
@@ -35,8 +35,8 @@
 SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 # Answers with this status or a higher one carry no result, so they need no signature.
 MIN_UNSIGNED_STATUS = 400
-# Value of SO_LINGER (on, for no time) that resets a connection when it is closed.
-LINGER_NONE = struct.pack("ii", 1, 0)
+# Value of SO_LINGER (on, 0 seconds), with which closing a connection resets it.
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class _Connection(ResponseHandler):
@@ -60,7 +60,7 @@
         is_complete = self._payload is not None and self._payload.is_eof()
         if transport is not None and not is_complete:
             tcp_socket = transport.get_extra_info("socket")
-            tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             transport.abort()
         super().close()
 
@@ -155,8 +155,8 @@
 class EndpointClient:
     """Opens exchanges with endpoints that accept requests.
 
-    :param connect_timeout: seconds; also the longest time between the check whether an endpoint
-        accepts requests and the sending of one.
+    :param connect_timeout: seconds; also bounds the time from the check that an endpoint accepts
+        requests to the sending.
     """
 
     def __init__(
@@ -179,8 +179,8 @@
     ) -> t.AsyncIterator[Exchange]:
         """Send a request and yield the exchange once the head of the answer is received.
 
-        :param meta: what the endpoint gets in addition to the caller's own headers.
-        :raises EndpointNotAcceptingError: if the endpoint accepts none now; nothing was sent.
+        :param meta: sent to the endpoint in addition to the caller's own headers.
+        :raises EndpointNotAcceptingError: if the endpoint accepts none now; nothing is sent.
         :raises AttemptError: if there is no answer to this request.
         """
         self._notices.check(endpoint)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -1,9 +1,4 @@
-"""Rate limits that endpoints name for the requests of all daemons together.
-
-Each request is reserved right before it is sent. Unused reservations don't accumulate: the next
-request waits for the interval of this daemon's share. A daemon that gains a share waits first, as
-the previous holder may just have used it. Reports and orders need no reservation, as ending a group
-must not wait.
+"""Enforces the rate limits that endpoints set for the requests of all daemons together.
 
 Owns: the current notice of each endpoint, and when this daemon last sent to a limited one.
 Relies on: :mod:`.rate_notice` for which of two notices prevails, :mod:`.rate_shares` for this
@@ -25,8 +20,8 @@
 from .rate_notice import RateNotice
 from .rate_notice import merge_notices
 
-# How long the limit of an unlisted endpoint is remembered after its latest answer, and how long an
-# answer without a limit is remembered so that no older notice restores one.
+# How long the limit of an unlisted endpoint is remembered after its latest answer. An answer
+# without a limit is remembered as long, so that no older notice restores the limit.
 NOTICE_TTL_SECONDS = 120.0
 
 
@@ -43,7 +38,7 @@
         ...
 
     def fleet_knowledge(self) -> FleetKnowledge:
-        """Return how far this daemon may rely on its list of them."""
+        """Return how recent this daemon's list of them is."""
         ...
 
 
@@ -63,9 +58,9 @@
 
 @dataclasses.dataclass
 class _LimitedEndpoint:
-    """An endpoint that has named a limit.
+    """An endpoint that has set a limit.
 
-    :param share: requests per second of this daemon.
+    :param share: requests per second that this daemon may send.
     :param last_reserved_at: when this daemon last reserved a request or gained a share, on the
         gateway's clock.
     :param share_inputs: what the share was computed from; None before that.
@@ -92,7 +87,9 @@
 
 
 class EndpointLimits:
-    """Keeps the limits that endpoints have named, and reserves the requests to these endpoints.
+    """The limits of endpoints, and the reservations of this daemon's requests to them.
+
+    Reports and orders need no reservation, since ending a group must not wait.
 
     :param clock: monotonic, in seconds.
     """
@@ -101,13 +98,13 @@
         self._fleet = fleet
         self._clock = clock
         self._limited: dict[str, _LimitedEndpoint] = {}
-        # The latest notices of endpoints that named no limit.
+        # The latest notices of endpoints without a limit.
         self._unlimited: dict[Incarnation, RateNotice] = {}
         self._listeners: list[Listener] = []
 
     @property
     def notices(self) -> dict[Incarnation, RateNotice]:
-        """The current notice of each endpoint that has named a limit."""
+        """The current notice of each endpoint that has set a limit."""
         return {limited.incarnation: limited.notice for limited in self._limited.values()}
 
     def on_change(self, listener: Listener) -> None:
@@ -115,10 +112,10 @@
         self._listeners.append(listener)
 
     def record_answer(self, endpoint: Endpoint, meta: AnswerMeta, sent_at: float | None) -> None:
-        """Record what an answer says of the endpoint's limit.
+        """Record the limit that an answer states, or that it states none.
 
-        :param sent_at: when the request was sent; None for a report or an order, which can set a
-            limit but not end one.
+        :param sent_at: when the request was sent; None for a report or an order, whose answer can
+            set a limit but not end one.
         """
         now = self._clock()
         if meta.rate_limit is not None and not meta.misdirected:
@@ -178,7 +175,9 @@
         return rate_shares.rate(limited.notice.limit)
 
     def reserve(self, endpoint: Endpoint) -> Reservation | None:
-        """Reserve one request.
+        """Reserve one request, right before it is sent.
+
+        Reservations don't accumulate while they are unused.
 
         :returns: the reservation; None if the endpoint has no limit.
         :raises EndpointNotAcceptingError: if this daemon may send none now.
@@ -234,6 +233,7 @@
             return
         share = self._share(endpoint, inputs.limit, inputs.fleet_knowledge)
         if share and not limited.share:
+            # The previous holder of the share may just have used it.
             limited.last_reserved_at = self._clock()
         limited.share, limited.share_inputs = share, inputs
 
@@ -254,9 +254,9 @@
 
 
 def _is_unlimited(endpoint: Endpoint, meta: AnswerMeta) -> bool:
-    """Return whether an answer comes from the endpoint itself and names no limit.
+    """Return whether an answer comes from the endpoint itself and states no limit.
 
-    A limit that can't be parsed still counts as named.
+    A limit that can't be parsed still counts as stated.
     """
     is_own = meta.request_id is not None and (meta.signed or meta.not_run)
     is_from_other = meta.misdirected or meta.speaks_for not in (None, endpoint.id)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_notices.py
@@ -1,11 +1,7 @@
-"""Whether an endpoint accepts requests of this daemon, by what its answers say.
-
-An endpoint that declines a request may ask this daemon for a pause, and a draining endpoint says so
-in every answer, before the list shows it. Both apply to every way to an endpoint, so they are
-checked when an endpoint is chosen and again right before a request is sent.
+"""Tracks the endpoints whose answers ask this daemon for a pause, or say that they drain.
 
 Owns: until when each endpoint pauses.
-Relies on: the store's view, which keeps the endpoints that said they drain beside the list.
+Relies on: the store's view, which marks draining endpoints before the list shows them as such.
 """
 
 import typing as t
@@ -32,7 +28,7 @@
 
 
 class EndpointNotices:
-    """Keeps the pauses that endpoints have asked this daemon for.
+    """The pauses that endpoints have asked this daemon for.
 
     :param clock: monotonic, in seconds.
     """
@@ -43,7 +39,7 @@
         self._pauses: dict[str, _Pause] = {}
 
     def record_answer(self, endpoint: Endpoint, meta: AnswerMeta) -> None:
-        """Record what an answer of the endpoint itself says about accepting requests."""
+        """Record the pause that an answer of the endpoint asks for, and whether it is draining."""
         if meta.draining and meta.speaks_for in (None, endpoint.id):
             self._view.mark_draining(endpoint.incarnation)
         if meta.retry_after:
@@ -53,7 +49,7 @@
         """Record a pause; it doesn't shorten a running one."""
         now = self._clock()
         until = max(now + seconds, now + self._seconds_left(incarnation))
-        # Removes the pauses of endpoints that are never looked up again.
+        # Pauses of removed endpoints are never looked up, so they are deleted here.
         self._pauses = {key: pause for key, pause in self._pauses.items() if pause.until > now}
         self._pauses[incarnation.endpoint_id] = _Pause(incarnation, until)
         events.ENDPOINT_PAUSED.log(
@@ -62,7 +58,7 @@
 
     def accepting(self, endpoints: list[Endpoint]) -> list[Endpoint]:
         """Return the endpoints that accept requests now."""
-        # Fast path, since every choice of an endpoint runs this.
+        # Fast path, since this runs for every choice of an endpoint.
         if not self._pauses:
             return endpoints
         return [endpoint for endpoint in endpoints if not self.pause_left(endpoint)]
@@ -83,6 +79,8 @@
     def check(self, endpoint: Endpoint) -> None:
         """Check right before a request is sent that its endpoint still accepts requests.
 
+        The endpoint may have asked for a pause, or begun to drain, since it was chosen.
+
         :raises EndpointNotAcceptingError: if it doesn't.
         """
         seconds = self.pause_left(endpoint)
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_selector.py
@@ -23,30 +23,30 @@
 
 # How long an endpoint is avoided after the first refused connection or, for a group, failed answer.
 AVOID_SECONDS = 1.0
-# Growth of that time with each failure in a row.
+# Factor by which :data:`AVOID_SECONDS` grows with each failed retry.
 AVOID_GROWTH = 2.0
 MAX_AVOID_SECONDS = 8.0
-# Requests for each slot of a group before the group counts as full.
+# Requests for each slot at which a group counts as full.
 MAX_REQUESTS_PER_SLOT = 2.0
 # Factor by which each result reduces the weight of earlier failures.
 FAILURE_DECAY = 0.9
-# Weights are in running requests. This one is for an endpoint that failed all recent requests.
+# Weight, in running requests, of an endpoint that failed all recent requests.
 FAILURE_WEIGHT = 12.0
 # Concurrent requests of a plain service's endpoint, which doesn't publish its capacity.
 UNKNOWN_CAPACITY = float("inf")
-# Range of the random part of a weight.
+# Upper bound of the random part of a weight.
 SPREAD = 0.9
-# Weight of a group that is about to lose a member.
+# Weight of an expiring group: a member is draining or not listed.
 WEAK_WEIGHT = 4.0
 # Weight of an endpoint in another failure domain, for the latency and the cost of the traffic.
 FAR_WEIGHT = 2.0
 
 
 class _Avoided(t.NamedTuple):
-    """How long an endpoint is avoided.
+    """The period in which an endpoint is avoided.
 
-    :param until: when the endpoint is tried again, on the gateway's clock.
-    :param seconds: the duration.
+    :param until: end of the period, on the gateway's clock.
+    :param seconds: length of the period.
     """
 
     until: float
@@ -54,14 +54,14 @@
 
 
 class GroupCount(t.NamedTuple):
-    """The number of a model's open groups, and of those that get no requests.
+    """The number of a model's open groups, and how many of them are suspected or paused.
 
-    :param paused: groups that accept no requests of this daemon now.
+    :param paused_groups: groups that pause or are at their rate limit; some may also be suspected.
     """
 
-    open: int
-    suspected: int
-    paused: int
+    open_groups: int
+    suspected_groups: int
+    paused_groups: int
 
 
 class EndpointSelector:
@@ -93,7 +93,7 @@
         self._failures: dict[Incarnation, float] = {}
 
     def avoid(self, endpoint: Endpoint) -> None:
-        """Prefer other endpoints for some time, for longer if this one was retried and failed."""
+        """Prefer other endpoints for some time, for longer after each failed retry."""
         now, seconds = self._clock(), AVOID_SECONDS
         before = self._avoided.get(endpoint.incarnation)
         if before is not None:
@@ -110,6 +110,7 @@
         """Record whether an attempt at an endpoint succeeded."""
         if succeeded:
             self._avoided.pop(endpoint.incarnation, None)
+        # A moving average: 0 if all recent attempts succeeded, 1 if all failed.
         before = self._failures.get(endpoint.incarnation, 0.0)
         self._failures[endpoint.incarnation] = before * FAILURE_DECAY + (
             0.0 if succeeded else 1 - FAILURE_DECAY
@@ -139,12 +140,12 @@
         return self._limits.available(self._notices.accepting(endpoints))
 
     def pause_left(self, service: str, model: str | None) -> float:
-        """Return the seconds until the next of the pausing or limited endpoints accepts a request.
+        """Return the seconds until the next pausing or limited endpoint accepts a request.
 
-        For rate limits it is the interval between the requests of all daemons, since the caller
-        may retry at another daemon.
+        For limited endpoints this is the interval between the requests of all daemons together,
+        since the caller may retry at another daemon.
 
-        :param model: of the groups; None for a plain service.
+        :param model: the model of the groups; None for a plain service.
         :returns: 0 if no endpoint pauses or has a limit.
         """
         found = self._serving(service) if model is None else self._leaders.of(service, model)
@@ -204,14 +205,14 @@
         return not self._detector.is_suspected(leader)
 
     def count_groups(self, service: str, model: str) -> GroupCount:
-        """Count the open groups of a model and those that get no requests."""
+        """Count the open groups of a model, the suspected and the paused ones."""
         leaders = self._leaders.of(service, model)
         suspected = sum(self._detector.is_suspected(leader) for leader in leaders)
         paused = len(leaders) - len(self._accepting(leaders))
         return GroupCount(len(leaders), suspected, paused)
 
     def has_other_group(self, service: str, model: str, tried: t.Container[str]) -> bool:
-        """Return whether another group can take a request and is beyond suspicion."""
+        """Return whether a group that was not tried and isn't suspected accepts requests."""
         return any(
             leader.id not in tried and not self._is_doubtful(leader)
             for leader in self.leaders(service, model)
@@ -242,6 +243,7 @@
         return min(usable, key=self._weight)
 
     def _weight(self, endpoint: Endpoint) -> float:
+        """Return the weight of an endpoint in running requests; the least is chosen."""
         failing = FAILURE_WEIGHT * self._failures.get(endpoint.incarnation, 0.0)
         expiring = WEAK_WEIGHT if endpoint.id in self._leaders.expiring else 0.0
         remote = FAR_WEIGHT if endpoint.failure_domain != self._failure_domain else 0.0
--- a/packages/gateway/src/thorncleat_gateway/requests/fingerprint.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/fingerprint.py
@@ -9,7 +9,7 @@
 
 Fingerprint = t.NewType("Fingerprint", bytes)
 
-# Wide enough that no two requests share a digest by chance.
+# Long enough that no two requests share a digest by chance.
 DIGEST_BYTES = 16
 # Personalization, so that other programs' digests of the same content differ.
 PERSONALIZATION = b"thorncleat"
@@ -20,10 +20,10 @@
 def of(workspace: str, host: str, path: str, body: bytes) -> Fingerprint:
     """Return the digest of a request.
 
-    It excludes what differs between retries: the id, the deadline and the last event.
+    Headers are excluded, since the id, the deadline and the last event differ between retries.
 
-    :param workspace: an empty string if no key is required.
-    :param path: with the query.
+    :param workspace: name of the workspace; empty if no key is required.
+    :param path: includes the query.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES, person=PERSONALIZATION)
     for part in (workspace.encode(), host.lower().encode(), path.encode()):
--- a/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/forwarder.py
@@ -1,6 +1,6 @@
-"""What plain and streamed requests share: the collaborators that an attempt needs.
+"""Base class of the forwarders of plain and streamed requests.
 
-Owns: nothing of its own.
+Owns: nothing.
 Relies on: the selector, the load table, the failure detector and the retry budgets, which are
 shared by all requests of this daemon.
 """
@@ -43,14 +43,14 @@
 
     def _count_request(self, request: Request) -> None:
         """Count a caller's request towards the retry budget of its service."""
-        self._retry_budgets.request(request.service.name)
+        self._retry_budgets.record_request(request.service.name)
 
     def _check_quarantine(self, request: Request, *, has_begun: bool) -> None:
         """Check before an attempt that the request isn't quarantined.
 
         :param has_begun: whether the caller has got the head of an answer.
-        :raises RefusalError: if it is.
-        :raises AnswerAbortedError: in place of that if the caller has got the head.
+        :raises RefusalError: if it is quarantined and the caller has not got the head.
+        :raises AnswerAbortedError: if it is quarantined and the caller has got the head.
         """
         seconds = self._crash_watch.quarantine_seconds_left(request)
         if seconds:
@@ -61,4 +61,4 @@
 
     def _token_source(self, request: Request) -> t.Callable[[], bool]:
         """Return a function that takes a token of the retry budget for a request."""
-        return lambda: self._retry_budgets.take(request.service.name)
+        return lambda: self._retry_budgets.take_token(request.service.name)
--- a/packages/gateway/src/thorncleat_gateway/requests/frontend.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/frontend.py
@@ -1,4 +1,4 @@
-"""The callers' side: admits or refuses each request, forwards it, and logs its end.
+"""Serves callers: admits or refuses each request, forwards it, and logs how it ended.
 
 Owns: the counts of requests, and whether this daemon is stopping.
 Relies on: :mod:`.admission` for who is admitted, :mod:`.route_split` for the service, the
@@ -28,8 +28,8 @@
 from .route_split import service_for
 from .streams import StreamForwarder
 
-# How long before its deadline a request is given up, so that the final answer arrives in time.
-MARGIN_SECONDS = 0.05
+# How long before its deadline a request is given up, so that the refusal arrives in time.
+DEADLINE_MARGIN_SECONDS = 0.05
 # Deadline for callers that send none.
 DEFAULT_DEADLINE_SECONDS = 60.0
 
@@ -37,7 +37,7 @@
 class Frontend:
     """Answers callers' requests.
 
-    :param stopping: whether this daemon is about to end.
+    :param stopping: whether this daemon is about to stop.
     :param closed: whether it accepts no more requests.
     :param requests: number of requests since the start.
     :param running: number of requests that are being answered.
@@ -159,7 +159,7 @@
             service=service_for(admitted.configuration, route, self.requests),
             workspace=admitted.workspace,
             received_at=received_at,
-            give_up_at=min(deadline_at, received_at + route.timeout) - MARGIN_SECONDS,
+            give_up_at=min(deadline_at, received_at + route.timeout) - DEADLINE_MARGIN_SECONDS,
             deadline_at=deadline_at,
         )
 
--- a/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/group_leaders.py
@@ -14,7 +14,7 @@
 
 
 class GroupLeaders:
-    """The leaders of all groups that are open.
+    """The leaders of all open groups.
 
     :param expiring: ids of the leaders with a member that is draining or not listed.
     """
@@ -27,7 +27,7 @@
         self.expiring: set[str] = set()
 
     def of(self, service: str, model: str) -> list[Endpoint]:
-        """Return the leaders of a model's groups, without groups that are being ended."""
+        """Return the leaders of a model's open groups that aren't being ended."""
         if self._version != self._view.version:
             self._rebuild()
         listed = self._leaders.get((service, model), [])
@@ -45,7 +45,7 @@
         if configuration is None:
             return
         for endpoint in roster.endpoints.values():
-            # Runs for every endpoint at each change of the store, so most are skipped early.
+            # Most endpoints are skipped early, since this runs at each change of the store.
             if not endpoint.is_serving_leader:
                 continue
             model = _led_model(configuration, endpoint)
--- a/packages/gateway/src/thorncleat_gateway/requests/lifted_holds.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/lifted_holds.py
@@ -1,10 +1,7 @@
-"""Releases quarantined requests on behalf of operators.
-
-An operator writes a record ``thorncleat/lifted/FINGERPRINT`` with any content into the store. Each
-daemon then forgets the crashes of that request, and does so again whenever the record changes.
+"""Releases quarantined requests whose fingerprints operators write into the store.
 
 Owns: the positions of the records that were applied.
-Relies on: the store's view for the records, and the fingerprint as log lines show it.
+Relies on: the store's view for the records.
 """
 
 from .. import events
@@ -13,11 +10,12 @@
 from .fingerprint import Fingerprint
 from .quarantine import Quarantine
 
+# Prefix of the records; the fingerprint in hexadecimal follows.
 RELEASES_PREFIX = "thorncleat/lifted/"
 
 
 class ReleasedRequests:
-    """Applies the records by which operators release requests."""
+    """Releases a request whenever an operator creates or changes its record."""
 
     def __init__(self, view: StoreView, quarantine: Quarantine) -> None:
         self._view = view
--- a/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/limit_reporter.py
@@ -1,9 +1,5 @@
 """Exchanges endpoints' rate limits with the other daemons.
 
-A daemon without a share of a limit, or one that has just started, gets no answers that name it. So
-changes are broadcast, and recent notices are repeated to a few random daemons. Nothing is sent
-while no endpoint has a limit.
-
 Owns: nothing.
 Relies on: :mod:`.endpoint_limits` for the notices, and the datagrams of :mod:`..peers.datagrams`;
 an earlier build rejects these.
@@ -27,8 +23,8 @@
 REPEAT_INTERVAL_SECONDS = 1.0
 # Daemons that receive each repetition.
 REPEAT_FANOUT = 3
-# How long a notice is reported after its answer. The others remember for longer that a limit has
-# ended, so that a daemon which was cut off doesn't restore it.
+# How long a notice is reported after its answer. Daemons remember the end of a limit for longer, so
+# that a daemon that was partitioned can't restore the limit.
 MAX_REPORTED_AGE_SECONDS = 60.0
 # Endpoints in one report, so that its datagram isn't fragmented.
 MAX_REPORT_ENTRIES = 25
@@ -37,6 +33,8 @@
 class LimitReporter(mode.Service):
     """Reports limits to the other daemons and records those that they report.
 
+    A daemon that has just started, or has no share of a limit, gets no answers that state it.
+
     :param clock: monotonic, in seconds.
     """
 
@@ -83,7 +81,7 @@
             self.repeat()
 
     def repeat(self) -> None:
-        """Send recent notices to a few random daemons."""
+        """Send recent notices to a few random daemons, which may have missed the broadcast."""
         begin = self._clock() - MAX_REPORTED_AGE_SECONDS
         recent = [
             self._to_report(incarnation, notice)
--- a/packages/gateway/src/thorncleat_gateway/requests/placement.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/placement.py
@@ -1,11 +1,7 @@
 """Samples the endpoints among which a daemon chooses.
 
-All daemons see the same load reports, which lag behind. Would each choose the least loaded endpoint
-of all, they would overload it until the next reports. So each daemon samples two endpoints of its
-own failure domain at random, and endpoints of other domains only if those have no capacity left.
-
 Owns: nothing.
-Relies on: :mod:`..peers.load_table` for whether the requests of other daemons are known singly.
+Relies on: nothing; :mod:`.endpoint_selector` decides when to sample.
 """
 
 import random
@@ -22,7 +18,10 @@
     failure_domain: str,
     is_busy: t.Callable[[Endpoint], bool],
 ) -> list[Endpoint]:
-    """Return the endpoints to choose among.
+    """Return a random sample of the endpoints.
+
+    Daemons that all chose the least loaded endpoint would overload it until the next load reports.
+    Endpoints of other failure domains are drawn only if the local ones have no capacity left.
 
     :param failure_domain: of this daemon.
     :param is_busy: returns whether an endpoint has no capacity left.
--- a/packages/gateway/src/thorncleat_gateway/requests/plain.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/plain.py
@@ -1,8 +1,8 @@
-"""Requests to plain services: the complete answer, or a refusal that tells whether they ran.
+"""Forwards requests to plain services, and returns complete answers.
 
-Owns: nothing beyond the request at hand.
-Relies on: :mod:`.retry_policy` for what follows a failed attempt, and
-:mod:`.endpoint_selector` for the endpoint.
+Owns: nothing; the state of a request is in :mod:`.request`.
+Relies on: :mod:`.retry_policy` to decide after a failed attempt, and :mod:`.endpoint_selector` to
+choose the endpoint.
 """
 
 import typing as t
@@ -34,7 +34,7 @@
         answer: EndpointAnswer | None = None
         while True:
             if answer is not None and self._crash_watch.quarantine_seconds_left(request):
-                # An endpoint's failed answer tells the caller more than a refusal does.
+                # An endpoint's failed answer is more useful to the caller than a refusal.
                 return answer
             self._check_quarantine(request, has_begun=False)
             endpoint = self._choose_endpoint(request)
@@ -83,11 +83,11 @@
     def _without_endpoint(
         self, request: Request, failed_answer: EndpointAnswer | None
     ) -> t.Literal[NextStep.RETURN_FAILED_ANSWER] | Refusal:
-        """Decide how a request ends that no endpoint can take."""
+        """Decide how a request ends if no endpoint can take it."""
         pause_left = self._selector.pause_left(request.service.name, None)
         cause = retry_policy.ALL_PAUSED if pause_left else retry_policy.NO_ENDPOINT
         if self._is_denied_last_endpoint(request):
-            cause = retry_policy.LAST_ENDPOINT
+            cause = retry_policy.DENIED_LAST_ENDPOINT
         return retry_policy.without_endpoint(
             may_have_run=request.may_have_run,
             has_failed_answer=failed_answer is not None,
@@ -103,7 +103,7 @@
         *,
         has_failed_answer: bool,
     ) -> PlainDecision:
-        # A plain service shows no sign of life before its answer, so every sent attempt counts.
+        # A plain service sends nothing before its answer, so every sent attempt counts.
         request.record_failure(endpoint, failure, counted=failure.sent)
         self._crash_watch.record_failure(request, endpoint, failure)
         request_log.failed(request, endpoint, failure, self._clock())
--- a/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
@@ -1,11 +1,8 @@
-"""Decides which requests crash the endpoints that run them, and quarantines those.
-
-A crash breaks all requests of the endpoint, so the fewest requests that explain all crashes are
-taken for their causes.
+"""Quarantines the requests that crash the endpoints that run them.
 
 Owns: the remembered crashes with the requests of each, and the quarantined requests.
-Relies on: :mod:`.crash_watch` and :mod:`.crash_reporter` for the crashes that this daemon and the
-others have seen. All times are seconds on the gateway's clock.
+Relies on: :mod:`.crash_watch` for the crashes that this daemon detects, and :mod:`.crash_reporter`
+for those of the other daemons. All times are seconds on the gateway's clock.
 """
 
 import dataclasses
@@ -15,9 +12,9 @@
 from . import request_log
 from .fingerprint import Fingerprint
 
-# What a crash counts against a request that ran on the endpoint.
+# Points of a crash against a request that ran on the endpoint.
 RAN_POINTS = 2
-# What a crash counts against a request that may only have been queued.
+# Points of a crash against a request that may only have been queued.
 MAY_HAVE_WAITED_POINTS = 1
 # Crashes at different times after which a request is quarantined.
 QUARANTINE_CRASHES = 3
@@ -42,9 +39,8 @@
 class Involvement(t.NamedTuple):
     """A request's part in a crash.
 
-    :param points: what the crash counts against the request, :data:`RAN_POINTS` or
-        :data:`MAY_HAVE_WAITED_POINTS`.
-    :param run_seconds: from the head of the answer to the crash.
+    :param points: :data:`RAN_POINTS` or :data:`MAY_HAVE_WAITED_POINTS`.
+    :param run_seconds: seconds from the head of the answer to the crash; 0 without a head.
     """
 
     points: int
@@ -64,11 +60,11 @@
 
 
 class CrashScore(t.NamedTuple):
-    """What crashes count against a request; the request with the largest is the likeliest cause.
+    """The score of crashes against a request; the request with the largest is the likeliest cause.
 
     :param points: sum over the crashes, simultaneous ones counted once.
-    :param negative_run_seconds: minus the seconds that the request ran before the crashes, since
-        the cause of a crash usually ran only shortly.
+    :param negative_run_seconds: minus the seconds that the request ran before the crashes; the
+        cause of a crash has usually run only briefly.
     :param newest_at: when the latest of the crashes happened.
     """
 
@@ -78,7 +74,7 @@
 
 
 def crash_score(fingerprint: Fingerprint, crashes: t.Iterable[Crash]) -> CrashScore:
-    """Return what some crashes count against a request; simultaneous crashes count once."""
+    """Return the score of crashes against a request that was under way at each of them."""
     points, run_seconds = 0, 0.0
     instant_at, instant_points, newest_at = float("-inf"), 0, float("-inf")
     for crash in sorted(crashes, key=lambda crash: crash.at):
@@ -105,7 +101,7 @@
         # Requests with enough crashes for a quarantine.
         self._candidates: set[Fingerprint] = set()
         self._quarantined_until: dict[Fingerprint, float] = {}
-        # Crashes before these times that are reported late don't count.
+        # Reports of crashes before these times are ignored.
         self._alive_at: dict[Incarnation, float] = {}
         self._served_at: dict[Fingerprint, float] = {}
 
@@ -116,7 +112,7 @@
 
     @property
     def has_quarantined(self) -> bool:
-        """Whether any request is quarantined, or was until shortly before."""
+        """Whether any request is quarantined, or was when the crashes were last evaluated."""
         return bool(self._quarantined_until)
 
     @property
@@ -259,7 +255,7 @@
         return crash
 
     def _retention_rank(self, crash: Crash) -> tuple[bool, float]:
-        """Return a rank by which crashes of quarantined requests, then newer ones, are retained."""
+        """Return a sort key; the smallest is removed first. Prefers quarantined, then newer."""
         return not self._quarantined_until.keys().isdisjoint(crash.requests), crash.at
 
     def _remove_crash(self, crash: Crash) -> None:
@@ -289,7 +285,10 @@
             self._candidates.discard(fingerprint)
 
     def _evaluate(self) -> None:
-        """Quarantine the fewest requests that explain the crashes."""
+        """Quarantine the fewest requests that explain the crashes.
+
+        The other requests of a crash were only running beside its cause.
+        """
         now = self._clock()
         quarantined: dict[Fingerprint, float] = {}
         unexplained = {key: self._crashes_by_request[key] for key in self._candidates}
--- a/packages/gateway/src/thorncleat_gateway/requests/rate_notice.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/rate_notice.py
@@ -1,21 +1,18 @@
-"""The rate limit that an endpoint names in an answer, and which of two notices prevails.
-
-Answers and reports of other daemons arrive in any order, so a notice carries the interval in which
-the endpoint stated it. If the order of two notices can't be determined, the stricter one prevails.
+"""The rate limit that an endpoint states in an answer, and which of two notices prevails.
 
 Owns: nothing; every rule is a pure function.
-Relies on: times of one daemon's own clock.
+Relies on: times on the clock of the daemon that compares the notices.
 """
 
 import typing as t
 
 
 class RateNotice(t.NamedTuple):
-    """What an answer says of the endpoint's rate limit.
+    """The rate limit that an answer states; the endpoint stated it between the two times.
 
-    :param limit: requests per second; None if the answer named no limit.
+    :param limit: requests per second; None if the answer states no limit.
     :param sent_at: when the request was sent, on the gateway's clock.
-    :param answered_at: when the answer came.
+    :param answered_at: when the answer arrived.
     """
 
     limit: float | None
@@ -24,7 +21,9 @@
 
 
 def merge_notices(current: RateNotice | None, new: RateNotice) -> RateNotice:
-    """Return the notice that prevails after a new one.
+    """Return the notice that prevails after a new one arrived, in any order.
+
+    If the order in which the endpoint stated them can't be determined, the stricter one prevails.
 
     :param current: the notice that prevailed before; None if there was none.
     """
--- a/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
@@ -1,11 +1,7 @@
-"""Divides an endpoint's rate limit among the daemons.
-
-Daemons can't coordinate before each request, so each computes its share from the list of daemons. A
-few daemons chosen by rendezvous hashing hold all shares, since the first requests of many holders
-together would exceed the limit. Daemons of the endpoint's failure domain are preferred.
+"""Divides an endpoint's rate limit among the daemons, without coordination between them.
 
 Owns: nothing; every rule is a pure function.
-Relies on: :mod:`..store.fleet_knowledge` for which daemons may use a share.
+Relies on: :mod:`..store.fleet_knowledge` for whether a daemon may use a share.
 """
 
 import math
@@ -19,7 +15,7 @@
 
 # Requests per second of a limit for each daemon that holds a share.
 RATE_PER_HOLDER = 1.0
-# Fraction of a limit that is allocated; the rest covers the first requests of the holders.
+# Fraction of a limit that is divided; the rest covers the first requests of the holders.
 ALLOCATED_FRACTION = 0.75
 # Fraction of its share that a daemon with a stale list uses, since another daemon may hold the same
 # share by now.
@@ -30,7 +26,7 @@
 
 
 def rate(limit: float) -> float:
-    """Return the requests per second of all daemons together to an endpoint with a limit."""
+    """Return the requests per second that all daemons together send to an endpoint with a limit."""
     return max(ALLOCATED_FRACTION * limit, MIN_RATE)
 
 
@@ -41,21 +37,28 @@
     daemons: t.Mapping[str, Daemon],
     knowledge: FleetKnowledge,
 ) -> float:
-    """Return the requests per second that a daemon may send to an endpoint; 0 for none.
+    """Return the requests per second that a daemon may send to an endpoint; 0 without a share.
+
+    Only a few daemons hold a share, since the first requests of many would exceed the limit.
 
     :param limit: requests per second that the endpoint takes from all daemons together.
     """
     if knowledge is FleetKnowledge.NONE or own.id not in daemons:
         return 0.0
-    holders = max(1, min(len(daemons), math.ceil(limit / RATE_PER_HOLDER)))
-    if not _is_holder(endpoint, own, daemons.values(), holders):
+    holder_count = max(1, min(len(daemons), math.ceil(limit / RATE_PER_HOLDER)))
+    if not _is_holder(endpoint, own, daemons.values(), holder_count):
         return 0.0
-    per_holder = rate(limit) / holders
+    per_holder = rate(limit) / holder_count
     return per_holder * STALE_LIST_FRACTION if knowledge is FleetKnowledge.OLD else per_holder
 
 
-def _is_holder(endpoint: Endpoint, own: Daemon, daemons: t.Iterable[Daemon], holders: int) -> bool:
-    """Return whether a daemon is among an endpoint's preferred ones."""
+def _is_holder(
+    endpoint: Endpoint, own: Daemon, daemons: t.Iterable[Daemon], holder_count: int
+) -> bool:
+    """Return whether a daemon holds a share of an endpoint's limit.
+
+    Holders are chosen by rendezvous hashing, preferably in the endpoint's failure domain.
+    """
     key = f"limit {endpoint.id} {endpoint.born}"
 
     def preference(daemon: Daemon) -> tuple[bool, int, str]:
@@ -63,4 +66,4 @@
         return is_same_domain, rendezvous.score(key, daemon.id), daemon.id
 
     own_preference = preference(own)
-    return sum(preference(daemon) > own_preference for daemon in daemons) < holders
+    return sum(preference(daemon) > own_preference for daemon in daemons) < holder_count
--- a/packages/gateway/src/thorncleat_gateway/requests/refusal.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/refusal.py
@@ -1,8 +1,8 @@
-"""A refusal: the gateway's own final answer to a request.
+"""The gateway's own final answer to a request that it refuses.
 
 Owns: nothing.
-Relies on: nothing; :mod:`.admission` and :mod:`.retry_policy` decide on refusals, the frontend
-sends them.
+Relies on: nothing; :mod:`.admission` and :mod:`.retry_policy` create refusals, and
+:mod:`.frontend` sends them.
 """
 
 import dataclasses
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refusal:
-    """The gateway's answer to a request of which the caller has got no answer yet.
+    """The gateway's answer to a request whose caller has got no answer yet.
 
-    :param status: HTTP status; 503 promises that the request has not run, 502 promises nothing.
-    :param cause: the text in the log line and in the answer.
+    :param status: HTTP status; 502 if the request may have run, any other promises that it has not.
+    :param cause: text of the log line and of the answer.
     :param retry_after: seconds after which a retry may succeed; None if it can't, or if the request
         may have run.
     """
--- a/packages/gateway/src/thorncleat_gateway/requests/request.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request.py
@@ -1,8 +1,8 @@
 """The state of a caller's request while it is served.
 
 Owns: what one request asks for, and the attempts that it has used.
-Relies on: :mod:`.retry_policy` for what that state means after a failed attempt, and
-:class:`~..ports.ForwardMeta` for what endpoints are sent.
+Relies on: :mod:`.retry_policy` to decide on the next attempt by that state, and
+:class:`~..ports.ForwardMeta` for the metadata that endpoints get.
 """
 
 import dataclasses
@@ -46,10 +46,10 @@
     :param sends: attempts that count towards the route's limit.
     :param unsent: attempts that don't count, since they cannot have run.
     :param may_have_run: whether any attempt may have run.
-    :param longest_pause: between two events of the answer, in seconds.
+    :param longest_pause: longest time between two events of the answer, in seconds.
     :param endpoint_id: the endpoint of the latest attempt of a streamed request.
     :param sent_at: when the latest attempt began.
-    :param head_at: when the head of its answer came; 0 before that.
+    :param head_at: when the head of the latest attempt's answer came; 0 before that.
     """
 
     meta: RequestMeta
@@ -76,7 +76,7 @@
 
     @functools.cached_property
     def fingerprint(self) -> Fingerprint:
-        """The digest that this request shares with the caller's retries of it."""
+        """The digest of this request, which the caller's retries share."""
         workspace = self.workspace.name if self.workspace else ""
         return fingerprint.of(workspace, self.route.host, self.path, self.body)
 
--- a/packages/gateway/src/thorncleat_gateway/requests/request_log.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/request_log.py
@@ -1,4 +1,4 @@
-"""Writes the log lines of a request, with one function for each.
+"""The log lines of a request, one function for each.
 
 Owns: nothing.
 Relies on: :mod:`..events` for the numbers and names of the lines.
@@ -14,7 +14,7 @@
 from .fingerprint import Fingerprint
 from .request import Request
 
-# Endpoints that one line names at most.
+# Endpoints in one log line.
 MAX_ENDPOINTS = 8
 
 
@@ -46,7 +46,7 @@
 def done(request: Request, status: int, now: float, config_age: float) -> None:
     """Log an answer that was passed on completely.
 
-    :param config_age: seconds since the configuration was last confirmed as the newest.
+    :param config_age: seconds for which a newer configuration may have been in force.
     """
     missed_target = request.missed_target(now)
     events.REQUEST_DONE.log(
@@ -68,7 +68,7 @@
     """Log a refusal.
 
     :param after: seconds since the request came.
-    :param config_age: seconds since the configuration was last confirmed as the newest.
+    :param config_age: seconds for which a newer configuration may have been in force.
     """
     events.REQUEST_REFUSED.log(
         request=request_id,
@@ -85,7 +85,7 @@
 ) -> None:
     """Log that a request is quarantined.
 
-    :param lives: the endpoints that crashed with the request.
+    :param incarnations: the endpoints that crashed with the request.
     :param seconds: until its release, unless it crashes another endpoint.
     """
     events.QUARANTINED.log(
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_after.py
@@ -1,8 +1,7 @@
 """The seconds after which a caller whose request has not run is asked to retry.
 
 Owns: nothing.
-Relies on: callers that honour ``Retry-After`` with its fractions, up to a third of the time
-that they have left.
+Relies on: callers that honour fractions in ``Retry-After``, up to a third of their time left.
 """
 
 import random
@@ -16,17 +15,17 @@
 PLAIN_SECONDS = 0.3
 # No group for the model, or a stream that has not begun is given up.
 STREAM_SECONDS = 0.4
-# Upper bound of the wait for pausing endpoints; callers don't honour a longer one.
+# Callers don't honour a longer wait.
 MAX_PAUSE_WAIT_SECONDS = 2.7
 
 
 def during_pause(usual: float, pause_left: float) -> float:
-    """Return the seconds until a retry, also while endpoints pause.
+    """Return the seconds until a retry.
 
-    If every endpoint pauses for this daemon, most do for the other daemons as well, so an earlier
-    retry would fail. The retries are spread at random, since the pauses end together.
+    Endpoints that all pause for this daemon mostly do so for the others as well, so an earlier
+    retry would fail. Retries are spread at random, since the pauses end together.
 
-    :param usual: seconds without pauses, for the kind of request.
+    :param usual: seconds if no endpoint pauses.
     :param pause_left: seconds until the first endpoint accepts requests; 0 if none pauses.
     """
     if not pause_left:
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_budget.py
@@ -1,11 +1,7 @@
 """Limits the retries of a daemon, so that all daemons together stay within a budget.
 
-Each daemon gets an equal share of the fixed allowance, and a ratio of its own requests. These add
-up to the whole budget without any exchange between the daemons.
-
 Owns: this daemon's requests and retries within the window, for each service.
-Relies on: the number of listed daemons. The list may lack running daemons that could not renew
-their records, so the largest recent number is used.
+Relies on: the number of listed daemons.
 """
 
 import collections
@@ -16,8 +12,7 @@
 # Fraction of the budget that is used; the rest covers requests and retries in different windows.
 USED_FRACTION = 0.8
 
-# How long a daemon counts after it was last listed, so that it is counted through an outage of the
-# store.
+# How long a daemon counts after it was last listed, to cover an outage of the store.
 UNLISTED_DAEMON_TTL_SECONDS = 60.0
 
 
@@ -43,23 +38,25 @@
         self._requests: collections.deque[float] = collections.deque()
         self._retries: collections.deque[float] = collections.deque()
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a caller's request."""
         self._requests.append(now)
         self._forget(now)
 
-    def left(self, now: float, daemons: int) -> int:
+    def retries_left(self, now: float, daemons: int) -> int:
         """Return the number of retries that may be sent now.
 
+        Each daemon gets a ratio of its own requests and an equal share of the fixed number.
+
         :param daemons: daemons that share the budget.
         """
         self._forget(now)
         own = self._settings.ratio * len(self._requests) + self._settings.extra / max(1, daemons)
         return math.floor(own * USED_FRACTION) - len(self._retries)
 
-    def take(self, now: float, daemons: int) -> bool:
+    def take_token(self, now: float, daemons: int) -> bool:
         """Count a retry if the budget allows one; return whether it does."""
-        if self.left(now, daemons) < 1:
+        if self.retries_left(now, daemons) < 1:
             return False
         self._retries.append(now)
         return True
@@ -72,7 +69,7 @@
 
 
 class _RecentMaximum:
-    """The largest recent value of a number."""
+    """The largest value within the last :data:`UNLISTED_DAEMON_TTL_SECONDS`."""
 
     def __init__(self) -> None:
         # Times and values; each value is larger than those after it.
@@ -91,29 +88,35 @@
 class RetryBudgets:
     """This daemon's share of the retry budget of each service.
 
-    :param daemons: returns how many daemons are listed.
+    The largest recent number of daemons counts, since running daemons are missing from the list
+    while they can't renew their records.
+
+    :param clock: monotonic, in seconds.
+    :param count_daemons: returns the number of listed daemons.
     """
 
     def __init__(
         self,
         settings: RetryBudgetSettings,
         clock: t.Callable[[], float],
-        daemons: t.Callable[[], int],
+        count_daemons: t.Callable[[], int],
     ) -> None:
         self._clock = clock
-        self._daemons = daemons
-        self._daemon_count = _RecentMaximum()
+        self._count_daemons = count_daemons
+        self._max_daemon_count = _RecentMaximum()
         self._budgets: dict[str, RetryBudget] = collections.defaultdict(
             lambda: RetryBudget(settings)
         )
 
-    def request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a caller's request to a service."""
         now = self._clock()
-        self._daemon_count.update(self._daemons(), now)
-        self._budgets[service].request(now)
+        self._max_daemon_count.update(self._count_daemons(), now)
+        self._budgets[service].record_request(now)
 
-    def take(self, service: str) -> bool:
+    def take_token(self, service: str) -> bool:
         """Count a retry to a service if the budget allows one; return whether it does."""
         now = self._clock()
-        return self._budgets[service].take(now, self._daemon_count.update(self._daemons(), now))
+        return self._budgets[service].take_token(
+            now, self._max_daemon_count.update(self._count_daemons(), now)
+        )
--- a/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/retry_policy.py
@@ -1,8 +1,7 @@
-"""Decides after a failed attempt whether a request is retried, refused, or its answer cut.
+"""Decides after a failed attempt whether a request is retried or refused, or its answer is cut.
 
-Owns: nothing; every rule is a pure function of the failure, the attempts used and the route. The
-retry budget is passed as a function, which takes a token only if everything else allows a retry.
-Relies on: :class:`~..exceptions.AttemptError` for what is known of a failed attempt, and
+Owns: nothing; every rule is a pure function of the failure, the attempts used and the route.
+Relies on: :class:`~..exceptions.AttemptError` for the result of a failed attempt, and
 :mod:`.retry_after` for the times after which callers should retry.
 """
 
@@ -17,20 +16,19 @@
 from . import retry_after
 from .refusal import Refusal
 
-# Limit of the attempts that don't count towards the route's.
+# Limit of the attempts that don't count towards the route's limit.
 MAX_UNSENT_ATTEMPTS = 4
-# Fraction of the route's target after which a repeatable request with attempts left is tried at
-# another endpoint.
+# Timeout, as a fraction of the route's target, of an attempt that can be repeated elsewhere.
 ATTEMPT_TARGET_FRACTION = 0.8
 # How long a stream that has begun waits for a group on which it can resume.
 WAIT_FOR_GROUP_SECONDS = 2.0
-# Causes, as written in log lines and answers.
+# Causes in log lines and answers.
 OUT_OF_TIME = "out of time"
 NO_ENDPOINT = "no endpoint"
 ALL_PAUSED = "every endpoint wants no requests for a time"
 NO_GROUP_LEFT = "no group to go on in"
-ENDS_ENDPOINTS = "it ends its endpoints"
-LAST_ENDPOINT = "it may end the last endpoint"
+CRASHES_ENDPOINTS = "it ends its endpoints"
+DENIED_LAST_ENDPOINT = "it may end the last endpoint"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -60,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CutAnswer:
-    """The connection of a caller who has got a part of the answer is broken."""
+    """Break the connection of a caller who has got a part of the answer."""
 
     cause: str
 
@@ -74,9 +72,9 @@
 
 
 def give_up(cause: str, seconds: float | None, *, may_have_run: bool) -> Refusal:
-    """Return the refusal of a request, which promises that nothing has run if that is certain.
+    """Return the refusal of a request; its status promises that nothing has run if that is certain.
 
-    :param seconds: after which the caller should retry if nothing has run; None for no advice.
+    :param seconds: seconds after which the caller should retry if nothing has run, or None.
     """
     return Refusal(502, cause) if may_have_run else Refusal(503, cause, seconds)
 
@@ -98,7 +96,8 @@
 
     On a resumable route an attempt that may have run can resume on another group.
 
-    :param take_token: takes a token of the retry budget; returns whether there was one.
+    :param take_token: takes a token of the retry budget, and returns whether there was one; called
+        only if everything else allows a retry.
     :param has_begun: whether the caller has got the head of the answer.
     """
     can_migrate = failure.ran is Executed.NO or route.resumable
@@ -121,11 +120,12 @@
 ) -> PlainDecision:
     """Decide how a request to a plain service proceeds after a failed attempt.
 
-    :param take_token: takes a token of the retry budget; returns whether there was one.
+    :param take_token: takes a token of the retry budget, and returns whether there was one; called
+        only if everything else allows a retry.
     :param has_failed_answer: whether an endpoint has answered with a failure status.
     """
     if used.is_late and has_failed_answer:
-        # An endpoint's failed answer tells the caller more than a refusal does.
+        # An endpoint's failed answer is more useful to the caller than a refusal.
         return NextStep.RETURN_FAILED_ANSWER
     if used.is_late:
         return give_up(OUT_OF_TIME, retry_after.PLAIN_SECONDS, may_have_run=used.may_have_run)
@@ -161,11 +161,11 @@
 ) -> t.Literal[NextStep.WAIT_FOR_GROUP] | Refusal | CutAnswer:
     """Decide how a streamed request proceeds while no group can take it.
 
-    :param cause: the cause of a refusal.
+    :param cause: the cause if the request is refused.
     :param pause_left: seconds until a pausing endpoint accepts requests; 0 if none pauses.
     :param has_begun: whether the caller has got the head of the answer. Before that the request is
         refused without a wait, since the caller can retry at another daemon.
-    :param waited: whether the time to wait for a group is over.
+    :param waited: whether :data:`WAIT_FOR_GROUP_SECONDS` are over.
     """
     if not has_begun:
         seconds = retry_after.during_pause(retry_after.STREAM_SECONDS, pause_left)
@@ -181,14 +181,14 @@
     Status 429 distinguishes the quarantine from a lack of capacity and promises that the request
     has not run, so that callers may retry after its release.
 
-    :param seconds: until the release.
+    :param seconds: seconds until the release.
     :param has_begun: whether the caller has got the head of an answer.
     """
     if has_begun:
-        return CutAnswer(ENDS_ENDPOINTS)
+        return CutAnswer(CRASHES_ENDPOINTS)
     if may_have_run:
-        return Refusal(502, ENDS_ENDPOINTS)
-    return Refusal(429, ENDS_ENDPOINTS, seconds)
+        return Refusal(502, CRASHES_ENDPOINTS)
+    return Refusal(429, CRASHES_ENDPOINTS, seconds)
 
 
 def can_try_elsewhere(route: Route, sends: int, *, is_late: bool) -> bool:
@@ -219,12 +219,12 @@
     return route.resumable and sends + 1 < route.max_attempts
 
 
-def counts_as_sent(failure: AttemptError, *, heard_since_sent: bool) -> bool:
+def counts_as_sent(failure: AttemptError, *, had_contact_since_sent: bool) -> bool:
     """Return whether a failed attempt at a group counts towards the route's limit.
 
     The limit bounds how many endpoints may run a request. An endpoint that declined the request has
     not run it, nor has a group that was silent from before the attempt on.
 
-    :param heard_since_sent: whether the group has sent anything since the attempt began.
+    :param had_contact_since_sent: whether the group has sent anything since the attempt began.
     """
-    return failure.ran is Executed.MAYBE and heard_since_sent
+    return failure.ran is Executed.MAYBE and had_contact_since_sent
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -1,9 +1,8 @@
-"""Streamed requests: events are passed on as they come, and a failed stream resumes elsewhere.
+"""Forwards streamed requests: passes events on as they come, and resumes failed streams elsewhere.
 
-Owns: nothing beyond the request at hand.
-Relies on: :mod:`.retry_policy` for what follows a failed attempt,
-:mod:`..peers.failure_detector` to leave a silent group, and :mod:`.endpoint_selector` for the
-group.
+Owns: nothing; the state of a request is in :mod:`.request`.
+Relies on: :mod:`.retry_policy` to decide after a failed attempt, :mod:`..peers.failure_detector` to
+leave a silent group, and :mod:`.endpoint_selector` to choose the group.
 """
 
 import asyncio
@@ -69,7 +68,7 @@
         except RefusalError:
             if not failed_answers or caller.has_begun:
                 raise
-            # An endpoint's failed answer tells the caller more than a refusal does.
+            # An endpoint's failed answer is more useful to the caller than a refusal.
             await _pass_on(failed_answers[-1], caller)
 
     async def _serve(
@@ -110,7 +109,7 @@
     ) -> StreamDecision:
         """Record a failed attempt and decide how the request proceeds."""
         has_contact = self._detector.has_contact_since(endpoint.id, request.sent_at)
-        is_counted = retry_policy.counts_as_sent(failure, heard_since_sent=has_contact)
+        is_counted = retry_policy.counts_as_sent(failure, had_contact_since_sent=has_contact)
         request.record_failure(endpoint, failure, counted=is_counted)
         self._crash_watch.record_failure(request, endpoint, failure)
         self._selector.record_result(endpoint, succeeded=False)
@@ -135,8 +134,8 @@
     ) -> Endpoint:
         """Return the leader of the next attempt's group; a stream that has begun waits for one.
 
-        :raises RefusalError: if there is none, or the request is quarantined.
-        :raises AnswerAbortedError: in place of that if the caller has got the head of the answer.
+        :raises RefusalError: if there is none or the request is quarantined, before the head.
+        :raises AnswerAbortedError: the same after the caller has got the head of the answer.
         """
         until = min(request.give_up_at, self._clock() + WAIT_FOR_GROUP_SECONDS)
         service, model = request.service.name, request.meta.model
@@ -153,7 +152,9 @@
             if endpoint is not None and not is_denied:
                 return endpoint
             no_group = (
-                retry_policy.LAST_ENDPOINT if is_denied else self._no_group_cause(service, model)
+                retry_policy.DENIED_LAST_ENDPOINT
+                if is_denied
+                else self._no_group_cause(service, model)
             )
             decision = retry_policy.without_group(
                 no_group,
@@ -168,8 +169,11 @@
 
     def _no_group_cause(self, service: str, model: str) -> str:
         count = self._selector.count_groups(service, model)
-        cause = f"no group for {model!r}: {count.open} open, {count.suspected} of them suspected"
-        return f"{cause}, {count.paused} paused" if count.paused else cause
+        cause = (
+            f"no group for {model!r}: {count.open_groups} open, "
+            f"{count.suspected_groups} of them suspected"
+        )
+        return f"{cause}, {count.paused_groups} paused" if count.paused_groups else cause
 
     async def _attempt(
         self, request: Request, endpoint: Endpoint, splitter: EventSplitter, caller: CallerStream
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -310,7 +310,7 @@
         except AnswerAbortedError:
             return 0
         except RefusalError as error:
-            if error.cause == retry_policy.ENDS_ENDPOINTS:
+            if error.cause == retry_policy.CRASHES_ENDPOINTS:
                 self.world.quarantined[request.body] += 1
             return error.status
 
@@ -456,7 +456,7 @@
         self.outcomes[await self.call(body)] += 1
 
     async def send_fatal(self, seconds: float, name: bytes, pause=(0.2, 4.0)) -> None:
-        """Send a request that no endpoint survives again and again."""
+        """Send a request that crashes each endpoint, repeatedly."""
         until = self.now() + seconds
         while self.now() < until:
             await asyncio.sleep(self.random.uniform(*pause))
--- a/tests/notice_world.py
+++ b/tests/notice_world.py
@@ -117,10 +117,10 @@
 
 
 class Fleet:
-    """What one daemon knows of the others.
+    """The list of daemons as a daemon has it.
 
     :ivar listed: the daemons of its list.
-    :ivar current_knowledge: how far the daemon may rely on the list.
+    :ivar current_knowledge: how recent the list is.
     """
 
     def __init__(self, world: "NoticeWorld", id: str) -> None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,6 +1,6 @@
 """A request that crashes each endpoint which begins to run it, and that its caller retries.
 
-Guards against retries that spread the crash over the fleet: each try crashed two more endpoints.
+Guards against retries that crash endpoint after endpoint.
 """
 
 import pytest
--- a/tests/test_draining_endpoints.py
+++ b/tests/test_draining_endpoints.py
@@ -1,7 +1,6 @@
 """Endpoints whose answers say that they drain, while the list still shows them as ready.
 
-Guards against daemons that rely on the list alone, which lags, and is stale during an outage of the
-store.
+Guards against daemons that rely on the list alone, which lags behind.
 """
 
 import pytest
@@ -139,7 +138,7 @@
 
 
 def test_draining_leader_that_refuses_connections_keeps_its_members_until_it_ends():
-    """The list shows the leader as ready, so only its own answer tells that it is draining."""
+    """The list shows the leader as ready, so only its own answer says that it is draining."""
     world, seconds = virtual_time.run(_play_draining_leader(6.0))
     assert world.broken == []
     assert seconds < 6.0 + UNLISTED_AFTER_SECONDS + 5.0
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -1,7 +1,6 @@
-"""Endpoints that name a rate limit for the requests of all daemons together.
+"""Endpoints that set a rate limit for the requests of all daemons together.
 
-Guards against daemons that each keep to a limit but exceed it together, as a limited endpoint's
-requests come from many daemons.
+Guards against daemons that each keep to the limit but exceed it together.
 """
 
 import asyncio
@@ -302,7 +301,7 @@
     scene.now += NOTICE_TTL_SECONDS + 1
     scene.limits.expire({"i-1", "i-2"})
     assert scene.limits.is_limited(ENDPOINT)
-    # An endpoint that restarts again and again under its id leaves nothing behind.
+    # Repeated restarts of an endpoint under its id leave no notices.
     assert not scene.limits._unlimited
     scene.limits.expire(())
     assert not scene.limits.notices
@@ -312,7 +311,7 @@
 @pytest.mark.parametrize("daemons", [8, 40])
 @pytest.mark.parametrize("limit", [0.1, 1.0, 10.0])
 def test_fleet_keeps_to_a_limit_through_partitions(trouble, daemons, limit):
-    """The endpoint counts; the bound is the limit and one request at the edge of a span."""
+    """The endpoint counts requests; the bound is the limit plus one request."""
     seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).play()
     assert seen.most <= limit_rule.SPAN_SECONDS * limit + 1
     # Most of the limit is used without faults.
--- a/tests/test_endpoint_pauses.py
+++ b/tests/test_endpoint_pauses.py
@@ -1,7 +1,6 @@
 """Endpoints that decline requests and ask for a pause.
 
-Guards against daemons that ignore the pause: an endpoint that declines everything has no load, and
-so stays the preferred one.
+Guards against daemons that prefer a declining endpoint, since it has no load.
 """
 
 import asyncio
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -34,7 +34,7 @@
 # Run time of a request.
 SERVICE_SECONDS = 0.75
 SECONDS = 6.0
-# Time within which daemons can't know of each other's requests.
+# Time in which the daemons' latest requests aren't reported to each other.
 BLIND_SECONDS = 0.3
 
 
@@ -136,7 +136,7 @@
 
     @property
     def max_blind_sends(self) -> int:
-        """The most requests to one group within the time that no daemon knew of them."""
+        """The most requests to a group within :data:`BLIND_SECONDS`."""
         return max(
             sum(sent_at <= other < sent_at + BLIND_SECONDS for other in times)
             for times in self.sent.values()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -198,7 +198,7 @@
         assert not quarantine.record_endpoint_alive(Incarnation("w2", None), crashed_at - 0.5)
         assert quarantine.record_endpoint_alive(Incarnation("w2", None), crashed_at + 0.5)
         assert quarantined_names(quarantine) == []
-        # Reported again by a daemon that doesn't know.
+        # A late report from a daemon that hasn't received the withdrawal.
         assert not quarantine.record_crash(Incarnation("w2", None), crashed_at, {b"a": RAN})
         assert quarantined_names(quarantine) == []
 
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -1,7 +1,6 @@
 """Requests that crash their endpoints, beside ordinary ones, in whole fleets.
 
-Guards against fatal requests that crash more endpoints than the limit allows, and against ordinary
-requests that are quarantined in their place. Runs in virtual time (:mod:`tests.crash_world`).
+Guards against fatal requests that crash too many endpoints, and against quarantined ordinary ones.
 """
 
 import asyncio
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -21,10 +21,10 @@
         for number, repeat, pause in steps * 3:
             now += pause
             budget = budgets[number % daemons]
-            if repeat and budget.take(now, daemons):
+            if repeat and budget.take_token(now, daemons):
                 sent.append(now)
             elif not repeat:
-                budget.request(now)
+                budget.record_request(now)
                 requested.append(now)
             window = [at for at in sent if at > now - 10]
             requests = [at for at in requested if at >= now - 20]
@@ -33,9 +33,9 @@
     def test_requests_outside_the_window_do_not_count(self):
         budget = RetryBudget(RetryBudgetSettings(1.0, 0, 10))
         for _ in range(10):
-            budget.request(0.0)
-        assert budget.left(5.0, 1) == 8
-        assert budget.left(11.0, 1) == 0
+            budget.record_request(0.0)
+        assert budget.retries_left(5.0, 1) == 8
+        assert budget.retries_left(11.0, 1) == 0
 
 
 class TestDaemonCount:
@@ -56,19 +56,19 @@
         now, listed = [0.0], [[8] for _ in range(8)]
         budgets = self._budgets(listed, now)
         for budget in budgets:
-            budget.request("narrator")
+            budget.record_request("narrator")
         now[0] = 20.0
         for number, count in enumerate(listed):
             count[0] = 1 + number
-        sent = sum(budget.take("narrator") for budget in budgets for _ in range(200))
+        sent = sum(budget.take_token("narrator") for budget in budgets for _ in range(200))
         assert sent <= 134
 
     def test_share_grows_some_time_after_the_others_left(self):
         now, listed = [0.0], [[8]]
         (budget,) = self._budgets(listed, now)
-        budget.request("narrator")
+        budget.record_request("narrator")
         listed[0][0] = 1
         for _ in range(60):
             now[0] += 2.0
-            budget.request("narrator")
-        assert sum(budget.take("narrator") for _ in range(200)) > 100
+            budget.record_request("narrator")
+        assert sum(budget.take_token("narrator") for _ in range(200)) > 100
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -344,7 +344,7 @@
     ],
 )
 def test_attempts_that_count_towards_the_route(failure, heard, counts):
-    assert retry_policy.counts_as_sent(failure, heard_since_sent=heard) is counts
+    assert retry_policy.counts_as_sent(failure, had_contact_since_sent=heard) is counts
 
 
 @pytest.mark.parametrize(
@@ -396,7 +396,8 @@
 def test_stream_that_has_begun_is_not_cut_for_a_decline():
     """Only the group that the stream left counts; the full group that declined does not."""
     counted = [
-        retry_policy.counts_as_sent(failure, heard_since_sent=True) for failure in (MAYBE, DECLINED)
+        retry_policy.counts_as_sent(failure, had_contact_since_sent=True)
+        for failure in (MAYBE, DECLINED)
     ]
     spent = attempts(counted.count(True), counted.count(False), ran=True)
     decision = retry_policy.after_stream_failure(
