--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -125,14 +125,14 @@
     def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
         daemons = self._fleet.daemons()
         known = fleet_knowledge is not FleetKnowledge.NONE
-        return rate_shares.rate(limit) / len(daemons) if known else 0.0
+        return rate_shares.fleet_rate(limit) / len(daemons) if known else 0.0
 
 
 class Own(EndpointLimits):
     """Each keeps the whole limit by itself."""
 
     def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
-        return rate_shares.rate(limit)
+        return rate_shares.fleet_rate(limit)
 
 
 class Turns(EndpointLimits):
@@ -140,10 +140,10 @@
 
     def wait_seconds(self, endpoint: Endpoint) -> float:
         """Return the seconds until the next slot if this one is another's, or is used."""
-        limited = self._limit_of(endpoint)
+        limited = self._find_limited(endpoint)
         if limited is None or limited.notice.limit is None:
             return 0.0
-        slot = 1 / rate_shares.rate(limited.notice.limit)
+        slot = 1 / rate_shares.fleet_rate(limited.notice.limit)
         names = sorted(self._fleet.daemons())
         number = int(self._clock() / slot)
         is_own = names and names[number % len(names)] == self._fleet.own.id
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -155,11 +155,11 @@
 
     def is_limited(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint limits the requests of all daemons together."""
-        return self._limit_of(endpoint) is not None
+        return self._find_limited(endpoint) is not None
 
     def wait_seconds(self, endpoint: Endpoint) -> float:
         """Return the seconds until this daemon may send a request; infinity without a share."""
-        limited = self._limit_of(endpoint)
+        limited = self._find_limited(endpoint)
         if limited is None:
             return 0.0
         self._update_share(endpoint, limited)
@@ -169,10 +169,10 @@
 
     def fleet_rate(self, endpoint: Endpoint) -> float:
         """Return the requests per second of all daemons to an endpoint; 0 if it is unlimited."""
-        limited = self._limit_of(endpoint)
+        limited = self._find_limited(endpoint)
         if limited is None or limited.notice.limit is None:
             return 0.0
-        return rate_shares.rate(limited.notice.limit)
+        return rate_shares.fleet_rate(limited.notice.limit)
 
     def reserve(self, endpoint: Endpoint) -> Reservation | None:
         """Reserve one request, right before it is sent.
@@ -182,7 +182,7 @@
         :returns: the reservation; None if the endpoint has no limit.
         :raises EndpointNotAcceptingError: if this daemon may send none now.
         """
-        limited = self._limit_of(endpoint)
+        limited = self._find_limited(endpoint)
         if limited is None:
             return None
         wait = self.wait_seconds(endpoint)
@@ -217,7 +217,7 @@
             if notice.answered_at < begin:
                 del self._unlimited[incarnation]
 
-    def _limit_of(self, endpoint: Endpoint) -> _LimitedEndpoint | None:
+    def _find_limited(self, endpoint: Endpoint) -> _LimitedEndpoint | None:
         """Return the state of an endpoint with a limit; None if it has none."""
         limited = self._limited.get(endpoint.id) if self._limited else None
         if limited is None or limited.notice.limit is None:
--- a/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/rate_shares.py
@@ -25,7 +25,7 @@
 MIN_RATE = 1 / 30
 
 
-def rate(limit: float) -> float:
+def fleet_rate(limit: float) -> float:
     """Return the requests per second that all daemons together send to an endpoint with a limit."""
     return max(ALLOCATED_FRACTION * limit, MIN_RATE)
 
@@ -48,7 +48,7 @@
     holder_count = max(1, min(len(daemons), math.ceil(limit / RATE_PER_HOLDER)))
     if not _is_holder(endpoint, own, daemons.values(), holder_count):
         return 0.0
-    per_holder = rate(limit) / holder_count
+    per_holder = fleet_rate(limit) / holder_count
     return per_holder * STALE_LIST_FRACTION if knowledge is FleetKnowledge.OLD else per_holder
 
 
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -151,7 +151,7 @@
     worker.extra_headers = {"Server-Limit": "0.5"}
     statuses = [(await world.call("first", daemon)).status]
     daemon.limits.wait_seconds(worker.endpoint)
-    await asyncio.sleep(1 / rate_shares.rate(0.5))
+    await asyncio.sleep(1 / rate_shares.fleet_rate(0.5))
     worker.alive = False
     statuses.append((await world.call("second", daemon)).status)
     worker.alive = True
@@ -243,7 +243,7 @@
 
 def test_reservations_do_not_accumulate_and_the_first_one_waits(scene):
     scene.receive(NAMED)
-    seconds = 1 / rate_shares.rate(2.0)
+    seconds = 1 / rate_shares.fleet_rate(2.0)
     assert scene.limits.wait_seconds(ENDPOINT) == pytest.approx(seconds)
     scene.now += 100
     assert scene.limits.reserve(ENDPOINT) is not None
@@ -317,7 +317,9 @@
     # Most of the limit is used without faults.
     assert seen.used > (0.5 if trouble == "calm" else 0)
     # The next request of the slowest holder, and its answer.
-    assert seen.again_after < 1 / (rate_shares.rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
+    assert (
+        seen.again_after < 1 / (rate_shares.fleet_rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
+    )
 
 
 @pytest.mark.parametrize(("way", "daemons", "limit"), [("own", 8, 1.0), ("fixed", 195, 10.0)])
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -37,7 +37,7 @@
 def test_shares_add_up_to_the_allocated_rate(size, limit):
     daemons = fleet(size)
     shares = [share(limit, name, daemons) for name in daemons]
-    assert sum(shares) == pytest.approx(rate_shares.rate(limit))
+    assert sum(shares) == pytest.approx(rate_shares.fleet_rate(limit))
     # Bound for a span of 4 s: one request at once from each holder, and the rate.
     holders = sum(rate > 0 for rate in shares)
     if limit >= 1:
@@ -78,7 +78,7 @@
         others = data.draw(st.sets(st.sampled_from(sorted(daemons))))
         listed = {member: daemons[member] for member in users | others}
         total += share(limit, name, listed)
-    assert total <= rate_shares.rate(limit) * (1 + 1e-9)
+    assert total <= rate_shares.fleet_rate(limit) * (1 + 1e-9)
 
 
 def test_daemon_with_an_old_list_uses_a_fraction_and_an_unlisted_one_nothing():
