--- a/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/crash_watch.py
@@ -30,7 +30,7 @@
 def crash_points(
     broken: ConnectionBreak | None, *, streaming: bool, expected: bool, silent: bool
 ) -> int:
-    """Return the points of a failed attempt against its request; 0 if it shows no crash.
+    """Return the points that a failed attempt scores against its request; 0 if it is no crash.
 
     An endpoint of a plain service sends the head together with the answer, so a request to it
     counts as running also without a head.
--- a/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/endpoint_limits.py
@@ -177,7 +177,7 @@
     def reserve(self, endpoint: Endpoint) -> Reservation | None:
         """Reserve one request, right before it is sent.
 
-        Reservations don't accumulate while they are unused.
+        Unused reservations don't accumulate.
 
         :returns: the reservation; None if the endpoint has no limit.
         :raises EndpointNotAcceptingError: if this daemon may send none now.
--- a/packages/gateway/src/thorncleat_gateway/requests/lifted_holds.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/lifted_holds.py
@@ -10,7 +10,7 @@
 from .fingerprint import Fingerprint
 from .quarantine import Quarantine
 
-# Prefix of the records; the fingerprint in hexadecimal follows.
+# Prefix of the keys; the fingerprint in hexadecimal follows, and the content is ignored.
 RELEASES_PREFIX = "thorncleat/lifted/"
 
 
--- a/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/quarantine.py
@@ -255,7 +255,7 @@
         return crash
 
     def _retention_rank(self, crash: Crash) -> tuple[bool, float]:
-        """Return a sort key; the smallest is removed first. Prefers quarantined, then newer."""
+        """Return the sort key for removal: older crashes first, quarantined requests last."""
         return not self._quarantined_until.keys().isdisjoint(crash.requests), crash.at
 
     def _remove_crash(self, crash: Crash) -> None:
--- a/packages/gateway/src/thorncleat_gateway/requests/streams.py
+++ b/packages/gateway/src/thorncleat_gateway/requests/streams.py
@@ -134,8 +134,8 @@
     ) -> Endpoint:
         """Return the leader of the next attempt's group; a stream that has begun waits for one.
 
-        :raises RefusalError: if there is none or the request is quarantined, before the head.
-        :raises AnswerAbortedError: the same after the caller has got the head of the answer.
+        :raises RefusalError: if there is none, or the request is quarantined.
+        :raises AnswerAbortedError: in these cases, if the caller has got the head of the answer.
         """
         until = min(request.give_up_at, self._clock() + WAIT_FOR_GROUP_SECONDS)
         service, model = request.service.name, request.meta.model
--- a/tests/test_forms_refusals.py
+++ b/tests/test_forms_refusals.py
@@ -244,16 +244,16 @@
             async with site([configuration(), *both]) as daemon:
                 found = await call(daemon, PATHS[kind])
         assert found == snapshot(name="answer")
-        first, second = (self._without_endpoint(one) for one in server.calls)
+        first, second = (self._without_endpoint(sent) for sent in server.calls)
         assert second == snapshot(name="second")
-        more = [one for one in second["headers"] if one not in first["headers"]]
+        more = [header for header in second["headers"] if header not in first["headers"]]
         assert more == ([["Last-Event-ID", "1"]] if kind == "stream" else [])
 
     def _without_endpoint(self, sent):
         # The choice between equal endpoints is random.
         name = "X-Thorncleat-Expect-Instance"
-        kept = [[key, "<endpoint>" if key == name else value] for key, value in sent["headers"]]
-        return {**sent, "headers": kept}
+        headers = [[key, "<endpoint>" if key == name else value] for key, value in sent["headers"]]
+        return {**sent, "headers": headers}
 
 
 class TestReadiness:
