--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -124,14 +124,14 @@
     def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
         daemons = self._fleet.daemons()
         has_list = fleet_knowledge is not FleetKnowledge.NONE
-        return rate_shares.rate(limit) / len(daemons) if has_list else 0.0
+        return rate_shares.fleet_rate(limit) / len(daemons) if has_list else 0.0
 
 
 class WholeLimit(EndpointLimits):
     """Gives every daemon the whole limit."""
 
     def _share(self, endpoint: Endpoint, limit: float, fleet_knowledge: FleetKnowledge) -> float:
-        return rate_shares.rate(limit)
+        return rate_shares.fleet_rate(limit)
 
 
 class TimeSlots(EndpointLimits):
@@ -139,10 +139,10 @@
 
     def wait_seconds(self, endpoint: Endpoint) -> float:
         """Return 0 if this daemon may send in the current slot, else the length of a slot."""
-        state = self._limit_of(endpoint)
+        state = self._find_limited(endpoint)
         if state is None or state.notice.limit is None:
             return 0.0
-        slot_seconds = 1 / rate_shares.rate(state.notice.limit)
+        slot_seconds = 1 / rate_shares.fleet_rate(state.notice.limit)
         names = sorted(self._fleet.daemons())
         slot_number = int(self._clock() / slot_seconds)
         is_own = names and names[slot_number % len(names)] == self._fleet.own.id
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -1,7 +1,6 @@
-"""Endpoints that name a rate limit for the requests of all daemons together.
+"""Endpoints that set a rate limit for the requests of all daemons together.
 
-Guards against daemons that each keep to a limit but exceed it together, as a limited endpoint's
-requests come from many daemons.
+Guards against daemons that each keep to the limit but exceed it together.
 """
 
 import asyncio
@@ -152,7 +151,7 @@
     worker.extra_headers = {"Server-Limit": "0.5"}
     statuses = [(await world.call("first", daemon)).status]
     daemon.limits.wait_seconds(worker.endpoint)
-    await asyncio.sleep(1 / rate_shares.rate(0.5))
+    await asyncio.sleep(1 / rate_shares.fleet_rate(0.5))
     worker.alive = False
     statuses.append((await world.call("second", daemon)).status)
     worker.alive = True
@@ -244,7 +243,7 @@
 
 def test_reservations_do_not_accumulate_and_the_first_one_waits(scene):
     scene.receive(NAMED)
-    seconds = 1 / rate_shares.rate(2.0)
+    seconds = 1 / rate_shares.fleet_rate(2.0)
     assert scene.limits.wait_seconds(ENDPOINT) == pytest.approx(seconds)
     scene.now += 100
     assert scene.limits.reserve(ENDPOINT) is not None
@@ -302,7 +301,7 @@
     scene.now += NOTICE_TTL_SECONDS + 1
     scene.limits.expire({"i-1", "i-2"})
     assert scene.limits.is_limited(ENDPOINT)
-    # An endpoint that restarts again and again under its id leaves nothing behind.
+    # Repeated restarts of an endpoint under its id leave no notices.
     assert not scene.limits._unlimited
     scene.limits.expire(())
     assert not scene.limits.notices
@@ -312,14 +311,15 @@
 @pytest.mark.parametrize("daemons", [8, 40])
 @pytest.mark.parametrize("limit", [0.1, 1.0, 10.0])
 def test_fleet_keeps_to_a_limit_through_partitions(trouble, daemons, limit):
-    """The endpoint counts; the bound is the limit and one request at the edge of a span."""
+    """The endpoint counts requests; the bound is the limit plus one request."""
     seen = limit_fleet.LimitFleet("holders", daemons, limit, 3.0, trouble, 1).run()
     assert seen.max_in_window <= limit_rule.WINDOW_SECONDS * limit + 1
     # Most of the limit is used without faults.
     assert seen.used_share > (0.5 if trouble == "calm" else 0)
     # The next request of the slowest holder, and its answer.
     assert (
-        seen.recovery_seconds < 1 / (rate_shares.rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
+        seen.recovery_seconds
+        < 1 / (rate_shares.fleet_rate(limit) * rate_shares.STALE_LIST_FRACTION) + 1
     )
 
 
