--- a/bench/days.py
+++ b/bench/days.py
@@ -1,7 +1,6 @@
 """Writes additional days, with faults of every kind, for the users' bench.
 
-``bin/days write SITE DIRECTORY`` writes days for one site, and ``bin/days write_for_all DIRECTORY``
-days for all sites.
+Run as ``bin/days write SITE DIRECTORY`` or ``bin/days write_for_all DIRECTORY``.
 
 Owns: the faults and their variants, and the regression days.
 Relies on: the form of a site's file, whose quiet day is the template.
@@ -169,7 +168,7 @@
 
 
 def _format_entries(entries: t.Iterable[str], *, is_planned: bool) -> str:
-    """Return the planned work or the other entries of a day, in the form of a day file."""
+    """Return the planned work or the faults among entries, in the form of a day file."""
     chosen = [entry for entry in entries if (_kind(entry) in PLANNED_KINDS) == is_planned]
     if not chosen:
         return "[]"
@@ -177,6 +176,7 @@
 
 
 def _make_day(day: str, name: str, entries: list[str]) -> str:
+    """Return a copy of a day's text with another name and with the given entries."""
     planned_work, faults = (
         _format_entries(entries, is_planned=is_planned) for is_planned in (True, False)
     )
--- a/bench/idle_daemons.py
+++ b/bench/idle_daemons.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass
 class IdleCost:
-    """What idle daemons cost.
+    """The cost of idle daemons.
 
     :param cpu_cores: processor time of all daemons together, in cores.
     :param sent_bytes_per_second: mean of the daemons.
--- a/bench/limit_fleet.py
+++ b/bench/limit_fleet.py
@@ -160,10 +160,11 @@
 
 @dataclasses.dataclass
 class FleetResult:
-    """What a run showed.
+    """The result of a run.
 
-    :param max_in_window: most requests in any window, from daemons with notice of the limit.
-    :param used_share: share of the limit that was used once requests counted.
+    :param max_in_window: largest number of requests in any window, counting only daemons that were
+        notified of the limit.
+    :param used_share: share of the limit that was used while requests counted.
     :param recovery_seconds: time from the limit's end until nine of ten daemons know of it.
     """
 
@@ -257,7 +258,7 @@
         return self._result()
 
     def _read_list(self, daemon: _SimDaemon) -> None:
-        """Let a daemon read the list of daemons, again and again until it stops."""
+        """Let a daemon read the list of daemons periodically until it stops."""
         fleet = daemon.fleet
         if self.daemons.get(fleet.own.id) is not daemon:
             return
@@ -381,9 +382,9 @@
 ) -> None:
     """Compare ways to share a limit.
 
-    :param ways: strategies, with commas between them.
-    :param sizes: numbers of daemons, with commas between them.
-    :param figures: limits in requests a second, with commas between them.
+    :param ways: strategies, separated by commas.
+    :param sizes: numbers of daemons, separated by commas.
+    :param figures: limits in requests a second, separated by commas.
     :param rate: requests a second at each daemon that the endpoint could serve.
     :param seeds: number of runs of each combination.
     """
--- a/bench/limit_rule.py
+++ b/bench/limit_rule.py
@@ -11,9 +11,9 @@
 # A window may hold the limit multiplied by this factor, and some requests more.
 LIMIT_FACTOR = 1.5
 EXTRA_REQUESTS = 5
-# How long after the endpoint's first notice of a limit requests don't count.
+# Requests don't count for this long after the endpoint's first notice of a limit.
 FIRST_NOTICE_GRACE_SECONDS = 3.0
-# How long after the endpoint's notice to a daemon that daemon's requests don't count.
+# A daemon's requests don't count for this long after the endpoint notified that daemon.
 NOTICE_GRACE_SECONDS = 0.5
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -132,7 +132,7 @@
 ) -> None:
     """Generate a load and print its result.
 
-    :param address: server address, or several with commas between them.
+    :param address: server address, or several separated by commas.
     :param streams: number of connections.
     :param seconds: duration of the measurement.
     :param key: the caller's key.
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -31,7 +31,7 @@
 
 
 def figures(entry: t.Mapping[str, t.Any]) -> Figures:
-    """Return the figures of the one day in a journal entry."""
+    """Return the figures of the only day in a journal entry."""
     day = entry["days"][0]
     shares = {name: value for name, _, value in day["parts"]}
     return Figures(
--- a/bench/planned_costs.py
+++ b/bench/planned_costs.py
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoleCost:
-    """What one role costs one daemon.
+    """The cost of one role for one daemon.
 
     :param cpu_cores: processor time as a share of a core.
     :param sent_bytes_per_second: bytes sent; a daemon receives about as many.
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,7 +1,6 @@
 """Plays days of the users' bench on several variants of the gateway, and compares them in pairs.
 
-A plan (``bench/plans/``, JSON with comments) lists the plays and the variants, which are commits
-with some constants changed. Results are kept, so that an interrupted plan can be resumed.
+A plan in ``bench/plans/`` lists the plays and the variants. An interrupted plan can be resumed.
 
 Owns: a clone for each variant with its results, below ``run/policy``, and the plays it started.
 Relies on: the users' bench, which writes an entry to the clone's journal for each play.
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -131,6 +131,7 @@
 async def _measure_servers(
     directory: pathlib.Path, streams: int, seconds: float
 ) -> list[ServerResult]:
+    """Measure an engine itself, both baselines of :mod:`bench.servers`, and the daemon."""
     cluster = await _start_cluster(directory)
     leaders = _leaders(cluster)
     try:
@@ -199,7 +200,7 @@
     print(f"{'p50 ms':>8}{'p95 ms':>8}{'p99 ms':>8}{'errors':>8}")
     for run in runs:
         if run.server == "direct":
-            # The processor time is that of one engine, which is not comparable.
+            # The time measured is that of one engine only, so it isn't comparable.
             streams = dataclasses.replace(run.streams, processor_seconds=0.0)
             run = ServerResult(
                 run.server, streams, dataclasses.replace(run.short_requests, processor_seconds=0.0)
--- a/bench/soaks/daemon.py
+++ b/bench/soaks/daemon.py
@@ -1,7 +1,7 @@
 """Soak test of thorncleat's own daemon, run by ``bin/soak``.
 
-Injects faults into daemons, engines and the store under load. Checks that answers are correct,
-that calls run at most once and as reported, and that all groups recover.
+Injects faults under load, and checks that answers are correct, that calls run at most once and as
+reported, and that all groups recover.
 
 Owns: the cluster of one seed and the outcomes reported to its callers.
 Relies on: the service's ledger of executed calls, and the daemons' logs of broken invariants.
--- a/bench/soaks/gateway_callers.py
+++ b/bench/soaks/gateway_callers.py
@@ -65,8 +65,8 @@
     ) -> Exchange:
         """Send one request and return the exchange, complete or not.
 
-        :param body: body that replaces the request's own one; such requests share a path. Empty
-            for the own one.
+        :param body: body that replaces the generated one unless it is empty; requests with such a
+            body share a path.
         """
         self._request_count += 1
         loop = asyncio.get_running_loop()
--- a/bench/soaks/gateway_checks.py
+++ b/bench/soaks/gateway_checks.py
@@ -62,6 +62,7 @@
     def __init__(self, events_per_stream: int) -> None:
         self._events_per_stream = events_per_stream
         self._runs: dict[str, list[Run]] = collections.defaultdict(list)
+        # Ids of requests that were answered with one of REFUSAL_STATUSES.
         self._refused: set[str] = set()
         self._invalid_from: dict[str, float] = {}
         self.violations: list[str] = []
--- a/bench/soaks/gateway_fatal.py
+++ b/bench/soaks/gateway_fatal.py
@@ -18,7 +18,7 @@
 ATTEMPTS = 10
 # Mean pause between two attempts.
 MEAN_PAUSE_SECONDS = 0.3
-# Three crashes until the quarantine, and one before all daemons have heard of the third.
+# Three crashes cause a quarantine; a fourth may happen before all daemons know of the third.
 MAX_CRASHES = 4
 
 
--- a/bench/soaks/gateway_notices.py
+++ b/bench/soaks/gateway_notices.py
@@ -1,7 +1,6 @@
 """Workers of the gateway's soak that ask for a pause or announce that they leave.
 
-Checks that daemons respect this. The random generator is separate, so that seeds still choose
-the same faults elsewhere.
+Checks that daemons respect both.
 
 Owns: the pauses and announcements that each daemon received.
 Relies on: callers to record the daemon of each request, and daemons to record the times of
@@ -60,6 +59,7 @@
     def __init__(self, violations: list[str], counts: collections.Counter[str]) -> None:
         self._violations = violations
         self._counts = counts
+        # By the worker's id and the daemon's name.
         self._pauses: dict[tuple[str, str], list[_Pause]] = collections.defaultdict(list)
         self._leaving_since: dict[tuple[str, str], float] = {}
 
@@ -142,6 +142,7 @@
 
 async def inject_notices(soak: "GatewaySoak", seed: int) -> None:
     """Make random workers refuse requests or leave until the end of the run."""
+    # A generator of its own, so that seeds choose the same faults elsewhere.
     rng = random.Random(f"notices {seed}")
     tasks: list[asyncio.Task[None]] = []
     while not soak.is_over:
--- a/bench/soaks/gateway_site.py
+++ b/bench/soaks/gateway_site.py
@@ -33,7 +33,8 @@
 REVOCATION_SECONDS = 3.0
 # Revoked keys that callers still use.
 MAX_REVOKED_KEYS = 4
-# Numbers of fabric domains, workers in each, members of a group, workers of the plain service.
+# Numbers of fabric domains, of workers in each, of members of a group, and of workers of the
+# plain service.
 DOMAINS, DOMAIN_SIZE, GROUP_SIZE, PLAIN_WORKERS = 2, 6, 2, 3
 # Listeners for callers, for readiness probes and for other daemons.
 PORTS_PER_DAEMON = 3
@@ -51,6 +52,7 @@
     :param daemons: number of daemons.
     :param program: the program that all daemons run at the start.
     :ivar exchanges: all exchanges, by request id.
+    :ivar revoked_keys: keys that must be rejected; at the start one that was never valid.
     :ivar version: version of the configuration.
     """
 
--- a/bench/soaks/gateway_workers.py
+++ b/bench/soaks/gateway_workers.py
@@ -44,7 +44,7 @@
         # The head of the answer shows that the request runs.
         self.events_before_crash = 1
         self.restart_after_seconds = RESTART_DELAY_SECONDS
-        # Set from the first incarnation on, since daemons can't tell one without it apart.
+        # Set from the first incarnation on, since daemons tell incarnations apart by it.
         self.born = 1
         self.is_alive = True
         self._entry_expiry: asyncio.TimerHandle | None = None
@@ -166,6 +166,7 @@
             await asyncio.sleep(EVENT_INTERVAL_SECONDS)
 
     def _join(self, order: dict[str, t.Any]) -> int:
+        """Check that no other worker leads the former group while this one joins another."""
         former = self._group
         if former is not None and former["epoch"] != order["epoch"]:
             for other in self._site.workers.values():
--- a/packages/client/src/thorncleat_client/logs.py
+++ b/packages/client/src/thorncleat_client/logs.py
@@ -49,14 +49,14 @@
         try:
             parsed = json.loads(line[json_start:])
         except ValueError:
-            # Log collectors add lines of other programs.
+            # Collected logs also contain lines of other programs.
             continue
         if isinstance(parsed, dict) and "event" in parsed and "time" in parsed:
             yield parsed
 
 
 def for_request(lines: t.Sequence[Line], request: str) -> list[Line]:
-    """Return a request's lines, and those about its endpoints while it ran.
+    """Return a request's lines and, from its first line to its last, those about its endpoints.
 
     Lines about other requests are left out.
     """
--- a/packages/client/src/thorncleat_client/main.py
+++ b/packages/client/src/thorncleat_client/main.py
@@ -89,7 +89,8 @@
     def api(self) -> Api:
         """A client of the daemon's operator API.
 
-        :raises ClientError: if the URL or the operator's key is not set.
+        :raises UnusableDocumentError: if the URL is not set.
+        :raises DeniedError: if the operator's key is not set.
         """
         key = os.environ.get(KEY_VARIABLE, "")
         if not self._url:
--- a/packages/client/src/thorncleat_client/tables.py
+++ b/packages/client/src/thorncleat_client/tables.py
@@ -88,7 +88,7 @@
 
 
 def burn(answer: Json) -> None:
-    """Print the error budget report."""
+    """Print the error budget report, and the daemons that sent no figures."""
     rows = [
         (
             row["subject"]["workspace"],
